--- a/crates/members/src/words.rs
+++ b/crates/members/src/datagram.rs
@@ -2,11 +2,11 @@
 
 use foca::{Header, Message};
 
-use crate::{Life, Name};
+use crate::{MemberId, MemberInstance};
 
 /// A datagram that can be read, with nothing in it of names that are not known.
-pub(crate) struct Words {
-    pub(crate) from: Name,
+pub(crate) struct Datagram {
+    pub(crate) from: MemberId,
     /// It answers something that this member sent, so both ways are open.
     pub(crate) answers: bool,
     pub(crate) data: Vec<u8>,
@@ -14,8 +14,8 @@
 
 /// Reads a datagram. News of other names is left out: lists may disagree for a while, and a table that takes up every
 /// name that somebody sends has no bound. One that cannot be read whole is none.
-pub(crate) fn read(data: &[u8], known: impl Fn(Name) -> bool) -> Option<Words> {
-    let (header, mut rest) = postcard::take_from_bytes::<Header<Life>>(data).ok()?;
+pub(crate) fn read(data: &[u8], known: impl Fn(MemberId) -> bool) -> Option<Datagram> {
+    let (header, mut rest) = postcard::take_from_bytes::<Header<MemberInstance>>(data).ok()?;
     let answers = matches!(
         header.message,
         Message::Ack(_) | Message::ForwardedAck { .. } | Message::IndirectAck { .. } | Message::Feed
@@ -28,8 +28,8 @@
         kept.extend([0, 0]);
         let mut left = 0u16;
         for _ in 0..u16::from_be_bytes(*count) {
-            let (member, after) = postcard::take_from_bytes::<foca::Member<Life>>(rest).ok()?;
-            if known(member.id().name) {
+            let (member, after) = postcard::take_from_bytes::<foca::Member<MemberInstance>>(rest).ok()?;
+            if known(member.id().id) {
                 kept.extend_from_slice(&rest[..rest.len() - after.len()]);
                 left += 1;
             }
@@ -38,7 +38,7 @@
         kept[at..at + 2].copy_from_slice(&left.to_be_bytes());
     }
     // Nothing else is ever sent along.
-    rest.is_empty().then_some(Words { from: header.src.name, answers, data: kept })
+    rest.is_empty().then_some(Datagram { from: header.src.id, answers, data: kept })
 }
 
 #[cfg(test)]
--- a/crates/members/src/words/tests.rs
+++ b/crates/members/src/datagram/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn datagram(message: Message<Life>, news: &[u32]) -> Vec<u8> {
-    let life = |name| Life::new(Name(name), 7);
+fn datagram(message: Message<MemberInstance>, news: &[u32]) -> Vec<u8> {
+    let life = |name| MemberInstance::new(MemberId(name), 7);
     let header = Header { src: life(1), src_incarnation: 0, dst: life(2), message };
     let mut buf = [0; 512];
     let mut data = postcard::to_slice(&header, &mut buf).expect("room").to_vec();
@@ -19,7 +19,7 @@
 fn news_of_unknown_names_is_left_out_and_the_rest_stays_as_it_was() {
     let whole = datagram(Message::Gossip, &[3, 900, 4, 901]);
     let words = read(&whole, |name| name.0 < 10).expect("words");
-    assert_eq!((words.from, words.answers), (Name(1), false));
+    assert_eq!((words.from, words.answers), (MemberId(1), false));
     assert_eq!(words.data, datagram(Message::Gossip, &[3, 4]));
     assert_eq!(read(&whole, |_| true).expect("words").data, whole);
 }
--- a/crates/members/src/life.rs
+++ b/crates/members/src/instance.rs
@@ -5,56 +5,56 @@
 
 /// A member's name: the same over all its lives, and no other's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Name(pub u32);
+pub struct MemberId(pub u32);
 
 /// One life of a member, from its start to its death.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Life {
+pub struct MemberInstance {
     /// Whose.
-    pub name: Name,
+    pub id: MemberId,
     /// When it began: Unix milliseconds at the start of the process, or later. Of two lives of a name the later one
     /// stands. Nothing else is ever reckoned from it, so that a wrong clock does no harm that lasts.
-    pub start: u64,
+    pub start_ms: u64,
     /// How often it had to begin anew because others held it for dead.
     pub renewals: u8,
     /// It takes its leave: what others see last of it is no death.
     pub leaving: bool,
 }
 
-impl Life {
+impl MemberInstance {
     /// A process that starts at this Unix time in milliseconds.
-    pub fn new(name: Name, start: u64) -> Self {
-        Self { name, start, renewals: 0, leaving: false }
+    pub fn new(id: MemberId, start_ms: u64) -> Self {
+        Self { id, start_ms, renewals: 0, leaving: false }
     }
 
     /// Who is meant where only the name is known.
-    pub(crate) fn any(name: Name) -> Self {
-        Self::new(name, 0)
+    pub(crate) fn unknown_instance(id: MemberId) -> Self {
+        Self::new(id, 0)
     }
 
     /// The same life with its leave taken.
-    pub(crate) fn last(self) -> Self {
-        Self { leaving: true, start: self.start.saturating_add(1), ..self }
+    pub(crate) fn into_leaving(self) -> Self {
+        Self { leaving: true, start_ms: self.start_ms.saturating_add(1), ..self }
     }
 }
 
-impl Identity for Life {
-    type Addr = Name;
+impl Identity for MemberInstance {
+    type Addr = MemberId;
 
     /// A life that was held for dead goes on as a later one. Steps double: a process whose clock was set back by an
     /// hour must come to stand after the life that others remember, and does so within two dozen answers.
     fn renew(&self) -> Option<Self> {
         let step = 1u64 << self.renewals.min(40);
         let renewals = self.renewals.saturating_add(1);
-        (!self.leaving).then(|| Self { start: self.start.saturating_add(step), renewals, ..*self })
+        (!self.leaving).then(|| Self { start_ms: self.start_ms.saturating_add(step), renewals, ..*self })
     }
 
-    fn addr(&self) -> Name {
-        self.name
+    fn addr(&self) -> MemberId {
+        self.id
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.start, self.renewals, self.leaving) > (other.start, other.renewals, other.leaving)
+        (self.start_ms, self.renewals, self.leaving) > (other.start_ms, other.renewals, other.leaving)
     }
 }
 
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -5,20 +5,20 @@
 //! name is the later one (`life.rs`), how a member that was cut off finds back, what is a leave and what a death,
 //! and whether this one is in a minority (`view.rs`).
 //!
-//! There is no I/O: time is an argument, datagrams and changes come out of [`Members`] as [`Out`], and the same seed
+//! There is no I/O: time is an argument, datagrams and changes come out of [`LocalMember`] as [`Output`], and the same seed
 //! and inputs always give the same outputs. docs/design/membership.md weighs the ways.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod doubt;
-mod life;
-mod members;
+mod datagram;
+mod instance;
+mod local_member;
+mod self_suspicion;
 mod settings;
-mod timers;
+mod timer_queue;
 mod view;
-mod words;
 
-pub use life::{Life, Name};
-pub use members::{Members, Out};
+pub use instance::{MemberId, MemberInstance};
+pub use local_member::{LocalMember, Output};
 pub use settings::{Settings, SettingsError};
-pub use view::{Member, State, View};
+pub use view::{Member, MemberState, View};
--- a/crates/members/src/doubt.rs
+++ b/crates/members/src/self_suspicion.rs
@@ -1,4 +1,4 @@
-//! Doubt in oneself. A process that was stopped finds its timers overdue and its probes unanswered, all at once; one whose
+//! SelfSuspicion in oneself. A process that was stopped finds its timers overdue and its probes unanswered, all at once; one whose
 //! datagrams are lost on one way finds nobody answering. Taken at their word both would accuse the whole fleet, and what
 //! they say of others is believed. So who was away lets its timers wait as long, and **only who is answered accuses**:
 //! an answer shows that both ways are open, at least to one. Who is late itself gives answers more time, as Lifeguard
@@ -19,7 +19,7 @@
 
 /// See the module's page.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Doubt {
+pub(crate) struct SelfSuspicion {
     /// The last answer; at first, when it began.
     answered: Duration,
     /// It was away until then, and nobody has answered since.
@@ -29,7 +29,7 @@
     pauses: u64,
 }
 
-impl Doubt {
+impl SelfSuspicion {
     pub(crate) fn new(now: Duration) -> Self {
         Self { answered: now, away: None, health: 0, pauses: 0 }
     }
--- a/crates/members/src/doubt/tests.rs
+++ b/crates/members/src/self_suspicion/tests.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn after_a_pause_nobody_is_accused_until_somebody_has_answered_since() {
-    let mut doubt = Doubt::new(at(0));
+    let mut doubt = SelfSuspicion::new(at(0));
     assert_eq!(doubt.late(at(1_000), at(990), P), None);
     assert!(doubt.accuses(at(1_000), P));
     assert_eq!(doubt.late(at(11_000), at(1_500), P), Some(at(9_500)));
@@ -22,7 +22,7 @@
 
 #[test]
 fn who_is_not_answered_first_falls_silent_and_is_then_alone() {
-    let mut doubt = Doubt::new(at(0));
+    let mut doubt = SelfSuspicion::new(at(0));
     doubt.answered(at(1_000), P);
     assert!(doubt.accuses(at(3_000), P) && !doubt.accuses(at(3_100), P));
     assert!(!doubt.is_alone(at(9_000), P) && doubt.is_alone(at(9_100), P));
@@ -32,7 +32,7 @@
 
 #[test]
 fn who_is_late_gives_more_time_and_takes_it_back() {
-    let mut doubt = Doubt::new(at(0));
+    let mut doubt = SelfSuspicion::new(at(0));
     (0..100).for_each(|_| doubt.probed(at(1_300), at(1_000), P));
     assert_eq!(doubt.stretch(), 1 + WORST);
     (0..100).for_each(|_| doubt.probed(at(1_010), at(1_000), P));
--- a/crates/members/src/settings/tests.rs
+++ b/crates/members/src/settings/tests.rs
@@ -7,12 +7,12 @@
     let good = Settings::default();
     assert_eq!(good.check(), Ok(()));
     let bad = [
-        (Settings { period: Duration::from_millis(19), ..good }, SettingsError::Period),
-        (Settings { period: Duration::from_secs(61), ..good }, SettingsError::Period),
-        (Settings { expected: 0, ..good }, SettingsError::Expected),
-        (Settings { expected: 5_000, ..good }, SettingsError::Expected),
-        (Settings { datagram: 95, ..good }, SettingsError::Datagram),
-        (Settings { datagram: 1_401, ..good }, SettingsError::Datagram),
+        (Settings { probe_period: Duration::from_millis(19), ..good }, SettingsError::ProbePeriod),
+        (Settings { probe_period: Duration::from_secs(61), ..good }, SettingsError::ProbePeriod),
+        (Settings { expected_members: 0, ..good }, SettingsError::ExpectedMembers),
+        (Settings { expected_members: 5_000, ..good }, SettingsError::ExpectedMembers),
+        (Settings { max_datagram_bytes: 95, ..good }, SettingsError::DatagramSize),
+        (Settings { max_datagram_bytes: 1_401, ..good }, SettingsError::DatagramSize),
     ];
     for (settings, error) in bad {
         assert_eq!(settings.check(), Err(error), "{settings:?}");
@@ -21,6 +21,6 @@
 
 #[test]
 fn a_larger_fleet_waits_longer_for_a_suspect() {
-    let of = |expected| Settings { expected, ..Settings::default() }.suspicion();
+    let of = |expected| Settings { expected_members: expected, ..Settings::default() }.suspicion_timeout();
     assert!(of(1) < of(10) && of(10) < of(1_000) && of(1_000) < 3 * of(1));
 }
--- a/crates/members/src/timers.rs
+++ b/crates/members/src/timer_queue.rs
@@ -5,18 +5,18 @@
 
 /// A queue of things due. Of those due together the first put in comes first.
 #[derive(Debug)]
-pub(crate) struct Timers<T> {
+pub(crate) struct TimerQueue<T> {
     due: BTreeMap<(Duration, u64), T>,
     count: u64,
 }
 
-impl<T> Default for Timers<T> {
+impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
         Self { due: BTreeMap::new(), count: 0 }
     }
 }
 
-impl<T> Timers<T> {
+impl<T> TimerQueue<T> {
     pub(crate) fn put(&mut self, at: Duration, what: T) {
         self.count += 1;
         self.due.insert((at, self.count), what);
--- a/crates/members/src/timers/tests.rs
+++ b/crates/members/src/timer_queue/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn they_come_in_order_of_time_and_then_as_they_were_put_in() {
     let at = Duration::from_millis;
-    let mut timers = Timers::default();
+    let mut timers = TimerQueue::default();
     for (ms, what) in [(30, 'd'), (10, 'a'), (20, 'b'), (20, 'c')] {
         timers.put(at(ms), what);
     }
--- a/crates/members/src/view/tests.rs
+++ b/crates/members/src/view/tests.rs
@@ -2,24 +2,24 @@
 
 use super::*;
 
-fn view(states: &[State]) -> View {
-    let member = |(i, state): (usize, &State)| Member {
-        name: Name(i as u32),
+fn view(states: &[MemberState]) -> View {
+    let member = |(i, state): (usize, &MemberState)| Member {
+        id: MemberId(i as u32),
         state: *state,
-        start: 0,
+        start_ms: 0,
         incarnation: 0,
-        since: None,
-        heard: None,
+        state_since: None,
+        last_heard: None,
     };
     View::new(states.iter().enumerate().map(member).collect(), 0, 1)
 }
 
 #[test]
 fn half_is_no_majority_and_who_left_is_not_counted() {
-    use State::*;
+    use MemberState::*;
     assert!(view(&[]).majority, "one alone, of one");
-    assert!(!view(&[Gone]).majority);
-    assert!(!view(&[Alive, Alive, Gone, Gone, Unmet]).majority, "three of six");
-    assert!(view(&[Alive, Suspect, Alive, Gone, Unmet]).majority, "four of six");
-    assert!(view(&[Alive, Alive, Gone, Gone, Left]).majority, "three of five");
+    assert!(!view(&[Dead]).majority);
+    assert!(!view(&[Alive, Alive, Dead, Dead, Unknown]).majority, "three of six");
+    assert!(view(&[Alive, Suspect, Alive, Dead, Unknown]).majority, "four of six");
+    assert!(view(&[Alive, Alive, Dead, Dead, Left]).majority, "three of five");
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -86,7 +86,7 @@
     }
 
     /// A call of the old version.
-    pub fn old(&mut self, hit: bool) {
+    pub fn record_old(&mut self, hit: bool) {
         if self.block_old.calls >= LONGEST_BLOCK {
             self.old.merge(std::mem::take(&mut self.block_old));
         }
@@ -94,14 +94,14 @@
     }
 
     /// A call of the new version.
-    pub fn new_call(&mut self, hit: bool) {
+    pub fn record_new(&mut self, hit: bool) {
         self.block_new.add(hit);
     }
 
     /// Ends the block. When both versions had calls in it, they are set against each other. Without old ones
     /// (the share is 100%) the new ones are set against `fixed`, where it is given: then the test is of one
     /// rate, which is no higher under the null.
-    pub fn close(&mut self, fixed: Option<f64>) {
+    pub fn close_block(&mut self, fixed: Option<f64>) {
         let (a, b) = (self.block_old, self.block_new);
         if b.calls == 0 || (a.calls == 0 && fixed.is_none()) {
             return;
--- a/crates/rollout/src/evidence/tests.rs
+++ b/crates/rollout/src/evidence/tests.rs
@@ -24,12 +24,12 @@
                     let p = if i < 3 { rate } else { rate - new_is_better };
                     chance *= if hit { p } else { 1.0 - p };
                     if i < 3 {
-                        e.old(hit);
+                        e.record_old(hit);
                     } else {
-                        e.new_call(hit);
+                        e.record_new(hit);
                     }
                 }
-                e.close(None);
+                e.close_block(None);
                 expected += chance * e.log_e().exp();
             }
             assert!(expected <= 1.0 + 1e-9, "{rate}: {expected}");
@@ -40,15 +40,15 @@
 #[test]
 fn a_block_with_one_side_missing_stays_open() {
     let mut e = Evidence::new(1.0);
-    e.new_call(true);
-    e.close(None);
+    e.record_new(true);
+    e.close_block(None);
     assert_eq!((e.log_e(), e.counts().1.calls), (0.0, 1));
-    e.old(false);
-    e.close(None);
+    e.record_old(false);
+    e.close_block(None);
     assert!(e.log_e() > 0.0);
     let before = e.log_e();
-    e.new_call(true);
-    e.close(Some(0.01));
+    e.record_new(true);
+    e.close_block(Some(0.01));
     assert!(e.log_e() > before, "against a fixed rate");
 }
 
--- a/crates/rollout/src/gates.rs
+++ b/crates/rollout/src/gates.rs
@@ -10,7 +10,7 @@
 use wheellink::Micros;
 
 use crate::evidence::{deviations, upper_difference, upper_rate, worst_first, Count, Evidence};
-use crate::plan::{GateTable, Need};
+use crate::plan::{GateRequirement, GateSettings};
 use crate::Version;
 
 /// Classes that are looked at one by one; calls of further ones count for all together only.
@@ -26,7 +26,7 @@
 
 /// How a call ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// Served.
     Served,
     /// Refused: trying again is harmless.
@@ -37,7 +37,7 @@
 
 /// What is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum Metric {
     /// Failed, of all calls.
     Failed,
     /// Refused, of all calls.
@@ -48,26 +48,26 @@
     Slow,
 }
 
-impl Kind {
+impl Metric {
     /// All of them.
-    pub const ALL: [Kind; 4] = [Kind::Failed, Kind::Refused, Kind::Late, Kind::Slow];
+    pub const ALL: [Metric; 4] = [Metric::Failed, Metric::Refused, Metric::Late, Metric::Slow];
 
     /// As it is told to operators.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Failed => "failed",
-            Kind::Refused => "refused",
-            Kind::Late => "late",
-            Kind::Slow => "slow",
+            Metric::Failed => "failed",
+            Metric::Refused => "refused",
+            Metric::Late => "late",
+            Metric::Slow => "slow",
         }
     }
 
-    fn margin(self, table: &GateTable) -> Option<f64> {
+    fn margin(self, table: &GateSettings) -> Option<f64> {
         match self {
-            Kind::Failed => table.failed,
-            Kind::Refused => table.refused,
-            Kind::Late => table.late,
-            Kind::Slow => table.slow,
+            Metric::Failed => table.failed,
+            Metric::Refused => table.refused,
+            Metric::Late => table.late,
+            Metric::Slow => table.slow,
         }
     }
 }
@@ -76,9 +76,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Too little.
-    NotKnown,
+    Inconclusive,
     /// The new version is not worse by the margin or more.
-    Holds,
+    Passes,
     /// The new version is worse.
     Fails,
 }
@@ -89,7 +89,7 @@
     /// The class; `None` for all together.
     pub class: Option<String>,
     /// What is compared.
-    pub kind: Kind,
+    pub metric: Metric,
     /// What is known.
     pub verdict: Verdict,
     /// Counts since the step began.
@@ -124,20 +124,21 @@
         }
     }
 
-    fn call(&mut self, version: Version, outcome: Outcome, took: Micros, aim: Micros) {
+    fn record_call(&mut self, version: Version, outcome: CallOutcome, took: Micros, aim: Micros) {
         let micros = (took.max(1) as u64).min(LONGEST);
-        let served = outcome == Outcome::Served;
-        let late = took > aim && outcome != Outcome::Refused;
+        let served = outcome == CallOutcome::Served;
+        let late = took > aim && outcome != CallOutcome::Refused;
         let slow = self.slow.filter(|_| served).map(|limit| micros > limit);
-        let hits = [Some(outcome == Outcome::Failed), Some(outcome == Outcome::Refused), Some(late), slow];
+        let hits =
+            [Some(outcome == CallOutcome::Failed), Some(outcome == CallOutcome::Refused), Some(late), slow];
         for (i, hit) in hits.into_iter().enumerate().filter_map(|(i, hit)| Some((i, hit?))) {
             match version {
                 Version::Old => {
-                    self.evidence[i].old(hit);
+                    self.evidence[i].record_old(hit);
                     self.step[i].0.add(hit);
                 }
                 Version::New => {
-                    self.evidence[i].new_call(hit);
+                    self.evidence[i].record_new(hit);
                     self.step[i].1.add(hit);
                 }
             }
@@ -147,10 +148,10 @@
         }
     }
 
-    fn close(&mut self, whole: bool, z: f64) {
+    fn close_blocks(&mut self, whole: bool, z: f64) {
         for (i, evidence) in self.evidence.iter_mut().enumerate() {
             let known = self.baseline[i].calls >= FEWEST;
-            evidence.close((whole && known).then(|| upper_rate(self.baseline[i], z)));
+            evidence.close_block((whole && known).then(|| upper_rate(self.baseline[i], z)));
         }
         let old = &self.times[0];
         if old.len() >= SLOW_KNOWN {
@@ -161,7 +162,7 @@
 
 /// See the module's page.
 pub struct Gates {
-    table: GateTable,
+    table: GateSettings,
     rows: BTreeMap<Option<String>, Row>,
     /// The share is 100%: there are no old calls to set new ones against.
     whole: bool,
@@ -169,34 +170,41 @@
 
 impl Gates {
     /// Nothing counted yet.
-    pub fn new(table: GateTable) -> Self {
-        let all = Row::new(table.cluster);
+    pub fn new(table: GateSettings) -> Self {
+        let all = Row::new(table.max_cluster_size);
         Self { table, rows: BTreeMap::from([(None, all)]), whole: false }
     }
 
     /// A call has ended. `took` is the time from its arrival, `aim` its class's.
-    pub fn call(&mut self, version: Version, class: &str, outcome: Outcome, took: Micros, aim: Micros) {
-        let cluster = self.table.cluster;
+    pub fn record_call(
+        &mut self,
+        version: Version,
+        class: &str,
+        outcome: CallOutcome,
+        took: Micros,
+        aim: Micros,
+    ) {
+        let cluster = self.table.max_cluster_size;
         if !self.rows.contains_key(&Some(class.to_string())) && self.rows.len() <= MOST_CLASSES {
             self.rows.insert(Some(class.to_string()), Row::new(cluster));
         }
         for key in [None, Some(class.to_string())] {
             if let Some(row) = self.rows.get_mut(&key) {
-                row.call(version, outcome, took, aim);
+                row.record_call(version, outcome, took, aim);
             }
         }
     }
 
     /// Ends the blocks that can be ended: to be called a few times a second, so that both versions are compared
     /// over the same time.
-    pub fn close(&mut self) {
+    pub fn close_blocks(&mut self) {
         let (whole, z) = (self.whole, deviations(self.table.beta));
-        self.rows.values_mut().for_each(|row| row.close(whole, z));
+        self.rows.values_mut().for_each(|row| row.close_blocks(whole, z));
     }
 
     /// Another step begins: what is good has to be shown again. Evidence against stays.
-    pub fn step(&mut self, whole: bool) {
-        self.close();
+    pub fn begin_step(&mut self, whole: bool) {
+        self.close_blocks();
         self.whole = whole;
         for row in self.rows.values_mut() {
             for (step, baseline) in row.step.iter_mut().zip(&mut row.baseline) {
@@ -209,24 +217,24 @@
     }
 
     /// New calls finished since the step began.
-    pub fn finished(&self) -> u64 {
+    pub fn candidate_calls(&self) -> u64 {
         self.rows.get(&None).map_or(0, |row| row.step[0].1.calls)
     }
 
     fn tests(&self) -> usize {
-        let kinds = Kind::ALL.iter().filter(|k| k.margin(&self.table).is_some()).count();
+        let kinds = Metric::ALL.iter().filter(|metric| metric.margin(&self.table).is_some()).count();
         // As many as there may ever be, so that the bound does not move when a class comes up.
         kinds * (MOST_CLASSES + 1)
     }
 
     /// All comparisons, those that speak most against the new version first.
-    pub fn all(&self) -> Vec<Gate> {
+    pub fn evaluate(&self) -> Vec<Gate> {
         let limit = (self.tests() as f64 / self.table.alpha).ln();
         let z = deviations(self.table.beta);
         let mut gates = Vec::new();
         for (class, row) in &self.rows {
-            for (i, kind) in Kind::ALL.into_iter().enumerate() {
-                let Some(margin) = kind.margin(&self.table) else { continue };
+            for (i, metric) in Metric::ALL.into_iter().enumerate() {
+                let Some(margin) = metric.margin(&self.table) else { continue };
                 let (own, new) = row.step[i];
                 let old = if self.whole { row.baseline[i] } else { own };
                 let log_e = row.evidence[i].log_e();
@@ -234,11 +242,11 @@
                 let verdict = if log_e >= limit {
                     Verdict::Fails
                 } else if enough && upper_difference(old, new, z) < margin {
-                    Verdict::Holds
+                    Verdict::Passes
                 } else {
-                    Verdict::NotKnown
+                    Verdict::Inconclusive
                 };
-                gates.push(Gate { class: class.clone(), kind, verdict, old, new, log_e });
+                gates.push(Gate { class: class.clone(), metric, verdict, old, new, log_e });
             }
         }
         worst_first(&mut gates);
@@ -247,25 +255,25 @@
 
     /// What all of them say together: one that fails is enough to fail; to hold, all that the plan needs must.
     pub fn verdict(&self) -> (Verdict, Option<Gate>) {
-        let gates = self.all();
+        let gates = self.evaluate();
         if let Some(worst) = gates.iter().find(|g| g.verdict == Verdict::Fails) {
             return (Verdict::Fails, Some(worst.clone()));
         }
-        let needed = |g: &&Gate| match self.table.need {
-            Need::Together => g.class.is_none(),
+        let needed = |g: &&Gate| match self.table.requirement {
+            GateRequirement::AllTogether => g.class.is_none(),
             // A class that nobody called in this step has nothing to show.
-            Need::Every => g.class.is_none() || g.old.calls + g.new.calls > 0,
+            GateRequirement::EveryClass => g.class.is_none() || g.old.calls + g.new.calls > 0,
         };
-        let open = gates.iter().filter(needed).find(|g| g.verdict != Verdict::Holds);
+        let open = gates.iter().filter(needed).find(|g| g.verdict != Verdict::Passes);
         match open {
-            Some(gate) => (Verdict::NotKnown, Some(gate.clone())),
-            None => (Verdict::Holds, None),
+            Some(gate) => (Verdict::Inconclusive, Some(gate.clone())),
+            None => (Verdict::Passes, None),
         }
     }
 
     /// Served calls' times in microseconds since the rollout began, all classes: median and 99th percentile of
     /// the old version and of the new one.
-    pub fn times(&self) -> [(u64, u64); 2] {
+    pub fn latencies(&self) -> [(u64, u64); 2] {
         let row = self.rows.get(&None);
         let of = |i: usize| {
             row.map_or((0, 0), |r| (r.times[i].value_at_quantile(0.5), r.times[i].value_at_quantile(0.99)))
--- a/crates/rollout/src/ledger.rs
+++ b/crates/rollout/src/ledger.rs
@@ -2,40 +2,40 @@
 //! may happen to the call when the candidate is gone.
 //!
 //! A call that is not in it is the holder's own. Words of a candidate that break the protocol's order are
-//! [`Fault`]s: whoever speaks so is to be given up, since nothing it says of attempts can be relied on.
+//! [`ProtocolViolation`]s: whoever speaks so is to be given up, since nothing it says of attempts can be relied on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use wheellink::{Effect, Micros, Outcome, WorkerId};
 
-use crate::terms::Terms;
+use crate::retry_policy::RetryPolicy;
 
 /// Attempts of one call that are taken down; a class allows far fewer.
 const MOST_ATTEMPTS: usize = 64;
 
 /// An attempt that the candidate told of.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Past {
+pub struct AttemptRecord {
     /// The host it was for.
     pub host: WorkerId,
     /// When it was told, before its first byte left.
-    pub at: Micros,
+    pub announced_at: Micros,
     /// How it ended; `None` where that was not told.
-    pub end: Option<Outcome>,
+    pub outcome: Option<Outcome>,
 }
 
-impl Past {
+impl AttemptRecord {
     /// Whether it may have run.
     pub fn may_have_run(&self) -> bool {
-        !self.end.is_some_and(Outcome::never_ran)
+        !self.outcome.is_some_and(Outcome::never_ran)
     }
 }
 
 /// What is to happen to a call whose candidate is gone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Fate {
+pub enum Recovery {
     /// The holder decides it, with these attempts counted as its own: all of them have ended.
-    Anew(Vec<Past>),
+    Rerun(Vec<AttemptRecord>),
     /// Refused: trying again is harmless, as nothing of it ran or its class is safe; here it cannot go on.
     Refuse,
     /// Failed: it may have run and must not run again, or not now.
@@ -44,7 +44,7 @@
 
 /// Why a call cannot be passed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Full {
+pub enum LedgerFull {
     /// As many calls are out as may be.
     Calls,
     /// Their bodies are as long as they may be.
@@ -53,19 +53,19 @@
 
 /// How a candidate broke the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault(pub &'static str);
+pub struct ProtocolViolation(pub &'static str);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     terms: Allowed,
     due: Micros,
     size: usize,
-    attempts: Vec<Past>,
+    attempts: Vec<AttemptRecord>,
 }
 
-/// [`Terms`] without their order, which the ledger has no use for.
+/// [`RetryPolicy`] without their order, which the ledger has no use for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Kind {
+enum EffectKind {
     Safe,
     Keyed(Micros),
     Unsafe,
@@ -73,16 +73,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Allowed {
-    kind: Kind,
+    kind: EffectKind,
     most: u32,
 }
 
-impl From<&Terms> for Allowed {
-    fn from(terms: &Terms) -> Self {
+impl From<&RetryPolicy> for Allowed {
+    fn from(terms: &RetryPolicy) -> Self {
         let kind = match terms.effect() {
-            Effect::Safe => Kind::Safe,
-            Effect::Keyed { window, .. } => Kind::Keyed(window),
-            Effect::Unsafe => Kind::Unsafe,
+            Effect::Safe => EffectKind::Safe,
+            Effect::Keyed { window, .. } => EffectKind::Keyed(window),
+            Effect::Unsafe => EffectKind::Unsafe,
         };
         Self { kind, most: terms.attempts }
     }
@@ -120,24 +120,30 @@
     }
 
     /// Holds to another number of bytes from now on. What is out stays.
-    pub fn bound(&mut self, most_bytes: usize) {
+    pub fn set_max_bytes(&mut self, most_bytes: usize) {
         self.most_bytes = most_bytes;
     }
 
     /// Whether a call of this size may be passed now.
-    pub fn room(&self, size: usize) -> Result<(), Full> {
+    pub fn check_capacity(&self, size: usize) -> Result<(), LedgerFull> {
         if self.calls.len() >= self.most_calls {
-            Err(Full::Calls)
+            Err(LedgerFull::Calls)
         } else if self.bytes + size > self.most_bytes {
-            Err(Full::Bytes)
+            Err(LedgerFull::Bytes)
         } else {
             Ok(())
         }
     }
 
     /// The candidate decides this call from now on: an answer is owed by `due`.
-    pub fn pass(&mut self, seq: u64, terms: &Terms, due: Micros, size: usize) -> Result<(), Full> {
-        self.room(size)?;
+    pub fn pass(
+        &mut self,
+        seq: u64,
+        terms: &RetryPolicy,
+        due: Micros,
+        size: usize,
+    ) -> Result<(), LedgerFull> {
+        self.check_capacity(size)?;
         debug_assert!(!self.calls.contains_key(&seq), "numbers are never used again");
         self.calls.insert(seq, Entry { terms: terms.into(), due, size, attempts: Vec::new() });
         self.due.insert((due, seq));
@@ -157,21 +163,27 @@
     ///
     /// # Errors
     /// A number out of turn, or an attempt beside another: two must never be out at once.
-    pub fn told(&mut self, seq: u64, number: u32, host: &WorkerId, at: Micros) -> Result<bool, Fault> {
+    pub fn attempt_announced(
+        &mut self,
+        seq: u64,
+        number: u32,
+        host: &WorkerId,
+        at: Micros,
+    ) -> Result<bool, ProtocolViolation> {
         let Some(entry) = self.calls.get_mut(&seq) else { return Ok(false) };
-        let ran = entry.attempts.iter().any(Past::may_have_run);
+        let ran = entry.attempts.iter().any(AttemptRecord::may_have_run);
         let in_turn = number as usize == entry.attempts.len();
-        let beside = entry.attempts.last().is_some_and(|last| last.end.is_none());
+        let beside = entry.attempts.last().is_some_and(|last| last.outcome.is_none());
         // Right or wrong, from now on it may have run.
         if entry.attempts.len() < MOST_ATTEMPTS {
-            entry.attempts.push(Past { host: host.clone(), at, end: None });
+            entry.attempts.push(AttemptRecord { host: host.clone(), announced_at: at, outcome: None });
         }
         if !in_turn || number as usize >= MOST_ATTEMPTS {
-            Err(Fault("an attempt out of turn"))
+            Err(ProtocolViolation("an attempt out of turn"))
         } else if beside {
-            Err(Fault("an attempt beside another"))
-        } else if ran && entry.terms.kind == Kind::Unsafe {
-            Err(Fault("a second attempt of an unsafe call that may have run"))
+            Err(ProtocolViolation("an attempt beside another"))
+        } else if ran && entry.terms.kind == EffectKind::Unsafe {
+            Err(ProtocolViolation("a second attempt of an unsafe call that may have run"))
         } else {
             Ok(true)
         }
@@ -181,14 +193,14 @@
     ///
     /// # Errors
     /// An attempt that was never told of, or an end after another.
-    pub fn ended(&mut self, seq: u64, number: u32, end: Outcome) -> Result<bool, Fault> {
+    pub fn attempt_ended(&mut self, seq: u64, number: u32, end: Outcome) -> Result<bool, ProtocolViolation> {
         let Some(entry) = self.calls.get_mut(&seq) else { return Ok(false) };
         match entry.attempts.get_mut(number as usize) {
-            Some(attempt) if attempt.end.is_none() => {
-                attempt.end = Some(end);
+            Some(attempt) if attempt.outcome.is_none() => {
+                attempt.outcome = Some(end);
                 Ok(true)
             }
-            _ => Err(Fault("an end of an attempt that is not out")),
+            _ => Err(ProtocolViolation("an end of an attempt that is not out")),
         }
     }
 
@@ -197,11 +209,11 @@
     ///
     /// # Errors
     /// A refusal, which calls a repeat harmless, of an unsafe call that may have run.
-    pub fn answered(&mut self, seq: u64, refused: bool) -> Result<bool, Fault> {
+    pub fn answered(&mut self, seq: u64, refused: bool) -> Result<bool, ProtocolViolation> {
         let Some(entry) = self.calls.get(&seq) else { return Ok(false) };
-        let ran = entry.attempts.iter().any(Past::may_have_run);
-        if refused && ran && entry.terms.kind == Kind::Unsafe {
-            return Err(Fault("a refusal of an unsafe call that may have run"));
+        let ran = entry.attempts.iter().any(AttemptRecord::may_have_run);
+        if refused && ran && entry.terms.kind == EffectKind::Unsafe {
+            return Err(ProtocolViolation("a refusal of an unsafe call that may have run"));
         }
         self.drop_call(seq);
         Ok(true)
@@ -211,16 +223,18 @@
     ///
     /// # Errors
     /// It has told of attempts: what it began it must bring to its end.
-    pub fn returned(&mut self, seq: u64) -> Result<bool, Fault> {
+    pub fn returned(&mut self, seq: u64) -> Result<bool, ProtocolViolation> {
         match self.calls.get(&seq) {
-            Some(entry) if !entry.attempts.is_empty() => Err(Fault("a call given back that was begun")),
+            Some(entry) if !entry.attempts.is_empty() => {
+                Err(ProtocolViolation("a call given back that was begun"))
+            }
             Some(_) => Ok(self.drop_call(seq).is_some()),
             None => Ok(false),
         }
     }
 
     /// Its client has left, or the holder has answered it: the candidate owes nothing more.
-    pub fn left(&mut self, seq: u64) -> bool {
+    pub fn remove(&mut self, seq: u64) -> bool {
         self.drop_call(seq).is_some()
     }
 
@@ -230,7 +244,7 @@
     }
 
     /// Calls whose time is up: the holder answers them now, whatever the candidate does.
-    pub fn overdue(&mut self, now: Micros) -> Vec<u64> {
+    pub fn take_overdue(&mut self, now: Micros) -> Vec<u64> {
         let mut over = Vec::new();
         while let Some((_, seq)) = self.due.first().copied().filter(|(due, _)| *due <= now) {
             self.drop_call(seq);
@@ -241,7 +255,7 @@
 
     /// The candidate is gone, and all it told has been read. `dead` is proof that its process has ended, and
     /// its connections with it; without it an attempt whose end was not told may still be out.
-    pub fn gone(&mut self, now: Micros, dead: bool) -> Vec<(u64, Fate)> {
+    pub fn candidate_lost(&mut self, now: Micros, dead: bool) -> Vec<(u64, Recovery)> {
         self.due.clear();
         self.bytes = 0;
         std::mem::take(&mut self.calls).into_iter().map(|(seq, e)| (seq, e.fate(now, dead))).collect()
@@ -249,27 +263,27 @@
 }
 
 impl Entry {
-    fn fate(mut self, now: Micros, dead: bool) -> Fate {
-        let out = self.attempts.iter().any(|a| a.end.is_none());
-        let first_run = self.attempts.iter().find(|a| a.may_have_run()).map(|a| a.at);
+    fn fate(mut self, now: Micros, dead: bool) -> Recovery {
+        let out = self.attempts.iter().any(|a| a.outcome.is_none());
+        let first_run = self.attempts.iter().find(|a| a.may_have_run()).map(|a| a.announced_at);
         if now >= self.due {
-            return Fate::Fail;
+            return Recovery::Fail;
         }
         // Of a safe call a refusal is always true, and tells its client to come back.
-        let over = if self.terms.kind == Kind::Safe { Fate::Refuse } else { Fate::Fail };
+        let over = if self.terms.kind == EffectKind::Safe { Recovery::Refuse } else { Recovery::Fail };
         if out && !dead {
             return over;
         }
         let spent = self.attempts.len() as u32 >= self.terms.most;
         match (self.terms.kind, first_run) {
-            (Kind::Unsafe, Some(_)) => Fate::Fail,
-            (Kind::Keyed(window), Some(at)) if now - at >= window => Fate::Fail,
+            (EffectKind::Unsafe, Some(_)) => Recovery::Fail,
+            (EffectKind::Keyed(window), Some(at)) if now - at >= window => Recovery::Fail,
             (_, Some(_)) if spent => over,
-            (_, None) if spent => Fate::Refuse,
+            (_, None) if spent => Recovery::Refuse,
             _ => {
                 // Its connections were reset with the process.
-                self.attempts.iter_mut().for_each(|a| a.end = a.end.or(Some(Outcome::Reset)));
-                Fate::Anew(self.attempts)
+                self.attempts.iter_mut().for_each(|a| a.outcome = a.outcome.or(Some(Outcome::Reset)));
+                Recovery::Rerun(self.attempts)
             }
         }
     }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -23,11 +23,11 @@
     /// Share of the calls that the new version decides, in percent, to a hundredth of one.
     pub percent: f64,
     /// The step lasts at least this long, in milliseconds.
-    #[serde(default)]
-    pub least_ms: u64,
+    #[serde(default, rename = "least_ms")]
+    pub min_duration_ms: u64,
     /// And until the new version has finished at least this many calls in it.
-    #[serde(default)]
-    pub least_calls: u64,
+    #[serde(default, rename = "least_calls")]
+    pub min_calls: u64,
 }
 
 impl Step {
@@ -37,8 +37,8 @@
     }
 
     /// The least time in the crate's unit.
-    pub fn least_time(&self) -> Micros {
-        self.least_ms as Micros * 1000
+    pub fn min_duration(&self) -> Micros {
+        self.min_duration_ms as Micros * 1000
     }
 }
 
@@ -50,24 +50,27 @@
     Hold,
     /// The share falls to 0 at once.
     #[default]
-    Back,
+    #[serde(rename = "back")]
+    RollBack,
 }
 
 /// What must be known to be good before the share rises by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Need {
+pub enum GateRequirement {
     /// Every class that the old version finished calls of in this step.
     #[default]
-    Every,
+    #[serde(rename = "every")]
+    EveryClass,
     /// All classes taken together.
-    Together,
+    #[serde(rename = "together")]
+    AllTogether,
 }
 
 /// The gates: what is compared, and how surely.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct GateTable {
+pub struct GateSettings {
     /// Margin of the rate of failed calls, in parts of 1; `None` does not look at it.
     pub failed: Option<f64>,
     /// Margin of the rate of refused calls.
@@ -82,12 +85,14 @@
     pub beta: f64,
     /// So many calls may fail for one cause, and then count as one: above 1 makes the gates slower and robust
     /// against failures that come in clusters.
-    pub cluster: f64,
+    #[serde(rename = "cluster")]
+    pub max_cluster_size: f64,
     /// What must be good for a step.
-    pub need: Need,
+    #[serde(rename = "need")]
+    pub requirement: GateRequirement,
 }
 
-impl Default for GateTable {
+impl Default for GateSettings {
     fn default() -> Self {
         let margin = Some(0.05);
         Self {
@@ -97,8 +102,8 @@
             slow: Some(0.10),
             alpha: 0.001,
             beta: 0.01,
-            cluster: 1.0,
-            need: Need::Every,
+            max_cluster_size: 1.0,
+            requirement: GateRequirement::EveryClass,
         }
     }
 }
@@ -114,19 +119,19 @@
     pub steps: Vec<Step>,
     /// The gates.
     #[serde(default)]
-    pub gates: GateTable,
+    pub gates: GateSettings,
     /// What happens when one fails.
     #[serde(default)]
     pub on_fail: OnFail,
     /// Whether the rollout completes by itself after its last step, which must be 100 percent.
-    #[serde(default)]
-    pub completes: bool,
+    #[serde(default, rename = "completes")]
+    pub completes_automatically: bool,
     /// A candidate that says nothing for so long is given up, in milliseconds.
-    #[serde(default = "silence")]
-    pub silent_ms: u64,
+    #[serde(default = "default_max_silence_ms", rename = "silent_ms")]
+    pub max_silence_ms: u64,
 }
 
-fn silence() -> u64 {
+fn default_max_silence_ms() -> u64 {
     1000
 }
 
@@ -161,7 +166,10 @@
             let in_range = step.percent.is_finite() && step.percent > 0.0 && step.percent <= 100.0;
             wrong(!in_range, format!("step {at}: percent must be above 0 and at most 100"))?;
             wrong(step.share() == Share::NONE, format!("step {at}: percent is below a hundredth of one"))?;
-            wrong(step.least_ms > LONGEST_STEP_MS, format!("step {at}: least_ms is longer than a week"))?;
+            wrong(
+                step.min_duration_ms > LONGEST_STEP_MS,
+                format!("step {at}: least_ms is longer than a week"),
+            )?;
         }
         for (i, pair) in self.steps.windows(2).enumerate() {
             let rises = pair[0].share() < pair[1].share();
@@ -182,17 +190,20 @@
             let bad = !(1e-9..=0.5).contains(&chance);
             wrong(bad, format!("gates.{name} must be a chance from 1e-9 to 0.5"))?;
         }
-        let cluster = (1.0..=1000.0).contains(&gates.cluster);
+        let cluster = (1.0..=1000.0).contains(&gates.max_cluster_size);
         wrong(!cluster, "gates.cluster must be 1 to 1000".into())?;
         let whole = self.steps.last().is_some_and(|s| s.share() == Share::ALL);
-        wrong(self.completes && !whole, "completes needs a last step of 100 percent".into())?;
-        wrong(self.silent_ms < SHORTEST_SILENCE_MS, format!("silent_ms is below {SHORTEST_SILENCE_MS}"))?;
-        wrong(self.silent_ms > 60_000, "silent_ms is above a minute".into())
+        wrong(self.completes_automatically && !whole, "completes needs a last step of 100 percent".into())?;
+        wrong(
+            self.max_silence_ms < SHORTEST_SILENCE_MS,
+            format!("silent_ms is below {SHORTEST_SILENCE_MS}"),
+        )?;
+        wrong(self.max_silence_ms > 60_000, "silent_ms is above a minute".into())
     }
 
     /// How long a candidate may be silent, in the crate's unit.
-    pub fn silence(&self) -> Micros {
-        self.silent_ms as Micros * 1000
+    pub fn max_silence(&self) -> Micros {
+        self.max_silence_ms as Micros * 1000
     }
 }
 
--- a/crates/rollout/src/plan/tests.rs
+++ b/crates/rollout/src/plan/tests.rs
@@ -12,8 +12,11 @@
 #[test]
 fn a_plan_is_read_with_its_defaults() {
     let plan = plan(r#"{"name":"v2","step":[{"percent":1},{"percent":100,"least_calls":5}]}"#).unwrap();
-    assert_eq!((plan.on_fail, plan.completes, plan.silence()), (OnFail::Back, false, 1_000_000));
-    assert_eq!(plan.gates, GateTable::default());
+    assert_eq!(
+        (plan.on_fail, plan.completes_automatically, plan.max_silence()),
+        (OnFail::RollBack, false, 1_000_000)
+    );
+    assert_eq!(plan.gates, GateSettings::default());
     assert_eq!(plan.steps[0].share(), Share::from_percent(1.0));
 }
 
--- a/crates/rollout/src/terms.rs
+++ b/crates/rollout/src/retry_policy.rs
@@ -7,8 +7,8 @@
 
 /// What a class allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Terms {
-    /// How strictly, and where and for how long a repeat may go: see [`strictest`].
+pub struct RetryPolicy {
+    /// How strictly, and where and for how long a repeat may go: see [`strictest_policies`].
     rank: Rank,
     /// For keyed classes, microseconds; else 0.
     window: Micros,
@@ -26,7 +26,7 @@
     Unsafe,
 }
 
-impl Terms {
+impl RetryPolicy {
     /// Of this effect and number of attempts.
     pub fn new(effect: Effect, attempts: u32) -> Self {
         let (rank, window) = match effect {
@@ -70,7 +70,7 @@
     }
 }
 
-impl fmt::Display for Terms {
+impl fmt::Display for RetryPolicy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let scope = match self.rank {
             Rank::Safe => return write!(f, "safe, {} attempts", self.attempts),
@@ -85,27 +85,28 @@
 
 /// A class by its name, as one version knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClassTerms {
+pub struct ClassPolicy {
     /// Its name.
     pub name: String,
     /// What it allows there.
-    pub terms: Terms,
+    #[serde(rename = "terms")]
+    pub policy: RetryPolicy,
 }
 
 /// Where the two versions differ, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Disagreement {
+pub struct PolicyDifference {
     /// The class.
     pub class: String,
     /// What each knows of it, if anything.
-    pub old: Option<Terms>,
+    pub old: Option<RetryPolicy>,
     /// The candidate's side.
-    pub new: Option<Terms>,
+    pub new: Option<RetryPolicy>,
     /// What binds; `None` where only one knows the class, and calls of it stay there.
-    pub bound: Option<Terms>,
+    pub bound: Option<RetryPolicy>,
 }
 
-impl fmt::Display for Disagreement {
+impl fmt::Display for PolicyDifference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (&self.old, &self.new, &self.bound) {
             (Some(old), Some(new), Some(bound)) => {
@@ -120,19 +121,27 @@
 }
 
 /// What binds both versions for the classes that both know, and where they differ.
-pub fn strictest(old: &[ClassTerms], new: &[ClassTerms]) -> (Vec<ClassTerms>, Vec<Disagreement>) {
-    let find = |list: &[ClassTerms], name: &str| list.iter().find(|c| c.name == name).map(|c| c.terms);
+pub fn strictest_policies(
+    old: &[ClassPolicy],
+    new: &[ClassPolicy],
+) -> (Vec<ClassPolicy>, Vec<PolicyDifference>) {
+    let find = |list: &[ClassPolicy], name: &str| list.iter().find(|c| c.name == name).map(|c| c.policy);
     let (mut bound, mut differ) = (Vec::new(), Vec::new());
     for c in old {
         let theirs = find(new, &c.name);
-        let both = theirs.map(|t| c.terms.stricter(t));
-        bound.extend(both.map(|terms| ClassTerms { name: c.name.clone(), terms }));
-        if theirs != Some(c.terms) {
-            differ.push(Disagreement { class: c.name.clone(), old: Some(c.terms), new: theirs, bound: both });
+        let both = theirs.map(|t| c.policy.stricter(t));
+        bound.extend(both.map(|policy| ClassPolicy { name: c.name.clone(), policy }));
+        if theirs != Some(c.policy) {
+            differ.push(PolicyDifference {
+                class: c.name.clone(),
+                old: Some(c.policy),
+                new: theirs,
+                bound: both,
+            });
         }
     }
     for c in new.iter().filter(|c| find(old, &c.name).is_none()) {
-        differ.push(Disagreement { class: c.name.clone(), old: None, new: Some(c.terms), bound: None });
+        differ.push(PolicyDifference { class: c.name.clone(), old: None, new: Some(c.policy), bound: None });
     }
     (bound, differ)
 }
--- a/crates/rollout/src/terms/tests.rs
+++ b/crates/rollout/src/retry_policy/tests.rs
@@ -15,7 +15,7 @@
 #[case(keyed(Scope::Cell, 9), keyed(Scope::All, 5), keyed(Scope::Cell, 5))]
 #[case(keyed(Scope::Zone, 4), keyed(Scope::All, 5), keyed(Scope::Zone, 4))]
 fn the_stricter_side_binds(#[case] a: Effect, #[case] b: Effect, #[case] wanted: Effect) {
-    let (x, y) = (Terms::new(a, 3), Terms::new(b, 5));
+    let (x, y) = (RetryPolicy::new(a, 3), RetryPolicy::new(b, 5));
     assert_eq!((x.stricter(y).effect(), x.stricter(y).attempts), (wanted, 3));
     assert_eq!(x.stricter(y), y.stricter(x));
     assert_eq!(x.stricter(y).stricter(x), x.stricter(y));
@@ -23,10 +23,10 @@
 
 #[test]
 fn a_class_that_only_one_knows_is_bound_to_nothing() {
-    let class = |name: &str, effect| ClassTerms { name: name.into(), terms: Terms::new(effect, 5) };
+    let class = |name: &str, effect| ClassPolicy { name: name.into(), policy: RetryPolicy::new(effect, 5) };
     let old = [class("a", Effect::Safe), class("b", Effect::Safe)];
     let new = [class("b", Effect::Unsafe), class("c", Effect::Safe)];
-    let (bound, differ) = strictest(&old, &new);
+    let (bound, differ) = strictest_policies(&old, &new);
     assert_eq!(bound, [class("b", Effect::Unsafe)]);
     let told: Vec<_> = differ.iter().map(ToString::to_string).collect();
     assert_eq!(
--- a/crates/rollout/src/life.rs
+++ b/crates/rollout/src/rollout.rs
@@ -5,8 +5,8 @@
 
 use wheellink::Micros;
 
-use crate::gates::{Gate, Gates, Outcome, Verdict};
-use crate::plan::{GateTable, OnFail, Plan};
+use crate::gates::{CallOutcome, Gate, Gates, Verdict};
+use crate::plan::{GateSettings, OnFail, Plan};
 use crate::split::{Share, Split};
 use crate::Version;
 
@@ -17,7 +17,7 @@
 
 /// Where a rollout is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Life {
+pub enum Phase {
     /// Nothing was begun.
     Idle,
     /// The share rises by its plan.
@@ -25,23 +25,23 @@
     /// The share stays until an operator says otherwise.
     Held,
     /// The share is 0; calls that the new version decides come to their end.
-    GoingBack,
+    RollingBack,
     /// The old version decides everything again.
-    Back,
+    RolledBack,
     /// The new version takes the clients.
     Complete,
 }
 
-impl Life {
+impl Phase {
     /// As it is told to operators.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Life::Idle => "idle",
-            Life::Stepping => "stepping",
-            Life::Held => "held",
-            Life::GoingBack => "going_back",
-            Life::Back => "back",
-            Life::Complete => "complete",
+            Phase::Idle => "idle",
+            Phase::Stepping => "stepping",
+            Phase::Held => "held",
+            Phase::RollingBack => "going_back",
+            Phase::RolledBack => "back",
+            Phase::Complete => "complete",
         }
     }
 }
@@ -52,7 +52,7 @@
     /// An operator's call, by its name.
     Operator(&'static str),
     /// The operator's file has it begin when a new version is there.
-    File,
+    SettingsFile,
     /// The step's time and calls are there and its gates hold.
     StepDone,
     /// The last step is done and the plan completes by itself.
@@ -60,20 +60,20 @@
     /// A gate failed.
     Gate(Box<Gate>),
     /// The last call of the new version has ended.
-    AllEnded,
+    CandidateDrained,
     /// The new version's process is gone or was given up, for this reason.
-    Lost(&'static str),
+    CandidateLost(&'static str),
     /// The new version was told to end.
-    Leaving,
+    CandidateLeaving,
     /// The old version was told to end: the new one takes its place.
-    Ending,
+    HolderEnding,
 }
 
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Cause::Operator(call) => write!(f, "an operator's call: {call}"),
-            Cause::File => f.write_str("the operator's file: begin = \"ready\""),
+            Cause::SettingsFile => f.write_str("the operator's file: begin = \"ready\""),
             Cause::StepDone => f.write_str("the step's time and calls are there and its gates hold"),
             Cause::PlanDone => f.write_str("the last step is done"),
             Cause::Gate(gate) => {
@@ -81,30 +81,30 @@
                 write!(
                     f,
                     "gate {} of {class}: new {} of {}, old {} of {} in this step",
-                    gate.kind.word(),
+                    gate.metric.as_str(),
                     gate.new.hits,
                     gate.new.calls,
                     gate.old.hits,
                     gate.old.calls
                 )
             }
-            Cause::AllEnded => f.write_str("the last call of the new version has ended"),
-            Cause::Lost(why) => write!(f, "the new version is lost: {why}"),
-            Cause::Leaving => f.write_str("the new version was told to end"),
-            Cause::Ending => f.write_str("the old version was told to end"),
+            Cause::CandidateDrained => f.write_str("the last call of the new version has ended"),
+            Cause::CandidateLost(why) => write!(f, "the new version is lost: {why}"),
+            Cause::CandidateLeaving => f.write_str("the new version was told to end"),
+            Cause::HolderEnding => f.write_str("the old version was told to end"),
         }
     }
 }
 
 /// One change, for operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct Transition {
     /// When.
     pub at: Micros,
     /// From and to.
-    pub from: Life,
+    pub from: Phase,
     /// The state after it.
-    pub to: Life,
+    pub to: Phase,
     /// The share after it.
     pub share: Share,
     /// Why.
@@ -113,18 +113,18 @@
 
 /// What the embedder is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Have the candidate take the clients.
     Complete,
 }
 
 /// An operator's call that makes no sense now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal(pub String);
+pub struct Rejection(pub String);
 
 /// See the module's page.
 pub struct Rollout {
-    life: Life,
+    phase: Phase,
     plan: Option<Plan>,
     /// Which of the plan's steps, from 0.
     step: usize,
@@ -133,22 +133,22 @@
     attached: bool,
     split: Split,
     gates: Gates,
-    history: VecDeque<Change>,
+    history: VecDeque<Transition>,
     /// Changes since the embedder took them for its log.
-    fresh: Vec<Change>,
+    fresh: Vec<Transition>,
 }
 
 impl Default for Rollout {
     fn default() -> Self {
         Self {
-            life: Life::Idle,
+            phase: Phase::Idle,
             plan: None,
             step: 0,
             since: 0,
             looked: 0,
             attached: false,
             split: Split::new(""),
-            gates: Gates::new(GateTable::default()),
+            gates: Gates::new(GateSettings::default()),
             history: VecDeque::new(),
             fresh: Vec::new(),
         }
@@ -157,8 +157,8 @@
 
 impl Rollout {
     /// Where it is.
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn phase(&self) -> Phase {
+        self.phase
     }
 
     /// The share in force.
@@ -182,12 +182,12 @@
     }
 
     /// The last changes, oldest first.
-    pub fn history(&self) -> impl Iterator<Item = &Change> {
+    pub fn history(&self) -> impl Iterator<Item = &Transition> {
         self.history.iter()
     }
 
     /// Changes since this was asked last.
-    pub fn news(&mut self) -> Vec<Change> {
+    pub fn take_transitions(&mut self) -> Vec<Transition> {
         std::mem::take(&mut self.fresh)
     }
 
@@ -197,19 +197,19 @@
     }
 
     /// Whether calls may be passed.
-    pub fn runs(&self) -> bool {
-        self.attached && matches!(self.life, Life::Stepping | Life::Held | Life::Complete)
+    pub fn passes_calls(&self) -> bool {
+        self.attached && matches!(self.phase, Phase::Stepping | Phase::Held | Phase::Complete)
     }
 
     /// What may be silent how long; a second where there is no plan.
-    pub fn silence(&self) -> Micros {
-        self.plan.as_ref().map_or(1_000_000, Plan::silence)
+    pub fn max_silence(&self) -> Micros {
+        self.plan.as_ref().map_or(1_000_000, Plan::max_silence)
     }
 
-    fn change(&mut self, now: Micros, to: Life, share: Share, cause: Cause) {
-        let from = std::mem::replace(&mut self.life, to);
-        self.split.set(share);
-        let change = Change { at: now, from, to, share, cause };
+    fn change(&mut self, now: Micros, to: Phase, share: Share, cause: Cause) {
+        let from = std::mem::replace(&mut self.phase, to);
+        self.split.set_share(share);
+        let change = Transition { at: now, from, to, share, cause };
         if self.history.len() >= MOST_CHANGES {
             self.history.pop_front();
         }
@@ -220,26 +220,26 @@
     fn enter(&mut self, now: Micros, step: usize, cause: Cause) {
         let share = self.plan.as_ref().and_then(|p| p.steps.get(step)).map_or(Share::NONE, |s| s.share());
         (self.step, self.since, self.looked) = (step, now, now);
-        self.gates.step(share == Share::ALL);
-        self.change(now, Life::Stepping, share, cause);
+        self.gates.begin_step(share == Share::ALL);
+        self.change(now, Phase::Stepping, share, cause);
     }
 
     /// A candidate has come.
     pub fn attach(&mut self) {
         self.attached = true;
-        if self.life != Life::Idle {
+        if self.phase != Phase::Idle {
             // Another one than that of the rollout before.
-            (self.life, self.plan, self.step) = (Life::Idle, None, 0);
-            self.split.set(Share::NONE);
+            (self.phase, self.plan, self.step) = (Phase::Idle, None, 0);
+            self.split.set_share(Share::NONE);
         }
     }
 
     /// The candidate is gone.
     pub fn detach(&mut self, now: Micros, cause: Cause) {
         self.attached = false;
-        match self.life {
-            Life::Idle | Life::Back => {}
-            _ => self.change(now, Life::Back, Share::NONE, cause),
+        match self.phase {
+            Phase::Idle | Phase::RolledBack => {}
+            _ => self.change(now, Phase::RolledBack, Share::NONE, cause),
         }
     }
 
@@ -247,20 +247,20 @@
     ///
     /// # Errors
     /// No candidate is there, or another rollout is under way.
-    pub fn begin(&mut self, now: Micros, plan: Plan, cause: Cause) -> Result<(), Refusal> {
+    pub fn begin(&mut self, now: Micros, plan: Plan, cause: Cause) -> Result<(), Rejection> {
         if !self.attached {
-            return Err(Refusal("no new version is there: start it beside this one".into()));
+            return Err(Rejection("no new version is there: start it beside this one".into()));
         }
-        match self.life {
-            Life::Stepping | Life::Held if self.plan.as_ref() == Some(&plan) => return Ok(()),
-            Life::Stepping | Life::Held => {
-                return Err(Refusal("another rollout is under way: call back first".into()))
+        match self.phase {
+            Phase::Stepping | Phase::Held if self.plan.as_ref() == Some(&plan) => return Ok(()),
+            Phase::Stepping | Phase::Held => {
+                return Err(Rejection("another rollout is under way: call back first".into()))
             }
-            Life::GoingBack => {
-                return Err(Refusal("calls of the new version are still coming to their end".into()))
+            Phase::RollingBack => {
+                return Err(Rejection("calls of the new version are still coming to their end".into()))
             }
-            Life::Complete => return Err(Refusal("the new version takes the clients already".into())),
-            Life::Idle | Life::Back => {}
+            Phase::Complete => return Err(Rejection("the new version takes the clients already".into())),
+            Phase::Idle | Phase::RolledBack => {}
         }
         self.split = Split::new(&plan.name);
         self.gates = Gates::new(plan.gates.clone());
@@ -273,22 +273,22 @@
     ///
     /// # Errors
     /// Nothing is under way, or there is no such step ahead.
-    pub fn step(&mut self, now: Micros, to: Option<usize>) -> Result<(), Refusal> {
+    pub fn step(&mut self, now: Micros, to: Option<usize>) -> Result<(), Rejection> {
         self.under_way()?;
         let steps = self.plan.as_ref().map_or(0, |p| p.steps.len());
         let at = self.step + 1;
         let to = to.unwrap_or(at + 1);
         if to == at {
-            if self.life == Life::Held {
+            if self.phase == Phase::Held {
                 self.enter(now, self.step, Cause::Operator("step"));
             }
             return Ok(());
         }
         if to < at {
-            return Err(Refusal(format!("step {to} is behind; to lower the share call back")));
+            return Err(Rejection(format!("step {to} is behind; to lower the share call back")));
         }
         if to > steps {
-            return Err(Refusal(format!("the plan has no step {to}; after the last one call complete")));
+            return Err(Rejection(format!("the plan has no step {to}; after the last one call complete")));
         }
         self.enter(now, to - 1, Cause::Operator("step"));
         Ok(())
@@ -298,11 +298,11 @@
     ///
     /// # Errors
     /// Nothing is under way.
-    pub fn hold(&mut self, now: Micros) -> Result<(), Refusal> {
+    pub fn hold(&mut self, now: Micros) -> Result<(), Rejection> {
         self.under_way()?;
-        if self.life != Life::Held {
+        if self.phase != Phase::Held {
             let share = self.share();
-            self.change(now, Life::Held, share, Cause::Operator("hold"));
+            self.change(now, Phase::Held, share, Cause::Operator("hold"));
         }
         Ok(())
     }
@@ -311,24 +311,24 @@
     ///
     /// # Errors
     /// Nothing was begun, or the new version has the clients already.
-    pub fn back(&mut self, now: Micros) -> Result<(), Refusal> {
-        match self.life {
-            Life::GoingBack | Life::Back => Ok(()),
-            Life::Complete => Err(Refusal(
+    pub fn roll_back(&mut self, now: Micros) -> Result<(), Rejection> {
+        match self.phase {
+            Phase::RollingBack | Phase::RolledBack => Ok(()),
+            Phase::Complete => Err(Rejection(
                 "the new version has the clients: the way back is an upgrade to the old one".into(),
             )),
-            Life::Idle => Err(Refusal("no rollout is under way".into())),
-            Life::Stepping | Life::Held => {
-                self.change(now, Life::GoingBack, Share::NONE, Cause::Operator("back"));
+            Phase::Idle => Err(Rejection("no rollout is under way".into())),
+            Phase::Stepping | Phase::Held => {
+                self.change(now, Phase::RollingBack, Share::NONE, Cause::Operator("back"));
                 Ok(())
             }
         }
     }
 
     /// The candidate is about to end by itself: nothing more goes to it.
-    pub fn leaves(&mut self, now: Micros) {
-        if matches!(self.life, Life::Stepping | Life::Held) {
-            self.change(now, Life::GoingBack, Share::NONE, Cause::Leaving);
+    pub fn candidate_leaving(&mut self, now: Micros) {
+        if matches!(self.phase, Phase::Stepping | Phase::Held) {
+            self.change(now, Phase::RollingBack, Share::NONE, Cause::CandidateLeaving);
         }
     }
 
@@ -336,93 +336,100 @@
     ///
     /// # Errors
     /// The share is not 100%, or nothing is under way.
-    pub fn complete(&mut self, now: Micros) -> Result<Option<Act>, Refusal> {
-        if self.life == Life::Complete {
+    pub fn complete(&mut self, now: Micros) -> Result<Option<Action>, Rejection> {
+        if self.phase == Phase::Complete {
             return Ok(None);
         }
         self.under_way()?;
         if self.share() != Share::ALL {
-            return Err(Refusal(format!(
+            return Err(Rejection(format!(
                 "the share is {}%; step to 100% before it is completed",
                 self.share().percent()
             )));
         }
-        self.change(now, Life::Complete, Share::ALL, Cause::Operator("complete"));
-        Ok(Some(Act::Complete))
+        self.change(now, Phase::Complete, Share::ALL, Cause::Operator("complete"));
+        Ok(Some(Action::Complete))
     }
 
     /// The holder was told to end. A candidate that was not taken back has the clients from now on.
-    pub fn ends(&mut self, now: Micros) -> Option<Act> {
-        if !self.attached || !matches!(self.life, Life::Stepping | Life::Held) {
+    pub fn holder_ending(&mut self, now: Micros) -> Option<Action> {
+        if !self.attached || !matches!(self.phase, Phase::Stepping | Phase::Held) {
             return None;
         }
-        self.change(now, Life::Complete, Share::ALL, Cause::Ending);
-        Some(Act::Complete)
+        self.change(now, Phase::Complete, Share::ALL, Cause::HolderEnding);
+        Some(Action::Complete)
     }
 
-    fn under_way(&self) -> Result<(), Refusal> {
-        match self.life {
-            Life::Stepping | Life::Held if self.attached => Ok(()),
-            Life::Complete => Err(Refusal("the rollout is complete".into())),
-            _ => Err(Refusal("no rollout is under way".into())),
+    fn under_way(&self) -> Result<(), Rejection> {
+        match self.phase {
+            Phase::Stepping | Phase::Held if self.attached => Ok(()),
+            Phase::Complete => Err(Rejection("the rollout is complete".into())),
+            _ => Err(Rejection("no rollout is under way".into())),
         }
     }
 
     /// Which version decides this call. A key comes with its class's window.
     pub fn decide(&mut self, now: Micros, key: Option<(&str, Micros)>, id: &str) -> Version {
-        if self.runs() {
+        if self.passes_calls() {
             self.split.decide(now, key, id)
         } else {
             Version::Old
         }
     }
 
-    /// A call has ended; see [`Gates::call`].
-    pub fn call(&mut self, version: Version, class: &str, outcome: Outcome, took: Micros, aim: Micros) {
-        if self.runs() {
-            self.gates.call(version, class, outcome, took, aim);
+    /// A call has ended; see [`Gates::record_call`].
+    pub fn record_call(
+        &mut self,
+        version: Version,
+        class: &str,
+        outcome: CallOutcome,
+        took: Micros,
+        aim: Micros,
+    ) {
+        if self.passes_calls() {
+            self.gates.record_call(version, class, outcome, took, aim);
         }
     }
 
     /// Time has passed, and so many calls of the new version are open.
-    pub fn tick(&mut self, now: Micros, open: usize) -> Option<Act> {
-        if self.life == Life::GoingBack && open == 0 {
-            self.change(now, Life::Back, Share::NONE, Cause::AllEnded);
+    pub fn tick(&mut self, now: Micros, open: usize) -> Option<Action> {
+        if self.phase == Phase::RollingBack && open == 0 {
+            self.change(now, Phase::RolledBack, Share::NONE, Cause::CandidateDrained);
         }
         if now - self.looked < LOOK && now >= self.looked {
             return None;
         }
         self.looked = now;
-        if !self.attached || !matches!(self.life, Life::Stepping | Life::Held) {
+        if !self.attached || !matches!(self.phase, Phase::Stepping | Phase::Held) {
             return None;
         }
-        self.gates.close();
+        self.gates.close_blocks();
         let (verdict, gate) = self.gates.verdict();
         let plan = self.plan.as_ref()?;
         if let (Verdict::Fails, Some(gate)) = (verdict, gate) {
             let cause = Cause::Gate(Box::new(gate));
             match plan.on_fail {
-                OnFail::Back => self.change(now, Life::GoingBack, Share::NONE, cause),
-                OnFail::Hold if self.life == Life::Stepping => {
+                OnFail::RollBack => self.change(now, Phase::RollingBack, Share::NONE, cause),
+                OnFail::Hold if self.phase == Phase::Stepping => {
                     let share = self.share();
-                    self.change(now, Life::Held, share, cause);
+                    self.change(now, Phase::Held, share, cause);
                 }
                 OnFail::Hold => {}
             }
             return None;
         }
         let step = plan.steps.get(self.step)?;
-        let done = now - self.since >= step.least_time()
-            && self.gates.finished() >= step.least_calls
-            && verdict == Verdict::Holds;
-        if self.life != Life::Stepping || !done {
+        let done = now - self.since >= step.min_duration()
+            && self.gates.candidate_calls() >= step.min_calls
+            && verdict == Verdict::Passes;
+        if self.phase != Phase::Stepping || !done {
             return None;
         }
         if self.step + 1 < plan.steps.len() {
             self.enter(now, self.step + 1, Cause::StepDone);
-        } else if plan.completes {
-            self.change(now, Life::Complete, Share::ALL, Cause::PlanDone);
-            return Some(Act::Complete);
+        } else if plan.completes_automatically {
+            self.change(now, Phase::Complete, Share::ALL, Cause::PlanDone);
+            return Some(Action::Complete);
         }
         None
     }
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -47,17 +47,17 @@
     order: BTreeSet<(Micros, u64)>,
     most: usize,
     /// Pins that were given up before their time for want of room.
-    pub forgotten: u64,
+    pub evicted_pins: u64,
 }
 
 impl Split {
     /// A split of share 0. The name salts it, so that not the same clients go first each time.
     pub fn new(name: &str) -> Self {
-        Self::bounded(name, MOST_PINS)
+        Self::with_max_pins(name, MOST_PINS)
     }
 
     /// The same, with room for so many pins.
-    pub fn bounded(name: &str, most: usize) -> Self {
+    pub fn with_max_pins(name: &str, most: usize) -> Self {
         let mut hasher = SipHasher13::new_with_keys(0x7768_6565, 0x6c6c_696e);
         hasher.write(name.as_bytes());
         Self {
@@ -66,7 +66,7 @@
             pins: HashMap::new(),
             order: BTreeSet::new(),
             most,
-            forgotten: 0,
+            evicted_pins: 0,
         }
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// Changes the share. Down to nothing, no pin holds a call with the new version any longer: back is at once.
-    pub fn set(&mut self, share: Share) {
+    pub fn set_share(&mut self, share: Share) {
         self.share = share;
         if share == Share::NONE {
             self.pins.retain(|_, (version, _)| *version == Version::Old);
@@ -115,7 +115,7 @@
             if self.pins.len() >= self.most {
                 if let Some((_, oldest)) = self.order.pop_first() {
                     self.pins.remove(&oldest);
-                    self.forgotten += 1;
+                    self.evicted_pins += 1;
                 }
             }
             let until = now + window;
@@ -126,7 +126,7 @@
     }
 
     /// Keys whose version is remembered.
-    pub fn pins(&self) -> usize {
+    pub fn pin_count(&self) -> usize {
         self.pins.len()
     }
 
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -6,7 +6,7 @@
 
 use stateright::{Checker, Model, Property};
 use wheellink::{Effect, Outcome as End};
-use wheellink_rollout::{Fate, Ledger, Terms};
+use wheellink_rollout::{Ledger, Recovery, RetryPolicy};
 
 /// Call 0 is unsafe, call 1 is safe.
 const CALLS: usize = 2;
@@ -67,7 +67,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Life {
+enum ProcessState {
     Runs,
     Stopped,
     Dead,
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     holder: bool,
-    candidate: Life,
+    candidate: ProcessState,
     /// The holder has given the candidate up: it reads no more, and has looked at the ledger.
     shut: bool,
     settled: bool,
@@ -117,7 +117,7 @@
 
 impl Protocol {
     fn may_take(s: &State) -> bool {
-        s.candidate == Life::Runs && s.holder
+        s.candidate == ProcessState::Runs && s.holder
     }
 }
 
@@ -128,7 +128,7 @@
     fn init_states(&self) -> Vec<State> {
         vec![State {
             holder: true,
-            candidate: Life::Runs,
+            candidate: ProcessState::Runs,
             shut: false,
             settled: false,
             ledger: Ledger::new(8, 100),
@@ -144,7 +144,7 @@
     }
 
     fn actions(&self, s: &State, out: &mut Vec<Step>) {
-        let runs = s.candidate == Life::Runs;
+        let runs = s.candidate == ProcessState::Runs;
         for call in 0..CALLS {
             if s.holder && !s.shut && !s.passed[call] {
                 out.push(Step::Pass(call));
@@ -183,13 +183,13 @@
             out.push(Step::Hear);
         }
         match s.candidate {
-            Life::Runs => out.extend([Step::Kill, Step::Stop]),
-            Life::Stopped => out.extend([Step::Kill, Step::GoOn]),
-            Life::Dead => {}
+            ProcessState::Runs => out.extend([Step::Kill, Step::Stop]),
+            ProcessState::Stopped => out.extend([Step::Kill, Step::GoOn]),
+            ProcessState::Dead => {}
         }
         if s.holder {
             out.push(Step::HolderDies);
-            if !s.shut && s.candidate != Life::Runs {
+            if !s.shut && s.candidate != ProcessState::Runs {
                 out.push(Step::GiveUp);
             }
             let read = s.words.is_empty() || self.0 == Flaw::DoesNotRead;
@@ -204,7 +204,7 @@
         match step {
             Step::Pass(call) => {
                 let effect = if call == 0 { Effect::Unsafe } else { Effect::Safe };
-                s.ledger.pass(call as u64, &Terms::new(effect, ATTEMPTS), DUE, 1).ok()?;
+                s.ledger.pass(call as u64, &RetryPolicy::new(effect, ATTEMPTS), DUE, 1).ok()?;
                 s.passed[call] = true;
                 s.calls.push_back(call);
             }
@@ -236,7 +236,7 @@
                 let side = if who == 0 { s.own[call] } else { s.theirs[call] };
                 let Side::Out(n) = side else { return None };
                 // A process that stopped does not read its answer.
-                if who == 1 && s.candidate != Life::Runs || who == 0 && !s.holder {
+                if who == 1 && s.candidate != ProcessState::Runs || who == 0 && !s.holder {
                     return None;
                 }
                 s.at_host[call][who] = None;
@@ -256,8 +256,8 @@
                 }
             }
             Step::Hear => match s.words.pop_front()? {
-                Word::Told(call, n) => drop(s.ledger.told(call as u64, n, &"h".into(), 0)),
-                Word::Ended(call, n, end) => drop(s.ledger.ended(call as u64, n, end.end())),
+                Word::Told(call, n) => drop(s.ledger.attempt_announced(call as u64, n, &"h".into(), 0)),
+                Word::Ended(call, n, end) => drop(s.ledger.attempt_ended(call as u64, n, end.end())),
                 Word::Answer(call) => {
                     if s.ledger.answered(call as u64, false) == Ok(true) {
                         s.answers[call] += 1;
@@ -265,14 +265,14 @@
                 }
             },
             Step::Kill => {
-                s.candidate = Life::Dead;
+                s.candidate = ProcessState::Dead;
                 // Its connections are reset with it: hosts give up what was open on them.
                 s.at_host.iter_mut().for_each(|h| h[1] = None);
                 s.theirs = [Side::Over; CALLS];
                 s.calls.clear();
             }
-            Step::Stop => s.candidate = Life::Stopped,
-            Step::GoOn => s.candidate = Life::Runs,
+            Step::Stop => s.candidate = ProcessState::Stopped,
+            Step::GoOn => s.candidate = ProcessState::Runs,
             Step::HolderDies => {
                 s.holder = false;
                 s.at_host.iter_mut().for_each(|h| h[0] = None);
@@ -281,17 +281,19 @@
             }
             Step::GiveUp => {
                 s.shut = true;
-                if s.candidate == Life::Stopped && !matches!(self.0, Flaw::DoesNotKill | Flaw::LeavesOpen) {
+                if s.candidate == ProcessState::Stopped
+                    && !matches!(self.0, Flaw::DoesNotKill | Flaw::LeavesOpen)
+                {
                     return self.next_state(&s, Step::Kill);
                 }
             }
             Step::Settle => {
                 s.settled = true;
-                for (seq, fate) in s.ledger.gone(0, true) {
+                for (seq, fate) in s.ledger.candidate_lost(0, true) {
                     let call = seq as usize;
                     match fate {
-                        Fate::Anew(past) => s.own[call] = Side::Has(past.len() as u32),
-                        Fate::Refuse | Fate::Fail => s.answers[call] += 1,
+                        Recovery::Rerun(past) => s.own[call] = Side::Has(past.len() as u32),
+                        Recovery::Refuse | Recovery::Fail => s.answers[call] += 1,
                     }
                 }
             }
--- a/crates/rollout/tests/properties.rs
+++ b/crates/rollout/tests/properties.rs
@@ -18,8 +18,8 @@
     fn a_share_moves_calls_one_way(low in 0u16..=10_000, more in 0u16..=10_000, ids in prop::collection::vec("[0-9a-f]{16}", 1..200)) {
         let high = low.max(more);
         let (mut a, mut b) = (Split::new("v2"), Split::new("v2"));
-        a.set(percent(low.min(more)));
-        b.set(percent(high));
+        a.set_share(percent(low.min(more)));
+        b.set_share(percent(high));
         for id in &ids {
             let (before, after) = (a.decide(0, None, id), b.decide(0, None, id));
             prop_assert!(before <= after, "{id}");
@@ -31,12 +31,12 @@
     #[test]
     fn a_key_keeps_its_version(changes in prop::collection::vec((0u16..=10_000, 0i64..3_000_000), 1..40), key in "[0-9a-f]{32}") {
         let mut split = Split::new("v2");
-        split.set(percent(5000));
+        split.set_share(percent(5000));
         let (mut now, window) = (0, 8 * SECOND);
         let mut pinned = (split.decide(now, Some((&key, window)), "x"), now + window);
         for (share, passed) in changes {
             now += passed;
-            split.set(percent(share));
+            split.set_share(percent(share));
             if share == 0 && pinned.0 == Version::New && now < pinned.1 {
                 pinned = (Version::Old, now + window);
                 prop_assert_eq!(split.decide(now, Some((&key, window)), "y"), Version::Old);
@@ -54,20 +54,20 @@
     /// Pins are bounded, and end by themselves.
     #[test]
     fn pins_are_bounded(keys in prop::collection::vec("[0-9a-f]{8}", 1..400), most in 1usize..50) {
-        let mut split = Split::bounded("v2", most);
+        let mut split = Split::with_max_pins("v2", most);
         for (i, key) in keys.iter().enumerate() {
             split.decide(i as i64, Some((key, SECOND)), "x");
-            prop_assert!(split.pins() <= most);
+            prop_assert!(split.pin_count() <= most);
         }
         split.decide(1000 * SECOND, None, "x");
-        prop_assert_eq!(split.pins(), 0);
+        prop_assert_eq!(split.pin_count(), 0);
     }
 
     /// The share seen is the share stated.
     #[test]
     fn the_share_is_kept(share in 0u16..=10_000, seed in any::<u64>()) {
         let mut split = Split::new("v2");
-        split.set(percent(share));
+        split.set_share(percent(share));
         let mut rng = fastrand::Rng::with_seed(seed);
         let new = (0..20_000).filter(|_| split.decide(0, None, &format!("{:016x}", rng.u64(..))) == Version::New).count();
         let (wanted, p) = (2.0 * f64::from(share), f64::from(share) / 10_000.0);
@@ -83,9 +83,9 @@
         dead in any::<bool>(),
     ) {
         let terms = |seq: u64| match seq % 3 {
-            0 => Terms::new(Effect::Safe, 3),
-            1 => Terms::new(Effect::Keyed { scope: Scope::Cell, window: 8 * SECOND }, 3),
-            _ => Terms::new(Effect::Unsafe, 3),
+            0 => RetryPolicy::new(Effect::Safe, 3),
+            1 => RetryPolicy::new(Effect::Keyed { scope: Scope::Cell, window: 8 * SECOND }, 3),
+            _ => RetryPolicy::new(Effect::Unsafe, 3),
         };
         let mut ledger = Ledger::new(4, 100);
         let mut now = 0;
@@ -98,24 +98,24 @@
                     let fresh = seq + 6 * now as u64;
                     let _ = ledger.pass(fresh, &terms(seq), now + 4 * SECOND, 30);
                 }
-                1 | 2 => drop(ledger.told(seq, number, &"h".into(), now)),
-                3 => drop(ledger.ended(seq, number, ends[end as usize])),
+                1 | 2 => drop(ledger.attempt_announced(seq, number, &"h".into(), now)),
+                3 => drop(ledger.attempt_ended(seq, number, ends[end as usize])),
                 4 => drop(ledger.answered(seq, end < 3)),
-                _ => prop_assert!(ledger.overdue(now).len() <= 4),
+                _ => prop_assert!(ledger.take_overdue(now).len() <= 4),
             }
             prop_assert!(ledger.len() <= 4 && ledger.bytes() <= 100 && ledger.bytes() == 30 * ledger.len());
         }
         let open = ledger.len();
-        let fates = ledger.gone(now, dead);
+        let fates = ledger.candidate_lost(now, dead);
         prop_assert_eq!((fates.len(), ledger.len(), ledger.bytes(), ledger.next_due()), (open, 0, 0, None));
         for (seq, fate) in fates {
-            let Fate::Anew(past) = fate else { continue };
-            let ran = past.iter().any(Past::may_have_run);
+            let Recovery::Rerun(past) = fate else { continue };
+            let ran = past.iter().any(AttemptRecord::may_have_run);
             prop_assert!(past.len() < 3, "attempts are counted");
-            prop_assert!(past.iter().all(|a| a.end.is_some()));
+            prop_assert!(past.iter().all(|a| a.outcome.is_some()));
             prop_assert!(!(ran && seq % 3 == 2), "an unsafe call that may have run");
             if seq % 3 == 1 {
-                prop_assert!(past.iter().filter(|a| a.may_have_run()).all(|a| now - a.at < 8 * SECOND));
+                prop_assert!(past.iter().filter(|a| a.may_have_run()).all(|a| now - a.announced_at < 8 * SECOND));
             }
         }
     }
@@ -129,22 +129,22 @@
         let mut now = 0;
         for (call, passed) in calls {
             now += passed;
-            let before = rollout.life();
+            let before = rollout.phase();
             match call {
                 0 => rollout.attach(),
-                1 => rollout.detach(now, Cause::Lost("it")),
+                1 => rollout.detach(now, Cause::CandidateLost("it")),
                 2 => drop(rollout.begin(now, plan.clone(), Cause::Operator("begin"))),
                 3 => drop(rollout.step(now, None)),
                 4 => drop(rollout.hold(now)),
-                5 => drop(rollout.back(now)),
+                5 => drop(rollout.roll_back(now)),
                 6 => drop(rollout.complete(now)),
                 7 => drop(rollout.tick(now, passed as usize % 2)),
-                _ => rollout.leaves(now),
+                _ => rollout.candidate_leaving(now),
             }
-            let idle = matches!(rollout.life(), Life::Idle | Life::GoingBack | Life::Back);
-            prop_assert_eq!(rollout.share() == Share::NONE, idle, "{:?} after call {} from {:?}", rollout.life(), call, before);
-            if before == Life::Complete && call != 0 && call != 1 {
-                prop_assert_eq!(rollout.life(), Life::Complete);
+            let idle = matches!(rollout.phase(), Phase::Idle | Phase::RollingBack | Phase::RolledBack);
+            prop_assert_eq!(rollout.share() == Share::NONE, idle, "{:?} after call {} from {:?}", rollout.phase(), call, before);
+            if before == Phase::Complete && call != 0 && call != 1 {
+                prop_assert_eq!(rollout.phase(), Phase::Complete);
             }
             if idle {
                 prop_assert_eq!(rollout.decide(now, None, "a"), Version::Old);
@@ -157,14 +157,14 @@
 // ------------------------------------------------------------------------------------------- the gates
 
 fn gates() -> Gates {
-    Gates::new(GateTable::default())
+    Gates::new(GateSettings::default())
 }
 
-fn outcome(rng: &mut fastrand::Rng, fails: f64) -> Outcome {
+fn outcome(rng: &mut fastrand::Rng, fails: f64) -> CallOutcome {
     if rng.f64() < fails {
-        Outcome::Failed
+        CallOutcome::Failed
     } else {
-        Outcome::Served
+        CallOutcome::Served
     }
 }
 
@@ -178,9 +178,9 @@
         passed += u64::from(version == Version::New);
         let rate = if version == Version::New { new } else { old };
         let took = 100_000 + rng.i64(0..200_000);
-        gates.call(version, "a", outcome(&mut rng, rate), took, 1_500_000);
+        gates.record_call(version, "a", outcome(&mut rng, rate), took, 1_500_000);
         if n.is_multiple_of(25) {
-            gates.close();
+            gates.close_blocks();
             if gates.verdict().0 == Verdict::Fails {
                 return Some(passed);
             }
@@ -212,25 +212,25 @@
     let mut play = |gates: &mut Gates, calls: u32| {
         for n in 0..calls {
             if n % 50 == 0 {
-                gates.close();
+                gates.close_blocks();
             }
             for version in [Version::Old, Version::New] {
-                gates.call(version, "a", Outcome::Served, 100_000 + rng.i64(0..50_000), 1_500_000);
+                gates.record_call(version, "a", CallOutcome::Served, 100_000 + rng.i64(0..50_000), 1_500_000);
             }
         }
-        gates.close();
+        gates.close_blocks();
     };
-    assert_eq!(gates.verdict().0, Verdict::NotKnown);
+    assert_eq!(gates.verdict().0, Verdict::Inconclusive);
     play(&mut gates, 49);
-    assert_eq!(gates.verdict().0, Verdict::NotKnown, "none of 49 is not yet good");
+    assert_eq!(gates.verdict().0, Verdict::Inconclusive, "none of 49 is not yet good");
     play(&mut gates, 1500);
-    assert_eq!(gates.verdict().0, Verdict::Holds);
+    assert_eq!(gates.verdict().0, Verdict::Passes);
     // A class with a single call takes that back: it is not known.
-    gates.call(Version::New, "b", Outcome::Served, 1, 2);
-    assert_eq!(gates.verdict().0, Verdict::NotKnown);
+    gates.record_call(Version::New, "b", CallOutcome::Served, 1, 2);
+    assert_eq!(gates.verdict().0, Verdict::Inconclusive);
     // The next step has it all to show again.
-    gates.step(false);
-    assert_eq!(gates.verdict().0, Verdict::NotKnown);
+    gates.begin_step(false);
+    assert_eq!(gates.verdict().0, Verdict::Inconclusive);
 }
 
 /// At 100% there are no old calls beside the new ones: those of the step before are the measure.
@@ -240,17 +240,17 @@
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..1000 {
         for version in [Version::Old, Version::New] {
-            gates.call(version, "a", outcome(&mut rng, 0.01), 100_000, 1_500_000);
+            gates.record_call(version, "a", outcome(&mut rng, 0.01), 100_000, 1_500_000);
         }
     }
-    gates.step(true);
+    gates.begin_step(true);
     let mut passed = 0;
     while gates.verdict().0 != Verdict::Fails {
         passed += 1;
         assert!(passed < 3_000, "never caught");
-        gates.call(Version::New, "a", outcome(&mut rng, 0.10), 100_000, 1_500_000);
+        gates.record_call(Version::New, "a", outcome(&mut rng, 0.10), 100_000, 1_500_000);
         if passed % 20 == 0 {
-            gates.close();
+            gates.close_blocks();
         }
     }
 }
@@ -263,14 +263,14 @@
         let version = if n % 2 == 0 { Version::Old } else { Version::New };
         let slower = if version == Version::New { 3 } else { 2 };
         let took = slower * (50_000 + rng.i64(0..50_000));
-        gates.call(version, "a", Outcome::Served, took, 10_000_000);
+        gates.record_call(version, "a", CallOutcome::Served, took, 10_000_000);
         if n % 20 == 0 {
-            gates.close();
+            gates.close_blocks();
         }
     }
     let (verdict, gate) = gates.verdict();
-    assert_eq!((verdict, gate.unwrap().kind), (Verdict::Fails, Kind::Slow));
-    let [old, new] = gates.times();
+    assert_eq!((verdict, gate.unwrap().metric), (Verdict::Fails, Metric::Slow));
+    let [old, new] = gates.latencies();
     assert!(new.0 > old.0 && new.1 > old.1);
 }
 
@@ -279,10 +279,10 @@
 fn classes_beyond_the_bound_count_for_all_only() {
     let mut gates = gates();
     for i in 0..1000 {
-        gates.call(Version::New, &format!("class-{i}"), Outcome::Served, 1000, 2000);
+        gates.record_call(Version::New, &format!("class-{i}"), CallOutcome::Served, 1000, 2000);
     }
-    assert_eq!(gates.finished(), 1000);
-    assert!(gates.all().len() <= 33 * 4);
+    assert_eq!(gates.candidate_calls(), 1000);
+    assert!(gates.evaluate().len() <= 33 * 4);
 }
 
 // --------------------------------------------------------------------------------------------- the life
@@ -297,13 +297,13 @@
 }
 
 /// Plays calls for so many seconds, half of them new, of which some fail.
-fn play(rollout: &mut Rollout, now: &mut i64, seconds: u32, failing: f64) -> Option<Act> {
+fn play(rollout: &mut Rollout, now: &mut i64, seconds: u32, failing: f64) -> Option<Action> {
     let mut rng = fastrand::Rng::with_seed(5);
     let mut act = None;
     for _ in 0..seconds * 100 {
         *now += SECOND / 100;
-        rollout.call(Version::Old, "a", Outcome::Served, 100_000, 1_500_000);
-        rollout.call(Version::New, "a", outcome(&mut rng, failing), 100_000, 1_500_000);
+        rollout.record_call(Version::Old, "a", CallOutcome::Served, 100_000, 1_500_000);
+        rollout.record_call(Version::New, "a", outcome(&mut rng, failing), 100_000, 1_500_000);
         act = act.or(rollout.tick(*now, 0));
     }
     act
@@ -313,23 +313,23 @@
 fn a_good_version_goes_through_all_steps_and_completes() {
     let (mut rollout, mut now) = (Rollout::default(), 0);
     rollout.attach();
-    rollout.begin(now, plan(r#","completes":true"#), Cause::File).unwrap();
-    assert_eq!(play(&mut rollout, &mut now, 60, 0.0), Some(Act::Complete));
-    assert_eq!(rollout.life(), Life::Complete);
+    rollout.begin(now, plan(r#","completes":true"#), Cause::SettingsFile).unwrap();
+    assert_eq!(play(&mut rollout, &mut now, 60, 0.0), Some(Action::Complete));
+    assert_eq!(rollout.phase(), Phase::Complete);
     let shares: Vec<_> = rollout.history().map(|c| c.share.percent()).collect();
     assert_eq!(shares, [10.0, 100.0, 100.0]);
-    assert!(rollout.back(now).is_err(), "the new version has the clients");
+    assert!(rollout.roll_back(now).is_err(), "the new version has the clients");
 }
 
 #[test]
 fn a_failing_gate_takes_it_back_or_holds_it() {
-    for (more, wanted) in [("", Life::Back), (r#","on_fail":"hold""#, Life::Held)] {
+    for (more, wanted) in [("", Phase::RolledBack), (r#","on_fail":"hold""#, Phase::Held)] {
         let (mut rollout, mut now) = (Rollout::default(), 0);
         rollout.attach();
         rollout.begin(now, plan(more), Cause::Operator("begin")).unwrap();
         play(&mut rollout, &mut now, 60, 0.3);
-        assert_eq!(rollout.life(), wanted, "{more}");
-        let told = rollout.news().iter().map(|c| c.cause.to_string()).collect::<Vec<_>>();
+        assert_eq!(rollout.phase(), wanted, "{more}");
+        let told = rollout.take_transitions().iter().map(|c| c.cause.to_string()).collect::<Vec<_>>();
         assert!(told.iter().any(|t| t.contains("gate failed of")), "{told:?}");
     }
 }
@@ -347,7 +347,7 @@
     assert!(
         r.hold(now).is_err()
             && r.step(now, None).is_err()
-            && r.back(now).is_err()
+            && r.roll_back(now).is_err()
             && r.complete(now).is_err()
     );
     r.attach();
@@ -357,21 +357,21 @@
     assert!(r.complete(now).unwrap_err().0.contains("the share is 10%"));
     r.hold(now).unwrap();
     r.hold(now).unwrap();
-    assert_eq!((r.life(), r.share()), (Life::Held, Share::from_percent(10.0)));
+    assert_eq!((r.phase(), r.share()), (Phase::Held, Share::from_percent(10.0)));
     r.step(now, Some(1)).unwrap();
-    assert_eq!(r.life(), Life::Stepping, "goes on where it was held");
+    assert_eq!(r.phase(), Phase::Stepping, "goes on where it was held");
     r.step(now, Some(2)).unwrap();
     r.step(now, Some(2)).unwrap();
     assert!(r.step(now, Some(1)).unwrap_err().0.contains("behind"));
     assert!(r.step(now, None).unwrap_err().0.contains("no step 3"));
-    r.back(now).unwrap();
-    r.back(now).unwrap();
-    assert_eq!((r.life(), r.share()), (Life::GoingBack, Share::NONE));
+    r.roll_back(now).unwrap();
+    r.roll_back(now).unwrap();
+    assert_eq!((r.phase(), r.share()), (Phase::RollingBack, Share::NONE));
     assert!(begin(&mut r, "p").unwrap_err().contains("coming to their end"));
     r.tick(now + SECOND, 0);
     begin(&mut r, "p").unwrap();
     r.step(now, Some(2)).unwrap();
-    assert_eq!(r.complete(now).unwrap(), Some(Act::Complete));
+    assert_eq!(r.complete(now).unwrap(), Some(Action::Complete));
     assert_eq!(r.complete(now).unwrap(), None);
     assert!(r.hold(now).is_err());
 }
@@ -381,19 +381,19 @@
 #[test]
 fn a_candidate_that_breaks_the_order_is_at_fault() {
     let mut l = Ledger::new(4, 100);
-    l.pass(1, &Terms::new(Effect::Unsafe, 5), SECOND, 10).unwrap();
-    assert_eq!(l.pass(2, &Terms::new(Effect::Safe, 5), SECOND, 95), Err(Full::Bytes));
-    assert_eq!(l.told(1, 0, &"h".into(), 0), Ok(true));
+    l.pass(1, &RetryPolicy::new(Effect::Unsafe, 5), SECOND, 10).unwrap();
+    assert_eq!(l.pass(2, &RetryPolicy::new(Effect::Safe, 5), SECOND, 95), Err(LedgerFull::Bytes));
+    assert_eq!(l.attempt_announced(1, 0, &"h".into(), 0), Ok(true));
     let mut other = l.clone();
-    assert!(other.told(1, 1, &"h".into(), 0).is_err(), "beside another");
-    assert_eq!(l.ended(1, 0, End::Reset), Ok(true));
-    assert!(l.ended(1, 0, End::Full).is_err(), "one end each");
+    assert!(other.attempt_announced(1, 1, &"h".into(), 0).is_err(), "beside another");
+    assert_eq!(l.attempt_ended(1, 0, End::Reset), Ok(true));
+    assert!(l.attempt_ended(1, 0, End::Full).is_err(), "one end each");
     let mut other = l.clone();
-    assert!(other.told(1, 1, &"h".into(), 0).is_err(), "it may have run");
+    assert!(other.attempt_announced(1, 1, &"h".into(), 0).is_err(), "it may have run");
     assert!(l.answered(1, true).is_err(), "a refusal would be untrue");
     assert_eq!(l.answered(1, false), Ok(true));
     assert_eq!(
-        (l.told(1, 0, &"h".into(), 0), l.ended(1, 0, End::Done), l.answered(1, false)),
+        (l.attempt_announced(1, 0, &"h".into(), 0), l.attempt_ended(1, 0, End::Done), l.answered(1, false)),
         (Ok(false), Ok(false), Ok(false))
     );
 }
@@ -402,10 +402,10 @@
 #[test]
 fn a_fault_makes_nothing_safe() {
     let mut l = Ledger::new(4, 100);
-    l.pass(1, &Terms::new(Effect::Unsafe, 5), SECOND, 10).unwrap();
-    assert!(l.told(1, 3, &"h".into(), 0).is_err(), "out of turn");
+    l.pass(1, &RetryPolicy::new(Effect::Unsafe, 5), SECOND, 10).unwrap();
+    assert!(l.attempt_announced(1, 3, &"h".into(), 0).is_err(), "out of turn");
     assert!(l.returned(1).is_err(), "it was begun");
-    assert_eq!(l.gone(0, true), [(1, Fate::Fail)]);
+    assert_eq!(l.candidate_lost(0, true), [(1, Recovery::Fail)]);
 }
 
 #[test]
@@ -413,35 +413,35 @@
     let keyed = Effect::Keyed { scope: Scope::Cell, window: 8 * SECOND };
     let fate = |effect, ends: &[Option<End>], now, dead| {
         let mut l = Ledger::new(4, 100);
-        l.pass(1, &Terms::new(effect, 2), 20 * SECOND, 1).unwrap();
+        l.pass(1, &RetryPolicy::new(effect, 2), 20 * SECOND, 1).unwrap();
         for (i, end) in ends.iter().enumerate() {
-            l.told(1, i as u32, &"h".into(), 0).unwrap();
-            end.iter().for_each(|end| drop(l.ended(1, i as u32, *end)));
+            l.attempt_announced(1, i as u32, &"h".into(), 0).unwrap();
+            end.iter().for_each(|end| drop(l.attempt_ended(1, i as u32, *end)));
         }
-        l.gone(now, dead).pop().unwrap().1
+        l.candidate_lost(now, dead).pop().unwrap().1
     };
-    let anew = |f: Fate| matches!(f, Fate::Anew(_));
+    let anew = |f: Recovery| matches!(f, Recovery::Rerun(_));
     for effect in [Effect::Safe, keyed, Effect::Unsafe] {
         assert!(anew(fate(effect, &[], 0, true)), "not begun");
         assert!(anew(fate(effect, &[], 0, false)), "not begun, and never will be: its word would not arrive");
         assert!(anew(fate(effect, &[Some(End::Miss)], 0, true)));
         assert_eq!(
             fate(effect, &[Some(End::Miss), Some(End::Full)], 0, true),
-            Fate::Refuse,
+            Recovery::Refuse,
             "no attempt left"
         );
-        let over = if effect == Effect::Safe { Fate::Refuse } else { Fate::Fail };
+        let over = if effect == Effect::Safe { Recovery::Refuse } else { Recovery::Fail };
         assert_eq!(fate(effect, &[None], 0, false), over, "may still be out");
-        assert_eq!(fate(effect, &[], 20 * SECOND, true), Fate::Fail, "its time is up");
+        assert_eq!(fate(effect, &[], 20 * SECOND, true), Recovery::Fail, "its time is up");
     }
     assert!(anew(fate(Effect::Safe, &[None], 0, true)) && anew(fate(keyed, &[None], 0, true)));
-    assert_eq!(fate(Effect::Unsafe, &[None], 0, true), Fate::Fail);
-    assert_eq!(fate(Effect::Unsafe, &[Some(End::Error)], 0, true), Fate::Fail);
-    assert_eq!(fate(keyed, &[None], 8 * SECOND, true), Fate::Fail, "its window is over");
-    assert_eq!(fate(Effect::Safe, &[Some(End::Reset), None], 0, true), Fate::Refuse, "no attempt left");
+    assert_eq!(fate(Effect::Unsafe, &[None], 0, true), Recovery::Fail);
+    assert_eq!(fate(Effect::Unsafe, &[Some(End::Error)], 0, true), Recovery::Fail);
+    assert_eq!(fate(keyed, &[None], 8 * SECOND, true), Recovery::Fail, "its window is over");
+    assert_eq!(fate(Effect::Safe, &[Some(End::Reset), None], 0, true), Recovery::Refuse, "no attempt left");
     assert_eq!(
         fate(keyed, &[Some(End::Reset), None], 0, true),
-        Fate::Fail,
+        Recovery::Fail,
         "no attempt left, and it may have run"
     );
 }
--- a/node/src/ipc.rs
+++ b/node/src/ipc.rs
@@ -53,7 +53,7 @@
     /// Calls (and, of the holder, orders) that count for the ration: when, calls, orders.
     Ration(Vec<(Micros, u32, u32)>),
     /// Classes have changed with a new configuration.
-    Classes(Vec<wheellink_rollout::ClassTerms>),
+    Classes(Vec<wheellink_rollout::ClassPolicy>),
     /// Holder: take the clients.
     TakeOver,
     /// Holder: you are not wanted any more.
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -17,7 +17,7 @@
 use serde_json::{json, Value};
 use siphasher::sip::SipHasher13;
 use wheellink::Micros;
-use wheellink_members::{Life, Members, Name, Out, Settings, State};
+use wheellink_members::{LocalMember, MemberId, MemberInstance, MemberState, Output, Settings};
 
 use crate::datagrams;
 use crate::wake::{Handle, Wake};
@@ -59,8 +59,8 @@
 }
 
 /// What stands for a name in datagrams, at every activator and in every version.
-pub fn number(name: &str) -> Name {
-    Name(SipHasher13::new().hash(name.as_bytes()) as u32)
+pub fn number(name: &str) -> MemberId {
+    MemberId(SipHasher13::new().hash(name.as_bytes()) as u32)
 }
 
 impl Setup {
@@ -76,7 +76,7 @@
                 "members: {name} cannot be a name: its datagrams would be taken for others'"
             ));
         }
-        let mut numbers: Vec<Name> = names().map(|name| number(name)).collect();
+        let mut numbers: Vec<MemberId> = names().map(|name| number(name)).collect();
         numbers.sort();
         if let Some(twice) = numbers.windows(2).find(|w| w[0] == w[1]) {
             let twice: Vec<&str> = names().filter(|n| number(n) == twice[0]).map(|n| n.as_str()).collect();
@@ -101,7 +101,7 @@
 
     fn settings(&self) -> Settings {
         let period = Duration::from_millis(self.period_ms);
-        Settings { period, expected: self.other.len() + 1, ..Settings::default() }
+        Settings { probe_period: period, expected_members: self.other.len() + 1, ..Settings::default() }
     }
 }
 
@@ -110,13 +110,13 @@
     handle: Handle,
     socket: Rc<UdpSocket>,
     token: RegistrationToken,
-    members: Members,
+    members: LocalMember,
     /// Times of the members run from here, on a clock that nobody sets.
     origin: Instant,
     setup: Setup,
     /// By what stands for their names: name and address.
-    others: BTreeMap<Name, (String, SocketAddr)>,
-    names: HashMap<SocketAddr, Name>,
+    others: BTreeMap<MemberId, (String, SocketAddr)>,
+    names: HashMap<SocketAddr, MemberId>,
     left: bool,
     /// Heard for other parts and not yet taken by the hub; see [`AT_ONCE`].
     envelopes: Vec<Envelope>,
@@ -132,8 +132,8 @@
     pub fn open(handle: &Handle, setup: &Setup, seed: u64) -> io::Result<Self> {
         let (socket, token) = datagrams::open(handle, setup.listen, Wake::Members)?;
         let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let life = Life::new(number(&setup.name), start);
-        let members = Members::new(setup.settings(), life, [], seed, Duration::ZERO);
+        let life = MemberInstance::new(number(&setup.name), start);
+        let members = LocalMember::new(setup.settings(), life, [], seed, Duration::ZERO);
         let members = members.map_err(|e| io::Error::new(ErrorKind::InvalidInput, e))?;
         let (origin, setup) = (Instant::now(), setup.clone());
         let (others, names, left) = (BTreeMap::new(), HashMap::new(), false);
@@ -178,13 +178,13 @@
     }
 
     /// What stands for this one's name, and for the others' with the names themselves.
-    pub fn roster(&self) -> (Name, impl Iterator<Item = (Name, &str)>) {
+    pub fn roster(&self) -> (MemberId, impl Iterator<Item = (MemberId, &str)>) {
         (number(&self.setup.name), self.others.iter().map(|(number, (name, _))| (*number, name.as_str())))
     }
 
     /// How many of the others are there.
     pub fn there(&self) -> usize {
-        self.members.view().there().count()
+        self.members.view().present().count()
     }
 
     fn now(&self) -> Duration {
@@ -217,7 +217,7 @@
                             }
                         }
                         Read::Answer => {}
-                        Read::Own(data) => self.members.heard(now, *from, data, &mut out),
+                        Read::Own(data) => self.members.handle_datagram(now, *from, data, &mut out),
                         Read::Unknown => self.dropped += 1,
                         // What is left of one go is taken before the next: else nobody takes any.
                         Read::Envelope(..) if self.envelopes.len() >= AT_ONCE => self.dropped += 1,
@@ -240,12 +240,12 @@
     }
 
     /// Sends another part's bytes, at most [`envelope::LONGEST`], to its like. They may be lost, doubled or late.
-    pub fn send(&self, to: Name, kind: Kind, data: &[u8]) {
+    pub fn send(&self, to: MemberId, kind: Kind, data: &[u8]) {
         self.put(to, Some(kind), data);
     }
 
     /// Sends something with a sum, or as programs of before read it. What cannot be sent is lost, as any may be.
-    fn put(&self, to: Name, kind: Option<Kind>, data: &[u8]) {
+    fn put(&self, to: MemberId, kind: Option<Kind>, data: &[u8]) {
         let Some((_, address)) = self.others.get(&to) else { return };
         let how = self.seals.borrow_mut().next(self.now(), to);
         if how == As::PlainAfterWord {
@@ -258,19 +258,19 @@
 
     /// Does what is due, after what has come was read: after a pause it speaks for the others.
     pub fn tick(&mut self) -> Vec<String> {
-        if self.members.wake_at().is_none_or(|at| at > self.now()) {
+        if self.members.next_timer_at().is_none_or(|at| at > self.now()) {
             return Vec::new();
         }
         let mut lines = self.ready();
         let (now, mut out) = (self.now(), Vec::new());
-        self.members.wake(now, &mut out);
+        self.members.handle_timers(now, &mut out);
         lines.extend(self.carry_out(out));
         lines
     }
 
     /// When something is due, on the caller's clock.
     pub fn next_tick(&self, now: Micros) -> Micros {
-        let wait = self.members.wake_at().map(|at| at.saturating_sub(self.now()));
+        let wait = self.members.next_timer_at().map(|at| at.saturating_sub(self.now()));
         wait.map_or(Micros::MAX, |wait| now.saturating_add(wait.as_micros() as Micros))
     }
 
@@ -291,28 +291,28 @@
         self.handle.remove(self.token);
     }
 
-    fn carry_out(&mut self, out: Vec<Out>) -> Vec<String> {
+    fn carry_out(&mut self, out: Vec<Output>) -> Vec<String> {
         let mut lines = Vec::new();
         for o in out {
             match o {
-                Out::Send { to, data } => self.put(to, None, &data),
-                Out::Changed { name, state } => lines.push(self.changed(name, state)),
-                Out::Returned => lines.push("others held this activator for gone; it is back".into()),
+                Output::Send { to, data } => self.put(to, None, &data),
+                Output::StateChanged { id, state } => lines.push(self.changed(id, state)),
+                Output::Rejoined => lines.push("others held this activator for gone; it is back".into()),
             }
         }
         lines
     }
 
     /// A change with its evidence.
-    fn changed(&self, name: Name, state: State) -> String {
+    fn changed(&self, name: MemberId, state: MemberState) -> String {
         let view = self.members.view();
         let told = self.others.get(&name).map_or("?", |(told, _)| told.as_str());
-        let member = view.members.iter().find(|m| m.name == name);
-        let heard = member.and_then(|m| m.heard).map(|heard| self.now().saturating_sub(heard));
+        let member = view.members.iter().find(|m| m.id == name);
+        let heard = member.and_then(|m| m.last_heard).map(|heard| self.now().saturating_sub(heard));
         let heard =
             heard.map_or("never heard here".into(), |ago| format!("heard {} ms ago", ago.as_millis()));
         let renewed = member.map_or(0, |m| m.incarnation);
-        let there = 1 + view.there().count();
+        let there = 1 + view.present().count();
         let (all, majority) = (view.members.len() + 1, if view.majority { "" } else { ", no majority" });
         format!("activator {told} is {}: {heard}, spoke for itself {renewed} times; {there} of {all} there{majority}",
             word(state))
@@ -323,23 +323,23 @@
         let (now, view) = (self.now(), self.members.view());
         let ago = |at: Option<Duration>| at.map(|at| now.saturating_sub(at).as_millis() as u64);
         let member = |m: &wheellink_members::Member| {
-            let (name, address) = &self.others[&m.name];
-            json!({"name": name, "address": address, "state": word(m.state), "sums": self.seals.borrow().knows(m.name), "start_ms": m.start,
-                "incarnation": m.incarnation, "since_ms": ago(m.since), "heard_ms": ago(m.heard)})
+            let (name, address) = &self.others[&m.id];
+            json!({"name": name, "address": address, "state": word(m.state), "sums": self.seals.borrow().knows(m.id), "start_ms": m.start_ms,
+                "incarnation": m.incarnation, "since_ms": ago(m.state_since), "heard_ms": ago(m.last_heard)})
         };
-        let known = view.members.iter().filter(|m| self.others.contains_key(&m.name));
-        json!({"name": self.setup.name, "start_ms": self.members.life().start, "left": self.left,
-            "majority": view.majority, "dropped": self.dropped, "spoilt": self.spoilt, "pauses": view.pauses, "stretch": view.stretch,
+        let known = view.members.iter().filter(|m| self.others.contains_key(&m.id));
+        json!({"name": self.setup.name, "start_ms": self.members.instance().start_ms, "left": self.left,
+            "majority": view.majority, "dropped": self.dropped, "spoilt": self.spoilt, "pauses": view.pauses, "stretch": view.health_multiplier,
             "members": known.map(member).collect::<Vec<_>>()})
     }
 }
 
-fn word(state: State) -> &'static str {
+fn word(state: MemberState) -> &'static str {
     match state {
-        State::Alive => "alive",
-        State::Suspect => "suspect",
-        State::Gone => "gone",
-        State::Left => "left",
-        State::Unmet => "unmet",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Dead => "gone",
+        MemberState::Left => "left",
+        MemberState::Unknown => "unmet",
     }
 }
--- a/node/src/membership/checksum.rs
+++ b/node/src/membership/checksum.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use siphasher::sip::SipHasher13;
-use wheellink_members::Name;
+use wheellink_members::MemberId;
 
 /// Between two short words to one that is not known to read them.
 const AGAIN: Duration = Duration::from_millis(100);
@@ -47,22 +47,22 @@
 /// Who carries sums. Times are of a clock that nobody sets.
 #[derive(Default)]
 pub struct Seals {
-    peers: HashMap<Name, Peer>,
+    peers: HashMap<MemberId, Peer>,
 }
 
 impl Seals {
     /// Forgets all but these.
-    pub fn keep(&mut self, roster: impl Fn(Name) -> bool) {
+    pub fn keep(&mut self, roster: impl Fn(MemberId) -> bool) {
         self.peers.retain(|name, _| roster(*name));
     }
 
     /// It said something whose sum is right.
-    pub fn heard(&mut self, now: Duration, from: Name) {
+    pub fn heard(&mut self, now: Duration, from: MemberId) {
         self.peers.entry(from).or_default().sealed = Some(now);
     }
 
     /// Whether its word is answered now: not each of a flood is.
-    pub fn answers(&mut self, now: Duration, from: Name) -> bool {
+    pub fn answers(&mut self, now: Duration, from: MemberId) -> bool {
         let peer = self.peers.entry(from).or_default();
         let due = peer.answered.is_none_or(|at| now.saturating_sub(at) >= AGAIN / 2);
         if due {
@@ -72,7 +72,7 @@
     }
 
     /// Whether something without a sum is taken from it.
-    pub fn takes_plain(&mut self, now: Duration, from: Name) -> bool {
+    pub fn takes_plain(&mut self, now: Duration, from: MemberId) -> bool {
         let Some(peer) = self.peers.get_mut(&from) else { return true };
         if peer.sealed.is_some_and(|at| now.saturating_sub(at) > SILENCE) {
             peer.sealed = None;
@@ -81,7 +81,7 @@
     }
 
     /// How the next datagram goes to it.
-    pub fn next(&mut self, now: Duration, to: Name) -> As {
+    pub fn next(&mut self, now: Duration, to: MemberId) -> As {
         let peer = self.peers.entry(to).or_default();
         if peer.sealed.is_some() {
             return As::Sealed;
@@ -94,7 +94,7 @@
     }
 
     /// Whether it is known to carry sums.
-    pub fn knows(&self, name: Name) -> bool {
+    pub fn knows(&self, name: MemberId) -> bool {
         self.peers.get(&name).is_some_and(|peer| peer.sealed.is_some())
     }
 }
--- a/node/src/membership/checksum/tests.rs
+++ b/node/src/membership/checksum/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const ONE: Name = Name(1);
+const ONE: MemberId = MemberId(1);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -17,18 +17,18 @@
     assert!(seals.takes_plain(ms(300), ONE) && !seals.knows(ONE));
     seals.heard(ms(300), ONE);
     assert_eq!((seals.next(ms(301), ONE), seals.takes_plain(ms(302), ONE)), (Sealed, false));
-    assert!(seals.knows(ONE) && seals.takes_plain(ms(302), Name(2)), "each for itself");
+    assert!(seals.knows(ONE) && seals.takes_plain(ms(302), MemberId(2)), "each for itself");
 }
 
 #[test]
 fn two_that_start_with_nothing_find_each_other_though_only_one_speaks() {
     // The second has nothing to say: what it hears without a sum it drops once it heard the word.
     let (mut first, mut second) = (Seals::default(), Seals::default());
-    assert_eq!(first.next(ms(0), Name(2)), As::PlainAfterWord);
+    assert_eq!(first.next(ms(0), MemberId(2)), As::PlainAfterWord);
     second.heard(ms(1), ONE);
     assert!(!second.takes_plain(ms(1), ONE) && second.answers(ms(1), ONE));
-    first.heard(ms(2), Name(2));
-    assert_eq!(first.next(ms(3), Name(2)), As::Sealed);
+    first.heard(ms(2), MemberId(2));
+    assert_eq!(first.next(ms(3), MemberId(2)), As::Sealed);
     // Of a flood of words few are answered; a later one is, as the answer may have been lost.
     assert_eq!((2..50).filter(|at| second.answers(ms(*at), ONE)).count(), 0);
     assert!(second.answers(ms(101), ONE));
@@ -51,11 +51,11 @@
 fn those_who_left_the_roster_are_forgotten() {
     let mut seals = Seals::default();
     for name in 0..100 {
-        seals.heard(ms(0), Name(name));
+        seals.heard(ms(0), MemberId(name));
     }
     seals.keep(|name| name.0 < 3);
     assert_eq!(seals.peers.len(), 3);
-    assert!(!seals.knows(Name(50)) && seals.knows(Name(2)));
+    assert!(!seals.knows(MemberId(50)) && seals.knows(MemberId(2)));
 }
 
 #[test]
--- a/node/src/membership/envelope.rs
+++ b/node/src/membership/envelope.rs
@@ -2,7 +2,7 @@
 //! no datagram of the members' protocol begins, a byte of kind, and the part's own bytes. Sealed, there is a sum before
 //! those, and the members' own datagrams are of a kind as well.
 
-use wheellink_members::Name;
+use wheellink_members::MemberId;
 
 use super::checksum;
 
@@ -17,7 +17,7 @@
 /// Bytes of a sum.
 const SUM: usize = 8;
 /// The one name whose datagrams could begin like that: as a number of variable length it is `FF 57`.
-const TAKEN: Name = Name(0x7f | 0x57 << 7);
+const TAKEN: MemberId = MemberId(0x7f | 0x57 << 7);
 /// Bytes of one datagram, all in all: no network splits it.
 const DATAGRAM: usize = 1_200;
 /// Bytes that a part may say at once.
@@ -42,7 +42,7 @@
 /// Something heard.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Envelope {
-    pub from: Name,
+    pub from: MemberId,
     pub kind: Kind,
     pub data: Vec<u8>,
 }
@@ -73,7 +73,7 @@
 }
 
 /// Whether no datagram of a member of this name can be taken for a envelope.
-pub fn differs(name: Name) -> bool {
+pub fn differs(name: MemberId) -> bool {
     name != TAKEN
 }
 
--- a/node/src/membership/envelope/tests.rs
+++ b/node/src/membership/envelope/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::*;
-use wheellink_members::{Life, Members, Out, Settings};
+use wheellink_members::{LocalMember, MemberInstance, Output, Settings};
 
 #[test]
 fn what_is_written_is_read_and_what_is_too_long_is_not_written() {
@@ -65,19 +65,19 @@
 }
 
 /// What a member says first, of itself to others: all its datagrams begin with its own name.
-fn words(name: Name, start: u64) -> Vec<Vec<u8>> {
-    let others = (1..9).map(|n| Name(name.0.wrapping_add(n)));
+fn words(name: MemberId, start: u64) -> Vec<Vec<u8>> {
+    let others = (1..9).map(|n| MemberId(name.0.wrapping_add(n)));
     let mut out = Vec::new();
-    let settings = Settings { expected: 9, ..Settings::default() };
-    let life = Life::new(name, start);
-    let mut member = Members::new(settings, life, others, 5, Duration::ZERO).expect("a member");
+    let settings = Settings { expected_members: 9, ..Settings::default() };
+    let life = MemberInstance::new(name, start);
+    let mut member = LocalMember::new(settings, life, others, 5, Duration::ZERO).expect("a member");
     while out.len() < 20 {
-        let at = member.wake_at().expect("something is due");
-        member.wake(at, &mut out);
+        let at = member.next_timer_at().expect("something is due");
+        member.handle_timers(at, &mut out);
     }
     member.leave(Duration::from_secs(999), &mut out);
     let said = out.into_iter().filter_map(|o| match o {
-        Out::Send { data, .. } => Some(data),
+        Output::Send { data, .. } => Some(data),
         _ => None,
     });
     said.collect()
@@ -90,8 +90,8 @@
     let mut rng = fastrand::Rng::with_seed(33);
     let any: Vec<_> = (0..300).map(|_| (rng.u32(..), rng.u64(..))).collect();
     let mut said = 0;
-    for (name, start) in near.chain(any).filter(|(name, _)| differs(Name(*name))) {
-        for datagram in words(Name(name), start) {
+    for (name, start) in near.chain(any).filter(|(name, _)| differs(MemberId(*name))) {
+        for datagram in words(MemberId(name), start) {
             assert_eq!(
                 open(&datagram),
                 Opened::Plain(Read::Own(&datagram)),
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -258,7 +258,7 @@
     }
 
     /// Other members' bytes.
-    pub(super) fn heard_accord(&mut self, now: Micros, from: wheellink_members::Name, data: &[u8]) {
+    pub(super) fn heard_accord(&mut self, now: Micros, from: wheellink_members::MemberId, data: &[u8]) {
         let Some(agreed) = &mut self.agreed else { return };
         let mut out = Vec::new();
         agreed.accord.heard(since_boot(), wheellink_accord::Name(from.0), data, &mut out);
@@ -320,7 +320,7 @@
             match o {
                 Out::Send { to, data } => {
                     if let Some(membership) = &self.membership {
-                        membership.send(wheellink_members::Name(to.0), Kind::Accord, &data);
+                        membership.send(wheellink_members::MemberId(to.0), Kind::Accord, &data);
                     }
                 }
                 Out::Prepare { version, document } => {
--- a/node/src/node/drafts.rs
+++ b/node/src/node/drafts.rs
@@ -275,7 +275,7 @@
     }
 
     /// Another activator tells its counts.
-    pub(super) fn drafts_heard(&mut self, now: Micros, from: wheellink_members::Name, data: &[u8]) {
+    pub(super) fn drafts_heard(&mut self, now: Micros, from: wheellink_members::MemberId, data: &[u8]) {
         let Some(d) = &mut self.drafting else { return };
         let mut out = Vec::new();
         d.drafts.heard(d.origin.elapsed(), Name(from.0), data, &mut out);
@@ -309,7 +309,7 @@
         for out in out {
             match (out, &self.membership) {
                 (Out::Send { to, data }, Some(membership)) => {
-                    membership.send(wheellink_members::Name(to.0), Kind::Drafts, &data)
+                    membership.send(wheellink_members::MemberId(to.0), Kind::Drafts, &data)
                 }
                 (Out::Send { .. }, None) => {}
                 (Out::Note(line), _) => self.log.line(now, line),
--- a/node/src/node/rollout.rs
+++ b/node/src/node/rollout.rs
@@ -8,8 +8,8 @@
 mod operate;
 
 use wheellink_rollout::{
-    strictest, Act, Cause, ClassTerms, Disagreement, Fate, Life, Outcome as Ending, Past, Rollout, Share,
-    Terms, Version,
+    strictest_policies, Action, AttemptRecord, CallOutcome as Ending, Cause, ClassPolicy, Phase,
+    PolicyDifference, Recovery, RetryPolicy, Rollout, Share, Version,
 };
 
 use super::*;
@@ -88,8 +88,8 @@
     counts: Counts,
     /// The other side's name and classes, what binds both, and where they differ.
     peer: Hail,
-    bound: Vec<ClassTerms>,
-    differ: Vec<Disagreement>,
+    bound: Vec<ClassPolicy>,
+    differ: Vec<PolicyDifference>,
     heard: Micros,
     /// Looks since then: a clock that jumps is no silence.
     looks: u32,
@@ -131,14 +131,14 @@
             asked: HashMap::new(),
             ask_again: 0,
             ration: Vec::new(),
-            told: (Life::Idle.word().into(), 0.0),
+            told: (Phase::Idle.as_str().into(), 0.0),
             dismissed: None,
         }
     }
 
     /// Bodies of passed calls are a half of all bodies at the most: the other process holds them too.
     pub(super) fn bound(&mut self, bodies: usize) {
-        self.ledger.bound(bodies / 2);
+        self.ledger.set_max_bytes(bodies / 2);
     }
 
     /// Whether another process decides, or has decided, some of the calls: nobody else may come meanwhile.
@@ -166,10 +166,12 @@
 }
 
 /// What a deployment's classes allow, by name.
-pub fn classes(deployment: &Deployment) -> Vec<ClassTerms> {
+pub fn classes(deployment: &Deployment) -> Vec<ClassPolicy> {
     let attempts = deployment.settings.max_attempts;
     let named = deployment.classes.iter().zip(&deployment.settings.classes);
-    named.map(|(name, c)| ClassTerms { name: name.clone(), terms: Terms::new(c.effect, attempts) }).collect()
+    named
+        .map(|(name, c)| ClassPolicy { name: name.clone(), policy: RetryPolicy::new(c.effect, attempts) })
+        .collect()
 }
 
 impl Node {
@@ -179,9 +181,9 @@
         let mut settings = self.agreed().clone();
         for bound in &self.gradual.bound {
             if let Some(i) = d.class(&bound.name) {
-                settings.classes[i].effect = bound.terms.effect();
+                settings.classes[i].effect = bound.policy.effect();
             }
-            settings.max_attempts = settings.max_attempts.min(bound.terms.attempts).max(1);
+            settings.max_attempts = settings.max_attempts.min(bound.policy.attempts).max(1);
         }
         settings
     }
@@ -192,8 +194,8 @@
             (classes(&self.config.deployment), std::mem::take(&mut self.gradual.peer.classes));
         let (bound, differ) = match self.gradual.role {
             Role::Alone => (Vec::new(), Vec::new()),
-            Role::Holder => strictest(&own, &theirs),
-            Role::Candidate | Role::Successor => strictest(&theirs, &own),
+            Role::Holder => strictest_policies(&own, &theirs),
+            Role::Candidate | Role::Successor => strictest_policies(&theirs, &own),
         };
         self.gradual.peer.classes = theirs;
         for d in differ.iter().filter(|d| !self.gradual.differ.contains(d)) {
@@ -216,14 +218,14 @@
         }
     }
 
-    pub(super) fn terms(&self, class: &str) -> Option<Terms> {
-        self.gradual.bound.iter().find(|c| c.name == class).map(|c| c.terms)
+    pub(super) fn terms(&self, class: &str) -> Option<RetryPolicy> {
+        self.gradual.bound.iter().find(|c| c.name == class).map(|c| c.policy)
     }
 
     /// Whether only the new version knows this class, and decides calls now.
     pub(super) fn is_theirs(&self, class: &str) -> bool {
         let g = &self.gradual;
-        let open = g.role == Role::Holder && g.machine.runs() && g.machine.share() > Share::NONE;
+        let open = g.role == Role::Holder && g.machine.passes_calls() && g.machine.share() > Share::NONE;
         open && self.config.deployment.class(class).is_none()
             && g.peer.classes.iter().any(|c| c.name == class)
     }
@@ -253,7 +255,7 @@
             Role::Holder => {
                 self.log.line(now, format_args!("rollout: the new version is gone: {why}"));
                 let process = self.upgrade.take_process();
-                self.bury(now, process, Cause::Lost("its connection has ended"));
+                self.bury(now, process, Cause::CandidateLost("its connection has ended"));
             }
             Role::Candidate | Role::Successor => self.holder_left(now),
         }
@@ -262,7 +264,7 @@
 
     /// What is due; `often` is true a few times a second.
     pub(super) fn tick_rollout(&mut self, now: Micros, often: bool) {
-        for seq in self.gradual.ledger.overdue(now) {
+        for seq in self.gradual.ledger.take_overdue(now) {
             self.upgrade.say(&Word::Left { seq });
             self.answer(now, ticket(seq), Verdict::TimedOut);
         }
@@ -285,9 +287,9 @@
                 }
             }
         }
-        for change in self.gradual.machine.news() {
+        for change in self.gradual.machine.take_transitions() {
             let name = self.gradual.machine.plan().map_or("", |(plan, _)| &plan.name);
-            let (from, to) = (change.from.word(), change.to.word());
+            let (from, to) = (change.from.as_str(), change.to.as_str());
             let percent = change.share.percent();
             self.log
                 .line(now, format_args!("rollout {name}: {from} to {to} at {percent}%: {}", change.cause));
@@ -317,15 +319,15 @@
     }
 
     fn tend_candidate(&mut self, now: Micros) {
-        let (life, percent) = (self.gradual.machine.life(), self.gradual.machine.share().percent());
-        self.upgrade.say(&Word::Holds { life: life.word().into(), percent });
-        let due = if life == Life::Complete { 0.0 } else { percent / 100.0 };
+        let (life, percent) = (self.gradual.machine.phase(), self.gradual.machine.share().percent());
+        self.upgrade.say(&Word::Holds { life: life.as_str().into(), percent });
+        let due = if life == Phase::Complete { 0.0 } else { percent / 100.0 };
         self.engine.set_beside(due);
         if !self.succeeded {
             self.tell_ration(now);
         }
-        let running = matches!(life, Life::Stepping | Life::Held | Life::GoingBack | Life::Complete);
-        let patience = if running { self.gradual.machine.silence() } else { IDLE_SILENCE };
+        let running = matches!(life, Phase::Stepping | Phase::Held | Phase::RollingBack | Phase::Complete);
+        let patience = if running { self.gradual.machine.max_silence() } else { IDLE_SILENCE };
         self.gradual.looks += 1;
         let looked = Micros::from(self.gradual.looks) * HOUSEKEEPING * 2 >= patience;
         if now - self.gradual.heard >= patience && looked {
@@ -337,7 +339,7 @@
             }
         }
         let open = self.gradual.ledger.len();
-        if self.gradual.machine.tick(now, open) == Some(Act::Complete) {
+        if self.gradual.machine.tick(now, open) == Some(Action::Complete) {
             self.hand_clients_over(now);
         }
     }
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -38,7 +38,7 @@
         turn: Option<&Turn>,
         advice: &[Spot],
     ) -> Option<Ticket> {
-        if self.gradual.role != Role::Holder || !self.gradual.machine.runs() {
+        if self.gradual.role != Role::Holder || !self.gradual.machine.passes_calls() {
             return None;
         }
         let call = &pending.call;
@@ -46,7 +46,7 @@
         let terms = match self.terms(&call.class) {
             Some(terms) => terms,
             // Whatever it is there, it is held to the strictest here.
-            None if only_theirs => Terms::new(Effect::Unsafe, 1),
+            None if only_theirs => RetryPolicy::new(Effect::Unsafe, 1),
             None => return None,
         };
         let key = match terms.effect() {
@@ -57,7 +57,7 @@
             return None;
         }
         let size = call.body.len();
-        if self.upgrade.backlog() > BACKLOG || self.gradual.ledger.room(size).is_err() {
+        if self.upgrade.backlog() > BACKLOG || self.gradual.ledger.check_capacity(size).is_err() {
             self.gradual.counts.kept += 1;
             return None;
         }
@@ -133,7 +133,7 @@
     /// The client of a passed call has left. False where the call was not passed.
     pub(in crate::node) fn passed_left(&mut self, of: Ticket) -> bool {
         let Some(seq) = seq(of) else { return false };
-        if self.gradual.ledger.left(seq) {
+        if self.gradual.ledger.remove(seq) {
             self.upgrade.say(&Word::Left { seq });
         }
         true
@@ -152,7 +152,7 @@
         let class = self.config.deployment.settings.classes.get(pending.new.class);
         let aim = class.map_or(Micros::MAX, |c| c.aim);
         let took = now - pending.arrived;
-        self.gradual.machine.call(pending.by, &pending.call.class, ending, took, aim);
+        self.gradual.machine.record_call(pending.by, &pending.call.class, ending, took, aim);
     }
 
     pub(super) fn answer_passed(&mut self, now: Micros, seq: u64, reply: ipc::Reply, body: Vec<u8>) {
@@ -177,14 +177,14 @@
             Word::Intent { seq, number, host, at } => {
                 let host: WorkerId = host.as_str().into();
                 // One that cannot be told from a fault may have run all the same: no end will come for it.
-                if ledger.told(seq, number, &host, at).map_err(|fault| fault.0)? {
+                if ledger.attempt_announced(seq, number, &host, at).map_err(|fault| fault.0)? {
                     self.passed_begins(now, seq, number, &host);
                 }
                 self.note_sent(now, host, at);
             }
             Word::Ended { seq, number, end } => {
                 let end = ipc::ENDS.get(usize::from(end)).ok_or("an end that is none")?;
-                if ledger.ended(seq, number, *end).map_err(|fault| fault.0)? {
+                if ledger.attempt_ended(seq, number, *end).map_err(|fault| fault.0)? {
                     self.passed_ends(now, seq, (*end).into(), &[]);
                 }
             }
@@ -228,14 +228,14 @@
         match word {
             Word::Stands { caught_up } => {
                 g.caught_up = caught_up;
-                if caught_up && g.machine.life() == Life::Idle {
+                if caught_up && g.machine.phase() == Phase::Idle {
                     self.begin_by_file(now);
                 }
             }
             Word::Return { seq } => {
                 if g.ledger.returned(seq).map_err(|fault| fault.0.to_string())? {
                     g.counts.given_back += 1;
-                    self.settle_fate(now, seq, Fate::Anew(Vec::new()));
+                    self.settle_fate(now, seq, Recovery::Rerun(Vec::new()));
                 }
             }
             Word::Ask { order } => {
@@ -254,7 +254,7 @@
                 g.peer.classes = classes;
                 self.bind(now);
             }
-            Word::Leaving => g.machine.leaves(now),
+            Word::Leaving => g.machine.candidate_leaving(now),
             _ => return Err("a word that is the holder's".into()),
         }
         Ok(())
@@ -271,7 +271,7 @@
     pub(super) fn begin_by_file(&mut self, now: Micros) {
         let Some(rollout) = self.config.rollout.as_ref().filter(|r| r.begin == Begin::Ready) else { return };
         if let Some(plan) = rollout.plan.clone() {
-            if let Err(problem) = self.gradual.machine.begin(now, plan, Cause::File) {
+            if let Err(problem) = self.gradual.machine.begin(now, plan, Cause::SettingsFile) {
                 self.log.line(now, format_args!("rollout: not begun: {}", problem.0));
             }
         }
@@ -299,7 +299,7 @@
         }
         self.upgrade.news = others;
         process.iter().for_each(Process::kill);
-        self.bury(now, process, Cause::Lost(why));
+        self.bury(now, process, Cause::CandidateLost(why));
     }
 
     /// A word read after its speaker was given up: only what tells of attempts and answers counts.
@@ -332,14 +332,14 @@
             self.log
                 .line(now, "rollout: it is not known to have ended: what may be out there is not sent anew");
         }
-        for (seq, fate) in self.gradual.ledger.gone(now, dead) {
+        for (seq, fate) in self.gradual.ledger.candidate_lost(now, dead) {
             self.settle_fate(now, seq, fate);
         }
         self.resize();
     }
 
     /// What the ledger says of a call that the candidate decides no more.
-    pub(super) fn settle_fate(&mut self, now: Micros, seq: u64, fate: Fate) {
+    pub(super) fn settle_fate(&mut self, now: Micros, seq: u64, fate: Recovery) {
         let counts = &mut self.gradual.counts;
         let retry_after = self.config.deployment.settings.max_retry_after;
         let known = self
@@ -347,14 +347,14 @@
             .get(&ticket(seq))
             .is_some_and(|p| p.new.class < self.config.deployment.classes.len());
         let verdict = match fate {
-            Fate::Anew(past) if known => {
+            Recovery::Rerun(past) if known => {
                 counts.anew += 1;
                 return self.run_anew(now, seq, past);
             }
             // A class that only the candidate knew.
-            Fate::Anew(past) if past.iter().any(Past::may_have_run) => Verdict::Failed,
-            Fate::Anew(_) | Fate::Refuse => Verdict::Refused { retry_after },
-            Fate::Fail => Verdict::Failed,
+            Recovery::Rerun(past) if past.iter().any(AttemptRecord::may_have_run) => Verdict::Failed,
+            Recovery::Rerun(_) | Recovery::Refuse => Verdict::Refused { retry_after },
+            Recovery::Fail => Verdict::Failed,
         };
         match verdict {
             Verdict::Failed => counts.failed += 1,
@@ -363,10 +363,13 @@
         self.answer(now, ticket(seq), verdict);
     }
 
-    pub(super) fn run_anew(&mut self, now: Micros, seq: u64, past: Vec<Past>) {
+    pub(super) fn run_anew(&mut self, now: Micros, seq: u64, past: Vec<AttemptRecord>) {
         let Some(mut pending) = self.pending.remove(&ticket(seq)) else { return };
-        let ended =
-            |p: Past| PastAttempt { worker: p.host, sent: p.at, outcome: p.end.unwrap_or(Outcome::Reset) };
+        let ended = |p: AttemptRecord| PastAttempt {
+            worker: p.host,
+            sent: p.announced_at,
+            outcome: p.outcome.unwrap_or(Outcome::Reset),
+        };
         let past = past.into_iter().map(ended).collect();
         let new = pending.new.clone();
         self.passed_over(now, ticket(seq));
@@ -394,9 +397,9 @@
     /// This process was told to end: a candidate that was not taken back has the clients from now on.
     pub(in crate::node) fn end_rollout(&mut self, now: Micros) {
         match self.gradual.role {
-            Role::Holder => match self.gradual.machine.ends(now) {
-                Some(Act::Complete) => self.hand_clients_over(now),
-                None if self.gradual.machine.life() == Life::Complete => {}
+            Role::Holder => match self.gradual.machine.holder_ending(now) {
+                Some(Action::Complete) => self.hand_clients_over(now),
+                None if self.gradual.machine.phase() == Phase::Complete => {}
                 None => self.give_up(now, "the old version ends, and the new one was taken back"),
             },
             Role::Candidate => drop(self.upgrade.say(&Word::Leaving)),
--- a/node/src/node/rollout/operate.rs
+++ b/node/src/node/rollout/operate.rs
@@ -29,19 +29,19 @@
             }
             RolloutCall::Step(to) => self.gradual.machine.step(now, to).map(|()| None),
             RolloutCall::Hold => self.gradual.machine.hold(now).map(|()| None),
-            RolloutCall::Back => self.gradual.machine.back(now).map(|()| None),
+            RolloutCall::Back => self.gradual.machine.roll_back(now).map(|()| None),
             RolloutCall::Complete => self.gradual.machine.complete(now),
             RolloutCall::Show => Ok(None),
         };
         match done {
             Err(refusal) => conflict(&refusal.0),
             Ok(act) => {
-                if act == Some(Act::Complete) {
+                if act == Some(Action::Complete) {
                     self.hand_clients_over(now);
                 }
                 self.tick_rollout(now, true);
                 let m = &self.gradual.machine;
-                let told = serde_json::json!({"life": m.life().word(), "percent": m.share().percent()});
+                let told = serde_json::json!({"life": m.phase().as_str(), "percent": m.share().percent()});
                 Response::json(200, told)
             }
         }
@@ -51,12 +51,12 @@
     pub(super) fn show_rollout(&self, now: Micros) -> serde_json::Value {
         let (g, m) = (&self.gradual, &self.gradual.machine);
         let count = |c: wheellink_rollout::Count| serde_json::json!({"calls": c.calls, "hits": c.hits});
-        let gates = m.gates().all().into_iter().map(|gate| {
-            serde_json::json!({"class": gate.class, "kind": gate.kind.word(), "old": count(gate.old),
+        let gates = m.gates().evaluate().into_iter().map(|gate| {
+            serde_json::json!({"class": gate.class, "kind": gate.metric.as_str(), "old": count(gate.old),
             "new": count(gate.new), "evidence": (gate.log_e * 100.0).round() / 100.0,
             "verdict": match gate.verdict {
-                wheellink_rollout::Verdict::NotKnown => "not_known",
-                wheellink_rollout::Verdict::Holds => "holds",
+                wheellink_rollout::Verdict::Inconclusive => "not_known",
+                wheellink_rollout::Verdict::Passes => "holds",
                 wheellink_rollout::Verdict::Fails => "fails",
             }})
         });
@@ -64,11 +64,11 @@
         let history: Vec<_> = m
             .history()
             .map(|c| {
-                serde_json::json!({"at_ms": c.at / 1000, "from": c.from.word(), "to": c.to.word(),
+                serde_json::json!({"at_ms": c.at / 1000, "from": c.from.as_str(), "to": c.to.as_str(),
                     "percent": c.share.percent(), "cause": c.cause.to_string()})
             })
             .collect();
-        let [old, new] = m.gates().times();
+        let [old, new] = m.gates().latencies();
         let ms = |(p50, p99): (u64, u64)| serde_json::json!({"p50": p50 as f64 / 1000.0, "p99": p99 as f64 / 1000.0});
         let c = &g.counts;
         let differ: Vec<_> = g.differ.iter().map(ToString::to_string).collect();
@@ -80,7 +80,7 @@
         };
         let (life, percent) = match g.role {
             Role::Candidate | Role::Successor => g.told.clone(),
-            _ => (m.life().word().to_string(), m.share().percent()),
+            _ => (m.phase().as_str().to_string(), m.share().percent()),
         };
         serde_json::json!({"role": role, "life": life, "percent": percent,
             "version": self.config.rollout.as_ref().map(|r| r.version()), "other_version": g.peer.version,
@@ -91,7 +91,7 @@
             "counts": {"passed": c.passed, "kept_for_want_of_room": c.kept, "given_back": c.given_back,
                 "run_anew": c.anew, "failed_by_loss": c.failed, "refused_by_loss": c.refused,
                 "orders_granted": c.granted, "orders_denied": c.denied},
-            "keys_pinned": m.split().pins(), "keys_forgotten": m.split().forgotten,
+            "keys_pinned": m.split().pin_count(), "keys_forgotten": m.split().evicted_pins,
             "classes": differ, "times_ms": {"old": ms(old), "new": ms(new)}, "gates": gates, "history": history})
     }
 }
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -567,7 +567,7 @@
     fn tell_of_turns(&self, out: Vec<Out>) {
         let Some(membership) = &self.membership else { return };
         for Out::Send { to, data } in out {
-            membership.send(wheellink_members::Name(to.0), Kind::Turns, &data);
+            membership.send(wheellink_members::MemberId(to.0), Kind::Turns, &data);
         }
     }
 
--- a/node/src/upgrade.rs
+++ b/node/src/upgrade.rs
@@ -27,7 +27,7 @@
 use socket2::{Domain, SockAddr, Socket, Type};
 use wheellink::{Legacy, Loaded, Micros, Tally};
 use wheellink_admission::State as Learnt;
-use wheellink_rollout::ClassTerms;
+use wheellink_rollout::ClassPolicy;
 
 use crate::clock::TimeBase;
 use crate::conn::ConnId;
@@ -111,7 +111,7 @@
     /// Its name for operators.
     pub version: String,
     /// The classes that it knows, and what they allow.
-    pub classes: Vec<ClassTerms>,
+    pub classes: Vec<ClassPolicy>,
 }
 
 /// What counts for the ration of orders: when, calls, orders.
--- a/node/tests/measure.rs
+++ b/node/tests/measure.rs
@@ -9,7 +9,7 @@
 
 use common::rollout::*;
 use common::*;
-use wheellink_rollout::{GateTable, Gates, Outcome, Share, Split, Verdict, Version};
+use wheellink_rollout::{CallOutcome, GateSettings, Gates, Share, Split, Verdict, Version};
 
 fn tell(name: &str, value: impl std::fmt::Display, unit: &str) {
     println!("measure {name} {value} {unit}");
@@ -91,7 +91,7 @@
     let p = pair(&hosts.iter().collect::<Vec<_>>());
     assert_eq!(p.call("", &plan(&[50.0, 100.0])), 200);
     let mut split = Split::new("v2");
-    split.set(Share::from_percent(50.0));
+    split.set_share(Share::from_percent(50.0));
     let mut client = Client::new(&p.old.program, 0);
     load(&mut client, 500, 1);
     let first = client.next;
@@ -211,19 +211,19 @@
 /// Simulated rollouts: calls of the new version until the gates fail, if they do.
 fn simulate(seed: u64, share: f64, (old, new): (f64, f64), most: u64) -> Option<u64> {
     let (mut rng, mut gates, mut passed, mut n) =
-        (fastrand::Rng::with_seed(seed), Gates::new(GateTable::default()), 0, 0u64);
+        (fastrand::Rng::with_seed(seed), Gates::new(GateSettings::default()), 0, 0u64);
     while passed < most {
         n += 1;
         let version = if rng.f64() < share { Version::New } else { Version::Old };
         passed += u64::from(version == Version::New);
         let fails = rng.f64() < if version == Version::New { new } else { old };
-        let outcome = if fails { Outcome::Failed } else { Outcome::Served };
+        let outcome = if fails { CallOutcome::Failed } else { CallOutcome::Served };
         let class = CLASSES[rng.usize(0..3)];
         // Exponential times, as the platform's work is.
         let took = (-rng.f64().max(1e-9).ln() * 250_000.0) as i64;
-        gates.call(version, class, outcome, took, 1_500_000);
+        gates.record_call(version, class, outcome, took, 1_500_000);
         if n.is_multiple_of(25) {
-            gates.close();
+            gates.close_blocks();
             if gates.verdict().0 == Verdict::Fails {
                 return Some(passed);
             }
@@ -474,16 +474,16 @@
 #[ignore = "a measurement"]
 fn members() {
     use net::{ms, Net};
-    use wheellink_members::{Name, Settings, State};
+    use wheellink_members::{MemberId, MemberState, Settings};
     for n in [5, 50, 300] {
         for loss in [0.0, 0.1, 0.3] {
             let seeds = if n < 300 { 5 } else { 1 };
             let (mut times, mut wrong, mut bytes, mut changes, mut calm) = (Vec::new(), 0, 0, 0, 0.0);
             for seed in 0..seeds {
                 let mut net = Net::new(n, seed, Settings::default());
-                net.run(4 * net.settings.bound());
+                net.run(4 * net.settings.detection_bound());
                 net.forget_changes();
-                (net.loss, net.delay, net.doubled) = (loss, ms(40), 0.1);
+                (net.loss, net.delay, net.duplication) = (loss, ms(40), 0.1);
                 let before = net.bytes;
                 net.run(ms(60_000));
                 bytes += net.bytes - before;
@@ -492,10 +492,12 @@
                 net.forget_changes();
                 net.kill(0);
                 let died = net.now;
-                net.run(2 * net.settings.bound());
-                for p in net.each.iter().flatten() {
-                    let gone =
-                        p.changes.iter().find(|(_, who, state)| (*who, *state) == (Name(0), State::Gone));
+                net.run(2 * net.settings.detection_bound());
+                for p in net.processes.iter().flatten() {
+                    let gone = p
+                        .changes
+                        .iter()
+                        .find(|(_, who, state)| (*who, *state) == (MemberId(0), MemberState::Dead));
                     times.push(gone.map_or(f64::INFINITY, |(at, ..)| (*at - died).as_secs_f64()));
                     changes = changes.max(p.changes.len());
                 }
--- a/node/tests/passing.rs
+++ b/node/tests/passing.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use wheellink::Effect;
-use wheellink_rollout::{ClassTerms, Terms};
+use wheellink_rollout::{ClassPolicy, RetryPolicy};
 
 const CLASS: &str = "check-score";
 const MAIL: &str = "send-mail";
@@ -449,7 +449,7 @@
     };
     let protocol: u32 = protocol.parse().unwrap();
     let mut stream = UnixStream::connect(place).unwrap();
-    let terms = |name: &str| ClassTerms { name: name.into(), terms: Terms::new(Effect::Safe, 2) };
+    let terms = |name: &str| ClassPolicy { name: name.into(), policy: RetryPolicy::new(Effect::Safe, 2) };
     let classes = [CLASS, MAIL].map(terms);
     let rollout = json!({"protocols": [protocol], "version": "odd", "classes": classes});
     let hello = json!({"say": "hello", "version": 1, "listen": listen, "rollout": rollout});
@@ -545,7 +545,7 @@
         let mut hello = String::new();
         BufReader::new(&stream).read_line(&mut hello).unwrap();
         assert!(hello.contains("\"protocols\":[1,2]"), "{hello}");
-        let terms = |name: &str| ClassTerms { name: name.into(), terms: Terms::new(Effect::Safe, 2) };
+        let terms = |name: &str| ClassPolicy { name: name.into(), policy: RetryPolicy::new(Effect::Safe, 2) };
         let classes = [CLASS, MAIL].map(terms);
         let rollout = json!({"protocols": [protocol], "version": "odd", "classes": classes});
         let state = format!("{}\n", json!({"say": "state", "rollout": rollout}));
--- a/node/tests/rollout.rs
+++ b/node/tests/rollout.rs
@@ -40,7 +40,7 @@
             _ if i > 0 => assert_eq!(p.call("step", &format!("{{\"to\":{}}}", i + 1)), 200),
             _ => {}
         }
-        split.set(Share::from_percent(percent));
+        split.set_share(Share::from_percent(percent));
         for n in 0..90 {
             let call = client.send(CLASSES[n % 3]);
             assert_eq!(client.code(call), SERVED);
@@ -227,7 +227,7 @@
     assert_eq!(p.call("", &patient), 200);
     let mut client = Client::new(&p.old.program, 0);
     let mut split = Split::new("v2");
-    split.set(Share::from_percent(50.0));
+    split.set_share(Share::from_percent(50.0));
     p.new.stop(true);
     let calls: Vec<_> = (0..30).map(|_| client.send("send-mail")).collect();
     let (stay, go): (Vec<_>, Vec<_>) =
