--- a/crates/members/src/datagram.rs
+++ b/crates/members/src/datagram.rs
@@ -1,44 +1,44 @@
-//! What a datagram says, as far as it matters before the protocol reads it.
+//! Parses what this crate has to know of a datagram before `foca` handles it.
 
 use foca::{Header, Message};
 
 use crate::{MemberId, MemberInstance};
 
-/// A datagram that can be read, with nothing in it of names that are not known.
+/// A well-formed datagram, without the updates about unknown members.
 pub(crate) struct Datagram {
     pub(crate) from: MemberId,
-    /// It answers something that this member sent, so both ways are open.
-    pub(crate) answers: bool,
+    /// It answers a message of this member, so datagrams pass in both directions.
+    pub(crate) is_answer: bool,
     pub(crate) data: Vec<u8>,
 }
 
-/// Reads a datagram. News of other names is left out: lists may disagree for a while, and a table that takes up every
-/// name that somebody sends has no bound. One that cannot be read whole is none.
-pub(crate) fn read(data: &[u8], known: impl Fn(MemberId) -> bool) -> Option<Datagram> {
+/// Parses a datagram and removes the updates about unknown members: rosters may differ for a while, and a table that
+/// accepts every id that a peer sends is unbounded. Returns `None` for a malformed datagram.
+pub(crate) fn parse(data: &[u8], is_known: impl Fn(MemberId) -> bool) -> Option<Datagram> {
     let (header, mut rest) = postcard::take_from_bytes::<Header<MemberInstance>>(data).ok()?;
-    let answers = matches!(
+    let is_answer = matches!(
         header.message,
         Message::Ack(_) | Message::ForwardedAck { .. } | Message::IndirectAck { .. } | Message::Feed
     );
     let mut kept = data[..data.len() - rest.len()].to_vec();
     if !rest.is_empty() {
-        let (count, news) = rest.split_first_chunk::<2>()?;
-        rest = news;
-        let at = kept.len();
+        let (count, updates) = rest.split_first_chunk::<2>()?;
+        rest = updates;
+        let count_offset = kept.len();
         kept.extend([0, 0]);
-        let mut left = 0u16;
+        let mut kept_count = 0u16;
         for _ in 0..u16::from_be_bytes(*count) {
             let (member, after) = postcard::take_from_bytes::<foca::Member<MemberInstance>>(rest).ok()?;
-            if known(member.id().id) {
+            if is_known(member.id().id) {
                 kept.extend_from_slice(&rest[..rest.len() - after.len()]);
-                left += 1;
+                kept_count += 1;
             }
             rest = after;
         }
-        kept[at..at + 2].copy_from_slice(&left.to_be_bytes());
+        kept[count_offset..count_offset + 2].copy_from_slice(&kept_count.to_be_bytes());
     }
-    // Nothing else is ever sent along.
-    rest.is_empty().then_some(Datagram { from: header.src.id, answers, data: kept })
+    // Nothing follows the updates, because no custom broadcasts are used.
+    rest.is_empty().then_some(Datagram { from: header.src.id, is_answer, data: kept })
 }
 
 #[cfg(test)]
--- a/crates/members/src/instance.rs
+++ b/crates/members/src/instance.rs
@@ -1,38 +1,38 @@
-//! Lives of members: a name may die and come back, and no activator has a disk to remember that by.
+//! Instances of members: a member may die and restart, and no activator has a disk to record that on.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// A member's name: the same over all its lives, and no other's.
+/// Identifies a member. It stays the same over restarts and is unique in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u32);
 
-/// One life of a member, from its start to its death.
+/// One instance of a member: a run of its process, from its start to its death.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInstance {
-    /// Whose.
+    /// The member.
     pub id: MemberId,
-    /// When it began: Unix milliseconds at the start of the process, or later. Of two lives of a name the later one
-    /// stands. Nothing else is ever reckoned from it, so that a wrong clock does no harm that lasts.
+    /// Start of the process in Unix milliseconds, or a later time after a renewal. Of two instances of a member the one
+    /// with the later start wins. The value has no other use, so that a wrong clock does no lasting harm.
     pub start_ms: u64,
-    /// How often it had to begin anew because others held it for dead.
+    /// How often this instance was renewed because others had declared it dead.
     pub renewals: u8,
-    /// It takes its leave: what others see last of it is no death.
+    /// The member leaves the fleet: others record it as left, not as dead.
     pub leaving: bool,
 }
 
 impl MemberInstance {
-    /// A process that starts at this Unix time in milliseconds.
+    /// The instance of a process that starts at this Unix time in milliseconds.
     pub fn new(id: MemberId, start_ms: u64) -> Self {
         Self { id, start_ms, renewals: 0, leaving: false }
     }
 
-    /// Who is meant where only the name is known.
-    pub(crate) fn unknown_instance(id: MemberId) -> Self {
+    /// Addresses a member whose instance is not known. Every real instance wins against it.
+    pub(crate) fn with_unknown_start(id: MemberId) -> Self {
         Self::new(id, 0)
     }
 
-    /// The same life with its leave taken.
+    /// The instance that the leave message carries. It wins against this one.
     pub(crate) fn into_leaving(self) -> Self {
         Self { leaving: true, start_ms: self.start_ms.saturating_add(1), ..self }
     }
@@ -41,12 +41,12 @@
 impl Identity for MemberInstance {
     type Addr = MemberId;
 
-    /// A life that was held for dead goes on as a later one. Steps double: a process whose clock was set back by an
-    /// hour must come to stand after the life that others remember, and does so within two dozen answers.
+    /// Renews an instance that others declared dead, with a later start. The steps double: a process whose clock was
+    /// set back by an hour has to overtake the instance that others remember, and does so within 24 renewals.
     fn renew(&self) -> Option<Self> {
-        let step = 1u64 << self.renewals.min(40);
+        let step_ms = 1u64 << self.renewals.min(40);
         let renewals = self.renewals.saturating_add(1);
-        (!self.leaving).then(|| Self { start_ms: self.start_ms.saturating_add(step), renewals, ..*self })
+        (!self.leaving).then(|| Self { start_ms: self.start_ms.saturating_add(step_ms), renewals, ..*self })
     }
 
     fn addr(&self) -> MemberId {
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,19 +1,22 @@
-//! Who of a fleet of activators is alive: failure detection by SWIM, over whatever carries datagrams.
+//! Membership of a fleet of activators: failure detection by SWIM, independent of the transport that carries datagrams.
 //!
-//! The library `foca` does the protocol: probes, indirect probes, suspicion, refutation, gossip. What it leaves to its
-//! embedder is decided here, as its failures are ours: whose clock is wrong after a pause (`doubt.rs`), which life of a
-//! name is the later one (`life.rs`), how a member that was cut off finds back, what is a leave and what a death,
-//! and whether this one is in a minority (`view.rs`).
+//! The library `foca` implements the protocol: probes, indirect probes, suspicion, refutation and gossip. This crate
+//! decides what `foca` leaves to its embedder:
 //!
-//! There is no I/O: time is an argument, datagrams and changes come out of [`LocalMember`] as [`Output`], and the same seed
-//! and inputs always give the same outputs. docs/design/membership.md weighs the ways.
+//! - `local_health`: whether this member was paused or is cut off, and so must not suspect others;
+//! - `instance`: which of two instances of a member is the later one;
+//! - `local_member`: how a member rejoins after a partition, and how a leave differs from a death;
+//! - `view`: whether this member is in a minority.
+//!
+//! The crate does no I/O: time is an argument, datagrams and changes are returned by [`LocalMember`] as [`Output`], and
+//! the same seed and inputs always give the same outputs. docs/design/membership.md compares the alternatives.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod datagram;
 mod instance;
+mod local_health;
 mod local_member;
-mod self_suspicion;
 mod settings;
 mod timer_queue;
 mod view;
--- a/crates/members/src/local_member.rs
+++ b/crates/members/src/local_member.rs
@@ -1,4 +1,4 @@
-//! One member: the protocol, its timers, and what this one makes of both.
+//! The local member: `foca`, its timers, and the decisions that `foca` leaves to its embedder.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,270 +7,274 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::self_suspicion::SelfSuspicion;
+use crate::local_health::LocalHealth;
 use crate::timer_queue::TimerQueue;
 use crate::view::{Member, MemberState, View};
 use crate::{datagram, MemberId, MemberInstance, Settings, SettingsError};
 
-/// Periods between two looks for members that are on the roster and not there.
-const SEEK: f64 = 3.0;
-/// ... and how many are asked at one look, in turn.
-const ASKED: usize = 3;
-/// In doubt, what accuses is looked at again after this part of a period.
-const AGAIN: f64 = 0.5;
+/// Probe periods between two announcements to members of the roster that are absent.
+const ANNOUNCE_INTERVAL_PERIODS: f64 = 3.0;
+/// Members addressed by one announcement, in round-robin order.
+const MAX_ANNOUNCE_TARGETS: usize = 3;
+/// Part of a probe period after which a timer is tried again that was postponed by self-suspicion.
+const POSTPONE_PERIODS: f64 = 0.5;
 
-/// What is to be done or known outside.
+/// What the embedder has to carry out or to report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send this datagram. It may be lost.
     Send {
-        /// To whom.
+        /// The receiver.
         to: MemberId,
-        /// At most as many bytes as the settings say.
+        /// At most [`Settings::max_datagram_bytes`] long.
         data: Vec<u8>,
     },
-    /// A member has come, gone or left, as this one holds it from now on.
+    /// A member became present or absent, as the local member sees it.
     StateChanged {
-        /// Who.
+        /// The member.
         id: MemberId,
-        /// How it stands now.
+        /// Its new state.
         state: MemberState,
     },
-    /// Others held this one for gone; it has come back as a later life of itself.
+    /// Others declared the local member dead; it has rejoined with a renewed instance.
     Rejoined,
 }
 
-/// What waits for its time.
+/// Timers of the local member.
 #[derive(Debug)]
-enum Due {
+enum LocalTimer {
     Protocol(Timer<MemberInstance>),
-    Seek,
+    Announce,
 }
 
-/// What happened to one name, beside what the protocol keeps.
+/// What is known about a member in addition to the state that `foca` keeps.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    since: Option<Duration>,
-    heard: Option<Duration>,
-    /// As it was last told to the outside.
-    there: bool,
+struct MemberRecord {
+    state_since: Option<Duration>,
+    last_heard: Option<Duration>,
+    /// Whether the member was last reported to the embedder as present.
+    reported_present: bool,
 }
 
 type Protocol = Foca<MemberInstance, PostcardCodec, StdRng, NoCustomBroadcast>;
 
-/// See the module's page. Feed it datagrams and wake it in time.
+/// The local member of the fleet. The embedder passes it the datagrams that arrive and calls it when timers are due.
 pub struct LocalMember {
     settings: Settings,
     protocol: Protocol,
     rng: StdRng,
-    timers: TimerQueue<Due>,
-    doubt: SelfSuspicion,
+    timers: TimerQueue<LocalTimer>,
+    health: LocalHealth,
     roster: BTreeSet<MemberId>,
-    seen: BTreeMap<MemberId, Seen>,
-    /// Whom to seek next.
-    next: MemberId,
-    /// When some were asked last.
-    asked: Duration,
-    /// Somebody has answered since it began, or began anew: before that it cannot tell who is there.
+    records: BTreeMap<MemberId, MemberRecord>,
+    /// Where the next announcement starts in the roster.
+    next_announce_target: MemberId,
+    last_announce: Duration,
+    /// A member has answered since the start or the last reset. Before that, no member is reported as present.
     joined: bool,
     left: bool,
 }
 
-/// Takes what the protocol wants and leaves it to be carried out when its call is over.
-struct Taken<'a> {
+/// Collects the effects of one call of the protocol, to be carried out after the call.
+struct EffectCollector<'a> {
     now: Duration,
-    stretch: u32,
-    timers: &'a mut TimerQueue<Due>,
-    sends: Vec<(MemberId, Vec<u8>)>,
-    news: Vec<News>,
+    timeout_multiplier: u32,
+    timers: &'a mut TimerQueue<LocalTimer>,
+    datagrams: Vec<(MemberId, Vec<u8>)>,
+    events: Vec<MembershipEvent>,
 }
 
-enum News {
+enum MembershipEvent {
     Up(MemberId),
     Down(MemberInstance),
     Rejoined,
 }
 
-impl<'a> Taken<'a> {
-    fn new(now: Duration, stretch: u32, timers: &'a mut TimerQueue<Due>) -> Self {
-        Self { now, stretch, timers, sends: Vec::new(), news: Vec::new() }
+impl<'a> EffectCollector<'a> {
+    fn new(now: Duration, timeout_multiplier: u32, timers: &'a mut TimerQueue<LocalTimer>) -> Self {
+        Self { now, timeout_multiplier, timers, datagrams: Vec::new(), events: Vec::new() }
     }
 }
 
-impl Runtime<MemberInstance> for Taken<'_> {
+impl Runtime<MemberInstance> for EffectCollector<'_> {
     fn notify(&mut self, notification: Notification<'_, MemberInstance>) {
         match notification {
-            Notification::MemberUp(life) => self.news.push(News::Up(life.id)),
-            Notification::MemberDown(life) => self.news.push(News::Down(*life)),
-            Notification::Rejoin(_) => self.news.push(News::Rejoined),
+            Notification::MemberUp(instance) => self.events.push(MembershipEvent::Up(instance.id)),
+            Notification::MemberDown(instance) => self.events.push(MembershipEvent::Down(*instance)),
+            Notification::Rejoin(_) => self.events.push(MembershipEvent::Rejoined),
             _ => {}
         }
     }
 
     fn send_to(&mut self, to: MemberInstance, data: &[u8]) {
-        self.sends.push((to.id, data.to_vec()));
+        self.datagrams.push((to.id, data.to_vec()));
     }
 
     fn submit_after(&mut self, event: Timer<MemberInstance>, after: Duration) {
-        // Who is late itself gives the others more time; what it only tells is not put off.
-        let judges = matches!(
+        // A member that is late itself gives others more time to answer. Announcements and gossip are not delayed.
+        let judges_others = matches!(
             event,
             Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } | Timer::ChangeSuspectToDown { .. }
         );
-        let after = if judges { after * self.stretch } else { after };
-        self.timers.put(self.now + after, Due::Protocol(event));
+        let after = if judges_others { after * self.timeout_multiplier } else { after };
+        self.timers.insert(self.now + after, LocalTimer::Protocol(event));
     }
 }
 
 impl LocalMember {
-    /// A member that knows its own life and the names of the others, this one's own among them or not. It asks some of
-    /// them to let it in; any one that lives is enough. The same seed and inputs always give the same outputs.
+    /// Starts the local member with the ids of the other members; the roster may contain its own id. It announces itself
+    /// to several members at a time, and any live one of them is enough to join. The same seed and inputs always give
+    /// the same outputs.
     pub fn new(
         settings: Settings,
-        life: MemberInstance,
+        instance: MemberInstance,
         roster: impl IntoIterator<Item = MemberId>,
         seed: u64,
         now: Duration,
     ) -> Result<Self, SettingsError> {
         settings.check()?;
         let mut rng = StdRng::seed_from_u64(seed);
-        let protocol = begin(&settings, life, &mut rng);
+        let protocol = new_protocol(&settings, instance, &mut rng);
         let mut timers = TimerQueue::default();
-        timers.put(now, Due::Seek);
-        let mut members = Self {
+        timers.insert(now, LocalTimer::Announce);
+        let mut member = Self {
             settings,
             protocol,
             rng,
             timers,
-            doubt: SelfSuspicion::new(now),
+            health: LocalHealth::new(now),
             roster: BTreeSet::new(),
-            seen: BTreeMap::new(),
-            next: life.id,
-            asked: now,
+            records: BTreeMap::new(),
+            next_announce_target: instance.id,
+            last_announce: now,
             joined: false,
             left: false,
         };
-        members.set_roster(roster);
-        Ok(members)
+        member.set_roster(roster);
+        Ok(member)
     }
 
-    /// This one's life as it is now.
+    /// The current instance of the local member.
     pub fn instance(&self) -> MemberInstance {
         *self.protocol.identity()
     }
 
-    /// Names the members anew. Who is on it no more is forgotten, and its datagrams are dropped; nobody is told of that.
+    /// Replaces the roster. Members that are no longer on it are forgotten without an [`Output::StateChanged`], and their
+    /// datagrams are dropped.
     pub fn set_roster(&mut self, roster: impl IntoIterator<Item = MemberId>) {
         let own = self.instance().id;
-        self.roster = roster.into_iter().filter(|name| *name != own).collect();
+        self.roster = roster.into_iter().filter(|id| *id != own).collect();
         let roster = &self.roster;
-        self.seen.retain(|name, _| roster.contains(name));
-        let held = self.protocol.iter_membership_state().map(|m| *m.id());
-        let gone: Vec<MemberInstance> = held.filter(|life| !roster.contains(&life.id)).collect();
-        for life in gone {
-            // To the library it must be down before it may go. No datagram comes of it, and no news for the outside.
-            let mut none = Taken::new(Duration::ZERO, 1, &mut self.timers);
-            let down = std::iter::once(foca::Member::down(life));
-            let _ = self.protocol.apply_many(down, false, &mut none);
-            let _ = self.protocol.handle_timer(Timer::RemoveDown(life), &mut none);
+        self.records.retain(|id, _| roster.contains(id));
+        let known = self.protocol.iter_membership_state().map(|m| *m.id());
+        let removed: Vec<MemberInstance> = known.filter(|instance| !roster.contains(&instance.id)).collect();
+        for instance in removed {
+            // `foca` removes only members that are down. Nothing is sent or reported for this change of state.
+            let mut discarded = EffectCollector::new(Duration::ZERO, 1, &mut self.timers);
+            let down = std::iter::once(foca::Member::down(instance));
+            let _ = self.protocol.apply_many(down, false, &mut discarded);
+            let _ = self.protocol.handle_timer(Timer::RemoveDown(instance), &mut discarded);
         }
     }
 
-    /// When to call [`LocalMember::handle_timers`] at the latest.
+    /// The latest time for the next call of [`LocalMember::handle_timers`].
     pub fn next_timer_at(&self) -> Option<Duration> {
-        self.timers.next()
+        self.timers.next_due()
     }
 
-    /// A datagram has come from where this member sends. One that cannot be read, that names another sender, or that is
-    /// of nobody on the roster, is dropped.
+    /// Handles a datagram that came from the address of member `from`. A datagram is dropped if it is malformed, names
+    /// another sender, or comes from a member that is not on the roster.
     pub fn handle_datagram(&mut self, now: Duration, from: MemberId, data: &[u8], out: &mut Vec<Output>) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         if self.left || data.len() > self.settings.max_datagram_bytes || !self.roster.contains(&from) {
             return;
         }
         let own = self.instance().id;
-        let Some(words) = datagram::read(data, |name| name == own || self.roster.contains(&name)) else {
+        let Some(datagram) = datagram::parse(data, |id| id == own || self.roster.contains(&id)) else {
             return;
         };
-        if words.from != from {
+        if datagram.from != from {
             return;
         }
-        self.seen.entry(from).or_default().heard = Some(now);
-        // What the protocol turns down was forged or came to another life: it says nothing.
-        let read = self.run(now, out, |protocol, taken| protocol.handle_data(&words.data, taken));
-        if read.is_ok() && words.answers && self.doubt.answered(now, self.settings.probe_period) {
-            self.join(now, out);
+        self.records.entry(from).or_default().last_heard = Some(now);
+        // A datagram that the protocol rejects was forged or addressed to another instance: it is no valid answer.
+        let result = self.run(now, out, |protocol, effects| protocol.handle_data(&datagram.data, effects));
+        if result.is_ok() && datagram.is_answer && self.health.record_answer(now, self.settings.probe_period)
+        {
+            self.mark_joined(now, out);
         }
     }
 
-    /// The time has come for something. Read what has arrived first: after a pause that is what speaks for others.
+    /// Handles the timers that are due. Call it after the datagrams that have already arrived were handled: after a pause
+    /// they show that the others are alive.
     pub fn handle_timers(&mut self, now: Duration, out: &mut Vec<Output>) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let period = self.settings.probe_period;
-        while let Some((due, what)) = self.timers.pop(now) {
+        while let Some((due, timer)) = self.timers.pop_due(now) {
             if self.left {
                 continue;
             }
-            let Due::Protocol(timer) = what else {
-                let unsure = self.protocol.num_members() > 0 && self.doubt.is_alone(now, period);
-                if self.settings.self_suspicion && unsure {
-                    self.begin_anew(now, out);
+            let LocalTimer::Protocol(timer) = timer else {
+                let isolated = self.protocol.num_members() > 0 && self.health.is_isolated(now, period);
+                if self.settings.self_suspicion && isolated {
+                    self.reset(now, out);
                 }
-                self.ask(now, false, out);
-                self.timers.put(now + period.mul_f64(SEEK), Due::Seek);
+                self.announce(now, false, out);
+                self.timers.insert(now + period.mul_f64(ANNOUNCE_INTERVAL_PERIODS), LocalTimer::Announce);
                 continue;
             };
             if self.is_refuted(&timer) {
                 continue;
             }
-            let accuses = matches!(timer, Timer::ProbeRandomMember(_) | Timer::ChangeSuspectToDown { .. });
-            if accuses && self.settings.self_suspicion && !self.doubt.accuses(now, period) {
-                let again = period.mul_f64(AGAIN);
-                if now >= self.asked + again {
-                    // Probes are held back: a question of another kind shows whether anybody answers.
-                    self.ask(now, true, out);
+            let suspects = matches!(timer, Timer::ProbeRandomMember(_) | Timer::ChangeSuspectToDown { .. });
+            if suspects && self.settings.self_suspicion && !self.health.may_suspect_others(now, period) {
+                let delay = period.mul_f64(POSTPONE_PERIODS);
+                if now >= self.last_announce + delay {
+                    // Probes are postponed, so announcements have to show whether any member answers.
+                    self.announce(now, true, out);
                 }
-                self.timers.put(now + again, Due::Protocol(timer));
+                self.timers.insert(now + delay, LocalTimer::Protocol(timer));
                 continue;
             }
             if matches!(timer, Timer::ProbeRandomMember(_)) && self.settings.self_suspicion {
-                self.doubt.probed(now, due, period);
+                self.health.record_probe(now, due, period);
             }
-            // The only error is of a timer whose time has passed with the life that set it.
-            let _ = self.run(now, out, |protocol, taken| protocol.handle_timer(timer, taken));
+            // The only error is that the timer belongs to an earlier instance of the local member.
+            let _ = self.run(now, out, |protocol, effects| protocol.handle_timer(timer, effects));
         }
     }
 
-    /// Takes its leave of all, and says nothing more from now on.
+    /// Sends leave messages. Afterwards the local member sends nothing more.
     pub fn leave(&mut self, now: Duration, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.left, true) {
             return;
         }
-        let last = self.instance().into_leaving();
-        // A life of its own that only ever leaves: what the others see last of it is no death.
-        let _ = self.run(now, out, |protocol, taken| {
-            protocol.change_identity(last, &mut *taken)?;
-            protocol.leave_cluster(taken)
+        let leaving = self.instance().into_leaving();
+        // The leave message carries a later instance that is marked as leaving, so that others record no death.
+        let _ = self.run(now, out, |protocol, effects| {
+            protocol.change_identity(leaving, &mut *effects)?;
+            protocol.leave_cluster(effects)
         });
         out.retain(|o| matches!(o, Output::Send { .. }));
     }
 
-    /// What this one holds of the others.
+    /// The states of the other members, as the local member sees them.
     pub fn view(&self) -> View {
-        let unmet = |name: &MemberId| {
-            let Seen { heard, .. } = self.seen.get(name).copied().unwrap_or_default();
+        let unknown = |id: &MemberId| {
+            let MemberRecord { last_heard, .. } = self.records.get(id).copied().unwrap_or_default();
             let (state, start_ms, incarnation) = (MemberState::Unknown, 0, 0);
-            (*name, Member { id: *name, state, start_ms, incarnation, state_since: None, last_heard: heard })
+            (*id, Member { id: *id, state, start_ms, incarnation, state_since: None, last_heard })
         };
-        let mut members: BTreeMap<MemberId, Member> = self.roster.iter().map(unmet).collect();
+        let mut members: BTreeMap<MemberId, Member> = self.roster.iter().map(unknown).collect();
+        let (pauses, multiplier) = (self.health.pause_count(), self.health.timeout_multiplier());
         if !self.joined {
-            // What comes in may be true, but nobody is known to hear this one.
-            for (name, seen) in self.seen.iter().filter(|(_, seen)| seen.since.is_some()) {
-                if let Some(member) = members.get_mut(name) {
-                    (member.state, member.state_since) = (MemberState::Dead, seen.since);
+            // Updates that arrive may be true, but no member is known to receive datagrams of the local member.
+            for (id, record) in self.records.iter().filter(|(_, record)| record.state_since.is_some()) {
+                if let Some(member) = members.get_mut(id) {
+                    (member.state, member.state_since) = (MemberState::Dead, record.state_since);
                 }
             }
-            return View::new(members.into_values().collect(), self.doubt.pauses(), self.doubt.stretch());
+            return View::new(members.into_values().collect(), pauses, multiplier);
         }
         for m in self.protocol.iter_membership_state() {
             let Some(member) = members.get_mut(&m.id().id) else { continue };
@@ -281,118 +285,123 @@
                 (foca::State::Alive, _) => MemberState::Alive,
             };
             (member.start_ms, member.incarnation) = (m.id().start_ms, m.incarnation());
-            member.state_since = self.seen.get(&m.id().id).and_then(|s| s.since);
+            member.state_since = self.records.get(&m.id().id).and_then(|record| record.state_since);
         }
-        View::new(members.into_values().collect(), self.doubt.pauses(), self.doubt.stretch())
+        View::new(members.into_values().collect(), pauses, multiplier)
     }
 
-    /// Entries of all tables: bounded by the roster and by what is under way.
+    /// Number of entries in all tables: bounded by the roster and the pending timers.
     pub fn entry_count(&self) -> usize {
-        self.timers.len() + self.seen.len() + self.roster.len() + self.protocol.iter_membership_state().len()
+        let protocol = self.protocol.iter_membership_state().len();
+        self.timers.len() + self.records.len() + self.roster.len() + protocol
     }
 
-    /// Whether this would be the verdict on one that has spoken for itself, or is known to be gone. The library leaves it
-    /// in its own table as it is, but tells it all the same that it is dead: it would begin another life for nothing,
-    /// time and again where many datagrams are lost.
+    /// Whether the timer would declare dead a member that has refuted the suspicion or is already down. `foca` keeps the
+    /// state of such a member, but still tells the member that it is dead. The member would then renew its instance for
+    /// no reason, and repeatedly where many datagrams are lost.
     fn is_refuted(&self, timer: &Timer<MemberInstance>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
-        let held = self.protocol.iter_membership_state().find(|m| m.id() == member_id);
-        held.is_none_or(|m| m.state() != foca::State::Suspect || m.incarnation() != *incarnation)
+        let member = self.protocol.iter_membership_state().find(|m| m.id() == member_id);
+        member.is_none_or(|m| m.state() != foca::State::Suspect || m.incarnation() != *incarnation)
     }
 
-    /// Overdue timers after a pause of our own say nothing of the others: they wait as long as we were away.
-    fn notice_pause(&mut self, now: Duration) {
-        let Some(due) = self.timers.next().filter(|due| *due <= now && self.settings.self_suspicion) else {
-            return;
-        };
-        if let Some(away) = self.doubt.late(now, due, self.settings.probe_period) {
-            self.timers.delay(away);
+    /// Postpones all timers by the length of a pause of this process: timers that became overdue in it say nothing about
+    /// the others.
+    fn detect_pause(&mut self, now: Duration) {
+        let overdue = self.timers.next_due().filter(|due| *due <= now && self.settings.self_suspicion);
+        let Some(due) = overdue else { return };
+        if let Some(pause) = self.health.detect_pause(now, due, self.settings.probe_period) {
+            self.timers.postpone(pause);
         }
     }
 
-    /// Asks some to answer, in turn: those that are not there, which is how one gets in and how halves that were cut
-    /// from each other find together again; in doubt of oneself, all.
-    fn ask(&mut self, now: Duration, all: bool, out: &mut Vec<Output>) {
-        self.asked = now;
-        let there: BTreeSet<MemberId> = self.protocol.iter_members().map(|m| m.id().id).collect();
+    /// Announces the local member to several others in round-robin order and asks for an answer: to absent members, which
+    /// is how it joins and how the sides of a partition merge afterwards; with `to_all`, to present members too. Members
+    /// that left are not addressed.
+    fn announce(&mut self, now: Duration, to_all: bool, out: &mut Vec<Output>) {
+        self.last_announce = now;
+        let present: BTreeSet<MemberId> = self.protocol.iter_members().map(|m| m.id().id).collect();
         let left = self.protocol.iter_membership_state().filter(|m| m.id().leaving).map(|m| m.id().id);
         let left: BTreeSet<MemberId> = left.collect();
-        let from = self.roster.range(self.next..).chain(self.roster.range(..self.next));
-        let wanted = from.filter(|name| (all || !there.contains(name)) && !left.contains(name));
-        let asked: Vec<MemberId> = wanted.take(ASKED).copied().collect();
-        self.next = asked.last().map_or(self.next, |name| MemberId(name.0.wrapping_add(1)));
-        for name in asked {
-            let _ = self.run(now, out, |protocol, taken| {
-                protocol.announce(MemberInstance::unknown_instance(name), taken)
-            });
+        let first = self.next_announce_target;
+        let in_turn = self.roster.range(first..).chain(self.roster.range(..first));
+        let candidates = in_turn.filter(|id| (to_all || !present.contains(id)) && !left.contains(id));
+        let targets: Vec<MemberId> = candidates.take(MAX_ANNOUNCE_TARGETS).copied().collect();
+        self.next_announce_target = targets.last().map_or(first, |id| MemberId(id.0.wrapping_add(1)));
+        for id in targets {
+            let target = MemberInstance::with_unknown_start(id);
+            let _ = self.run(now, out, |protocol, effects| protocol.announce(target, effects));
         }
     }
 
-    /// Somebody has answered: who is there may be told.
-    fn join(&mut self, now: Duration, out: &mut Vec<Output>) {
+    /// Records that a member has answered. From now on present members are reported.
+    fn mark_joined(&mut self, now: Duration, out: &mut Vec<Output>) {
         if !std::mem::replace(&mut self.joined, true) {
-            let there: Vec<MemberId> = self.protocol.iter_members().map(|m| m.id().id).collect();
-            there.into_iter().for_each(|name| self.report_state(now, name, MemberState::Alive, out));
+            let present: Vec<MemberId> = self.protocol.iter_members().map(|m| m.id().id).collect();
+            present.into_iter().for_each(|id| self.report_state(now, id, MemberState::Alive, out));
         }
     }
 
-    /// Nobody answers, so nothing is known of the others. Verdicts on them would be believed where one is heard and
-    /// does not hear, and would stand in the way when the cut ends: the table is dropped instead. The life goes on: a new
-    /// one would be welcomed by all who hear it and given up by them again, time after time.
-    fn begin_anew(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let there: Vec<MemberId> = self.seen.iter().filter(|(_, s)| s.there).map(|(name, _)| *name).collect();
-        there.into_iter().for_each(|name| self.report_state(now, name, MemberState::Dead, out));
-        self.protocol = begin(&self.settings, self.instance(), &mut self.rng);
+    /// Drops the membership table of an isolated member, because the states of the others are no longer known. If it
+    /// declared the others dead instead, members that still receive its datagrams would believe it, and the tombstones
+    /// would keep the members apart after the partition. The instance is kept: a new one would be admitted by all members
+    /// that receive its datagrams and be declared dead again, repeatedly.
+    fn reset(&mut self, now: Duration, out: &mut Vec<Output>) {
+        let reported = self.records.iter().filter(|(_, record)| record.reported_present);
+        let present: Vec<MemberId> = reported.map(|(id, _)| *id).collect();
+        present.into_iter().for_each(|id| self.report_state(now, id, MemberState::Dead, out));
+        self.protocol = new_protocol(&self.settings, self.instance(), &mut self.rng);
         self.timers = TimerQueue::default();
         self.joined = false;
-        self.doubt.begin(now);
+        self.health.restart(now);
     }
 
-    /// Says how one stands from now on, if that is news.
+    /// Reports that a member became present or absent, unless that was already reported.
     fn report_state(&mut self, now: Duration, id: MemberId, state: MemberState, out: &mut Vec<Output>) {
-        // Gossip may name one that has just been taken off the roster.
+        // Gossip may name a member that was just removed from the roster.
         if !self.roster.contains(&id) {
             return;
         }
-        let seen = self.seen.entry(id).or_default();
-        if seen.there != state.is_present() {
-            (seen.there, seen.since) = (state.is_present(), Some(now));
+        let record = self.records.entry(id).or_default();
+        if record.reported_present != state.is_present() {
+            (record.reported_present, record.state_since) = (state.is_present(), Some(now));
             out.push(Output::StateChanged { id, state });
         }
     }
 
+    /// Runs one call of the protocol and carries out its effects.
     fn run(
         &mut self,
         now: Duration,
         out: &mut Vec<Output>,
-        what: impl FnOnce(&mut Protocol, &mut Taken<'_>) -> Result<(), foca::Error>,
+        call: impl FnOnce(&mut Protocol, &mut EffectCollector<'_>) -> Result<(), foca::Error>,
     ) -> Result<(), foca::Error> {
-        let stretch = self.doubt.stretch();
-        let mut taken = Taken::new(now, stretch, &mut self.timers);
-        let done = what(&mut self.protocol, &mut taken);
-        let (sends, news) = (taken.sends, taken.news);
-        let known = sends.into_iter().filter(|(to, _)| self.roster.contains(to));
-        out.extend(known.map(|(to, data)| Output::Send { to, data }));
-        for piece in news {
-            let (name, state) = match piece {
-                News::Up(name) => (name, MemberState::Alive),
-                News::Down(life) => {
-                    (life.id, if life.leaving { MemberState::Left } else { MemberState::Dead })
+        let multiplier = self.health.timeout_multiplier();
+        let mut effects = EffectCollector::new(now, multiplier, &mut self.timers);
+        let result = call(&mut self.protocol, &mut effects);
+        let (datagrams, events) = (effects.datagrams, effects.events);
+        let to_roster = datagrams.into_iter().filter(|(to, _)| self.roster.contains(to));
+        out.extend(to_roster.map(|(to, data)| Output::Send { to, data }));
+        for event in events {
+            let (id, state) = match event {
+                MembershipEvent::Up(id) => (id, MemberState::Alive),
+                MembershipEvent::Down(instance) => {
+                    (instance.id, if instance.leaving { MemberState::Left } else { MemberState::Dead })
                 }
-                News::Rejoined => {
+                MembershipEvent::Rejoined => {
                     out.push(Output::Rejoined);
                     continue;
                 }
             };
             if self.joined {
-                self.report_state(now, name, state, out);
+                self.report_state(now, id, state, out);
             }
         }
-        done
+        result
     }
 }
 
-/// The protocol with nobody met yet.
-fn begin(settings: &Settings, life: MemberInstance, rng: &mut StdRng) -> Protocol {
-    Foca::new(life, settings.protocol(), StdRng::seed_from_u64(rng.random()), PostcardCodec)
+/// A protocol without any known members.
+fn new_protocol(settings: &Settings, instance: MemberInstance, rng: &mut StdRng) -> Protocol {
+    Foca::new(instance, settings.protocol(), StdRng::seed_from_u64(rng.random()), PostcardCodec)
 }
--- a/crates/members/src/settings.rs
+++ b/crates/members/src/settings.rs
@@ -1,32 +1,35 @@
-//! What an operator may set.
+//! Settings of the membership protocol.
 
 use std::fmt;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// The most members that are reckoned with.
-const MOST: usize = 4_096;
-/// Smallest datagram that holds a header with two lives and one line of news.
-const SMALLEST: usize = 96;
-/// Largest datagram over any network that is not split.
-const LARGEST: usize = 1_400;
-/// Shortest period: two answers over a busy loop must fit in it.
-const SHORTEST: Duration = Duration::from_millis(20);
-/// Periods in which a suspect may speak for itself, in the smallest fleet.
-const LEAST_PERIODS: f64 = 8.0;
-/// ... and for each tenfold of members: news takes rounds to reach all.
-const PERIODS_A_TENFOLD: f64 = 3.0;
+/// Largest supported fleet.
+const MAX_MEMBERS: usize = 4_096;
+/// Smallest datagram that holds a header with two instances and one update.
+const MIN_DATAGRAM_BYTES: usize = 96;
+/// Largest datagram that no common network fragments.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// Two answers of members with busy event loops must fit into one period.
+const MIN_PROBE_PERIOD: Duration = Duration::from_millis(20);
+const MAX_PROBE_PERIOD: Duration = Duration::from_secs(60);
+/// Suspicion timeout of the smallest fleet, in probe periods.
+const MIN_SUSPICION_PERIODS: f64 = 8.0;
+/// Probe periods added to the suspicion timeout for each factor of ten in fleet size: gossip takes more rounds to reach
+/// all members.
+const SUSPICION_PERIODS_PER_DECADE: f64 = 3.0;
 
-/// How a fleet watches itself. All members must have the same period.
+/// Settings of failure detection. All members must have the same probe period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Time between two probes by one member; each probes all others once in as many periods.
+    /// Time between two probes by one member. Each member probes every other one once in as many periods as there are
+    /// others.
     pub probe_period: Duration,
-    /// LocalMember that are expected, this one included: for how long a suspect is waited for.
+    /// Expected number of members, this one included. It determines the suspicion timeout.
     pub expected_members: usize,
-    /// The longest datagram, in bytes.
+    /// Longest datagram, in bytes.
     pub max_datagram_bytes: usize,
-    /// A pause of its own makes this member doubt itself. Only a test of the doubt turns it off.
+    /// Whether a member that was paused or is cut off refrains from suspecting others. Only tests turn it off.
     pub self_suspicion: bool,
 }
 
@@ -41,10 +44,10 @@
     }
 }
 
-/// What is wrong with settings.
+/// Why settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// The period is shorter than 20 ms or longer than a minute.
+    /// The probe period is shorter than 20 ms or longer than a minute.
     ProbePeriod,
     /// Fewer than 1 or more than 4,096 members.
     ExpectedMembers,
@@ -65,52 +68,52 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether a fleet can work with these.
+    /// Checks that the settings are within the supported limits.
     pub fn check(&self) -> Result<(), SettingsError> {
-        if self.probe_period < SHORTEST || self.probe_period > Duration::from_secs(60) {
+        if self.probe_period < MIN_PROBE_PERIOD || self.probe_period > MAX_PROBE_PERIOD {
             Err(SettingsError::ProbePeriod)
-        } else if !(1..=MOST).contains(&self.expected_members) {
+        } else if !(1..=MAX_MEMBERS).contains(&self.expected_members) {
             Err(SettingsError::ExpectedMembers)
-        } else if !(SMALLEST..=LARGEST).contains(&self.max_datagram_bytes) {
+        } else if !(MIN_DATAGRAM_BYTES..=MAX_DATAGRAM_BYTES).contains(&self.max_datagram_bytes) {
             Err(SettingsError::DatagramSize)
         } else {
             Ok(())
         }
     }
 
-    /// For how long a suspect may speak for itself before it is held gone.
+    /// Time in which a suspect may refute the suspicion before it is declared dead.
     pub fn suspicion_timeout(&self) -> Duration {
-        let tenfolds = (self.expected_members as f64).log10();
-        self.probe_period.mul_f64(LEAST_PERIODS + PERIODS_A_TENFOLD * tenfolds)
+        let decades = (self.expected_members as f64).log10();
+        self.probe_period.mul_f64(MIN_SUSPICION_PERIODS + SUSPICION_PERIODS_PER_DECADE * decades)
     }
 
-    /// The time in which a death is noticed by all, but for chance in one of thousands: each is probed by somebody
-    /// once in a period on average, a probe takes a period, and news takes rounds.
+    /// Time in which all members detect a death, with exceptions of one in thousands: each member is probed once per
+    /// period on average, a probe takes one period, and gossip takes several rounds to reach all members.
     pub fn detection_bound(&self) -> Duration {
         self.suspicion_timeout()
             + self.probe_period.mul_f64(8.0 + 4.0 * (self.expected_members as f64).log10())
     }
 
     pub(crate) fn protocol(&self) -> foca::Config {
-        let some = |n: usize| NonZeroUsize::new(n.max(1)).unwrap_or(NonZeroUsize::MIN);
+        let non_zero = |n: usize| NonZeroUsize::new(n.max(1)).unwrap_or(NonZeroUsize::MIN);
         let every = |periods: f64, members: usize| {
             let frequency = self.probe_period.mul_f64(periods);
-            Some(foca::PeriodicParams { frequency, num_members: some(members) })
+            Some(foca::PeriodicParams { frequency, num_members: non_zero(members) })
         };
-        // Each line of news goes out some times for each doubling of the fleet; more where many are lost.
+        // An update is sent several times for each doubling of the fleet size, with a margin for lost datagrams.
         let transmissions = 6.0 + 4.0 * (self.expected_members as f64).log2();
         foca::Config {
             probe_period: self.probe_period,
             probe_rtt: self.probe_period.mul_f64(0.3),
-            num_indirect_probes: some(4),
+            num_indirect_probes: non_zero(4),
             max_transmissions: NonZeroU8::new(transmissions as u8).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: self.suspicion_timeout(),
-            // A name is kept, not each of its lives: the roster bounds it.
+            // Tombstones are kept per member, not per instance, so the roster bounds them.
             remove_down_after: None,
-            max_packet_size: some(self.max_datagram_bytes),
+            max_packet_size: non_zero(self.max_datagram_bytes),
             notify_down_members: true,
             periodic_announce: every(20.0, 1),
-            // Whom to seek is decided in `members.rs`, by the roster.
+            // `LocalMember` announces to absent members itself, by the roster.
             periodic_announce_to_down_members: None,
             periodic_gossip: every(0.5, 3),
         }
--- a/crates/members/src/settings/tests.rs
+++ b/crates/members/src/settings/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_no_fleet_can_work_with_is_said() {
+fn settings_outside_the_limits_are_rejected() {
     let good = Settings::default();
     assert_eq!(good.check(), Ok(()));
     let bad = [
@@ -20,7 +20,8 @@
 }
 
 #[test]
-fn a_larger_fleet_waits_longer_for_a_suspect() {
-    let of = |expected| Settings { expected_members: expected, ..Settings::default() }.suspicion_timeout();
-    assert!(of(1) < of(10) && of(10) < of(1_000) && of(1_000) < 3 * of(1));
+fn a_larger_fleet_has_a_longer_suspicion_timeout() {
+    let timeout =
+        |expected| Settings { expected_members: expected, ..Settings::default() }.suspicion_timeout();
+    assert!(timeout(1) < timeout(10) && timeout(10) < timeout(1_000) && timeout(1_000) < 3 * timeout(1));
 }
--- a/crates/members/src/timer_queue.rs
+++ b/crates/members/src/timer_queue.rs
@@ -1,45 +1,46 @@
-//! What is to happen later, in order of time.
+//! A queue of timers, ordered by due time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A queue of things due. Of those due together the first put in comes first.
+/// Timers in order of their due time. Timers that are due at the same time fire in the order of insertion.
 #[derive(Debug)]
 pub(crate) struct TimerQueue<T> {
-    due: BTreeMap<(Duration, u64), T>,
-    count: u64,
+    timers: BTreeMap<(Duration, u64), T>,
+    inserted: u64,
 }
 
 impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
-        Self { due: BTreeMap::new(), count: 0 }
+        Self { timers: BTreeMap::new(), inserted: 0 }
     }
 }
 
 impl<T> TimerQueue<T> {
-    pub(crate) fn put(&mut self, at: Duration, what: T) {
-        self.count += 1;
-        self.due.insert((at, self.count), what);
+    pub(crate) fn insert(&mut self, due: Duration, timer: T) {
+        self.inserted += 1;
+        self.timers.insert((due, self.inserted), timer);
     }
 
-    /// When the next one is due.
-    pub(crate) fn next(&self) -> Option<Duration> {
-        self.due.keys().next().map(|(at, _)| *at)
+    /// Due time of the first timer.
+    pub(crate) fn next_due(&self) -> Option<Duration> {
+        self.timers.keys().next().map(|(due, _)| *due)
     }
 
-    /// The next one that is due by now.
-    pub(crate) fn pop(&mut self, now: Duration) -> Option<(Duration, T)> {
-        self.next().filter(|at| *at <= now)?;
-        self.due.pop_first().map(|((at, _), what)| (at, what))
+    /// Removes and returns the first timer if it is due.
+    pub(crate) fn pop_due(&mut self, now: Duration) -> Option<(Duration, T)> {
+        self.next_due().filter(|due| *due <= now)?;
+        self.timers.pop_first().map(|((due, _), timer)| (due, timer))
     }
 
-    /// All wait for so much longer.
-    pub(crate) fn delay(&mut self, by: Duration) {
-        self.due = std::mem::take(&mut self.due).into_iter().map(|((at, n), t)| ((at + by, n), t)).collect();
+    /// Postpones all timers by the same time.
+    pub(crate) fn postpone(&mut self, by: Duration) {
+        self.timers =
+            std::mem::take(&mut self.timers).into_iter().map(|((due, n), t)| ((due + by, n), t)).collect();
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.due.len()
+        self.timers.len()
     }
 }
 
--- a/crates/members/src/view.rs
+++ b/crates/members/src/view.rs
@@ -1,74 +1,76 @@
-//! What one member holds of the others.
+//! The states of the other members, as one member sees them.
 
 use std::time::Duration;
 
 use crate::MemberId;
 
-/// How a member stands, as one other holds it.
+/// State of a member, as one other member sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// It answers, itself or by way of others.
+    /// It answers probes, directly or through other members.
     Alive,
-    /// It does not, and may still speak for itself; to be taken for alive, with less trust.
+    /// It did not answer a probe and may still refute the suspicion. It counts as alive, but is less trusted.
     Suspect,
-    /// It did not speak for itself in time.
+    /// It did not refute the suspicion in time.
     Dead,
-    /// It said that it goes.
+    /// It sent a leave message.
     Left,
-    /// Nobody has told of it yet.
+    /// No update about it has arrived yet.
     Unknown,
 }
 
 impl MemberState {
-    /// Whether it counts among those that are there.
+    /// Whether the member counts as present: alive or suspect.
     pub fn is_present(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// A member and what is held of it.
+/// Another member and what is known about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Who.
+    /// The member.
     pub id: MemberId,
-    /// How it stands.
+    /// Its state.
     pub state: MemberState,
-    /// Start of its life, in Unix milliseconds as it told them; 0 where it is unmet.
+    /// Start of its instance in Unix milliseconds, by its own clock; 0 while it is unknown.
     pub start_ms: u64,
-    /// How often it spoke for itself in this life.
+    /// SWIM incarnation number: how often it refuted a suspicion in this instance.
     pub incarnation: u16,
-    /// When it was last held to have come or gone; never, if it is unmet.
+    /// When it last became present or absent; `None` while it is unknown.
     pub state_since: Option<Duration>,
-    /// When a datagram of its own came here last: alive but not heard means that only others hear it.
+    /// When the last datagram came directly from it. A member that is alive and not heard is reachable only through
+    /// others.
     pub last_heard: Option<Duration>,
 }
 
-/// All that one member holds, at one moment.
+/// What one member knows about all others at one moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// Every name of the roster and every other that was met, this one left out, by name.
+    /// All members of the roster except the local one, by id.
     pub members: Vec<Member>,
-    /// Whether more than half of all that should be there are, this one among them. Who has left is not counted.
+    /// Whether more than half of the expected members are present, the local one included. Members that left are not
+    /// expected.
     pub majority: bool,
-    /// Pauses of its own that this member noticed.
+    /// Number of pauses of its own process that the local member detected.
     pub pauses: u64,
-    /// What its times are stretched by for its own lateness; 1 is well.
+    /// Factor by which the local member's timeouts are multiplied for its own lateness; 1 is healthy.
     pub health_multiplier: u32,
 }
 
 impl View {
     pub(crate) fn new(members: Vec<Member>, pauses: u64, health_multiplier: u32) -> Self {
-        let there = 1 + members.iter().filter(|m| m.state.is_present()).count();
-        let due = 1 + members.iter().filter(|m| m.state != MemberState::Left).count();
-        Self { majority: there * 2 > due, members, pauses, health_multiplier }
+        let present = 1 + members.iter().filter(|m| m.state.is_present()).count();
+        let expected = 1 + members.iter().filter(|m| m.state != MemberState::Left).count();
+        Self { majority: present * 2 > expected, members, pauses, health_multiplier }
     }
 
-    /// How this name stands; nobody has told of one that is on no roster.
+    /// State of this member; a member that is not on the roster is unknown.
     pub fn state(&self, id: MemberId) -> MemberState {
         self.members.iter().find(|m| m.id == id).map_or(MemberState::Unknown, |m| m.state)
     }
 
-    /// Names of those that are there, this one left out.
+    /// Ids of the members that are present, without the local one.
     pub fn present(&self) -> impl Iterator<Item = MemberId> + '_ {
         self.members.iter().filter(|m| m.state.is_present()).map(|m| m.id)
     }
--- a/crates/members/src/view/tests.rs
+++ b/crates/members/src/view/tests.rs
@@ -15,9 +15,9 @@
 }
 
 #[test]
-fn half_is_no_majority_and_who_left_is_not_counted() {
+fn half_is_no_majority_and_members_that_left_do_not_count() {
     use MemberState::*;
-    assert!(view(&[]).majority, "one alone, of one");
+    assert!(view(&[]).majority, "one of one");
     assert!(!view(&[Dead]).majority);
     assert!(!view(&[Alive, Alive, Dead, Dead, Unknown]).majority, "three of six");
     assert!(view(&[Alive, Suspect, Alive, Dead, Unknown]).majority, "four of six");
