--- a/crates/rollout/src/evidence/tests.rs
+++ b/crates/rollout/src/evidence/tests.rs
@@ -3,17 +3,18 @@
 use super::*;
 
 #[test]
-fn deviations_are_those_of_the_tables() {
-    for (chance, wanted) in [(0.5, 0.0), (0.05, 1.6449), (0.01, 2.3263), (0.001, 3.0902)] {
-        assert!((deviations(chance) - wanted).abs() < 1e-3, "{chance}");
+fn normal_quantiles_match_published_tables() {
+    for (chance, expected) in [(0.5, 0.0), (0.05, 1.6449), (0.01, 2.3263), (0.001, 3.0902)] {
+        assert!((upper_normal_quantile(chance) - expected).abs() < 1e-3, "{chance}");
     }
 }
 
-/// The heart of the proof, checked: with equal rates the expectation of a block is at most 1.
+/// The property that the error rate of the gates rests on: without a worse new rate, the expected e-value of a block is
+/// at most 1.
 #[test]
-fn a_block_of_equal_rates_expects_no_gain() {
+fn the_expected_e_value_of_a_block_is_at_most_1_under_the_null() {
     for rate in [0.001, 0.01, 0.05, 0.3, 0.9] {
-        for new_is_better in [0.0, rate / 2.0] {
+        for improvement in [0.0, rate / 2.0] {
             let mut expected = 0.0;
             // All outcomes of 3 old and 2 new calls.
             for bits in 0..32u32 {
@@ -21,7 +22,7 @@
                 let mut chance = 1.0;
                 for i in 0..5 {
                     let hit = bits >> i & 1 == 1;
-                    let p = if i < 3 { rate } else { rate - new_is_better };
+                    let p = if i < 3 { rate } else { rate - improvement };
                     chance *= if hit { p } else { 1.0 - p };
                     if i < 3 {
                         e.record_old(hit);
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_block_with_one_side_missing_stays_open() {
+fn a_block_without_calls_of_both_versions_stays_open() {
     let mut e = Evidence::new(1.0);
     e.record_new(true);
     e.close_block(None);
@@ -49,13 +50,16 @@
     let before = e.log_e();
     e.record_new(true);
     e.close_block(Some(0.01));
-    assert!(e.log_e() > before, "against a fixed rate");
+    assert!(e.log_e() > before, "compared with a baseline rate");
 }
 
 #[test]
-fn the_interval_holds_the_difference() {
+fn the_upper_bound_covers_the_difference() {
     let (old, new) = (Count { calls: 1000, hits: 10 }, Count { calls: 400, hits: 4 });
-    let upper = upper_difference(old, new, 2.33);
+    let upper = difference_upper_bound(old, new, 2.33);
     assert!((0.005..0.03).contains(&upper), "{upper}");
-    assert!(upper_difference(Count::default(), Count::default(), 2.33) >= 1.0, "nothing is known of none");
+    assert!(
+        difference_upper_bound(Count::default(), Count::default(), 2.33) >= 1.0,
+        "without calls nothing is known of the difference"
+    );
 }
--- a/crates/rollout/src/ledger.rs
+++ b/crates/rollout/src/ledger.rs
@@ -1,8 +1,9 @@
-//! The ledger: for each call that the candidate decides, what of it may have run. It is the sole source for what
-//! may happen to the call when the candidate is gone.
+//! The ledger of passed calls: for each call that the candidate decides, which attempts may have run. It alone determines
+//! how the call is recovered when the candidate is lost.
 //!
-//! A call that is not in it is the holder's own. Words of a candidate that break the protocol's order are
-//! [`ProtocolViolation`]s: whoever speaks so is to be given up, since nothing it says of attempts can be relied on.
+//! The holder decides every call that is not in the ledger. A message of the candidate that breaks the order of the
+//! protocol is a [`ProtocolViolation`]: the candidate has to be given up, because its messages about attempts are no longer
+//! reliable.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,60 +11,61 @@
 
 use crate::retry_policy::RetryPolicy;
 
-/// Attempts of one call that are taken down; a class allows far fewer.
-const MOST_ATTEMPTS: usize = 64;
+/// Maximum number of attempts recorded per call; classes allow far fewer.
+const MAX_ATTEMPTS: usize = 64;
 
-/// An attempt that the candidate told of.
+/// An attempt that the candidate announced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptRecord {
-    /// The host it was for.
+    /// The host that it is sent to.
     pub host: WorkerId,
-    /// When it was told, before its first byte left.
+    /// When the candidate announced it, which is before it sends the first byte.
     pub announced_at: Micros,
-    /// How it ended; `None` where that was not told.
+    /// How it ended; `None` if the candidate has not reported its end.
     pub outcome: Option<Outcome>,
 }
 
 impl AttemptRecord {
-    /// Whether it may have run.
+    /// Whether the host may have run it.
     pub fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_ran)
     }
 }
 
-/// What is to happen to a call whose candidate is gone.
+/// How a call is recovered whose candidate is lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Recovery {
-    /// The holder decides it, with these attempts counted as its own: all of them have ended.
+    /// The holder decides the call and counts these attempts, all of which have ended, as its own.
     Rerun(Vec<AttemptRecord>),
-    /// Refused: trying again is harmless, as nothing of it ran or its class is safe; here it cannot go on.
+    /// The call is refused, because it has no attempts left or an attempt may still be open. The client may repeat it,
+    /// because no attempt has run or the class is safe.
     Refuse,
-    /// Failed: it may have run and must not run again, or not now.
+    /// The call fails: it may have run and must not run again, or its deadline has passed.
     Fail,
 }
 
-/// Why a call cannot be passed now.
+/// Why no call can be passed to the candidate now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LedgerFull {
-    /// As many calls are out as may be.
+    /// The maximum number of passed calls is reached.
     Calls,
-    /// Their bodies are as long as they may be.
+    /// The bodies of the passed calls would exceed their maximum size.
     Bytes,
 }
 
-/// How a candidate broke the protocol.
+/// How a candidate broke the protocol, in words for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProtocolViolation(pub &'static str);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Entry {
-    terms: Allowed,
-    due: Micros,
-    size: usize,
+struct PassedCall {
+    policy: CallPolicy,
+    deadline: Micros,
+    body_bytes: usize,
     attempts: Vec<AttemptRecord>,
 }
 
-/// [`RetryPolicy`] without their order, which the ledger has no use for.
+/// The effect of a class, without the scope, which the ledger does not need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum EffectKind {
     Safe,
@@ -72,97 +74,98 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Allowed {
-    kind: EffectKind,
-    most: u32,
+struct CallPolicy {
+    effect: EffectKind,
+    max_attempts: u32,
 }
 
-impl From<&RetryPolicy> for Allowed {
-    fn from(terms: &RetryPolicy) -> Self {
-        let kind = match terms.effect() {
+impl From<&RetryPolicy> for CallPolicy {
+    fn from(policy: &RetryPolicy) -> Self {
+        let effect = match policy.effect() {
             Effect::Safe => EffectKind::Safe,
             Effect::Keyed { window, .. } => EffectKind::Keyed(window),
             Effect::Unsafe => EffectKind::Unsafe,
         };
-        Self { kind, most: terms.attempts }
+        Self { effect, max_attempts: policy.attempts }
     }
 }
 
-/// See the module's page.
+/// The calls that the candidate decides, and their attempts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
-    calls: BTreeMap<u64, Entry>,
-    due: BTreeSet<(Micros, u64)>,
+    calls: BTreeMap<u64, PassedCall>,
+    deadlines: BTreeSet<(Micros, u64)>,
     bytes: usize,
-    most_calls: usize,
-    most_bytes: usize,
+    max_calls: usize,
+    max_bytes: usize,
 }
 
 impl Ledger {
-    /// An empty one with room for so many calls, and so many bytes of their bodies.
-    pub fn new(most_calls: usize, most_bytes: usize) -> Self {
-        Self { calls: BTreeMap::new(), due: BTreeSet::new(), bytes: 0, most_calls, most_bytes }
+    /// An empty ledger with limits for the number of calls and for the total size of their bodies.
+    pub fn new(max_calls: usize, max_bytes: usize) -> Self {
+        Self { calls: BTreeMap::new(), deadlines: BTreeSet::new(), bytes: 0, max_calls, max_bytes }
     }
 
-    /// Calls that the candidate decides.
+    /// Number of calls that the candidate decides.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether there are none.
+    /// Whether the candidate decides no calls.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Bytes of their bodies.
+    /// Total size of the bodies of the calls.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Holds to another number of bytes from now on. What is out stays.
-    pub fn set_max_bytes(&mut self, most_bytes: usize) {
-        self.most_bytes = most_bytes;
+    /// Changes the limit for the total size of the bodies. Calls that are already passed stay.
+    pub fn set_max_bytes(&mut self, max_bytes: usize) {
+        self.max_bytes = max_bytes;
     }
 
-    /// Whether a call of this size may be passed now.
-    pub fn check_capacity(&self, size: usize) -> Result<(), LedgerFull> {
-        if self.calls.len() >= self.most_calls {
+    /// Checks whether a call with a body of this size can be passed now.
+    pub fn check_capacity(&self, body_bytes: usize) -> Result<(), LedgerFull> {
+        if self.calls.len() >= self.max_calls {
             Err(LedgerFull::Calls)
-        } else if self.bytes + size > self.most_bytes {
+        } else if self.bytes + body_bytes > self.max_bytes {
             Err(LedgerFull::Bytes)
         } else {
             Ok(())
         }
     }
 
-    /// The candidate decides this call from now on: an answer is owed by `due`.
+    /// Records that the candidate decides this call from now on and has to answer it by `deadline`.
     pub fn pass(
         &mut self,
         seq: u64,
-        terms: &RetryPolicy,
-        due: Micros,
-        size: usize,
+        policy: &RetryPolicy,
+        deadline: Micros,
+        body_bytes: usize,
     ) -> Result<(), LedgerFull> {
-        self.check_capacity(size)?;
-        debug_assert!(!self.calls.contains_key(&seq), "numbers are never used again");
-        self.calls.insert(seq, Entry { terms: terms.into(), due, size, attempts: Vec::new() });
-        self.due.insert((due, seq));
-        self.bytes += size;
+        self.check_capacity(body_bytes)?;
+        debug_assert!(!self.calls.contains_key(&seq), "sequence numbers are not reused");
+        let (policy, attempts) = (policy.into(), Vec::new());
+        self.calls.insert(seq, PassedCall { policy, deadline, body_bytes, attempts });
+        self.deadlines.insert((deadline, seq));
+        self.bytes += body_bytes;
         Ok(())
     }
 
-    fn drop_call(&mut self, seq: u64) -> Option<Entry> {
-        let entry = self.calls.remove(&seq)?;
-        self.due.remove(&(entry.due, seq));
-        self.bytes -= entry.size;
-        Some(entry)
+    fn take_call(&mut self, seq: u64) -> Option<PassedCall> {
+        let call = self.calls.remove(&seq)?;
+        self.deadlines.remove(&(call.deadline, seq));
+        self.bytes -= call.body_bytes;
+        Some(call)
     }
 
-    /// An attempt is about to leave. False for a call that is over here: its word crossed with the end. One that
-    /// breaks the order counts all the same.
+    /// Records that the candidate is about to send an attempt. Returns false if the call is not in the ledger: its end
+    /// crossed with the message. An attempt that breaks the order is recorded too.
     ///
     /// # Errors
-    /// A number out of turn, or an attempt beside another: two must never be out at once.
+    /// The number is out of order, or another attempt of the call is still open: there must never be two at once.
     pub fn attempt_announced(
         &mut self,
         seq: u64,
@@ -170,118 +173,121 @@
         host: &WorkerId,
         at: Micros,
     ) -> Result<bool, ProtocolViolation> {
-        let Some(entry) = self.calls.get_mut(&seq) else { return Ok(false) };
-        let ran = entry.attempts.iter().any(AttemptRecord::may_have_run);
-        let in_turn = number as usize == entry.attempts.len();
-        let beside = entry.attempts.last().is_some_and(|last| last.outcome.is_none());
-        // Right or wrong, from now on it may have run.
-        if entry.attempts.len() < MOST_ATTEMPTS {
-            entry.attempts.push(AttemptRecord { host: host.clone(), announced_at: at, outcome: None });
+        let Some(call) = self.calls.get_mut(&seq) else { return Ok(false) };
+        let may_have_run = call.attempts.iter().any(AttemptRecord::may_have_run);
+        let in_order = number as usize == call.attempts.len();
+        let other_open = call.attempts.last().is_some_and(|last| last.outcome.is_none());
+        // Even if the message breaks the order, the attempt may run from now on.
+        if call.attempts.len() < MAX_ATTEMPTS {
+            call.attempts.push(AttemptRecord { host: host.clone(), announced_at: at, outcome: None });
         }
-        if !in_turn || number as usize >= MOST_ATTEMPTS {
-            Err(ProtocolViolation("an attempt out of turn"))
-        } else if beside {
-            Err(ProtocolViolation("an attempt beside another"))
-        } else if ran && entry.terms.kind == EffectKind::Unsafe {
+        if !in_order || number as usize >= MAX_ATTEMPTS {
+            Err(ProtocolViolation("an attempt number out of order"))
+        } else if other_open {
+            Err(ProtocolViolation("an attempt while another is open"))
+        } else if may_have_run && call.policy.effect == EffectKind::Unsafe {
             Err(ProtocolViolation("a second attempt of an unsafe call that may have run"))
         } else {
             Ok(true)
         }
     }
 
-    /// An attempt has ended. False for a call that is over here.
+    /// Records that an attempt has ended. Returns false if the call is not in the ledger.
     ///
     /// # Errors
-    /// An attempt that was never told of, or an end after another.
+    /// The attempt was not announced, or its end was already reported.
     pub fn attempt_ended(&mut self, seq: u64, number: u32, end: Outcome) -> Result<bool, ProtocolViolation> {
-        let Some(entry) = self.calls.get_mut(&seq) else { return Ok(false) };
-        match entry.attempts.get_mut(number as usize) {
+        let Some(call) = self.calls.get_mut(&seq) else { return Ok(false) };
+        match call.attempts.get_mut(number as usize) {
             Some(attempt) if attempt.outcome.is_none() => {
                 attempt.outcome = Some(end);
                 Ok(true)
             }
-            _ => Err(ProtocolViolation("an end of an attempt that is not out")),
+            _ => Err(ProtocolViolation("an end of an attempt that is not open")),
         }
     }
 
-    /// The candidate gives its final answer, which tells whether it may be a refusal. False for a call that is
-    /// over here.
+    /// Removes a call that the candidate has answered; `refused` says whether the answer is a refusal. Returns false if the
+    /// call is not in the ledger.
     ///
     /// # Errors
-    /// A refusal, which calls a repeat harmless, of an unsafe call that may have run.
+    /// A refusal, which tells the client that a repeat is harmless, of an unsafe call that may have run.
     pub fn answered(&mut self, seq: u64, refused: bool) -> Result<bool, ProtocolViolation> {
-        let Some(entry) = self.calls.get(&seq) else { return Ok(false) };
-        let ran = entry.attempts.iter().any(AttemptRecord::may_have_run);
-        if refused && ran && entry.terms.kind == EffectKind::Unsafe {
+        let Some(call) = self.calls.get(&seq) else { return Ok(false) };
+        let may_have_run = call.attempts.iter().any(AttemptRecord::may_have_run);
+        if refused && may_have_run && call.policy.effect == EffectKind::Unsafe {
             return Err(ProtocolViolation("a refusal of an unsafe call that may have run"));
         }
-        self.drop_call(seq);
+        self.take_call(seq);
         Ok(true)
     }
 
-    /// The candidate gives it back, as one that it cannot decide. False for a call that is over here.
+    /// Removes a call that the candidate returns because it cannot decide it. Returns false if the call is not in the
+    /// ledger.
     ///
     /// # Errors
-    /// It has told of attempts: what it began it must bring to its end.
+    /// The candidate has announced attempts of the call, so it has to finish the call.
     pub fn returned(&mut self, seq: u64) -> Result<bool, ProtocolViolation> {
         match self.calls.get(&seq) {
-            Some(entry) if !entry.attempts.is_empty() => {
-                Err(ProtocolViolation("a call given back that was begun"))
+            Some(call) if !call.attempts.is_empty() => {
+                Err(ProtocolViolation("a call returned after an attempt"))
             }
-            Some(_) => Ok(self.drop_call(seq).is_some()),
+            Some(_) => Ok(self.take_call(seq).is_some()),
             None => Ok(false),
         }
     }
 
-    /// Its client has left, or the holder has answered it: the candidate owes nothing more.
+    /// Removes a call whose client has disconnected or that the holder has answered: the candidate owes no answer any more.
     pub fn remove(&mut self, seq: u64) -> bool {
-        self.drop_call(seq).is_some()
+        self.take_call(seq).is_some()
     }
 
-    /// When a call's time is up next.
-    pub fn next_due(&self) -> Option<Micros> {
-        self.due.first().map(|(due, _)| *due)
+    /// The earliest deadline.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Calls whose time is up: the holder answers them now, whatever the candidate does.
+    /// Removes and returns the calls whose deadline has passed. The holder answers them now, whatever the candidate does.
     pub fn take_overdue(&mut self, now: Micros) -> Vec<u64> {
-        let mut over = Vec::new();
-        while let Some((_, seq)) = self.due.first().copied().filter(|(due, _)| *due <= now) {
-            self.drop_call(seq);
-            over.push(seq);
+        let mut overdue = Vec::new();
+        while let Some((_, seq)) = self.deadlines.first().copied().filter(|(deadline, _)| *deadline <= now) {
+            self.take_call(seq);
+            overdue.push(seq);
         }
-        over
+        overdue
     }
 
-    /// The candidate is gone, and all it told has been read. `dead` is proof that its process has ended, and
-    /// its connections with it; without it an attempt whose end was not told may still be out.
-    pub fn candidate_lost(&mut self, now: Micros, dead: bool) -> Vec<(u64, Recovery)> {
-        self.due.clear();
+    /// Empties the ledger after the candidate was lost, and returns how each call is recovered. Call it after all messages
+    /// of the candidate were read. `process_ended` says that its process, and with it its connections, is known to have
+    /// ended; otherwise an attempt whose end was not reported may still be open.
+    pub fn candidate_lost(&mut self, now: Micros, process_ended: bool) -> Vec<(u64, Recovery)> {
+        self.deadlines.clear();
         self.bytes = 0;
-        std::mem::take(&mut self.calls).into_iter().map(|(seq, e)| (seq, e.fate(now, dead))).collect()
+        let calls = std::mem::take(&mut self.calls);
+        calls.into_iter().map(|(seq, call)| (seq, call.recovery(now, process_ended))).collect()
     }
 }
 
-impl Entry {
-    fn fate(mut self, now: Micros, dead: bool) -> Recovery {
-        let out = self.attempts.iter().any(|a| a.outcome.is_none());
+impl PassedCall {
+    fn recovery(mut self, now: Micros, process_ended: bool) -> Recovery {
+        let open = self.attempts.iter().any(|a| a.outcome.is_none());
         let first_run = self.attempts.iter().find(|a| a.may_have_run()).map(|a| a.announced_at);
-        if now >= self.due {
+        if now >= self.deadline {
             return Recovery::Fail;
         }
-        // Of a safe call a refusal is always true, and tells its client to come back.
-        let over = if self.terms.kind == EffectKind::Safe { Recovery::Refuse } else { Recovery::Fail };
-        if out && !dead {
-            return over;
+        // A safe call can always be refused: a repeat by its client is harmless.
+        let give_up = if self.policy.effect == EffectKind::Safe { Recovery::Refuse } else { Recovery::Fail };
+        if open && !process_ended {
+            return give_up;
         }
-        let spent = self.attempts.len() as u32 >= self.terms.most;
-        match (self.terms.kind, first_run) {
+        let no_attempts_left = self.attempts.len() as u32 >= self.policy.max_attempts;
+        match (self.policy.effect, first_run) {
             (EffectKind::Unsafe, Some(_)) => Recovery::Fail,
             (EffectKind::Keyed(window), Some(at)) if now - at >= window => Recovery::Fail,
-            (_, Some(_)) if spent => over,
-            (_, None) if spent => Recovery::Refuse,
+            (_, Some(_)) if no_attempts_left => give_up,
+            (_, None) if no_attempts_left => Recovery::Refuse,
             _ => {
-                // Its connections were reset with the process.
+                // The connections of open attempts were reset when the process ended.
                 self.attempts.iter_mut().for_each(|a| a.outcome = a.outcome.or(Some(Outcome::Reset)));
                 Recovery::Rerun(self.attempts)
             }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,12 +1,12 @@
-//! A gradual change of versions: an old process, the *holder*, has the clients, and a new one, the *candidate*,
-//! decides a share of their calls.
+//! Gradual rollout of a version: the old process, the *holder*, has the clients' connections, and the new process, the
+//! *candidate*, decides a share of their calls.
 //!
-//! This crate owns the decisions: which version a call meets ([`Split`]), whether the new one is as good as the
-//! old ([`Gates`]), when the share rises or falls ([`Rollout`]), whose word on a class binds ([`strictest_policies`]),
-//! and what may still happen to a passed call when the candidate is gone ([`Ledger`]). It promises that the
-//! same words in the same order give the same decisions, and that a call that may have run is never given out
-//! to be run again beyond what its class allows. It knows no wire, no socket, no clock and no randomness: time
-//! is passed in, in microseconds.
+//! This crate makes the decisions: which version decides a call ([`Split`]), whether the new version is as good as the
+//! old one ([`Gates`]), when the share rises or falls ([`Rollout`]), which version's policy for a class is binding
+//! ([`strictest_policies`]), and how a call is recovered whose candidate is lost ([`Ledger`]). It guarantees that the
+//! same inputs in the same order give the same decisions, and that a call that may have run is never handed out to be
+//! run again beyond what its class allows. It uses no wire format, no sockets, no clock and no randomness: time is an
+//! argument, in microseconds.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -26,10 +26,10 @@
 pub use rollout::{Action, Cause, Phase, Rejection, Rollout, Transition};
 pub use split::{Share, Split};
 
-/// Who decides a call.
+/// The version that decides a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Version {
-    /// The holder of the clients' connections.
+    /// The holder of the clients' connections: the baseline.
     Old,
     /// The candidate.
     New,
--- a/crates/rollout/src/plan/tests.rs
+++ b/crates/rollout/src/plan/tests.rs
@@ -10,12 +10,9 @@
 }
 
 #[test]
-fn a_plan_is_read_with_its_defaults() {
+fn missing_fields_of_a_plan_get_their_defaults() {
     let plan = plan(r#"{"name":"v2","step":[{"percent":1},{"percent":100,"least_calls":5}]}"#).unwrap();
-    assert_eq!(
-        (plan.on_fail, plan.completes_automatically, plan.max_silence()),
-        (OnFail::RollBack, false, 1_000_000)
-    );
+    assert_eq!((plan.on_fail, plan.auto_complete, plan.max_silence()), (OnFail::RollBack, false, 1_000_000));
     assert_eq!(plan.gates, GateSettings::default());
     assert_eq!(plan.steps[0].share(), Share::from_percent(1.0));
 }
@@ -37,7 +34,7 @@
 #[case::unknown(r#"{"name":"x","step":[{"percent":50,"leastms":1}]}"#, "unknown field")]
 #[case::on_fail(r#"{"name":"x","step":[{"percent":50}],"on_fail":"stop"}"#, "unknown variant")]
 #[case::negative(r#"{"name":"x","step":[{"percent":50,"least_calls":-1}]}"#, "invalid value")]
-fn a_plan_that_makes_no_sense_is_turned_down(#[case] json: &str, #[case] wanted: &str) {
+fn an_invalid_plan_is_rejected(#[case] json: &str, #[case] wanted: &str) {
     let problem = plan(json).unwrap_err();
     assert!(problem.contains(wanted), "{problem}");
 }
--- a/crates/rollout/src/retry_policy.rs
+++ b/crates/rollout/src/retry_policy.rs
@@ -1,22 +1,22 @@
-//! Two versions that disagree on a class: the stricter side binds, in both.
+//! Retry policies of classes. Where two versions have different policies for a class, the stricter one is binding for both.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use wheellink::{Effect, Micros, Scope};
 
-/// What a class allows.
+/// How often, where and for how long calls of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryPolicy {
-    /// How strictly, and where and for how long a repeat may go: see [`strictest_policies`].
+    /// Which repeats are allowed; see [`RetryPolicy::stricter`].
     rank: Rank,
-    /// For keyed classes, microseconds; else 0.
+    /// For keyed classes, the time in microseconds in which a call may be repeated; otherwise 0.
     window: Micros,
-    /// Attempts that a call may have.
+    /// Maximum number of attempts per call.
     pub attempts: u32,
 }
 
-/// From lenient to strict.
+/// Effect and scope of a class, ordered from lenient to strict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 enum Rank {
     Safe,
@@ -27,7 +27,7 @@
 }
 
 impl RetryPolicy {
-    /// Of this effect and number of attempts.
+    /// The policy of a class with this effect and maximum number of attempts.
     pub fn new(effect: Effect, attempts: u32) -> Self {
         let (rank, window) = match effect {
             Effect::Safe => (Rank::Safe, 0),
@@ -39,7 +39,7 @@
         Self { rank, window, attempts }
     }
 
-    /// The effect in the library's words.
+    /// The effect as the `wheellink` crate represents it.
     pub fn effect(&self) -> Effect {
         let keyed = |scope| Effect::Keyed { scope, window: self.window };
         match self.rank {
@@ -55,8 +55,8 @@
         !matches!(self.rank, Rank::Safe | Rank::Unsafe)
     }
 
-    /// The stricter of both in everything: unsafe over keyed over safe, the narrower scope, the shorter window,
-    /// the fewer attempts.
+    /// Combines two policies; of each property the stricter one applies: unsafe before keyed before safe, the narrower
+    /// scope, the shorter window, the fewer attempts.
     pub fn stricter(self, other: Self) -> Self {
         let rank = self.rank.max(other.rank);
         let window = match (self.is_keyed(), other.is_keyed()) {
@@ -83,34 +83,34 @@
     }
 }
 
-/// A class by its name, as one version knows it.
+/// The policy that one version has for a class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassPolicy {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// What it allows there.
+    /// Its policy in that version.
     #[serde(rename = "terms")]
     pub policy: RetryPolicy,
 }
 
-/// Where the two versions differ, for operators.
+/// A class for which the two versions differ; shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PolicyDifference {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// What each knows of it, if anything.
+    /// The old version's policy; `None` if it does not know the class.
     pub old: Option<RetryPolicy>,
-    /// The candidate's side.
+    /// The new version's policy; `None` if it does not know the class.
     pub new: Option<RetryPolicy>,
-    /// What binds; `None` where only one knows the class, and calls of it stay there.
-    pub bound: Option<RetryPolicy>,
+    /// The binding policy. `None` if only one version knows the class; its calls stay with that version.
+    pub binding: Option<RetryPolicy>,
 }
 
 impl fmt::Display for PolicyDifference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match (&self.old, &self.new, &self.bound) {
-            (Some(old), Some(new), Some(bound)) => {
-                write!(f, "class {}: old {old}; new {new}; bound to {bound}", self.class)
+        match (&self.old, &self.new, &self.binding) {
+            (Some(old), Some(new), Some(binding)) => {
+                write!(f, "class {}: old {old}; new {new}; bound to {binding}", self.class)
             }
             (Some(_), ..) => {
                 write!(f, "class {} stays with the old version, the only one to know it", self.class)
@@ -120,30 +120,27 @@
     }
 }
 
-/// What binds both versions for the classes that both know, and where they differ.
+/// Returns the binding policies of the classes that both versions know, and the classes for which they differ.
 pub fn strictest_policies(
     old: &[ClassPolicy],
     new: &[ClassPolicy],
 ) -> (Vec<ClassPolicy>, Vec<PolicyDifference>) {
     let find = |list: &[ClassPolicy], name: &str| list.iter().find(|c| c.name == name).map(|c| c.policy);
-    let (mut bound, mut differ) = (Vec::new(), Vec::new());
+    let (mut binding, mut differences) = (Vec::new(), Vec::new());
     for c in old {
         let theirs = find(new, &c.name);
         let both = theirs.map(|t| c.policy.stricter(t));
-        bound.extend(both.map(|policy| ClassPolicy { name: c.name.clone(), policy }));
+        binding.extend(both.map(|policy| ClassPolicy { name: c.name.clone(), policy }));
         if theirs != Some(c.policy) {
-            differ.push(PolicyDifference {
-                class: c.name.clone(),
-                old: Some(c.policy),
-                new: theirs,
-                bound: both,
-            });
+            let (class, old) = (c.name.clone(), Some(c.policy));
+            differences.push(PolicyDifference { class, old, new: theirs, binding: both });
         }
     }
     for c in new.iter().filter(|c| find(old, &c.name).is_none()) {
-        differ.push(PolicyDifference { class: c.name.clone(), old: None, new: Some(c.policy), bound: None });
+        let (class, new) = (c.name.clone(), Some(c.policy));
+        differences.push(PolicyDifference { class, old: None, new, binding: None });
     }
-    (bound, differ)
+    (binding, differences)
 }
 
 #[cfg(test)]
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,4 +1,4 @@
-//! The life of a rollout: when the share rises, stops and falls, and why.
+//! The phases of a rollout: when the share rises, stays and drops, and for which cause.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -10,30 +10,31 @@
 use crate::split::{Share, Split};
 use crate::Version;
 
-/// Changes that are kept for operators.
-pub const MOST_CHANGES: usize = 64;
-/// The gates are looked at this often.
-const LOOK: Micros = 200_000;
+/// Transitions that are kept for operators.
+const MAX_TRANSITIONS: usize = 64;
+const GATE_CHECK_INTERVAL_US: Micros = 200_000;
+/// How long a candidate may be silent if there is no plan.
+const DEFAULT_SILENCE_US: Micros = 1_000_000;
 
-/// Where a rollout is.
+/// Phase of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Nothing was begun.
+    /// No rollout has begun.
     Idle,
-    /// The share rises by its plan.
+    /// The share rises step by step, as the plan says.
     Stepping,
-    /// The share stays until an operator says otherwise.
+    /// The share stays as it is until an operator acts.
     Held,
-    /// The share is 0; calls that the new version decides come to their end.
+    /// The share is 0; calls that were passed to the new version have not all ended.
     RollingBack,
-    /// The old version decides everything again.
+    /// The old version decides all calls again.
     RolledBack,
-    /// The new version takes the clients.
+    /// The new version takes over the clients.
     Complete,
 }
 
 impl Phase {
-    /// As it is told to operators.
+    /// The name that operators see.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::Idle => "idle",
@@ -46,26 +47,26 @@
     }
 }
 
-/// Why something changed.
+/// Cause of a transition.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Cause {
-    /// An operator's call, by its name.
+    /// A call by an operator; the name of the call.
     Operator(&'static str),
-    /// The operator's file has it begin when a new version is there.
+    /// The operator's file says that the rollout begins when a candidate is ready.
     SettingsFile,
-    /// The step's time and calls are there and its gates hold.
+    /// The step has reached its minimum duration and calls, and its gates pass.
     StepDone,
-    /// The last step is done and the plan completes by itself.
+    /// The last step is done, and the plan completes without an operator.
     PlanDone,
     /// A gate failed.
     Gate(Box<Gate>),
     /// The last call of the new version has ended.
     CandidateDrained,
-    /// The new version's process is gone or was given up, for this reason.
+    /// The new version's process has ended or was given up, for this reason.
     CandidateLost(&'static str),
-    /// The new version was told to end.
+    /// The new version is terminating.
     CandidateLeaving,
-    /// The old version was told to end: the new one takes its place.
+    /// The old version is terminating: the new one takes over.
     HolderEnding,
 }
 
@@ -74,7 +75,7 @@
         match self {
             Cause::Operator(call) => write!(f, "an operator's call: {call}"),
             Cause::SettingsFile => f.write_str("the operator's file: begin = \"ready\""),
-            Cause::StepDone => f.write_str("the step's time and calls are there and its gates hold"),
+            Cause::StepDone => f.write_str("the step's minimum time and calls are reached, its gates pass"),
             Cause::PlanDone => f.write_str("the last step is done"),
             Cause::Gate(gate) => {
                 let class = gate.class.as_deref().unwrap_or("all classes");
@@ -90,52 +91,52 @@
             }
             Cause::CandidateDrained => f.write_str("the last call of the new version has ended"),
             Cause::CandidateLost(why) => write!(f, "the new version is lost: {why}"),
-            Cause::CandidateLeaving => f.write_str("the new version was told to end"),
-            Cause::HolderEnding => f.write_str("the old version was told to end"),
+            Cause::CandidateLeaving => f.write_str("the new version is terminating"),
+            Cause::HolderEnding => f.write_str("the old version is terminating"),
         }
     }
 }
 
-/// One change, for operators.
+/// A change of phase or share, shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transition {
-    /// When.
+    /// When it happened.
     pub at: Micros,
-    /// From and to.
+    /// The phase before it.
     pub from: Phase,
-    /// The state after it.
+    /// The phase after it.
     pub to: Phase,
     /// The share after it.
     pub share: Share,
-    /// Why.
+    /// Its cause.
     pub cause: Cause,
 }
 
-/// What the embedder is to do.
+/// What the embedder has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Have the candidate take the clients.
+    /// Hand the clients over to the candidate.
     Complete,
 }
 
-/// An operator's call that makes no sense now.
+/// Why an operator's call is rejected in the current phase.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection(pub String);
 
-/// See the module's page.
+/// The state of a rollout in the holder.
 pub struct Rollout {
     phase: Phase,
     plan: Option<Plan>,
-    /// Which of the plan's steps, from 0.
-    step: usize,
-    since: Micros,
-    looked: Micros,
+    /// Index of the current step in the plan, from 0.
+    step_index: usize,
+    step_started: Micros,
+    last_gate_check: Micros,
     attached: bool,
     split: Split,
     gates: Gates,
     history: VecDeque<Transition>,
-    /// Changes since the embedder took them for its log.
-    fresh: Vec<Transition>,
+    /// Transitions that the embedder has not taken yet.
+    new_transitions: Vec<Transition>,
 }
 
 impl Default for Rollout {
@@ -143,113 +144,113 @@
         Self {
             phase: Phase::Idle,
             plan: None,
-            step: 0,
-            since: 0,
-            looked: 0,
+            step_index: 0,
+            step_started: 0,
+            last_gate_check: 0,
             attached: false,
             split: Split::new(""),
             gates: Gates::new(GateSettings::default()),
             history: VecDeque::new(),
-            fresh: Vec::new(),
+            new_transitions: Vec::new(),
         }
     }
 }
 
 impl Rollout {
-    /// Where it is.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The share in force.
+    /// The current share.
     pub fn share(&self) -> Share {
         self.split.share()
     }
 
-    /// The plan in force, and which of its steps, from 0.
+    /// The current plan and the index of its current step, from 0.
     pub fn plan(&self) -> Option<(&Plan, usize)> {
-        self.plan.as_ref().map(|plan| (plan, self.step))
+        self.plan.as_ref().map(|plan| (plan, self.step_index))
     }
 
-    /// What the gates know.
+    /// The gates with their evidence.
     pub fn gates(&self) -> &Gates {
         &self.gates
     }
 
-    /// The split, for what it counts.
+    /// The split, for its counters.
     pub fn split(&self) -> &Split {
         &self.split
     }
 
-    /// The last changes, oldest first.
+    /// The most recent transitions, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &Transition> {
         self.history.iter()
     }
 
-    /// Changes since this was asked last.
+    /// Returns the transitions since the last call.
     pub fn take_transitions(&mut self) -> Vec<Transition> {
-        std::mem::take(&mut self.fresh)
+        std::mem::take(&mut self.new_transitions)
     }
 
-    /// Whether a candidate is there.
+    /// Whether a candidate is attached.
     pub fn attached(&self) -> bool {
         self.attached
     }
 
-    /// Whether calls may be passed.
+    /// Whether calls may be passed to the candidate.
     pub fn passes_calls(&self) -> bool {
         self.attached && matches!(self.phase, Phase::Stepping | Phase::Held | Phase::Complete)
     }
 
-    /// What may be silent how long; a second where there is no plan.
+    /// How long the candidate may be silent before it is given up.
     pub fn max_silence(&self) -> Micros {
-        self.plan.as_ref().map_or(1_000_000, Plan::max_silence)
+        self.plan.as_ref().map_or(DEFAULT_SILENCE_US, Plan::max_silence)
     }
 
-    fn change(&mut self, now: Micros, to: Phase, share: Share, cause: Cause) {
+    fn transition(&mut self, now: Micros, to: Phase, share: Share, cause: Cause) {
         let from = std::mem::replace(&mut self.phase, to);
         self.split.set_share(share);
-        let change = Transition { at: now, from, to, share, cause };
-        if self.history.len() >= MOST_CHANGES {
+        let transition = Transition { at: now, from, to, share, cause };
+        if self.history.len() >= MAX_TRANSITIONS {
             self.history.pop_front();
         }
-        self.history.push_back(change.clone());
-        self.fresh.push(change);
+        self.history.push_back(transition.clone());
+        self.new_transitions.push(transition);
     }
 
-    fn enter(&mut self, now: Micros, step: usize, cause: Cause) {
+    fn enter_step(&mut self, now: Micros, step: usize, cause: Cause) {
         let share = self.plan.as_ref().and_then(|p| p.steps.get(step)).map_or(Share::NONE, |s| s.share());
-        (self.step, self.since, self.looked) = (step, now, now);
+        (self.step_index, self.step_started, self.last_gate_check) = (step, now, now);
         self.gates.begin_step(share == Share::ALL);
-        self.change(now, Phase::Stepping, share, cause);
+        self.transition(now, Phase::Stepping, share, cause);
     }
 
-    /// A candidate has come.
+    /// Attaches a candidate.
     pub fn attach(&mut self) {
         self.attached = true;
         if self.phase != Phase::Idle {
-            // Another one than that of the rollout before.
-            (self.phase, self.plan, self.step) = (Phase::Idle, None, 0);
+            // This is another candidate than that of the previous rollout.
+            (self.phase, self.plan, self.step_index) = (Phase::Idle, None, 0);
             self.split.set_share(Share::NONE);
         }
     }
 
-    /// The candidate is gone.
+    /// Detaches the candidate after its process has ended or was given up.
     pub fn detach(&mut self, now: Micros, cause: Cause) {
         self.attached = false;
         match self.phase {
             Phase::Idle | Phase::RolledBack => {}
-            _ => self.change(now, Phase::RolledBack, Share::NONE, cause),
+            _ => self.transition(now, Phase::RolledBack, Share::NONE, cause),
         }
     }
 
-    /// Begins a plan, which must have been checked. The same plan once more is a yes.
+    /// Begins a rollout with a plan that was checked. A repeated call with the same plan succeeds without effect.
     ///
     /// # Errors
-    /// No candidate is there, or another rollout is under way.
+    /// No candidate is attached, or another rollout is under way.
     pub fn begin(&mut self, now: Micros, plan: Plan, cause: Cause) -> Result<(), Rejection> {
         if !self.attached {
-            return Err(Rejection("no new version is there: start it beside this one".into()));
+            return Err(Rejection("no new version is running: start it next to this process".into()));
         }
         match self.phase {
             Phase::Stepping | Phase::Held if self.plan.as_ref() == Some(&plan) => return Ok(()),
@@ -257,110 +258,110 @@
                 return Err(Rejection("another rollout is under way: call back first".into()))
             }
             Phase::RollingBack => {
-                return Err(Rejection("calls of the new version are still coming to their end".into()))
+                return Err(Rejection("calls of the new version have not ended yet".into()))
             }
-            Phase::Complete => return Err(Rejection("the new version takes the clients already".into())),
+            Phase::Complete => return Err(Rejection("the new version has the clients already".into())),
             Phase::Idle | Phase::RolledBack => {}
         }
         self.split = Split::new(&plan.name);
         self.gates = Gates::new(plan.gates.clone());
         self.plan = Some(plan);
-        self.enter(now, 0, cause);
+        self.enter_step(now, 0, cause);
         Ok(())
     }
 
-    /// To the next step, or to this one (counted from 1), at once. From being held it goes on.
+    /// Goes to the next step, or to step `to` (counted from 1), immediately. A held rollout resumes.
     ///
     /// # Errors
-    /// Nothing is under way, or there is no such step ahead.
+    /// No rollout is under way, or the plan has no such step ahead.
     pub fn step(&mut self, now: Micros, to: Option<usize>) -> Result<(), Rejection> {
-        self.under_way()?;
-        let steps = self.plan.as_ref().map_or(0, |p| p.steps.len());
-        let at = self.step + 1;
-        let to = to.unwrap_or(at + 1);
-        if to == at {
+        self.check_under_way()?;
+        let step_count = self.plan.as_ref().map_or(0, |p| p.steps.len());
+        let current = self.step_index + 1;
+        let to = to.unwrap_or(current + 1);
+        if to == current {
             if self.phase == Phase::Held {
-                self.enter(now, self.step, Cause::Operator("step"));
+                self.enter_step(now, self.step_index, Cause::Operator("step"));
             }
             return Ok(());
         }
-        if to < at {
-            return Err(Rejection(format!("step {to} is behind; to lower the share call back")));
+        if to < current {
+            return Err(Rejection(format!("step {to} is behind; call back to lower the share")));
         }
-        if to > steps {
+        if to > step_count {
             return Err(Rejection(format!("the plan has no step {to}; after the last one call complete")));
         }
-        self.enter(now, to - 1, Cause::Operator("step"));
+        self.enter_step(now, to - 1, Cause::Operator("step"));
         Ok(())
     }
 
-    /// The share stays as it is.
+    /// Keeps the share as it is until an operator acts.
     ///
     /// # Errors
-    /// Nothing is under way.
+    /// No rollout is under way.
     pub fn hold(&mut self, now: Micros) -> Result<(), Rejection> {
-        self.under_way()?;
+        self.check_under_way()?;
         if self.phase != Phase::Held {
             let share = self.share();
-            self.change(now, Phase::Held, share, Cause::Operator("hold"));
+            self.transition(now, Phase::Held, share, Cause::Operator("hold"));
         }
         Ok(())
     }
 
-    /// The share falls to 0 at once.
+    /// Rolls back: the share drops to 0 immediately.
     ///
     /// # Errors
-    /// Nothing was begun, or the new version has the clients already.
+    /// No rollout has begun, or the new version has the clients already.
     pub fn roll_back(&mut self, now: Micros) -> Result<(), Rejection> {
         match self.phase {
             Phase::RollingBack | Phase::RolledBack => Ok(()),
             Phase::Complete => Err(Rejection(
-                "the new version has the clients: the way back is an upgrade to the old one".into(),
+                "the new version has the clients: to go back, upgrade to the old version".into(),
             )),
             Phase::Idle => Err(Rejection("no rollout is under way".into())),
             Phase::Stepping | Phase::Held => {
-                self.change(now, Phase::RollingBack, Share::NONE, Cause::Operator("back"));
+                self.transition(now, Phase::RollingBack, Share::NONE, Cause::Operator("back"));
                 Ok(())
             }
         }
     }
 
-    /// The candidate is about to end by itself: nothing more goes to it.
+    /// Rolls back because the candidate is terminating: no more calls are passed to it.
     pub fn candidate_leaving(&mut self, now: Micros) {
         if matches!(self.phase, Phase::Stepping | Phase::Held) {
-            self.change(now, Phase::RollingBack, Share::NONE, Cause::CandidateLeaving);
+            self.transition(now, Phase::RollingBack, Share::NONE, Cause::CandidateLeaving);
         }
     }
 
-    /// The new version takes the clients.
+    /// Completes the rollout: the new version takes over the clients.
     ///
     /// # Errors
-    /// The share is not 100%, or nothing is under way.
+    /// The share is not 100%, or no rollout is under way.
     pub fn complete(&mut self, now: Micros) -> Result<Option<Action>, Rejection> {
         if self.phase == Phase::Complete {
             return Ok(None);
         }
-        self.under_way()?;
+        self.check_under_way()?;
         if self.share() != Share::ALL {
             return Err(Rejection(format!(
-                "the share is {}%; step to 100% before it is completed",
+                "the share is {}%; step to 100% before completing",
                 self.share().percent()
             )));
         }
-        self.change(now, Phase::Complete, Share::ALL, Cause::Operator("complete"));
+        self.transition(now, Phase::Complete, Share::ALL, Cause::Operator("complete"));
         Ok(Some(Action::Complete))
     }
 
-    /// The holder was told to end. A candidate that was not taken back has the clients from now on.
+    /// Completes the rollout because the holder is terminating, unless it was rolled back.
     pub fn holder_ending(&mut self, now: Micros) -> Option<Action> {
         if !self.attached || !matches!(self.phase, Phase::Stepping | Phase::Held) {
             return None;
         }
-        self.change(now, Phase::Complete, Share::ALL, Cause::HolderEnding);
+        self.transition(now, Phase::Complete, Share::ALL, Cause::HolderEnding);
         Some(Action::Complete)
     }
 
-    fn under_way(&self) -> Result<(), Rejection> {
+    fn check_under_way(&self) -> Result<(), Rejection> {
         match self.phase {
             Phase::Stepping | Phase::Held if self.attached => Ok(()),
             Phase::Complete => Err(Rejection("the rollout is complete".into())),
@@ -368,7 +369,7 @@
         }
     }
 
-    /// Which version decides this call. A key comes with its class's window.
+    /// Assigns a call to a version. A key is given with the window of its class.
     pub fn decide(&mut self, now: Micros, key: Option<(&str, Micros)>, id: &str) -> Version {
         if self.passes_calls() {
             self.split.decide(now, key, id)
@@ -377,29 +378,23 @@
         }
     }
 
-    /// A call has ended; see [`Gates::record_call`].
-    pub fn record_call(
-        &mut self,
-        version: Version,
-        class: &str,
-        outcome: CallOutcome,
-        took: Micros,
-        aim: Micros,
-    ) {
+    /// Records a call that has ended; see [`Gates::record`].
+    pub fn record(&mut self, version: Version, class: &str, outcome: CallOutcome, took: Micros, aim: Micros) {
         if self.passes_calls() {
-            self.gates.record_call(version, class, outcome, took, aim);
+            self.gates.record(version, class, outcome, took, aim);
         }
     }
 
-    /// Time has passed, and so many calls of the new version are open.
-    pub fn tick(&mut self, now: Micros, open: usize) -> Option<Action> {
-        if self.phase == Phase::RollingBack && open == 0 {
-            self.change(now, Phase::RolledBack, Share::NONE, Cause::CandidateDrained);
+    /// Checks at time `now` whether a gate fails or the current step is done. `open_calls` is the number of calls of the new
+    /// version that have not ended.
+    pub fn tick(&mut self, now: Micros, open_calls: usize) -> Option<Action> {
+        if self.phase == Phase::RollingBack && open_calls == 0 {
+            self.transition(now, Phase::RolledBack, Share::NONE, Cause::CandidateDrained);
         }
-        if now - self.looked < LOOK && now >= self.looked {
+        if now - self.last_gate_check < GATE_CHECK_INTERVAL_US && now >= self.last_gate_check {
             return None;
         }
-        self.looked = now;
+        self.last_gate_check = now;
         if !self.attached || !matches!(self.phase, Phase::Stepping | Phase::Held) {
             return None;
         }
@@ -409,26 +404,26 @@
         if let (Verdict::Fails, Some(gate)) = (verdict, gate) {
             let cause = Cause::Gate(Box::new(gate));
             match plan.on_fail {
-                OnFail::RollBack => self.change(now, Phase::RollingBack, Share::NONE, cause),
+                OnFail::RollBack => self.transition(now, Phase::RollingBack, Share::NONE, cause),
                 OnFail::Hold if self.phase == Phase::Stepping => {
                     let share = self.share();
-                    self.change(now, Phase::Held, share, cause);
+                    self.transition(now, Phase::Held, share, cause);
                 }
                 OnFail::Hold => {}
             }
             return None;
         }
-        let step = plan.steps.get(self.step)?;
-        let done = now - self.since >= step.min_duration()
+        let step = plan.steps.get(self.step_index)?;
+        let done = now - self.step_started >= step.min_duration()
             && self.gates.candidate_calls() >= step.min_calls
             && verdict == Verdict::Passes;
         if self.phase != Phase::Stepping || !done {
             return None;
         }
-        if self.step + 1 < plan.steps.len() {
-            self.enter(now, self.step + 1, Cause::StepDone);
-        } else if plan.completes_automatically {
-            self.change(now, Phase::Complete, Share::ALL, Cause::PlanDone);
+        if self.step_index + 1 < plan.steps.len() {
+            self.enter_step(now, self.step_index + 1, Cause::StepDone);
+        } else if plan.auto_complete {
+            self.transition(now, Phase::Complete, Share::ALL, Cause::PlanDone);
             return Some(Action::Complete);
         }
         None
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -1,4 +1,4 @@
-//! Which version a call meets: by its key or id, never by chance, and the same for all its repeats.
+//! Assigns calls to versions: deterministically by key or id, so that all repeats of a call get the same version.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hasher;
@@ -12,76 +12,78 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Share(u16);
 
-/// Points that a call may fall on.
-const POINTS: u64 = 10_000;
-/// Keyed calls whose version is remembered. At the widest window of the platform, 8 s, this is 8,000 keyed
-/// calls a second; beyond that the oldest are forgotten first, and counted.
-pub const MOST_PINS: usize = 65_536;
-/// A window for which a version is remembered at the most, whatever the class says.
-const LONGEST_WINDOW: Micros = 600_000_000;
+/// Number of hash buckets; one bucket is a hundredth of a percent.
+const BUCKETS: u64 = 10_000;
+/// Maximum number of keys that are pinned to a version. At the platform's widest window, 8 s, this is enough for 8,000
+/// keyed calls per second; beyond that, the oldest pins are evicted and counted.
+const MAX_PINS: usize = 65_536;
+/// Longest time for which a key is pinned, whatever the window of its class.
+const MAX_WINDOW_US: Micros = 600_000_000;
 
 impl Share {
-    /// Nothing.
+    /// No calls.
     pub const NONE: Share = Share(0);
-    /// Everything.
-    pub const ALL: Share = Share(POINTS as u16);
+    /// All calls.
+    pub const ALL: Share = Share(BUCKETS as u16);
 
-    /// From percent, rounded down to a hundredth of one and held to 0 and 100.
+    /// Converts from percent, rounded down to two decimals and limited to 0 to 100.
     pub fn from_percent(percent: f64) -> Self {
-        // The small amount is for shares like 0.07, which binary fractions hold as a little less.
+        // The small addend is for values such as 0.07, whose binary representation is slightly smaller.
         Self((percent.clamp(0.0, 100.0) * 100.0 + 1e-6) as u16)
     }
 
-    /// In percent.
+    /// The share in percent.
     pub fn percent(self) -> f64 {
         f64::from(self.0) / 100.0
     }
 }
 
-/// Which version each call meets.
+/// Assigns each call to a version.
 pub struct Split {
     salt: u64,
     share: Share,
+    /// By hash of the key: the version and the time at which the pin expires.
     pins: HashMap<u64, (Version, Micros)>,
-    /// By when they are over.
-    order: BTreeSet<(Micros, u64)>,
-    most: usize,
-    /// Pins that were given up before their time for want of room.
+    /// Pins in order of their expiry.
+    expiries: BTreeSet<(Micros, u64)>,
+    max_pins: usize,
+    /// Number of pins that were evicted before their expiry because the table was full.
     pub evicted_pins: u64,
 }
 
 impl Split {
-    /// A split of share 0. The name salts it, so that not the same clients go first each time.
+    /// A split with share 0. The name of the rollout is the salt, so that each rollout starts with other clients.
     pub fn new(name: &str) -> Self {
-        Self::with_max_pins(name, MOST_PINS)
+        Self::with_max_pins(name, MAX_PINS)
     }
 
-    /// The same, with room for so many pins.
-    pub fn with_max_pins(name: &str, most: usize) -> Self {
+    /// A split with this maximum number of pins.
+    pub fn with_max_pins(name: &str, max_pins: usize) -> Self {
         let mut hasher = SipHasher13::new_with_keys(0x7768_6565, 0x6c6c_696e);
         hasher.write(name.as_bytes());
         Self {
             salt: hasher.finish(),
             share: Share::NONE,
             pins: HashMap::new(),
-            order: BTreeSet::new(),
-            most,
+            expiries: BTreeSet::new(),
+            max_pins,
             evicted_pins: 0,
         }
     }
 
-    /// The share in force.
+    /// The current share.
     pub fn share(&self) -> Share {
         self.share
     }
 
-    /// Changes the share. Down to nothing, no pin holds a call with the new version any longer: back is at once.
+    /// Changes the share. A share of 0 also removes the pins to the new version, so that a rollback takes effect
+    /// immediately.
     pub fn set_share(&mut self, share: Share) {
         self.share = share;
         if share == Share::NONE {
             self.pins.retain(|_, (version, _)| *version == Version::Old);
             let pins = &self.pins;
-            self.order.retain(|(_, hash)| pins.contains_key(hash));
+            self.expiries.retain(|(_, hash)| pins.contains_key(hash));
         }
     }
 
@@ -91,48 +93,48 @@
         hasher.finish()
     }
 
-    /// The version by the share alone.
-    fn drawn(&self, hash: u64) -> Version {
-        if hash % POINTS < u64::from(self.share.0) {
+    /// The version by the share alone, without pins.
+    fn version_by_share(&self, hash: u64) -> Version {
+        if hash % BUCKETS < u64::from(self.share.0) {
             Version::New
         } else {
             Version::Old
         }
     }
 
-    /// Which version this call meets. With a key, its first try pins the version until the key's window is
-    /// over; without one it goes by its id.
+    /// Assigns a call to a version. The first call with a key pins the key to its version for `window`; a call without a
+    /// key is assigned by its id.
     pub fn decide(&mut self, now: Micros, key: Option<(&str, Micros)>, id: &str) -> Version {
-        self.expire(now);
-        let Some((key, window)) = key else { return self.drawn(self.hash(id)) };
+        self.remove_expired(now);
+        let Some((key, window)) = key else { return self.version_by_share(self.hash(id)) };
         let hash = self.hash(key);
         if let Some((version, _)) = self.pins.get(&hash) {
             return *version;
         }
-        let version = self.drawn(hash);
-        let window = window.clamp(0, LONGEST_WINDOW);
-        if window > 0 && self.most > 0 {
-            if self.pins.len() >= self.most {
-                if let Some((_, oldest)) = self.order.pop_first() {
+        let version = self.version_by_share(hash);
+        let window = window.clamp(0, MAX_WINDOW_US);
+        if window > 0 && self.max_pins > 0 {
+            if self.pins.len() >= self.max_pins {
+                if let Some((_, oldest)) = self.expiries.pop_first() {
                     self.pins.remove(&oldest);
                     self.evicted_pins += 1;
                 }
             }
-            let until = now + window;
-            self.pins.insert(hash, (version, until));
-            self.order.insert((until, hash));
+            let expiry = now + window;
+            self.pins.insert(hash, (version, expiry));
+            self.expiries.insert((expiry, hash));
         }
         version
     }
 
-    /// Keys whose version is remembered.
+    /// Number of keys that are pinned to a version.
     pub fn pin_count(&self) -> usize {
         self.pins.len()
     }
 
-    fn expire(&mut self, now: Micros) {
-        while let Some(first) = self.order.first().copied().filter(|(until, _)| *until <= now) {
-            self.order.remove(&first);
+    fn remove_expired(&mut self, now: Micros) {
+        while let Some(first) = self.expiries.first().copied().filter(|(expiry, _)| *expiry <= now) {
+            self.expiries.remove(&first);
             self.pins.remove(&first.1);
         }
     }
--- a/crates/rollout/tests/properties.rs
+++ b/crates/rollout/tests/properties.rs
@@ -107,7 +107,7 @@
         }
         let open = ledger.len();
         let fates = ledger.candidate_lost(now, dead);
-        prop_assert_eq!((fates.len(), ledger.len(), ledger.bytes(), ledger.next_due()), (open, 0, 0, None));
+        prop_assert_eq!((fates.len(), ledger.len(), ledger.bytes(), ledger.next_deadline()), (open, 0, 0, None));
         for (seq, fate) in fates {
             let Recovery::Rerun(past) = fate else { continue };
             let ran = past.iter().any(AttemptRecord::may_have_run);
@@ -178,7 +178,7 @@
         passed += u64::from(version == Version::New);
         let rate = if version == Version::New { new } else { old };
         let took = 100_000 + rng.i64(0..200_000);
-        gates.record_call(version, "a", outcome(&mut rng, rate), took, 1_500_000);
+        gates.record(version, "a", outcome(&mut rng, rate), took, 1_500_000);
         if n.is_multiple_of(25) {
             gates.close_blocks();
             if gates.verdict().0 == Verdict::Fails {
@@ -215,7 +215,7 @@
                 gates.close_blocks();
             }
             for version in [Version::Old, Version::New] {
-                gates.record_call(version, "a", CallOutcome::Served, 100_000 + rng.i64(0..50_000), 1_500_000);
+                gates.record(version, "a", CallOutcome::Served, 100_000 + rng.i64(0..50_000), 1_500_000);
             }
         }
         gates.close_blocks();
@@ -226,7 +226,7 @@
     play(&mut gates, 1500);
     assert_eq!(gates.verdict().0, Verdict::Passes);
     // A class with a single call takes that back: it is not known.
-    gates.record_call(Version::New, "b", CallOutcome::Served, 1, 2);
+    gates.record(Version::New, "b", CallOutcome::Served, 1, 2);
     assert_eq!(gates.verdict().0, Verdict::Inconclusive);
     // The next step has it all to show again.
     gates.begin_step(false);
@@ -240,7 +240,7 @@
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..1000 {
         for version in [Version::Old, Version::New] {
-            gates.record_call(version, "a", outcome(&mut rng, 0.01), 100_000, 1_500_000);
+            gates.record(version, "a", outcome(&mut rng, 0.01), 100_000, 1_500_000);
         }
     }
     gates.begin_step(true);
@@ -248,7 +248,7 @@
     while gates.verdict().0 != Verdict::Fails {
         passed += 1;
         assert!(passed < 3_000, "never caught");
-        gates.record_call(Version::New, "a", outcome(&mut rng, 0.10), 100_000, 1_500_000);
+        gates.record(Version::New, "a", outcome(&mut rng, 0.10), 100_000, 1_500_000);
         if passed % 20 == 0 {
             gates.close_blocks();
         }
@@ -263,7 +263,7 @@
         let version = if n % 2 == 0 { Version::Old } else { Version::New };
         let slower = if version == Version::New { 3 } else { 2 };
         let took = slower * (50_000 + rng.i64(0..50_000));
-        gates.record_call(version, "a", CallOutcome::Served, took, 10_000_000);
+        gates.record(version, "a", CallOutcome::Served, took, 10_000_000);
         if n % 20 == 0 {
             gates.close_blocks();
         }
@@ -279,7 +279,7 @@
 fn classes_beyond_the_bound_count_for_all_only() {
     let mut gates = gates();
     for i in 0..1000 {
-        gates.record_call(Version::New, &format!("class-{i}"), CallOutcome::Served, 1000, 2000);
+        gates.record(Version::New, &format!("class-{i}"), CallOutcome::Served, 1000, 2000);
     }
     assert_eq!(gates.candidate_calls(), 1000);
     assert!(gates.evaluate().len() <= 33 * 4);
@@ -302,8 +302,8 @@
     let mut act = None;
     for _ in 0..seconds * 100 {
         *now += SECOND / 100;
-        rollout.record_call(Version::Old, "a", CallOutcome::Served, 100_000, 1_500_000);
-        rollout.record_call(Version::New, "a", outcome(&mut rng, failing), 100_000, 1_500_000);
+        rollout.record(Version::Old, "a", CallOutcome::Served, 100_000, 1_500_000);
+        rollout.record(Version::New, "a", outcome(&mut rng, failing), 100_000, 1_500_000);
         act = act.or(rollout.tick(*now, 0));
     }
     act
@@ -367,7 +367,7 @@
     r.roll_back(now).unwrap();
     r.roll_back(now).unwrap();
     assert_eq!((r.phase(), r.share()), (Phase::RollingBack, Share::NONE));
-    assert!(begin(&mut r, "p").unwrap_err().contains("coming to their end"));
+    assert!(begin(&mut r, "p").unwrap_err().contains("have not ended yet"));
     r.tick(now + SECOND, 0);
     begin(&mut r, "p").unwrap();
     r.step(now, Some(2)).unwrap();
--- a/node/src/node/rollout.rs
+++ b/node/src/node/rollout.rs
@@ -148,7 +148,7 @@
 
     pub(super) fn next_tick(&self, now: Micros) -> Micros {
         let burial = self.burial.as_ref().map_or(Micros::MAX, |_| now + BURIAL_LOOK);
-        burial.min(self.ledger.next_due().unwrap_or(Micros::MAX))
+        burial.min(self.ledger.next_deadline().unwrap_or(Micros::MAX))
     }
 
     /// Whether it is wanted no more.
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -152,7 +152,7 @@
         let class = self.config.deployment.settings.classes.get(pending.new.class);
         let aim = class.map_or(Micros::MAX, |c| c.aim);
         let took = now - pending.arrived;
-        self.gradual.machine.record_call(pending.by, &pending.call.class, ending, took, aim);
+        self.gradual.machine.record(pending.by, &pending.call.class, ending, took, aim);
     }
 
     pub(super) fn answer_passed(&mut self, now: Micros, seq: u64, reply: ipc::Reply, body: Vec<u8>) {
--- a/node/tests/measure.rs
+++ b/node/tests/measure.rs
@@ -221,7 +221,7 @@
         let class = CLASSES[rng.usize(0..3)];
         // Exponential times, as the platform's work is.
         let took = (-rng.f64().max(1e-9).ln() * 250_000.0) as i64;
-        gates.record_call(version, class, outcome, took, 1_500_000);
+        gates.record(version, class, outcome, took, 1_500_000);
         if n.is_multiple_of(25) {
             gates.close_blocks();
             if gates.verdict().0 == Verdict::Fails {
