--- a/crates/members/src/local_health.rs
+++ b/crates/members/src/local_health.rs
@@ -19,7 +19,8 @@
 /// An answer shows for this number of periods that this member is reachable. With 30% datagram loss, one period passes
 /// without an answer with a probability of 0.2.
 const ANSWER_VALIDITY_PERIODS: f64 = 4.0;
-/// A member without an answer for this number of periods is isolated, whether the cause is on its side or on the others'.
+/// A member without an answer for this number of periods is isolated, whether the cause is on its side or on the
+/// others'.
 const ISOLATION_TIMEOUT_PERIODS: f64 = 16.0;
 
 /// Local health score of this member and the evidence that others receive its datagrams.
--- a/crates/members/src/local_member.rs
+++ b/crates/members/src/local_member.rs
@@ -122,9 +122,9 @@
 }
 
 impl LocalMember {
-    /// Starts the local member with the ids of the other members; the roster may contain its own id. It announces itself
-    /// to several members at a time, and any live one of them is enough to join. The same seed and inputs always give
-    /// the same outputs.
+    /// Starts the local member with the ids of the other members; the roster may contain its own id. It announces
+    /// itself to several members at a time, and any live one of them is enough to join. The same seed and inputs
+    /// always give the same outputs.
     pub fn new(
         settings: Settings,
         instance: MemberInstance,
@@ -159,8 +159,8 @@
         *self.protocol.identity()
     }
 
-    /// Replaces the roster. Members that are no longer on it are forgotten without an [`Output::StateChanged`], and their
-    /// datagrams are dropped.
+    /// Replaces the roster. Members that are no longer on it are forgotten without an [`Output::StateChanged`], and
+    /// their datagrams are dropped.
     pub fn set_roster(&mut self, roster: impl IntoIterator<Item = MemberId>) {
         let own = self.instance().id;
         self.roster = roster.into_iter().filter(|id| *id != own).collect();
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Handles the timers that are due. Call it after the datagrams that have already arrived were handled: after a pause
-    /// they show that the others are alive.
+    /// Handles the timers that are due. Call it after the datagrams that have already arrived were handled: after a
+    /// pause they show that the others are alive.
     pub fn handle_timers(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.detect_pause(now);
         let period = self.settings.probe_period;
@@ -296,17 +296,17 @@
         self.timers.len() + self.records.len() + self.roster.len() + protocol
     }
 
-    /// Whether the timer would declare dead a member that has refuted the suspicion or is already down. `foca` keeps the
-    /// state of such a member, but still tells the member that it is dead. The member would then renew its instance for
-    /// no reason, and repeatedly where many datagrams are lost.
+    /// Whether the timer would declare dead a member that has refuted the suspicion or is already down. `foca` keeps
+    /// the state of such a member, but still tells the member that it is dead. The member would then renew its
+    /// instance for no reason, and repeatedly where many datagrams are lost.
     fn is_refuted(&self, timer: &Timer<MemberInstance>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         let member = self.protocol.iter_membership_state().find(|m| m.id() == member_id);
         member.is_none_or(|m| m.state() != foca::State::Suspect || m.incarnation() != *incarnation)
     }
 
-    /// Postpones all timers by the length of a pause of this process: timers that became overdue in it say nothing about
-    /// the others.
+    /// Postpones all timers by the length of a pause of this process: timers that became overdue in it say nothing
+    /// about the others.
     fn detect_pause(&mut self, now: Duration) {
         let overdue = self.timers.next_due().filter(|due| *due <= now && self.settings.self_suspicion);
         let Some(due) = overdue else { return };
@@ -315,9 +315,9 @@
         }
     }
 
-    /// Announces the local member to several others in round-robin order and asks for an answer: to absent members, which
-    /// is how it joins and how the sides of a partition merge afterwards; with `to_all`, to present members too. Members
-    /// that left are not addressed.
+    /// Announces the local member to several others in round-robin order and asks for an answer: to absent members,
+    /// which is how it joins and how the sides of a partition merge afterwards; with `to_all`, to present members
+    /// too. Members that left are not addressed.
     fn announce(&mut self, now: Duration, to_all: bool, out: &mut Vec<Output>) {
         self.last_announce = now;
         let present: BTreeSet<MemberId> = self.protocol.iter_members().map(|m| m.id().id).collect();
@@ -343,9 +343,9 @@
     }
 
     /// Drops the membership table of an isolated member, because the states of the others are no longer known. If it
-    /// declared the others dead instead, members that still receive its datagrams would believe it, and the tombstones
-    /// would keep the members apart after the partition. The instance is kept: a new one would be admitted by all members
-    /// that receive its datagrams and be declared dead again, repeatedly.
+    /// declared the others dead instead, members that still receive its datagrams would believe it, and the
+    /// tombstones would keep the members apart after the partition. The instance is kept: a new one would be admitted
+    /// by all members that receive its datagrams and be declared dead again, repeatedly.
     fn reset(&mut self, now: Duration, out: &mut Vec<Output>) {
         let reported = self.records.iter().filter(|(_, record)| record.reported_present);
         let present: Vec<MemberId> = reported.map(|(id, _)| *id).collect();
--- a/crates/members/tests/net/mod.rs
+++ b/crates/members/tests/net/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network of members in one thread with virtual time: datagrams are lost, delayed, duplicated or blocked, and
-//! processes are stopped, killed and restarted.
+//! A simulated network of members in one thread with virtual time: datagrams are lost, delayed, duplicated or
+//! blocked, and processes are stopped, killed and restarted.
 
 #![allow(dead_code)]
 
@@ -26,7 +26,7 @@
 /// Arrival time, random order among datagrams that arrive together, sender, receiver and data.
 type Datagram = (Duration, u64, usize, usize, Vec<u8>);
 
-/// LocalMember and the links between them.
+/// The members and the links between them.
 pub struct Net {
     pub now: Duration,
     pub rng: fastrand::Rng,
@@ -108,8 +108,8 @@
         self.process(i).stopped = true;
     }
 
-    /// Continues a stopped process. It handles its timers before the datagrams that arrived meanwhile, which is the worse
-    /// order.
+    /// Continues a stopped process. It handles its timers before the datagrams that arrived meanwhile, which is the
+    /// worse order.
     pub fn resume(&mut self, i: usize) {
         let now = self.now;
         let p = self.process(i);
--- a/crates/members/tests/networks.rs
+++ b/crates/members/tests/networks.rs
@@ -1,5 +1,5 @@
-//! Simulated networks: how each member sees the others under each fault. Bounds are derived from the settings and refer to
-//! virtual time.
+//! Simulated networks: how each member sees the others under each fault. Bounds are derived from the settings and
+//! refer to virtual time.
 
 mod net;
 
@@ -182,8 +182,8 @@
     assert_eq!(net.renewals(&[0, 1, 2, 3, 4, 5]), 0, "no member remembers the previous instances");
 }
 
-/// One of five members receives nothing (`receives` is false), or reaches no other member, for two minutes. Returns the
-/// number of deaths and renewals among the others.
+/// One of five members is cut off in one direction for two minutes: it still receives datagrams but reaches no other
+/// member (`receives`), or the reverse. Returns the number of deaths and renewals among the others.
 fn losses_of_a_one_way_partition(receives: bool, seed: u64, self_suspicion: bool) -> usize {
     let mut net = Net::new(5, seed, Settings { self_suspicion, ..Settings::default() });
     let bound = net.settings.detection_bound();
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -54,8 +54,7 @@
 /// Prior of the old rate, before there are calls: half a hit in twenty calls.
 const PRIOR_HITS: f64 = 0.5;
 const PRIOR_CALLS: f64 = 20.0;
-/// Calls of the old version in a block that has no call of the new version yet. A longer block would compare calls from
-/// times too far apart.
+/// Maximum number of calls of the old version in a block. A longer block would compare calls from times too far apart.
 const MAX_BLOCK_CALLS: u64 = 10_000;
 
 /// The evidence that the new version's rate is above the old one's.
@@ -73,7 +72,8 @@
 }
 
 impl Evidence {
-    /// No evidence yet. Up to `max_cluster_size` hits may have one cause, so the log evidence of each block is divided by it.
+    /// No evidence yet. Up to `max_cluster_size` hits may have one cause, so the log evidence of each block is
+    /// divided by it.
     pub fn new(max_cluster_size: f64) -> Self {
         let none = Count::default();
         let log_e_values = [0.0; EFFECT_SIZES.len()];
--- a/crates/rollout/src/gates.rs
+++ b/crates/rollout/src/gates.rs
@@ -1,8 +1,8 @@
 //! The gates: whether the new version is as good as the old one, for each class and for all classes together.
 //!
-//! A gate has three verdicts. It fails if an e-process shows that the new version is worse, at a stated error rate for
-//! the whole rollout. It passes if there are enough calls and the upper bound of the difference is below the margin, at a
-//! stated error rate. Otherwise it is inconclusive; few calls alone never pass a gate.
+//! A gate has three verdicts. It fails if an e-process shows that the new version is worse, at a stated error rate
+//! for the whole rollout. It passes if there are enough calls and the upper bound of the difference is below the
+//! margin, at a stated error rate. Otherwise it is inconclusive; few calls alone never pass a gate.
 
 use std::collections::BTreeMap;
 
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Closes the blocks of calls that are complete. Call it a few times per second, so that the calls of both versions in
-    /// a block fall into the same time.
+    /// Closes the blocks of calls that are complete. Call it a few times per second, so that the calls of both
+    /// versions in a block fall into the same time.
     pub fn close_blocks(&mut self) {
         let (full_share, z) = (self.full_share, upper_normal_quantile(self.settings.beta));
         self.comparisons.values_mut().for_each(|comparison| comparison.close_blocks(full_share, z));
@@ -218,7 +218,7 @@
         self.comparisons.get(&None).map_or(0, |all| all.step_counts[0].1.calls)
     }
 
-    /// Number of sequential tests among which `alpha` is divided.
+    /// Number of sequential tests among which `alpha` is divided (Bonferroni correction).
     fn test_count(&self) -> usize {
         let metrics = Metric::ALL.iter().filter(|metric| metric.margin(&self.settings).is_some()).count();
         // The maximum number of classes, so that the threshold does not change when a class appears.
@@ -251,8 +251,8 @@
         gates
     }
 
-    /// The combined verdict, and the gate that decides it: fails if any gate fails, passes if all gates pass that the plan
-    /// requires.
+    /// The combined verdict, and the gate that decides it: fails if any gate fails, passes if all gates pass that the
+    /// plan requires.
     pub fn verdict(&self) -> (Verdict, Option<Gate>) {
         let gates = self.evaluate();
         if let Some(worst) = gates.iter().find(|g| g.verdict == Verdict::Fails) {
@@ -270,8 +270,8 @@
         }
     }
 
-    /// Latencies of served calls of all classes since the rollout began, in microseconds: median and 99th percentile of the
-    /// old version and of the new one.
+    /// Latencies of served calls of all classes since the rollout began, in microseconds: median and 99th percentile
+    /// of the old version and of the new one.
     pub fn latencies(&self) -> [(u64, u64); 2] {
         let all = self.comparisons.get(&None);
         let quantiles = |i: usize| {
--- a/crates/rollout/src/ledger.rs
+++ b/crates/rollout/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The ledger of passed calls: for each call that the candidate decides, which attempts may have run. It alone determines
-//! how the call is recovered when the candidate is lost.
+//! The ledger of passed calls: for each call that the candidate decides, which attempts may have run. It alone
+//! determines how the call is recovered when the candidate is lost.
 //!
 //! The holder decides every call that is not in the ledger. A message of the candidate that breaks the order of the
-//! protocol is a [`ProtocolViolation`]: the candidate has to be given up, because its messages about attempts are no longer
-//! reliable.
+//! protocol is a [`ProtocolViolation`]: the candidate has to be given up, because its messages about attempts are no
+//! longer reliable.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Removes a call that the candidate has answered; `refused` says whether the answer is a refusal. Returns false if the
-    /// call is not in the ledger.
+    /// Removes a call that the candidate has answered; `refused` says whether the answer is a refusal. Returns false
+    /// if the call is not in the ledger.
     ///
     /// # Errors
     /// A refusal, which tells the client that a repeat is harmless, of an unsafe call that may have run.
@@ -237,7 +237,8 @@
         }
     }
 
-    /// Removes a call whose client has disconnected or that the holder has answered: the candidate owes no answer any more.
+    /// Removes a call whose client has disconnected or that the holder has answered: the candidate owes no answer any
+    /// more.
     pub fn remove(&mut self, seq: u64) -> bool {
         self.take_call(seq).is_some()
     }
@@ -247,7 +248,8 @@
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Removes and returns the calls whose deadline has passed. The holder answers them now, whatever the candidate does.
+    /// Removes and returns the calls whose deadline has passed. The holder answers them now, whatever the candidate
+    /// does.
     pub fn take_overdue(&mut self, now: Micros) -> Vec<u64> {
         let mut overdue = Vec::new();
         while let Some((_, seq)) = self.deadlines.first().copied().filter(|(deadline, _)| *deadline <= now) {
@@ -257,9 +259,9 @@
         overdue
     }
 
-    /// Empties the ledger after the candidate was lost, and returns how each call is recovered. Call it after all messages
-    /// of the candidate were read. `process_ended` says that its process, and with it its connections, is known to have
-    /// ended; otherwise an attempt whose end was not reported may still be open.
+    /// Empties the ledger after the candidate was lost, and returns how each call is recovered. Call it after all
+    /// messages of the candidate were read. `process_ended` says that its process, and with it its connections, is
+    /// known to have ended; otherwise an attempt whose end was not reported may still be open.
     pub fn candidate_lost(&mut self, now: Micros, process_ended: bool) -> Vec<(u64, Recovery)> {
         self.deadlines.clear();
         self.bytes = 0;
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -71,7 +71,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GateSettings {
-    /// Margin of the rate of failed calls, as a fraction of 1. `None` disables the gate, here and for the other margins.
+    /// Margin of the rate of failed calls, as a fraction of 1. `None` disables the gate, here and for the other
+    /// margins.
     pub failed: Option<f64>,
     /// Margin of the rate of refused calls.
     pub refused: Option<f64>,
@@ -112,8 +113,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Names the rollout in the status and the log, and salts its split: under another name, other calls are the first to
-    /// be decided by the new version.
+    /// Names the rollout in the status and the log, and salts its split: under another name, other calls are the
+    /// first to be decided by the new version.
     pub name: String,
     /// The steps, each with a larger share than the one before.
     #[serde(rename = "step")]
--- a/crates/rollout/src/retry_policy.rs
+++ b/crates/rollout/src/retry_policy.rs
@@ -1,4 +1,5 @@
-//! Retry policies of classes. Where two versions have different policies for a class, the stricter one is binding for both.
+//! Retry policies of classes. Where two versions have different policies for a class, the stricter one is binding for
+//! both.
 
 use std::fmt;
 
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -385,8 +385,8 @@
         }
     }
 
-    /// Checks at time `now` whether a gate fails or the current step is done. `open_calls` is the number of calls of the new
-    /// version that have not ended.
+    /// Checks at time `now` whether a rollback is finished, a gate fails, or the current step is done. `open_calls`
+    /// is the number of calls of the new version that have not ended.
     pub fn tick(&mut self, now: Micros, open_calls: usize) -> Option<Action> {
         if self.phase == Phase::RollingBack && open_calls == 0 {
             self.transition(now, Phase::RolledBack, Share::NONE, Cause::CandidateDrained);
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Assigns a call to a version. The first call with a key pins the key to its version for `window`; a call without a
-    /// key is assigned by its id.
+    /// Assigns a call to a version. The first call with a key pins the key to its version for `window`; a call
+    /// without a key is assigned by its id.
     pub fn decide(&mut self, now: Micros, key: Option<(&str, Micros)>, id: &str) -> Version {
         self.remove_expired(now);
         let Some((key, window)) = key else { return self.version_by_share(self.hash(id)) };
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -1,6 +1,7 @@
-//! Model check of the protocol by which holder and candidate share calls, over all interleavings: a holder, a candidate,
-//! the two directions of their socket, and hosts. Either process may die at any point, the candidate may be stopped and
-//! continued, messages are delayed arbitrarily, and a host may give any result. The ledger is the real one.
+//! Model check of the protocol by which holder and candidate share calls, over all interleavings: a holder, a
+//! candidate, the two directions of their socket, and hosts. Either process may die at any point, the candidate may
+//! be stopped and continued, messages are delayed arbitrarily, and a host may give any result. The ledger is the real
+//! one.
 
 use std::collections::VecDeque;
 
@@ -28,8 +29,8 @@
     LeavesOpen,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
 /// Messages of the candidate to the holder.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Message {
     Announced(usize, u32),
     Ended(usize, u32, HostResult),
--- a/crates/rollout/tests/properties.rs
+++ b/crates/rollout/tests/properties.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// While the window of a key is open, its calls get the version of the first call, whatever the share is. Only a share
-    /// of 0 moves them to the old version.
+    /// While the window of a key is open, its calls get the version of the first call, whatever the share is. Only a
+    /// share of 0 moves them to the old version.
     #[test]
     fn a_key_keeps_its_version(changes in prop::collection::vec((0u16..=10_000, 0i64..3_000_000), 1..40), key in "[0-9a-f]{32}") {
         let mut split = Split::new("v2");
@@ -73,8 +73,8 @@
         prop_assert!((new as f64 - expected).abs() <= 6.0 * (20_000.0 * p * (1.0 - p)).sqrt() + 1.0, "{new} instead of {expected}");
     }
 
-    /// Whatever messages a candidate sends, in any order, and whenever it is lost: no call is rerun against the rules of its
-    /// class, the number of entries is bounded, and the byte count is right.
+    /// Whatever messages a candidate sends, in any order, and whenever it is lost: no call is rerun against the rules
+    /// of its class, the number of entries is bounded, and the byte count is right.
     #[test]
     fn a_ledger_reruns_no_call_beyond_its_class(
         messages in prop::collection::vec((0u8..6, 0u64..6, 0u32..4, 0u8..9, 0i64..2_000_000), 0..120),
