--- a/crates/rollout/src/terms.rs
+++ b/crates/rollout/src/retry_policy.rs
@@ -1,22 +1,23 @@
-//! Two versions that disagree on a class: the stricter side binds, in both.
+//! Retry policies of classes. Where two versions have different policies for a class, the stricter one is binding for
+//! both.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use wheellink::{Effect, Micros, Scope};
 
-/// What a class allows.
+/// How often, where and for how long calls of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Terms {
-    /// How strictly, and where and for how long a repeat may go: see [`strictest`].
+pub struct RetryPolicy {
+    /// Which repeats are allowed; see [`RetryPolicy::stricter`].
     rank: Rank,
-    /// For keyed classes, microseconds; else 0.
+    /// For keyed classes, the time in microseconds in which a call may be repeated; otherwise 0.
     window: Micros,
-    /// Attempts that a call may have.
+    /// Maximum number of attempts per call.
     pub attempts: u32,
 }
 
-/// From lenient to strict.
+/// Effect and scope of a class, ordered from lenient to strict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 enum Rank {
     Safe,
@@ -26,8 +27,8 @@
     Unsafe,
 }
 
-impl Terms {
-    /// Of this effect and number of attempts.
+impl RetryPolicy {
+    /// The policy of a class with this effect and maximum number of attempts.
     pub fn new(effect: Effect, attempts: u32) -> Self {
         let (rank, window) = match effect {
             Effect::Safe => (Rank::Safe, 0),
@@ -39,7 +40,7 @@
         Self { rank, window, attempts }
     }
 
-    /// The effect in the library's words.
+    /// The effect as the `wheellink` crate represents it.
     pub fn effect(&self) -> Effect {
         let keyed = |scope| Effect::Keyed { scope, window: self.window };
         match self.rank {
@@ -55,8 +56,8 @@
         !matches!(self.rank, Rank::Safe | Rank::Unsafe)
     }
 
-    /// The stricter of both in everything: unsafe over keyed over safe, the narrower scope, the shorter window,
-    /// the fewer attempts.
+    /// Combines two policies; of each property the stricter one applies: unsafe before keyed before safe, the narrower
+    /// scope, the shorter window, the fewer attempts.
     pub fn stricter(self, other: Self) -> Self {
         let rank = self.rank.max(other.rank);
         let window = match (self.is_keyed(), other.is_keyed()) {
@@ -70,7 +71,7 @@
     }
 }
 
-impl fmt::Display for Terms {
+impl fmt::Display for RetryPolicy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let scope = match self.rank {
             Rank::Safe => return write!(f, "safe, {} attempts", self.attempts),
@@ -83,33 +84,34 @@
     }
 }
 
-/// A class by its name, as one version knows it.
+/// The policy that one version has for a class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClassTerms {
-    /// Its name.
+pub struct ClassPolicy {
+    /// Name of the class.
     pub name: String,
-    /// What it allows there.
-    pub terms: Terms,
+    /// Its policy in that version.
+    #[serde(rename = "terms")]
+    pub policy: RetryPolicy,
 }
 
-/// Where the two versions differ, for operators.
+/// A class for which the two versions differ; shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Disagreement {
-    /// The class.
+pub struct PolicyDifference {
+    /// Name of the class.
     pub class: String,
-    /// What each knows of it, if anything.
-    pub old: Option<Terms>,
-    /// The candidate's side.
-    pub new: Option<Terms>,
-    /// What binds; `None` where only one knows the class, and calls of it stay there.
-    pub bound: Option<Terms>,
+    /// The old version's policy; `None` if it does not know the class.
+    pub old: Option<RetryPolicy>,
+    /// The new version's policy; `None` if it does not know the class.
+    pub new: Option<RetryPolicy>,
+    /// The binding policy. `None` if only one version knows the class; its calls stay with that version.
+    pub binding: Option<RetryPolicy>,
 }
 
-impl fmt::Display for Disagreement {
+impl fmt::Display for PolicyDifference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match (&self.old, &self.new, &self.bound) {
-            (Some(old), Some(new), Some(bound)) => {
-                write!(f, "class {}: old {old}; new {new}; bound to {bound}", self.class)
+        match (&self.old, &self.new, &self.binding) {
+            (Some(old), Some(new), Some(binding)) => {
+                write!(f, "class {}: old {old}; new {new}; bound to {binding}", self.class)
             }
             (Some(_), ..) => {
                 write!(f, "class {} stays with the old version, the only one to know it", self.class)
@@ -119,22 +121,27 @@
     }
 }
 
-/// What binds both versions for the classes that both know, and where they differ.
-pub fn strictest(old: &[ClassTerms], new: &[ClassTerms]) -> (Vec<ClassTerms>, Vec<Disagreement>) {
-    let find = |list: &[ClassTerms], name: &str| list.iter().find(|c| c.name == name).map(|c| c.terms);
-    let (mut bound, mut differ) = (Vec::new(), Vec::new());
+/// Returns the binding policies of the classes that both versions know, and the classes for which they differ.
+pub fn strictest_policies(
+    old: &[ClassPolicy],
+    new: &[ClassPolicy],
+) -> (Vec<ClassPolicy>, Vec<PolicyDifference>) {
+    let find = |list: &[ClassPolicy], name: &str| list.iter().find(|c| c.name == name).map(|c| c.policy);
+    let (mut binding, mut differences) = (Vec::new(), Vec::new());
     for c in old {
         let theirs = find(new, &c.name);
-        let both = theirs.map(|t| c.terms.stricter(t));
-        bound.extend(both.map(|terms| ClassTerms { name: c.name.clone(), terms }));
-        if theirs != Some(c.terms) {
-            differ.push(Disagreement { class: c.name.clone(), old: Some(c.terms), new: theirs, bound: both });
+        let both = theirs.map(|t| c.policy.stricter(t));
+        binding.extend(both.map(|policy| ClassPolicy { name: c.name.clone(), policy }));
+        if theirs != Some(c.policy) {
+            let (class, old) = (c.name.clone(), Some(c.policy));
+            differences.push(PolicyDifference { class, old, new: theirs, binding: both });
         }
     }
     for c in new.iter().filter(|c| find(old, &c.name).is_none()) {
-        differ.push(Disagreement { class: c.name.clone(), old: None, new: Some(c.terms), bound: None });
+        let (class, new) = (c.name.clone(), Some(c.policy));
+        differences.push(PolicyDifference { class, old: None, new, binding: None });
     }
-    (bound, differ)
+    (binding, differences)
 }
 
 #[cfg(test)]
