--- a/node/src/config/operator.rs
+++ b/node/src/config/operator.rs
@@ -207,8 +207,8 @@
         cold_for: hosts.cold_ms * 1000,
         fall_multiple: hosts.fall_multiple,
         fall_window: hosts.fall_ms * 1000,
-        me: 0,
-        tell: 0,
+        router_index: 0,
+        max_gossip_bytes: 0,
     };
     settings.check().map_err(|e| e.to_string())?;
     let transport = Transport {
--- a/node/src/ipc/more.rs
+++ b/node/src/ipc/more.rs
@@ -149,7 +149,7 @@
     /// What of a host's answer is told.
     pub fn of(fields: &[(String, String)], report: Option<LoadReport>) -> Self {
         let told = fields.iter().filter(|(name, _)| name == "found" || name == "accepted");
-        Self { fields: told.cloned().collect(), held: report.map(|r| r.holding) }
+        Self { fields: told.cloned().collect(), held: report.map(|r| r.in_flight) }
     }
 
     /// As fields of a word.
@@ -183,7 +183,7 @@
                 }
                 "held" => {
                     said.held =
-                        text.parse().ok().and_then(|held| LoadReport::new(held, 0.0)).map(|r| r.holding);
+                        text.parse().ok().and_then(|held| LoadReport::new(held, 0.0)).map(|r| r.in_flight);
                     said.held.is_none().then_some("no number of calls")
                 }
                 _ => None,
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -21,8 +21,8 @@
 
 use wheellink::engine::{AttemptId, Command, NewRequest, OrderId, Verdict};
 use wheellink::{
-    Effect, Engine, FunctionId, Legacy, ListEntry, ListKind, Micros, Outcome, PastAttempt, Settings, Spot,
-    Tally, Ticket, WorkerId,
+    Effect, Engine, FunctionId, HandoverState, ListEntry, ListKind, Micros, Outcome, PastAttempt,
+    PreferredLocation, Settings, Tally, Ticket, WorkerId,
 };
 use wheellink_admission::{Asking, Owner};
 use wheellink_rollout::{Ledger, Version};
@@ -138,7 +138,7 @@
     turn: Option<(u64, u16, Vec<u64>)>,
     /// ... once it was placed, and where it is best served.
     placed: Option<Turn>,
-    advice: Vec<Spot>,
+    advice: Vec<PreferredLocation>,
 }
 
 /// Who speaks with clients, and who tells of hosts.
@@ -554,7 +554,7 @@
             }
             Command::Unload { host, function } => self.hosts.unload(now, &host, &function, &mut self.log),
             Command::Probe { host } => self.hosts.probe(now, &host, &mut self.log),
-            Command::Tell { data } => self.peers.iter().for_each(|peers| peers.tell(&data)),
+            Command::Broadcast { data } => self.peers.iter().for_each(|peers| peers.tell(&data)),
             Command::Answer { ticket, verdict } => self.answer(now, ticket, verdict),
             Command::Log { text } => self.log.line(now, text),
         }
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -390,7 +390,7 @@
         self.share_agreed();
         self.agreed_settings = self.agreed.as_ref().map(|a| a.in_force.settings(&a.base));
         let settings = self.binding();
-        self.run_engine(|engine, out| engine.terms(now, settings, out));
+        self.run_engine(|engine, out| engine.update_terms(now, settings, out));
         let hosts: Vec<WorkerId> = self.hosts.listed().cloned().collect();
         self.bar_agreed(now, hosts.iter());
         let mut kept = VecDeque::new();
--- a/node/src/node/drafts.rs
+++ b/node/src/node/drafts.rs
@@ -246,7 +246,7 @@
             }
         }
         if let Some(report) = &end.report {
-            d.told.insert(running.host.clone(), report.holding);
+            d.told.insert(running.host.clone(), report.in_flight);
         }
         if end.outcome != Outcome::Done {
             return;
--- a/node/src/node/life.rs
+++ b/node/src/node/life.rs
@@ -98,7 +98,7 @@
             News::Said(Message::Tally { clients, ration }) => {
                 self.peer_clients = clients;
                 self.resize();
-                let legacy = Legacy { tallies: upgrade::heard(&ration), ..Legacy::default() };
+                let legacy = HandoverState { tallies: upgrade::heard(&ration), ..HandoverState::default() };
                 self.run_engine(|engine, out| engine.inherit(now, legacy, out));
             }
             News::Said(Message::HalfClosed { seq, since }) => {
@@ -147,7 +147,7 @@
             },
             ..State::default()
         };
-        state.set_legacy(self.engine.legacy());
+        state.set_legacy(self.engine.handover_state());
         state
     }
 
@@ -318,7 +318,7 @@
         }
         self.agreed_settings = None;
         let settings = self.binding();
-        self.run_engine(|engine, out| engine.settings(now, settings, patience, out));
+        self.run_engine(|engine, out| engine.update_settings(now, settings, patience, out));
         self.attend_peers();
         if self.client_listener.is_some() && !self.succeeded {
             self.attend_members();
--- a/node/src/node/news.rs
+++ b/node/src/node/news.rs
@@ -142,7 +142,7 @@
         let entries: Vec<ListEntry> = hosts.into_iter().map(|h| h.entry).collect();
         self.list_for_turns(kind, &entries);
         self.bar_agreed(now, entries.iter().map(|e| &e.worker));
-        self.run_engine(|engine, out| engine.hosts(now, kind, entries, out));
+        self.run_engine(|engine, out| engine.update_hosts(now, kind, entries, out));
     }
 
     /// Has hosts have started by this program's time, not by the one that the list's source goes by.
@@ -175,7 +175,7 @@
 
     /// Hears the other activators of the tier as long as the module tells them anything.
     pub(super) fn attend_peers(&mut self) {
-        let wanted = self.engine.tells().then(|| self.config.peers.clone());
+        let wanted = self.engine.gossip_enabled().then(|| self.config.peers.clone());
         let kept = matches!((&self.peers, &wanted), (Some(p), Some(Ok(a))) if p.addresses == *a);
         if kept || (self.peers.is_none() && wanted.is_none()) {
             return;
@@ -197,7 +197,7 @@
     pub(super) fn peers_ready(&mut self) {
         let now = self.clock.now();
         for (from, data) in self.peers.as_ref().map(Peers::heard).unwrap_or_default() {
-            self.run_engine(|engine, out| engine.heard(now, from, data, out));
+            self.run_engine(|engine, out| engine.gossip_received(now, from, data, out));
         }
         self.settle();
     }
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -108,7 +108,7 @@
         if !out {
             self.hosts.bar(now, host, out, &mut self.log);
         }
-        self.run_engine(|engine, commands| engine.bar(now, host.clone(), out, commands));
+        self.run_engine(|engine, commands| engine.set_out_of_service(now, host.clone(), out, commands));
         if out {
             self.hosts.bar(now, host, out, &mut self.log);
         }
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -225,7 +225,8 @@
             None => {
                 let new = pending.new.clone();
                 let advice = incoming.advice;
-                let ticket = self.run_engine(|engine, out| engine.request_advised(now, new, advice, out));
+                let ticket =
+                    self.run_engine(|engine, out| engine.request_with_preferences(now, new, advice, out));
                 self.carry_turn(ticket, incoming.placed, Vec::new());
                 ticket
             }
--- a/node/src/node/rollout.rs
+++ b/node/src/node/rollout.rs
@@ -203,7 +203,7 @@
         if bound != self.gradual.bound {
             self.gradual.bound = bound;
             let (settings, patience) = (self.binding(), self.config.deployment.transport.order_timeout);
-            self.run_engine(|engine, out| engine.settings(now, settings, patience, out));
+            self.run_engine(|engine, out| engine.update_settings(now, settings, patience, out));
         }
     }
 
@@ -320,7 +320,7 @@
         let (life, percent) = (self.gradual.machine.life(), self.gradual.machine.share().percent());
         self.upgrade.say(&Word::Holds { life: life.word().into(), percent });
         let due = if life == Life::Complete { 0.0 } else { percent / 100.0 };
-        self.engine.set_beside(due);
+        self.engine.set_peer_share(due);
         if !self.succeeded {
             self.tell_ration(now);
         }
--- a/node/src/node/rollout/candidate.rs
+++ b/node/src/node/rollout/candidate.rs
@@ -26,7 +26,7 @@
             Word::Grant { order, granted } => self.granted(now, OrderId(order), granted),
             Word::Sent { host, at } => self.note_sent(now, host.as_str().into(), at),
             Word::Ration(told) if successor => {
-                let legacy = Legacy { tallies: upgrade::heard(&told), ..Legacy::default() };
+                let legacy = HandoverState { tallies: upgrade::heard(&told), ..HandoverState::default() };
                 self.run_engine(|engine, out| engine.inherit(now, legacy, out));
             }
             Word::Ration(told) => {
@@ -54,7 +54,7 @@
 
     pub(super) fn inherit_ration(&mut self, now: Micros) {
         let tallies = std::mem::take(&mut self.gradual.ration);
-        let legacy = Legacy { tallies, ..Legacy::default() };
+        let legacy = HandoverState { tallies, ..HandoverState::default() };
         self.run_engine(|engine, out| engine.inherit(now, legacy, out));
     }
 
@@ -114,7 +114,7 @@
             asking: None,
             passed: more.map(|_| Box::new(from)),
         };
-        let ticket = self.run_engine(|engine, out| engine.request_advised(now, new, advice, out));
+        let ticket = self.run_engine(|engine, out| engine.request_with_preferences(now, new, advice, out));
         self.gradual.calls.insert(seq, ticket);
         self.ids.insert(pending.call.id.clone());
         self.pending.insert(ticket, pending);
@@ -122,12 +122,14 @@
 
     /// The places that the holder advises, as spots of this process's own list; where copies stand there by the file,
     /// the engine is told of them.
-    fn follow(&mut self, now: Micros, places: &[Place], new: &NewRequest) -> Vec<Spot> {
+    fn follow(&mut self, now: Micros, places: &[Place], new: &NewRequest) -> Vec<PreferredLocation> {
         let zones = &self.config.deployment.zones;
         let spot = |place: &Place| match place {
-            Place::Cell(cell) => Some(Spot::Cell(*cell)),
-            Place::Zone(name) => zones.iter().position(|z| z == name).map(|zone| Spot::Zone(zone as u32)),
-            Place::Host(name) => Some(Spot::Worker(name.as_str().into())),
+            Place::Cell(cell) => Some(PreferredLocation::Cell(*cell)),
+            Place::Zone(name) => {
+                zones.iter().position(|z| z == name).map(|zone| PreferredLocation::Zone(zone as u32))
+            }
+            Place::Host(name) => Some(PreferredLocation::Worker(name.as_str().into())),
         };
         let advice = places.iter().filter_map(spot).collect();
         self.stand_at(now, places, &new.function, new.lanes);
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -36,7 +36,7 @@
         now: Micros,
         pending: &Pending,
         turn: Option<&Turn>,
-        advice: &[Spot],
+        advice: &[PreferredLocation],
     ) -> Option<Ticket> {
         if self.gradual.role != Role::Holder || !self.gradual.machine.runs() {
             return None;
@@ -93,11 +93,13 @@
     }
 
     /// A spot as the other version knows it too.
-    fn place(&self, spot: &Spot) -> Option<Place> {
+    fn place(&self, spot: &PreferredLocation) -> Option<Place> {
         match spot {
-            Spot::Cell(cell) => Some(Place::Cell(*cell)),
-            Spot::Zone(zone) => self.config.deployment.zones.get(*zone as usize).cloned().map(Place::Zone),
-            Spot::Worker(host) => Some(Place::Host(host.0.to_string())),
+            PreferredLocation::Cell(cell) => Some(Place::Cell(*cell)),
+            PreferredLocation::Zone(zone) => {
+                self.config.deployment.zones.get(*zone as usize).cloned().map(Place::Zone)
+            }
+            PreferredLocation::Worker(host) => Some(Place::Host(host.0.to_string())),
         }
     }
 
@@ -247,7 +249,11 @@
             Word::Ration(told) => {
                 // Its orders were counted when they were granted.
                 let calls = told.into_iter().map(|(at, calls, _)| Tally { at, calls, orders: 0 });
-                let legacy = Legacy { tallies: calls.collect(), beside: true, ..Legacy::default() };
+                let legacy = HandoverState {
+                    tallies: calls.collect(),
+                    sender_keeps_running: true,
+                    ..HandoverState::default()
+                };
                 self.run_engine(|engine, out| engine.inherit(now, legacy, out));
             }
             Word::Classes(classes) => {
@@ -263,7 +269,11 @@
     /// The other process sends to a host: where that is not warm, it counts here too.
     pub(super) fn note_sent(&mut self, now: Micros, host: WorkerId, at: Micros) {
         if self.engine.is_cold(&host) {
-            let legacy = Legacy { sends: vec![(host, vec![at.min(now)])], beside: true, ..Legacy::default() };
+            let legacy = HandoverState {
+                sends: vec![(host, vec![at.min(now)])],
+                sender_keeps_running: true,
+                ..HandoverState::default()
+            };
             self.run_engine(|engine, out| engine.inherit(now, legacy, out));
         }
     }
@@ -312,7 +322,7 @@
         self.gradual.role = Role::Alone;
         self.gradual.burial = Some(Burial { process, since: now });
         self.gradual.machine.detach(now, cause);
-        self.engine.alone();
+        self.engine.peer_gone();
         self.bind(now);
         self.look_at_burial(now);
     }
@@ -372,8 +382,8 @@
         self.passed_over(now, ticket(seq));
         let (turn, advice) = self.take_turn(ticket(seq));
         let ticket = self.run_engine(|engine, out| {
-            engine.advise(now, advice, out);
-            engine.request_again(now, new, past, out)
+            engine.prefer_locations(now, advice, out);
+            engine.request_with_past_attempts(now, new, past, out)
         });
         self.carry_turn(ticket, turn, Vec::new());
         (pending.by, pending.answer) = (Version::Old, None);
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use siphasher::sip::SipHasher13;
 use wheellink::engine::AttemptEnd;
-use wheellink::{Condition, Loaded};
+use wheellink::{Condition, LoadedFunction};
 use wheellink_turns::{Advice, Name, Out, Site, SiteNow, Then, Token, Turns, Waiting, USUAL_WEIGHT};
 
 use super::*;
@@ -43,7 +43,7 @@
 struct Carried {
     turn: Turn,
     /// Where it is best served, for a call that another process decides and that may come back.
-    advice: Vec<Spot>,
+    advice: Vec<PreferredLocation>,
     /// What the host found that answered last.
     found: Option<u32>,
 }
@@ -69,7 +69,7 @@
     /// This activator's own zone.
     zone: u32,
     /// Names of sites, and their spots for the engine.
-    labels: BTreeMap<Site, (String, Spot)>,
+    labels: BTreeMap<Site, (String, PreferredLocation)>,
     weights: BTreeMap<String, u16>,
     calls: HashMap<Ticket, Carried>,
     attempts: HashMap<AttemptId, (WorkerId, Micros)>,
@@ -119,12 +119,12 @@
     /// A host's site, by what shares a cache here.
     fn site(&mut self, host: &WorkerId, zone: u32, cell: i64, zones: &[String]) -> Site {
         let (label, spot) = match self.setup.site {
-            By::Cell if cell >= 0 => (cell.to_string(), Spot::Cell(cell)),
+            By::Cell if cell >= 0 => (cell.to_string(), PreferredLocation::Cell(cell)),
             By::Zone => {
                 let name = zones.get(zone as usize).cloned();
-                (name.unwrap_or_else(|| zone.to_string()), Spot::Zone(zone))
+                (name.unwrap_or_else(|| zone.to_string()), PreferredLocation::Zone(zone))
             }
-            By::Cell | By::Host => (host.0.to_string(), Spot::Worker(host.clone())),
+            By::Cell | By::Host => (host.0.to_string(), PreferredLocation::Worker(host.clone())),
         };
         let site = number(&label);
         if self.labels.len() >= 4 * wheellink_turns::MOST_SITES {
@@ -195,7 +195,7 @@
         sites: impl Iterator<Item = Site>,
         function: &FunctionId,
         lanes: u32,
-    ) -> Vec<Loaded> {
+    ) -> Vec<LoadedFunction> {
         let mut loaded = Vec::new();
         if !self.setup.resident {
             return loaded;
@@ -213,7 +213,7 @@
             }
             let hosts = self.sums.get(&site).map(|s| s.hosts.as_slice()).unwrap_or_default();
             let copies = (self.setup.lanes / lanes.max(1)).max(1);
-            loaded.extend(hosts.iter().map(|host| Loaded {
+            loaded.extend(hosts.iter().map(|host| LoadedFunction {
                 worker: host.clone(),
                 function: function.clone(),
                 lanes,
@@ -229,7 +229,7 @@
         self.sums.values().map(|s| s.now).collect()
     }
 
-    fn spots(&self, advice: &Advice) -> Vec<Spot> {
+    fn spots(&self, advice: &Advice) -> Vec<PreferredLocation> {
         advice.choices.iter().filter_map(|c| Some(self.labels.get(&c.site)?.1.clone())).collect()
     }
 
@@ -418,7 +418,7 @@
         let sites = advice.choices.iter().map(|c| c.site);
         let loaded = t.residents(now, sites, &function, incoming.lanes);
         if !loaded.is_empty() {
-            let legacy = Legacy { loaded, ..Legacy::default() };
+            let legacy = HandoverState { loaded, ..HandoverState::default() };
             self.run_engine(|engine, out| engine.inherit(now, legacy, out));
         }
         incoming.placed = Some(turn);
@@ -479,7 +479,7 @@
     }
 
     /// The call goes by this ticket.
-    pub(super) fn carry_turn(&mut self, ticket: Ticket, turn: Option<Turn>, advice: Vec<Spot>) {
+    pub(super) fn carry_turn(&mut self, ticket: Ticket, turn: Option<Turn>, advice: Vec<PreferredLocation>) {
         // A call without its blocks leaves nothing behind that could be found.
         if !self.carries(ticket) {
             return;
@@ -490,7 +490,7 @@
     }
 
     /// The turn of a call that goes by another ticket from now on, and where it was to be served.
-    pub(super) fn take_turn(&mut self, ticket: Ticket) -> (Option<Turn>, Vec<Spot>) {
+    pub(super) fn take_turn(&mut self, ticket: Ticket) -> (Option<Turn>, Vec<PreferredLocation>) {
         let carried = self.turning.as_mut().and_then(|t| t.calls.remove(&ticket));
         carried.map_or((None, Vec::new()), |c| (Some(c.turn), c.advice))
     }
@@ -508,7 +508,7 @@
         };
         let loaded = t.residents(now, places.iter().filter_map(site), function, lanes);
         if !loaded.is_empty() {
-            let legacy = Legacy { loaded, ..Legacy::default() };
+            let legacy = HandoverState { loaded, ..HandoverState::default() };
             self.run_engine(|engine, out| engine.inherit(now, legacy, out));
         }
     }
--- a/node/src/upgrade.rs
+++ b/node/src/upgrade.rs
@@ -25,7 +25,7 @@
 use rustix::process::{pidfd_open, pidfd_send_signal, PidfdFlags, Signal};
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, SockAddr, Socket, Type};
-use wheellink::{Legacy, Loaded, Micros, Tally};
+use wheellink::{HandoverState, LoadedFunction, Micros, Tally};
 use wheellink_admission::State as Learnt;
 use wheellink_rollout::ClassTerms;
 
@@ -154,8 +154,8 @@
 
 impl State {
     /// Takes in what the module passes on.
-    pub fn set_legacy(&mut self, legacy: Legacy) {
-        let Legacy { mut loaded, tallies, served, sends, .. } = legacy;
+    pub fn set_legacy(&mut self, legacy: HandoverState) {
+        let HandoverState { mut loaded, tallies, served, sends, .. } = legacy;
         loaded.sort_by(|a, b| b.calls.total_cmp(&a.calls));
         let most = loaded.into_iter().take(MOST_LOADED);
         self.loaded = most
@@ -166,14 +166,20 @@
     }
 
     /// ... and gives it out.
-    pub fn legacy(&self) -> Legacy {
+    pub fn legacy(&self) -> HandoverState {
         let sends = self.sends.iter().map(|(host, times)| (host.as_str().into(), times.clone()));
         let (tallies, served) = (heard(&self.ration), self.served);
-        Legacy { loaded: self.loaded(), tallies, served, sends: sends.collect(), beside: false }
+        HandoverState {
+            loaded: self.loaded(),
+            tallies,
+            served,
+            sends: sends.collect(),
+            sender_keeps_running: false,
+        }
     }
 
-    fn loaded(&self) -> Vec<Loaded> {
-        let told = self.loaded.iter().map(|(worker, function, lanes, copies, until, calls)| Loaded {
+    fn loaded(&self) -> Vec<LoadedFunction> {
+        let told = self.loaded.iter().map(|(worker, function, lanes, copies, until, calls)| LoadedFunction {
             worker: worker.as_str().into(),
             function: function.as_str().into(),
             lanes: *lanes,
--- a/node/src/upgrade/tests.rs
+++ b/node/src/upgrade/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn what_is_passed_on_arrives_as_it_left() {
-    let loaded = (0..3).map(|i| Loaded {
+    let loaded = (0..3).map(|i| LoadedFunction {
         worker: "s-1".into(),
         function: format!("f{i}").as_str().into(),
         lanes: 2,
@@ -14,7 +14,8 @@
     });
     let tallies = vec![Tally { at: 100_000, calls: 7, orders: 2 }];
     let sends = vec![("s-2".into(), vec![5, 6])];
-    let mut legacy = Legacy { loaded: loaded.collect(), tallies, served: 12.5, sends, beside: false };
+    let mut legacy =
+        HandoverState { loaded: loaded.collect(), tallies, served: 12.5, sends, sender_keeps_running: false };
     let mut state = State { out: vec!["s-9".into()], ..State::default() };
     state.set_legacy(legacy.clone());
     let Message::State(heard) = serde_json::from_slice(&line(&Message::State(Box::new(state)))).unwrap()
--- a/node/tests/measure.rs
+++ b/node/tests/measure.rs
@@ -417,7 +417,7 @@
         size: 1.0,
         ready_at: 0,
     };
-    engine.hosts(now, ListKind::Cached, (0..hosts).map(entry).collect(), &mut out);
+    engine.update_hosts(now, ListKind::Cached, (0..hosts).map(entry).collect(), &mut out);
     let names: Vec<FunctionId> = (0..functions).map(|n| format!("{n:016x}").as_str().into()).collect();
     let mut rng = fastrand::Rng::with_seed(1);
     let mut answers = std::collections::VecDeque::new();
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -200,8 +200,8 @@
             cold_for: o.rules.cold_us,
             fall_multiple: o.rules.fall_multiple,
             fall_window: o.rules.fall_us,
-            me: o.ordinal,
-            tell: if o.limits.may_tell { LONGEST_WORD } else { 0 },
+            router_index: o.ordinal,
+            max_gossip_bytes: if o.limits.may_tell { LONGEST_WORD } else { 0 },
         };
         let transport = Transport {
             conn_idle: o.limits.conn_idle_us.unwrap_or(30_000_000),
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -174,7 +174,7 @@
                 finished: over.unwrap_or(false),
                 duration: duration_us.unwrap_or(0),
                 found: None,
-                crowd: None,
+                same_function_calls: None,
                 report: pressure.as_ref().and_then(|p| {
                     let figure = |name| p.get(name).and_then(Value::as_f64);
                     LoadReport::new(figure("outstanding")?, figure("backlog").unwrap_or(0.0))
@@ -197,7 +197,7 @@
             let octets = octets.as_ref().and_then(Value::as_str).unwrap_or_default();
             let data = octets.chars().map(u8::try_from).collect::<Result<_, _>>();
             match (u32::try_from(who), data) {
-                (Ok(from), Ok(data)) => ready(i, "NOTE_FROM", Event::Heard { from, data }),
+                (Ok(from), Ok(data)) => ready(i, "NOTE_FROM", Event::GossipReceived { from, data }),
                 _ => Ok(Line::Ignored { instance: i, name: "NOTE_FROM" }),
             }
         }
@@ -244,7 +244,7 @@
     pub fn new(seed: u64, options: Box<Options>) -> Result<Self, String> {
         let mut deployment = Deployment::try_from(*options).map_err(|e| format!("settings: {e}"))?;
         // A byte above 127 takes two on this wire.
-        deployment.settings.tell /= 2;
+        deployment.settings.max_gossip_bytes /= 2;
         Ok(Self { router: deployment.router(seed).map_err(|e| e.to_string())?, deployment })
     }
 
@@ -267,7 +267,7 @@
             }
             Raw::Answer { info, ending, mut event } => {
                 let told = &self.deployment.transport;
-                if let Event::Answer { found, crowd, .. } = &mut event {
+                if let Event::Answer { found, same_function_calls, .. } = &mut event {
                     *found = match (info & 7, ending) {
                         (1, Outcome::Done) if told.says_warm => Some(Found::Warm),
                         (2, Outcome::Done) if told.says_warm => Some(Found::BeganLoad),
@@ -276,7 +276,7 @@
                         _ => None,
                     };
                     let counted = told.counts_alike && matches!(ending, Outcome::Done | Outcome::Full);
-                    *crowd = counted.then_some((info >> 3).max(0) as u32);
+                    *same_function_calls = counted.then_some((info >> 3).max(0) as u32);
                 }
                 event
             }
@@ -318,7 +318,7 @@
         Action::Subscribe => json!({"event_type": "SUBSCRIBE", "I": i, "On": true}),
         Action::Wake { at } => json!({"event_type": "WAKE_ME", "I": i, "AlarmTimeUs": at, "Tag": "wake"}),
         // A byte a character, as what is told there is text.
-        Action::Tell { data } => json!({"event_type": "SAY", "I": i, "Addressee": "*",
+        Action::Broadcast { data } => json!({"event_type": "SAY", "I": i, "Addressee": "*",
             "Octets": data.iter().map(|b| char::from(*b)).collect::<String>()}),
         Action::Log { text } => json!({"event_type": "WRITE_LOG", "I": i, "Text": text}),
     };
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -15,7 +15,7 @@
 /// From the end of its client's side of the connection on, attempts of a request may begin for this long. A client
 /// that closes ends its side just as one that only sends no more, and what begins more than 100 ms after a client
 /// has gone is work for nobody; half of that is left to the loop and to the connection to the host.
-pub const HALF_CLOSE_GRACE: Micros = 50_000;
+pub const HALF_CLOSE_GRACE_US: Micros = 50_000;
 
 /// Timers that are kept before those of what has ended are looked for.
 const FEW_TIMERS: usize = 256;
@@ -78,14 +78,14 @@
     /// What the answer told of the copy.
     pub found: Option<Found>,
     /// Requests for the same function that the host held.
-    pub crowd: Option<u32>,
+    pub same_function_calls: Option<u32>,
     /// What the answer told of the host's load.
     pub report: Option<LoadReport>,
 }
 
 impl From<Outcome> for AttemptEnd {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, found: None, crowd: None, report: None }
+        Self { outcome, found: None, same_function_calls: None, report: None }
     }
 }
 
@@ -154,7 +154,7 @@
         host: WorkerId,
     },
     /// Tell all other activators this.
-    Tell {
+    Broadcast {
         /// What.
         data: Vec<u8>,
     },
@@ -267,32 +267,32 @@
 
     /// Takes a request. One final answer follows, now or later.
     pub fn request(&mut self, now: Micros, new: NewRequest, out: &mut Vec<Command>) -> Ticket {
-        self.request_again(now, new, Vec::new(), out)
+        self.request_with_past_attempts(now, new, Vec::new(), out)
     }
 
-    /// Takes a request that is best served at these spots; see [`Event::Advised`]. No spot changes nothing.
-    pub fn request_advised(
+    /// Takes a request that is best served at these spots; see [`Event::PreferredLocations`]. No spot changes nothing.
+    pub fn request_with_preferences(
         &mut self,
         now: Micros,
         new: NewRequest,
-        advice: Vec<Spot>,
+        advice: Vec<PreferredLocation>,
         out: &mut Vec<Command>,
     ) -> Ticket {
-        self.advise(now, advice, out);
+        self.prefer_locations(now, advice, out);
         self.request(now, new, out)
     }
 
-    /// The request that is taken next is best served at these spots; see [`Event::Advised`]. No spot changes nothing.
-    pub fn advise(&mut self, now: Micros, advice: Vec<Spot>, out: &mut Vec<Command>) {
+    /// The request that is taken next is best served at these spots; see [`Event::PreferredLocations`]. No spot changes nothing.
+    pub fn prefer_locations(&mut self, now: Micros, advice: Vec<PreferredLocation>, out: &mut Vec<Command>) {
         if !advice.is_empty() {
             self.advance(now);
-            self.tell(Event::Advised(advice), out);
+            self.deliver(Event::PreferredLocations(advice), out);
         }
     }
 
     /// Takes a request that had attempts in a process that is gone, all of which have ended. They count as this
     /// engine's own: for the number that it may have, and for where and whether it may be repeated or refused.
-    pub fn request_again(
+    pub fn request_with_past_attempts(
         &mut self,
         now: Micros,
         new: NewRequest,
@@ -305,7 +305,7 @@
         let ended =
             |p: &PastAttempt| Attempt { host: p.worker.clone(), sent: p.sent, called_off: None, ended: true };
         let attempts = past.iter().map(ended).collect();
-        let last_begin = new.half_closed.map_or(Micros::MAX, |since| since + HALF_CLOSE_GRACE);
+        let last_begin = new.half_closed.map_or(Micros::MAX, |since| since + HALF_CLOSE_GRACE_US);
         let open = Open { id: id.clone(), due: new.due, answered: false, last_begin, attempts };
         self.open.insert(ticket, open);
         self.arm(new.due, Timer::Due(ticket));
@@ -313,10 +313,10 @@
             self.arm(last_begin, Timer::LastBegin(ticket));
         }
         if !past.is_empty() {
-            self.tell(Event::Attempted(past), out);
+            self.deliver(Event::PastAttempts(past), out);
         }
         let NewRequest { class, tenant, function, due, lanes, repeat, hint, half_closed: _ } = new;
-        self.tell(Event::Arrival { request: id, class, tenant, function, due, lanes, repeat, hint }, out);
+        self.deliver(Event::Arrival { request: id, class, tenant, function, due, lanes, repeat, hint }, out);
         ticket
     }
 
@@ -326,18 +326,18 @@
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
         open.answered = true;
         let request = open.id.clone();
-        self.tell(Event::ClientLeft { request }, out);
+        self.deliver(Event::ClientLeft { request }, out);
         // The module may lack the right to cancel; work that nobody waits for still stops.
         self.call_off(ticket, Outcome::Cancelled, out);
         self.forget(ticket);
     }
 
     /// The request's client ended its side of the connection at `since`, and may have gone or wait for what is out.
-    /// An attempt that is out goes on; none begins later than [`HALF_CLOSE_GRACE`] after that.
+    /// An attempt that is out goes on; none begins later than [`HALF_CLOSE_GRACE_US`] after that.
     pub fn client_half_closed(&mut self, now: Micros, ticket: Ticket, since: Micros, out: &mut Vec<Command>) {
         self.advance(now);
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
-        let last_begin = since + HALF_CLOSE_GRACE;
+        let last_begin = since + HALF_CLOSE_GRACE_US;
         if last_begin >= open.last_begin {
             return;
         }
@@ -372,13 +372,13 @@
             finished: open.answered,
             duration: self.now - attempt.sent,
             found: end.found,
-            crowd: end.crowd,
+            same_function_calls: end.same_function_calls,
             report: end.report,
         };
         if served {
             out.push(Command::Answer { ticket: id.ticket, verdict: Verdict::Served(id) });
         }
-        self.tell(event, out);
+        self.deliver(event, out);
         self.settle_due(id.ticket, out);
         self.forget(id.ticket);
     }
@@ -394,29 +394,41 @@
     ) {
         self.advance(now);
         let Some(Order { host, function }) = self.orders.remove(&order) else { return };
-        self.tell(Event::LoadEnded { worker: host, function, outcome, copies }, out);
+        self.deliver(Event::LoadEnded { worker: host, function, outcome, copies }, out);
     }
 
     /// News of the host list.
-    pub fn hosts(&mut self, now: Micros, kind: ListKind, entries: Vec<ListEntry>, out: &mut Vec<Command>) {
+    pub fn update_hosts(
+        &mut self,
+        now: Micros,
+        kind: ListKind,
+        entries: Vec<ListEntry>,
+        out: &mut Vec<Command>,
+    ) {
         self.advance(now);
-        self.tell(Event::List { kind, entries }, out);
+        self.deliver(Event::List { kind, entries }, out);
     }
 
     /// What another activator told, by its number.
-    pub fn heard(&mut self, now: Micros, from: u32, data: Vec<u8>, out: &mut Vec<Command>) {
+    pub fn gossip_received(&mut self, now: Micros, from: u32, data: Vec<u8>, out: &mut Vec<Command>) {
         self.advance(now);
-        self.tell(Event::Heard { from, data }, out);
+        self.deliver(Event::GossipReceived { from, data }, out);
     }
 
     /// An operator takes a host out, whatever the list says, or puts it back.
-    pub fn bar(&mut self, now: Micros, worker: WorkerId, out: bool, commands: &mut Vec<Command>) {
+    pub fn set_out_of_service(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        out: bool,
+        commands: &mut Vec<Command>,
+    ) {
         self.advance(now);
-        self.tell(Event::Barred { worker, out }, commands);
+        self.deliver(Event::OutOfService { worker, out }, commands);
     }
 
     /// The settings have changed; they must have been checked. What is open goes on as it began.
-    pub fn settings(
+    pub fn update_settings(
         &mut self,
         now: Micros,
         settings: Settings,
@@ -425,20 +437,20 @@
     ) {
         self.advance(now);
         self.order_timeout = order_timeout;
-        self.tell(Event::Settings(Box::new(settings)), out);
+        self.deliver(Event::Settings(Box::new(settings)), out);
     }
 
     /// Takes other terms of the same classes and tenants, by the same indexes. What is open is held to the stricter of
     /// those it came under and these.
-    pub fn terms(&mut self, now: Micros, settings: Settings, out: &mut Vec<Command>) {
+    pub fn update_terms(&mut self, now: Micros, settings: Settings, out: &mut Vec<Command>) {
         self.advance(now);
-        self.tell(Event::Terms(Box::new(settings)), out);
+        self.deliver(Event::ClassTerms(Box::new(settings)), out);
     }
 
     /// What the process knew whose place this one takes.
-    pub fn inherit(&mut self, now: Micros, legacy: Legacy, out: &mut Vec<Command>) {
+    pub fn inherit(&mut self, now: Micros, legacy: HandoverState, out: &mut Vec<Command>) {
         self.advance(now);
-        self.tell(Event::Inherited(legacy), out);
+        self.deliver(Event::Handover(legacy), out);
     }
 
     /// Time has passed.
@@ -458,7 +470,7 @@
                 Timer::Wake if woken => {}
                 Timer::Wake => {
                     woken = true;
-                    self.tell(Event::Woken, out);
+                    self.deliver(Event::Woken, out);
                 }
             }
         }
@@ -503,7 +515,7 @@
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
         // What never had an attempt out is the module's to refuse or fail.
         if open.attempts.iter().all(|a| a.ended) {
-            self.tell(Event::Woken, out);
+            self.deliver(Event::Woken, out);
         }
         self.call_off(ticket, Outcome::TimedOut, out);
         self.settle_due(ticket, out);
@@ -518,7 +530,7 @@
         open.answered = true;
         out.push(Command::Answer { ticket, verdict: Verdict::TimedOut });
         let request = open.id.clone();
-        self.tell(Event::ClientLeft { request }, out);
+        self.deliver(Event::ClientLeft { request }, out);
     }
 
     /// No attempt of it begins from now on: the module decides whether it ends at once, and what has not begun to
@@ -528,7 +540,7 @@
         let request = open.id.clone();
         let is_out = |a: &Attempt| !a.ended && a.called_off.is_none();
         let last = open.attempts.iter().rposition(is_out);
-        self.tell(Event::NoFurtherAttempt { request }, out);
+        self.deliver(Event::NoFurtherAttempt { request }, out);
         if let Some(number) = last {
             out.push(Command::Withdraw { attempt: AttemptId { ticket, number: number as u32 } });
         }
@@ -562,7 +574,7 @@
     }
 
     /// Hands an event to the module and carries out what it decides.
-    fn tell(&mut self, event: Event, out: &mut Vec<Command>) {
+    fn deliver(&mut self, event: Event, out: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.scratch);
         self.module.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
@@ -596,7 +608,7 @@
                 self.arm(self.now + self.order_timeout, Timer::Order(order));
                 out.push(Command::Load { order, host: worker, function, copies });
             }
-            Action::Tell { data } => out.push(Command::Tell { data }),
+            Action::Broadcast { data } => out.push(Command::Broadcast { data }),
             Action::Wake { at } => self.arm(at, Timer::Wake),
             Action::Log { text } => out.push(Command::Log { text }),
             // Lists are pushed to every embedder of the engine.
@@ -625,10 +637,10 @@
                 finished: open.answered,
                 duration: 0,
                 found: None,
-                crowd: None,
+                same_function_calls: None,
                 report: None,
             };
-            return self.tell(event, out);
+            return self.deliver(event, out);
         }
         let due = open.due;
         let until = timeout.map_or(due, |t| due.min(now + t));
@@ -654,13 +666,13 @@
 
 impl Engine {
     /// Whether this activator tells others anything, and heeds what they tell.
-    pub fn tells(&self) -> bool {
-        self.module.tells()
+    pub fn gossip_enabled(&self) -> bool {
+        self.module.gossip_enabled()
     }
 
     /// What a process needs that takes this one's place.
-    pub fn legacy(&self) -> Legacy {
-        self.module.legacy()
+    pub fn handover_state(&self) -> HandoverState {
+        self.module.handover_state()
     }
 
     /// What was taken and ordered since then, for such a process.
@@ -675,13 +687,13 @@
     }
 
     /// The process beside this one decides this share of the calls, and is due as much of the ration of orders.
-    pub fn set_beside(&mut self, share: f64) {
-        self.module.set_beside(share);
+    pub fn set_peer_share(&mut self, share: f64) {
+        self.module.set_peer_share(share);
     }
 
     /// The process beside this one is gone: what it took and ordered counts as this one's own from now on.
-    pub fn alone(&mut self) {
-        self.module.alone();
+    pub fn peer_gone(&mut self) {
+        self.module.peer_gone();
     }
 
     /// Whether the host is not known to have all of its capacity yet.
--- a/src/gossip_exchange.rs
+++ b/src/gossip_exchange.rs
@@ -13,15 +13,15 @@
 
 impl Router {
     /// Whether this router tells others anything, and hears what they tell.
-    pub fn tells(&self) -> bool {
-        self.0.tells()
+    pub fn gossip_enabled(&self) -> bool {
+        self.0.gossip_enabled()
     }
 }
 
 impl Core {
     /// Whether routers of this fleet tell one another at all. Each does, whatever it sees itself: others may see less.
-    pub(crate) fn tells(&self) -> bool {
-        self.settings.tell > LEAST && self.settings.routers > 1
+    pub(crate) fn gossip_enabled(&self) -> bool {
+        self.settings.max_gossip_bytes > LEAST && self.settings.routers > 1
     }
 
     /// Whether this router hears of a host by its own calls less often than others tell of it: only then is what is told
@@ -33,7 +33,7 @@
 
     /// Something that the others may not know of this place.
     pub(crate) fn note(&mut self, n: &WorkerId, f: &FunctionId, word: Word) {
-        if self.tells() {
+        if self.gossip_enabled() {
             self.composer.note((function_key(f), host_key(n)), word);
         }
     }
@@ -43,14 +43,14 @@
     pub(crate) fn laden(&mut self, n: &WorkerId) {
         let until = self.now + LADEN;
         self.workers.entry(n.clone()).and_modify(|w| w.laden_until = until);
-        if self.tells() {
+        if self.gossip_enabled() {
             self.composer.note((NO_FUNCTION, host_key(n)), Word::Laden);
         }
     }
 
     /// Takes what another router told.
     pub(crate) fn hear(&mut self, from: u32, bytes: &[u8]) {
-        if !self.tells() || from >= self.settings.routers || from == self.settings.me {
+        if !self.gossip_enabled() || from >= self.settings.routers || from == self.settings.router_index {
             return;
         }
         let (now, keep) = (self.now, self.settings.keep);
@@ -71,7 +71,7 @@
     /// A function that is called here for the first time: what was heard of it counts.
     pub(crate) fn meet(&mut self, id: &FunctionId) {
         let key = function_key(id);
-        if !self.tells() || self.function_keys.get(&key).is_some_and(|known| known == id) {
+        if !self.gossip_enabled() || self.function_keys.get(&key).is_some_and(|known| known == id) {
             return;
         }
         self.function_keys.insert(key, id.clone());
@@ -99,7 +99,7 @@
 
     /// Forgets what is old and tells what is due.
     pub(crate) fn tell(&mut self, out: &mut Vec<Action>) {
-        if !self.tells() {
+        if !self.gossip_enabled() {
             // They may have been told until settings changed.
             return self.heard.well = false;
         }
@@ -130,7 +130,7 @@
             p.told_at = if word == Word::Gone { 0 } else { p.told_at.max(if due { now } else { 0 }) };
             due
         };
-        let data = self.composer.compose(&held, self.settings.tell, due);
-        out.extend(data.map(|data| Action::Tell { data }));
+        let data = self.composer.compose(&held, self.settings.max_gossip_bytes, due);
+        out.extend(data.map(|data| Action::Broadcast { data }));
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -166,9 +166,9 @@
     /// ... for this long.
     pub fall_window: Micros,
     /// This router's number among them, from 0.
-    pub me: u32,
+    pub router_index: u32,
     /// Bytes at most that one router may tell the others at once; 0: it may not.
-    pub tell: usize,
+    pub max_gossip_bytes: usize,
 }
 
 impl Settings {
@@ -251,7 +251,7 @@
 
 /// A function believed loaded on a worker, as one router tells its successor.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Loaded {
+pub struct LoadedFunction {
     /// Where.
     pub worker: WorkerId,
     /// Which function.
@@ -269,7 +269,7 @@
 /// What counts for the ration of orders in one short stretch of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// When the stretch began; it lasts [`Tally::LENGTH`].
+    /// When the stretch began; it lasts [`Tally::LENGTH_US`].
     pub at: Micros,
     /// Calls that widen the ration.
     pub calls: u32,
@@ -279,14 +279,14 @@
 
 impl Tally {
     /// How long a stretch is.
-    pub const LENGTH: Micros = 100_000;
+    pub const LENGTH_US: Micros = 100_000;
 }
 
 /// What a router tells the one that takes its place.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Legacy {
+pub struct HandoverState {
     /// What it believes loaded.
-    pub loaded: Vec<Loaded>,
+    pub loaded: Vec<LoadedFunction>,
     /// What it took and ordered lately: the ration counts both routers as one.
     pub tallies: Vec<Tally>,
     /// Answers a second that it would be given if all workers were warm, as far as it saw: starting workers get
@@ -295,7 +295,7 @@
     /// When it sent attempts to starting workers lately: what these can stand counts both routers as one.
     pub sends: Vec<(WorkerId, Vec<Micros>)>,
     /// It goes on beside this one: what it told is not told on as this one's own.
-    pub beside: bool,
+    pub sender_keeps_running: bool,
 }
 
 /// An attempt that a request had at a router that is gone. It has ended.
@@ -358,19 +358,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
     /// Requests that it holds.
-    pub holding: f64,
+    pub in_flight: f64,
     /// Of these, such as wait there and take no core; 0 where that is not told.
     pub waiting: f64,
 }
 
 impl LoadReport {
     /// More requests than any worker holds: a report above that is noise.
-    const MOST: f64 = 1e6;
+    const MAX_REQUESTS: f64 = 1e6;
 
     /// A report of these figures; `None` where one is none.
-    pub fn new(holding: f64, waiting: f64) -> Option<Self> {
-        let figures = [holding, waiting].iter().all(|n| (0.0..=Self::MOST).contains(n));
-        figures.then_some(Self { holding, waiting: waiting.min(holding) })
+    pub fn new(in_flight: f64, waiting: f64) -> Option<Self> {
+        let figures = [in_flight, waiting].iter().all(|n| (0.0..=Self::MAX_REQUESTS).contains(n));
+        figures.then_some(Self { in_flight, waiting: waiting.min(in_flight) })
     }
 }
 
@@ -430,7 +430,7 @@
         /// What it tells of the copy.
         found: Option<Found>,
         /// Requests for the same function that the worker held when this one came.
-        crowd: Option<u32>,
+        same_function_calls: Option<u32>,
         /// What the worker last reported of its load.
         report: Option<LoadReport>,
     },
@@ -451,7 +451,7 @@
         copies: u32,
     },
     /// An operator takes a worker out of service, whatever the list says, or puts it back.
-    Barred {
+    OutOfService {
         /// The worker.
         worker: WorkerId,
         /// Out, or back in.
@@ -461,31 +461,31 @@
     Settings(Box<Settings>),
     /// Other terms of the same classes and tenants, by the same indexes. What is open is held to the stricter of those
     /// it came under and these, from now on.
-    Terms(Box<Settings>),
+    ClassTerms(Box<Settings>),
     /// What another router told.
-    Heard {
+    GossipReceived {
         /// Its number.
         from: u32,
         /// What it told.
         data: Vec<u8>,
     },
     /// What the router knew whose place this one takes.
-    Inherited(Legacy),
+    Handover(HandoverState),
     /// The next [`Event::Arrival`] has had these attempts elsewhere: they count as this router's own.
-    Attempted(Vec<PastAttempt>),
-    /// The next [`Event::Arrival`] is best served at these spots, best first; [`MOST_ADVISED`] of them at most are
+    PastAttempts(Vec<PastAttempt>),
+    /// The next [`Event::Arrival`] is best served at these spots, best first; [`MAX_PREFERRED_LOCATIONS`] of them at most are
     /// heeded, and nothing else is changed by it: what may be used, and how much of it, stays this router's own affair.
-    Advised(Vec<Spot>),
+    PreferredLocations(Vec<PreferredLocation>),
     /// Time has passed; asked for by [`Action::Wake`].
     Woken,
 }
 
 /// Spots of an advice that are heeded.
-pub const MOST_ADVISED: usize = 3;
+pub const MAX_PREFERRED_LOCATIONS: usize = 3;
 
 /// Workers that an advice names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Spot {
+pub enum PreferredLocation {
     /// Those of a zone.
     Zone(u32),
     /// Those of a cell.
@@ -494,15 +494,15 @@
     Worker(WorkerId),
 }
 
-impl Spot {
+impl PreferredLocation {
     /// The first of the spots at which this worker stands; past all of them for one that is not advised.
-    pub(crate) fn rank(spots: &[Spot], worker: &WorkerId, zone: u32, cell: i64) -> usize {
-        let stands = |spot: &Spot| match spot {
-            Spot::Zone(z) => *z == zone,
-            Spot::Cell(c) => *c == cell,
-            Spot::Worker(w) => w == worker,
+    pub(crate) fn rank(spots: &[PreferredLocation], worker: &WorkerId, zone: u32, cell: i64) -> usize {
+        let stands = |spot: &PreferredLocation| match spot {
+            PreferredLocation::Zone(z) => *z == zone,
+            PreferredLocation::Cell(c) => *c == cell,
+            PreferredLocation::Worker(w) => w == worker,
         };
-        spots.iter().take(MOST_ADVISED).position(stands).unwrap_or(MOST_ADVISED)
+        spots.iter().take(MAX_PREFERRED_LOCATIONS).position(stands).unwrap_or(MAX_PREFERRED_LOCATIONS)
     }
 }
 
@@ -549,7 +549,7 @@
         copies: u32,
     },
     /// Tell all other routers this; it may be lost.
-    Tell {
+    Broadcast {
         /// What.
         data: Vec<u8>,
     },
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -20,7 +20,7 @@
 /// Mean number of requests within one window that each of `routers` may send, where the settings allow
 /// `allowed` from each. The whole part of it is sent for sure, the rest by lot: one request more, or
 /// none.
-pub fn part_of_one(allowed: f64, routers: f64) -> f64 {
+pub fn share_per_router(allowed: f64, routers: f64) -> f64 {
     let part = ESTIMATE_MARGIN * allowed;
     let left_to_chance = limit(allowed * routers) - part.floor() * routers;
     if routers <= left_to_chance {
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -168,8 +168,18 @@
                 self.forget(&request);
             }
             Event::NoFurtherAttempt { request } => self.limit_attempts(&request, out),
-            Event::Answer { request, attempt, worker, outcome, finished, duration, found, report, crowd } => {
-                self.learn_crowd(&request, &worker, found, crowd);
+            Event::Answer {
+                request,
+                attempt,
+                worker,
+                outcome,
+                finished,
+                duration,
+                found,
+                report,
+                same_function_calls,
+            } => {
+                self.learn_crowd(&request, &worker, found, same_function_calls);
                 let seen = (outcome, finished, duration, found, report);
                 self.answer(&request, attempt, &worker, seen, out);
             }
@@ -179,13 +189,13 @@
             Event::LoadEnded { worker, function, outcome, copies } => {
                 self.load_ended(&worker, &function, (outcome, copies), out)
             }
-            Event::Barred { worker, out } => self.bar(&worker, out),
+            Event::OutOfService { worker, out } => self.bar(&worker, out),
             Event::Settings(settings) => self.retune(*settings),
-            Event::Terms(settings) => self.rebind(*settings),
-            Event::Heard { from, data } => self.hear(from, &data),
-            Event::Inherited(legacy) => self.inherit(legacy),
-            Event::Attempted(past) => self.attempted(past),
-            Event::Advised(advice) => self.advice = advice,
+            Event::ClassTerms(settings) => self.rebind(*settings),
+            Event::GossipReceived { from, data } => self.hear(from, &data),
+            Event::Handover(legacy) => self.inherit(legacy),
+            Event::PastAttempts(past) => self.attempted(past),
+            Event::PreferredLocations(advice) => self.advice = advice,
             Event::Woken => {}
         }
         if self.wake_at <= self.now {
@@ -316,8 +326,8 @@
         // The ordinary path: warm with room, least loaded; of those about equal one at random, by size.
         // Where a prefix lies goes before load, as long as answers there are not slow.
         let advised = |n: &WorkerId, w: &Worker| match w.slow < PRESSURE {
-            true => Spot::rank(&r.advice, n, w.zone, w.cell),
-            false => MOST_ADVISED,
+            true => PreferredLocation::rank(&r.advice, n, w.zone, w.cell),
+            false => MAX_PREFERRED_LOCATIONS,
         };
         let mut best: Option<(usize, f64, f64, WorkerId)> = None;
         let mut waiting: Option<(f64, WorkerId)> = None;
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,7 +6,7 @@
 use crate::gossip::{host_key, Composer, Table, Word};
 use crate::hash::hash;
 use crate::interface::*;
-use crate::ramp::part_of_one;
+use crate::ramp::share_per_router;
 use crate::succession::Succession;
 
 /// Shares of fewer calls than this are taken as of so many.
@@ -183,7 +183,7 @@
     /// Drawn in (0, 1]; where only a part is admitted, those above it wait.
     pub(crate) lot: f64,
     /// Where it is best served, best first.
-    pub(crate) advice: Vec<Spot>,
+    pub(crate) advice: Vec<PreferredLocation>,
 }
 
 /// The decisions of one router. Feed it events in order; it answers with actions.
@@ -236,7 +236,7 @@
     /// Attempts elsewhere of the request that arrives next.
     pub(crate) past: Vec<Try>,
     /// ... and where it is best served.
-    pub(crate) advice: Vec<Spot>,
+    pub(crate) advice: Vec<PreferredLocation>,
     pub(crate) beside: Beside,
     pub(crate) heard: Table,
     pub(crate) composer: Composer,
@@ -285,12 +285,12 @@
 /// What is told to a router that takes another's place.
 impl Router {
     /// All that a router needs which takes this one's place.
-    pub fn legacy(&self) -> Legacy {
+    pub fn handover_state(&self) -> HandoverState {
         let sends = self.0.workers.iter().filter(|(_, w)| self.0.warmth(w) < 1.0);
         let sends = sends.map(|(n, w)| (n.clone(), w.cold_sends.iter().copied().collect())).collect();
         let (loaded, tallies) = (self.0.loaded(), self.0.tallies(0, false));
         let served = self.0.done_rate.max(self.0.capacity * self.0.totals.size);
-        Legacy { loaded, tallies, served, sends, beside: false }
+        HandoverState { loaded, tallies, served, sends, sender_keeps_running: false }
     }
 
     /// Calls and orders of its own since then that count for the ration, for such a router.
@@ -314,12 +314,12 @@
     }
 
     /// The router beside this one has this share of the calls, and is due as much of the ration.
-    pub fn set_beside(&mut self, share: f64) {
+    pub fn set_peer_share(&mut self, share: f64) {
         self.0.beside.share = if share.is_finite() { share.clamp(0.0, 1.0) } else { 0.0 };
     }
 
     /// The router beside this one is gone: what it told counts as this one's own from now on.
-    pub fn alone(&mut self) {
+    pub fn peer_gone(&mut self) {
         self.0.beside = Default::default();
     }
 
@@ -362,8 +362,8 @@
     /// Takes in a load report. It is late and counts our own too, which we know as of now: only its mean over
     /// some reports tells what the others have there.
     pub(crate) fn learn_others(&mut self, now: Micros, report: LoadReport) {
-        let holding = report.holding - f64::from(self.in_flight);
-        let running = report.holding - report.waiting - f64::from(self.in_flight - self.awaiting);
+        let holding = report.in_flight - f64::from(self.in_flight);
+        let running = report.in_flight - report.waiting - f64::from(self.in_flight - self.awaiting);
         let weight = if self.others.at == 0 { 1.0 } else { LEARN };
         let mean = |before: f64, now: f64| before + (now - before) * weight;
         let Others { holding: held, running: ran, .. } = self.others;
@@ -439,7 +439,7 @@
     /// Calls that all routers have out, as far as this one neither sees them nor could hear of them. Where routers tell one
     /// another, a moment without word is short, and what answers told in it would count for half a minute after.
     fn unseen(&self) -> f64 {
-        if self.tells() {
+        if self.gossip_enabled() {
             return 0.0;
         }
         let out = self.totals.in_flight * f64::from(self.settings.routers);
@@ -525,7 +525,7 @@
         }
         let served = self.capacity.max(self.warm_rate()) * w.size * s.fall_window as f64 / 1e6;
         let allowed = s.fall_multiple * self.warmth(w) * served;
-        part_of_one(allowed, f64::from(s.routers))
+        share_per_router(allowed, f64::from(s.routers))
     }
 
     pub(crate) fn mean_size(&self) -> f64 {
@@ -584,11 +584,11 @@
     }
 
     /// All that is believed loaded, for a router that takes this one's place.
-    pub(crate) fn loaded(&self) -> Vec<Loaded> {
+    pub(crate) fn loaded(&self) -> Vec<LoadedFunction> {
         let places =
             self.functions.iter().flat_map(|(id, f)| f.places.iter().map(move |(n, p)| (id, f, n, p)));
         let warm = places.filter(|(.., p)| p.warm_until > self.now);
-        let told = warm.map(|(id, f, n, p)| Loaded {
+        let told = warm.map(|(id, f, n, p)| LoadedFunction {
             worker: n.clone(),
             function: id.clone(),
             lanes: f.lanes,
@@ -602,7 +602,7 @@
     /// Calls and orders since then, for a router that takes this one's place: all of them, or its own.
     pub(crate) fn tallies(&self, since: Micros, own: bool) -> Vec<Tally> {
         let mut all: BTreeMap<Micros, Tally> = BTreeMap::new();
-        let slot = |t: &Micros| t - t.rem_euclid(Tally::LENGTH);
+        let slot = |t: &Micros| t - t.rem_euclid(Tally::LENGTH_US);
         let calls = self.arrivals.iter().map(|t| (*t, 1, 0));
         for (t, calls, orders) in calls.chain(self.orders.iter().map(|t| (*t, 0, 1))).filter(|t| t.0 > since)
         {
@@ -637,8 +637,8 @@
 
     /// Believes what another router believed, as far as this one has not learnt better, and counts what it
     /// took and ordered as its own: calls as early as they may have been, orders as late.
-    pub(crate) fn inherit(&mut self, legacy: Legacy) {
-        let Legacy { loaded, tallies, served, sends, beside } = legacy;
+    pub(crate) fn inherit(&mut self, legacy: HandoverState) {
+        let HandoverState { loaded, tallies, served, sends, sender_keeps_running } = legacy;
         let served =
             if served.is_finite() && self.totals.size > 0.0 { served / self.totals.size } else { 0.0 };
         self.capacity = self.capacity.max(served);
@@ -658,8 +658,8 @@
         for t in tallies.into_iter().filter(|t| t.at > start) {
             let at = self.arrivals.partition_point(|a| *a < t.at);
             (0..t.calls).for_each(|_| self.arrivals.insert(at, t.at));
-            let late = (0..t.orders).map(|_| t.at + Tally::LENGTH);
-            if beside {
+            let late = (0..t.orders).map(|_| t.at + Tally::LENGTH_US);
+            if sender_keeps_running {
                 self.beside.calls.extend((0..t.calls).map(|_| t.at));
                 self.beside.orders.extend(late.clone());
             }
--- a/tests/advice.rs
+++ b/tests/advice.rs
@@ -15,7 +15,7 @@
         ..entry(&format!("w{i}"), Condition::Up)
     };
     bed.event(Event::List { kind: ListKind::Full, entries: (0..6).map(at).collect() });
-    let loaded = (0..6).map(|i| Loaded {
+    let loaded = (0..6).map(|i| LoadedFunction {
         worker: format!("w{i}").as_str().into(),
         function: "f".into(),
         until: bed.now + 60 * S,
@@ -24,14 +24,14 @@
         copies: 2,
     });
     let loaded = loaded.collect();
-    bed.event(Event::Inherited(Legacy { loaded, ..Legacy::default() }));
+    bed.event(Event::Handover(HandoverState { loaded, ..HandoverState::default() }));
     bed
 }
 
 /// Workers as in [`bed`], with 40 routers that may tell one another so many bytes at once.
 fn bed_of_many(tell: usize) -> Bed {
     let mut bed = bed();
-    bed.event(Event::Settings(Box::new(Settings { routers: 40, tell, ..settings() })));
+    bed.event(Event::Settings(Box::new(Settings { routers: 40, max_gossip_bytes: tell, ..settings() })));
     bed
 }
 
@@ -46,7 +46,7 @@
             let (request, out) = bed.call(SAFE, "f");
             let worker = sent(&out).remove(0);
             // The first three hold twenty calls of the function, the others none.
-            let crowd = told.then_some(if worker.as_str() < "w3" { 20 } else { 0 });
+            let same_function_calls = told.then_some(if worker.as_str() < "w3" { 20 } else { 0 });
             bed.event(Event::Answer {
                 request,
                 attempt: 0,
@@ -55,7 +55,7 @@
                 finished: true,
                 duration: 50 * MS,
                 found: Some(Found::Warm),
-                crowd,
+                same_function_calls,
                 report: None,
             });
             to.push(worker);
@@ -72,8 +72,8 @@
     common::sent(out).map(|w| w.0.to_string()).into_iter().collect()
 }
 
-fn advised(bed: &mut Bed, spots: Vec<Spot>) -> String {
-    bed.event(Event::Advised(spots));
+fn advised(bed: &mut Bed, spots: Vec<PreferredLocation>) -> String {
+    bed.event(Event::PreferredLocations(spots));
     let (request, out) = bed.call(SAFE, "f");
     let to = sent(&out);
     assert_eq!(to.len(), 1, "{out:?}");
@@ -93,7 +93,7 @@
             bed.now += rng.i64(0..8 * MS);
             if empty {
                 log.extend(
-                    bed.event(Event::Advised(Vec::new()))
+                    bed.event(Event::PreferredLocations(Vec::new()))
                         .into_iter()
                         .filter(|a| !matches!(a, Action::Wake { .. })),
                 );
@@ -117,7 +117,7 @@
                     finished: outcome == Outcome::Done,
                     duration: 50 * MS,
                     found: None,
-                    crowd: None,
+                    same_function_calls: None,
                     report: None,
                 }));
             }
@@ -131,12 +131,12 @@
 }
 
 #[rstest]
-#[case::cell(vec![Spot::Cell(1)], &["w2", "w3"])]
-#[case::zone(vec![Spot::Zone(1)], &["w3", "w4", "w5"])]
-#[case::worker(vec![Spot::Worker("w4".into())], &["w4"])]
-#[case::best_first(vec![Spot::Worker("w1".into()), Spot::Cell(2)], &["w1"])]
-#[case::nobody_there(vec![Spot::Cell(77), Spot::Worker("w5".into())], &["w5"])]
-fn a_warm_worker_of_the_first_spot_is_taken(#[case] spots: Vec<Spot>, #[case] wanted: &[&str]) {
+#[case::cell(vec![PreferredLocation::Cell(1)], &["w2", "w3"])]
+#[case::zone(vec![PreferredLocation::Zone(1)], &["w3", "w4", "w5"])]
+#[case::worker(vec![PreferredLocation::Worker("w4".into())], &["w4"])]
+#[case::best_first(vec![PreferredLocation::Worker("w1".into()), PreferredLocation::Cell(2)], &["w1"])]
+#[case::nobody_there(vec![PreferredLocation::Cell(77), PreferredLocation::Worker("w5".into())], &["w5"])]
+fn a_warm_worker_of_the_first_spot_is_taken(#[case] spots: Vec<PreferredLocation>, #[case] wanted: &[&str]) {
     let mut bed = bed();
     for _ in 0..20 {
         let to = advised(&mut bed, spots.clone());
@@ -147,11 +147,12 @@
 #[test]
 fn only_three_spots_are_heeded_and_only_for_the_next_arrival() {
     let mut bed = bed();
-    let far = |i: i64| Spot::Cell(90 + i);
-    let tos: Vec<_> =
-        (0..60).map(|_| advised(&mut bed, vec![far(0), far(1), far(2), Spot::Worker("w0".into())])).collect();
+    let far = |i: i64| PreferredLocation::Cell(90 + i);
+    let tos: Vec<_> = (0..60)
+        .map(|_| advised(&mut bed, vec![far(0), far(1), far(2), PreferredLocation::Worker("w0".into())]))
+        .collect();
     assert!(tos.iter().any(|to| to != "w0"), "the fourth spot was heeded");
-    bed.event(Event::Advised(vec![Spot::Worker("w0".into())]));
+    bed.event(Event::PreferredLocations(vec![PreferredLocation::Worker("w0".into())]));
     let tos: Vec<_> = (0..60)
         .map(|_| {
             let (request, out) = bed.call(SAFE, "f");
@@ -167,22 +168,22 @@
 #[test]
 fn advice_moves_no_rule() {
     let mut bed = bed();
-    let w4 = || vec![Spot::Worker("w4".into())];
+    let w4 = || vec![PreferredLocation::Worker("w4".into())];
     let draining = ListEntry { cell: 2, zone: 1, ..entry("w4", Condition::Draining) };
     bed.event(Event::List { kind: ListKind::Delta, entries: vec![draining] });
     assert!((0..20).all(|_| advised(&mut bed, w4()) != "w4"), "a draining worker was sent something");
     let up = ListEntry { cell: 2, zone: 1, ..entry("w4", Condition::Up) };
     bed.event(Event::List { kind: ListKind::Delta, entries: vec![up] });
-    bed.event(Event::Barred { worker: "w4".into(), out: true });
+    bed.event(Event::OutOfService { worker: "w4".into(), out: true });
     assert!((0..20).all(|_| advised(&mut bed, w4()) != "w4"), "a barred worker was sent something");
     // A keyed call that may have run in zone 0 stays there.
-    bed.event(Event::Barred { worker: "w4".into(), out: false });
-    bed.event(Event::Attempted(vec![PastAttempt {
+    bed.event(Event::OutOfService { worker: "w4".into(), out: false });
+    bed.event(Event::PastAttempts(vec![PastAttempt {
         worker: "w0".into(),
         sent: bed.now - 10 * MS,
         outcome: Outcome::Reset,
     }]));
-    bed.event(Event::Advised(vec![Spot::Zone(1)]));
+    bed.event(Event::PreferredLocations(vec![PreferredLocation::Zone(1)]));
     let (_, out) = bed.call(KEYED, "f");
     let to = sent(&out);
     assert!(to.iter().all(|w| ["w0", "w1", "w2"].contains(&w.as_str())), "{to:?}");
@@ -190,7 +191,7 @@
     let mut bed = self::bed();
     let tos: Vec<String> = (0..12)
         .flat_map(|_| {
-            bed.event(Event::Advised(vec![Spot::Worker("w1".into())]));
+            bed.event(Event::PreferredLocations(vec![PreferredLocation::Worker("w1".into())]));
             sent(&bed.call(SAFE, "f").1)
         })
         .collect();
--- a/tests/beside.rs
+++ b/tests/beside.rs
@@ -28,7 +28,7 @@
 fn one_ration_for_two(#[values(0.01, 0.25, 0.5, 1.0)] share: f64, #[values(1, 2, 3, 4, 5)] seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut bed = Bed::new(rationed(), 3);
-    bed.router.set_beside(share);
+    bed.router.set_peer_share(share);
     let (mut calls, mut orders): (Vec<Micros>, Vec<Micros>) = (Vec::new(), Vec::new());
     let mut granted = 0;
     for n in 0..600 {
@@ -48,9 +48,13 @@
                 calls.push(bed.now);
             }
             2 => {
-                let at = bed.now - bed.now.rem_euclid(Tally::LENGTH);
+                let at = bed.now - bed.now.rem_euclid(Tally::LENGTH_US);
                 let tallies = vec![Tally { at, calls: 3, orders: 0 }];
-                bed.event(Event::Inherited(Legacy { tallies, beside: true, ..Legacy::default() }));
+                bed.event(Event::Handover(HandoverState {
+                    tallies,
+                    sender_keeps_running: true,
+                    ..HandoverState::default()
+                }));
                 calls.extend([bed.now; 3]);
             }
             _ => {
@@ -69,7 +73,7 @@
 #[test]
 fn a_burst_of_one_leaves_the_other_its_first_order() {
     let mut bed = Bed::new(rationed(), 3);
-    bed.router.set_beside(0.5);
+    bed.router.set_peer_share(0.5);
     let mut own = 0;
     for n in 0..8 {
         let (request, out) = bed.call(SAFE, &format!("f{n}"));
@@ -79,7 +83,7 @@
     }
     assert!(own >= 1 && bed.router.grant_order(bed.now), "{own}");
     // Without anybody beside it all of it is its own.
-    bed.router.set_beside(0.0);
+    bed.router.set_peer_share(0.0);
     assert!(!bed.router.grant_order(bed.now) || own < 3);
 }
 
@@ -88,17 +92,20 @@
 fn what_the_other_told_is_not_told_back() {
     let mut bed = Bed::new(rationed(), 2);
     counted(&mut bed, "f");
-    let at = bed.now - bed.now.rem_euclid(Tally::LENGTH);
-    let told =
-        |beside| Legacy { tallies: vec![Tally { at, calls: 7, orders: 0 }], beside, ..Legacy::default() };
-    bed.event(Event::Inherited(told(true)));
+    let at = bed.now - bed.now.rem_euclid(Tally::LENGTH_US);
+    let told = |sender_keeps_running| HandoverState {
+        tallies: vec![Tally { at, calls: 7, orders: 0 }],
+        sender_keeps_running,
+        ..HandoverState::default()
+    };
+    bed.event(Event::Handover(told(true)));
     assert!(bed.router.grant_order(bed.now));
     let sum = |tallies: Vec<Tally>| {
         tallies.iter().fold((0, 0), |(calls, orders), t| (calls + t.calls, orders + t.orders))
     };
     assert_eq!(sum(bed.router.tallies(0)), (1, 0));
-    assert_eq!(sum(bed.router.legacy().tallies), (8, 1), "whoever takes its place is told all");
-    bed.router.alone();
+    assert_eq!(sum(bed.router.handover_state().tallies), (8, 1), "whoever takes its place is told all");
+    bed.router.peer_gone();
     assert_eq!(sum(bed.router.tallies(0)), (8, 1));
 }
 
@@ -113,9 +120,13 @@
     for _ in 0..1000 {
         bed.now += 10 * MS;
         let sends = vec![("w0".into(), vec![bed.now])];
-        bed.event(Event::Inherited(Legacy { sends, beside: true, ..Legacy::default() }));
+        bed.event(Event::Handover(HandoverState {
+            sends,
+            sender_keeps_running: true,
+            ..HandoverState::default()
+        }));
     }
-    let kept = bed.router.legacy().sends;
+    let kept = bed.router.handover_state().sends;
     assert!(kept[0].1.len() <= 201, "those of 2 s: {}", kept[0].1.len());
 }
 
@@ -126,7 +137,7 @@
     let (now, mut out) = (100 * S, Vec::new());
     let zoned =
         |name: &&str| ListEntry { zone: u32::from(name.starts_with('z')), ..entry(name, Condition::Up) };
-    engine.hosts(now, ListKind::Cached, workers.iter().map(zoned).collect(), &mut out);
+    engine.update_hosts(now, ListKind::Cached, workers.iter().map(zoned).collect(), &mut out);
     let past = past.iter().map(|(worker, outcome)| PastAttempt {
         worker: (*worker).into(),
         sent: now - 100 * MS,
@@ -142,7 +153,7 @@
         hint: 0,
         half_closed: None,
     };
-    engine.request_again(now, new, past.collect(), &mut out);
+    engine.request_with_past_attempts(now, new, past.collect(), &mut out);
     for t in 1..60 {
         engine.tick(now + t * 20 * MS, &mut out);
     }
@@ -201,6 +212,6 @@
     let ended = Event::LoadEnded { worker, function: "f".into(), outcome: Outcome::NotSent, copies: 0 };
     let out = bed.event(ended);
     assert!(loads(&out).is_empty() && sent(&out).is_none(), "{out:?}");
-    assert_eq!(bed.router.legacy().loaded.len(), 1, "the copy that stands is still believed in");
+    assert_eq!(bed.router.handover_state().loaded.len(), 1, "the copy that stands is still believed in");
     assert_eq!(loads(&bed.call(SAFE, "f").1).len(), 1, "the next call wants it again");
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -174,7 +174,7 @@
     let kind = |aim, give_up, worth, effect| Class { aim, give_up, worth, late_worth: 0.2, ..class(effect) };
     Settings {
         routers,
-        tell,
+        max_gossip_bytes: tell,
         when_cold: WhenCold::Misses,
         classes: vec![
             kind(2 * S, 5 * S, 3.0, Effect::Safe),
@@ -202,7 +202,7 @@
     pub fn new(routers: usize, hosts: usize, functions: usize, tell: usize) -> Self {
         let mut settings = settings();
         settings.routers = routers as u32;
-        settings.tell = tell;
+        settings.max_gossip_bytes = tell;
         settings.when_cold = WhenCold::Misses;
         settings.load_budget = Some(LoadBudget { free: 2.0, share: 0.2, period: 10 * S });
         settings.cold_for = 8 * S;
@@ -260,13 +260,14 @@
     pub fn bears(&mut self, share: f64, multiple: f64) {
         (self.settings.cold_from, self.settings.fall_multiple) = (share, multiple);
         for r in 0..self.routers.len() {
-            let told = Settings { me: r as u32, ..self.settings.clone() };
+            let told = Settings { router_index: r as u32, ..self.settings.clone() };
             self.tell(r, Event::Settings(Box::new(told)));
         }
     }
 
     fn fresh(&self, me: usize, life: u64) -> Router {
-        Router::new(Settings { me: me as u32, ..self.settings.clone() }, me as u64 * 97 + life).unwrap()
+        Router::new(Settings { router_index: me as u32, ..self.settings.clone() }, me as u64 * 97 + life)
+            .unwrap()
     }
 
     /// A router starts anew with its last list alone.
@@ -416,7 +417,7 @@
     /// Tells every router settings that differ from those by which the hosts are judged.
     pub fn mislead(&mut self, change: impl Fn(&mut Settings)) {
         for r in 0..self.routers.len() {
-            let mut told = Settings { me: r as u32, ..self.settings.clone() };
+            let mut told = Settings { router_index: r as u32, ..self.settings.clone() };
             change(&mut told);
             self.tell(r, Event::Settings(Box::new(told)));
         }
@@ -590,9 +591,9 @@
                 let met = *crowd;
                 *crowd += u32::from(is_held(outcome));
                 let mut event = Self::end(request, (number, worker), outcome, after);
-                if let Event::Answer { report, crowd, found: told, .. } = &mut event {
+                if let Event::Answer { report, same_function_calls, found: told, .. } = &mut event {
                     if self.crowds && outcome == Outcome::Done {
-                        (*crowd, *told) = (Some(met.min(30)), Some(found));
+                        (*same_function_calls, *told) = (Some(met.min(30)), Some(found));
                     }
                     *report = if self.reports { LoadReport::new(f64::from(h.held), 0.0) } else { None };
                 }
@@ -626,13 +627,13 @@
                 let event = Event::LoadEnded { worker, function, outcome, copies };
                 self.at(at, Due::Answer { router, host, event });
             }
-            Action::Tell { data } => {
+            Action::Broadcast { data } => {
                 self.seen.told += data.len();
                 assert!(data.len() <= 256, "a longer datagram voids the run");
                 let hears =
                     |o: &usize| *o != router && !self.deaf.contains(o) && !self.mute.contains(&router);
                 for other in (0..self.routers.len()).filter(hears).collect::<Vec<_>>() {
-                    let event = |data| Event::Heard { from: router as u32, data };
+                    let event = |data| Event::GossipReceived { from: router as u32, data };
                     let (soon, late) = (now + self.rng.i64(MS..20 * MS), now + 900 * MS);
                     match (self.post, self.rng.u8(..3)) {
                         (Post::Lost, _) => {}
@@ -662,8 +663,18 @@
     ) -> Event {
         let finished = outcome == Outcome::Done;
         let found = finished.then_some(Found::Warm);
-        let (crowd, report) = (None, None);
-        Event::Answer { request, attempt, worker, outcome, finished, duration, found, crowd, report }
+        let (same_function_calls, report) = (None, None);
+        Event::Answer {
+            request,
+            attempt,
+            worker,
+            outcome,
+            finished,
+            duration,
+            found,
+            same_function_calls,
+            report,
+        }
     }
 
     fn kept_drain(&self, router: usize, host: &str) {
@@ -768,7 +779,7 @@
     pub fn believed_wrongly(&self) -> Vec<String> {
         let mut wrong = Vec::new();
         for (r, router) in self.routers.iter().enumerate() {
-            for l in router.legacy().loaded {
+            for l in router.handover_state().loaded {
                 let name = l.worker.0.to_string();
                 let Some(host) = self.hosts.get(&name) else { continue };
                 let told = self.starts.get(&(r, name.clone())) == Some(&host.started);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -38,8 +38,8 @@
         cold_for: 10 * S,
         fall_multiple: 2.0,
         fall_window: 2 * S,
-        me: 0,
-        tell: 0,
+        router_index: 0,
+        max_gossip_bytes: 0,
     }
 }
 
@@ -110,7 +110,7 @@
             finished: outcome == Outcome::Done,
             duration: 50 * MS,
             found: None,
-            crowd: None,
+            same_function_calls: None,
             report: None,
         })
     }
@@ -125,7 +125,7 @@
             finished: true,
             duration,
             found: Some(Found::Warm),
-            crowd: None,
+            same_function_calls: None,
             report: None,
         })
     }
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use wheellink::engine::{AttemptId, Command, NewRequest, OrderId, Verdict, HALF_CLOSE_GRACE};
+use wheellink::engine::{AttemptId, Command, NewRequest, OrderId, Verdict, HALF_CLOSE_GRACE_US};
 use wheellink::*;
 
 const HOSTS: usize = 4;
@@ -85,7 +85,7 @@
     }
 
     fn may_begin(&self, now: Micros) -> bool {
-        self.is_owed() && self.half_closed.is_none_or(|since| now <= since + HALF_CLOSE_GRACE)
+        self.is_owed() && self.half_closed.is_none_or(|since| now <= since + HALF_CLOSE_GRACE_US)
     }
 
     fn out(&self) -> Option<u32> {
@@ -154,7 +154,7 @@
             self.listed.clear();
         }
         self.listed.extend(entries.iter().map(|e| (e.worker.clone(), e.condition)));
-        self.engine.hosts(self.now, kind, entries, &mut self.commands);
+        self.engine.update_hosts(self.now, kind, entries, &mut self.commands);
         self.obey();
     }
 
@@ -173,7 +173,7 @@
                     Command::Answer { ticket, verdict } => self.answer(ticket, verdict),
                     Command::Load { order, .. } => drop(self.orders.insert(order)),
                     Command::Unload { .. } | Command::Probe { .. } => {}
-                    Command::Tell { .. } | Command::Log { .. } => {}
+                    Command::Broadcast { .. } | Command::Log { .. } => {}
                 }
             }
         }
@@ -363,7 +363,7 @@
         if out {
             self.barred.insert(host.clone());
         }
-        self.engine.bar(self.now, host, out, &mut self.commands);
+        self.engine.set_out_of_service(self.now, host, out, &mut self.commands);
         self.obey();
     }
 
@@ -373,7 +373,7 @@
         for r in self.requests.values_mut() {
             r.most = r.most.max(attempts);
         }
-        self.engine.settings(self.now, self.settings.clone(), S, &mut self.commands);
+        self.engine.update_settings(self.now, self.settings.clone(), S, &mut self.commands);
         self.obey();
     }
 
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use rstest::rstest;
-use wheellink::engine::{AttemptId, Command, NewRequest, OrderId, Verdict, HALF_CLOSE_GRACE};
+use wheellink::engine::{AttemptId, Command, NewRequest, OrderId, Verdict, HALF_CLOSE_GRACE_US};
 use wheellink::*;
 
 struct Rig {
@@ -19,7 +19,7 @@
         let mut rig =
             Self { engine: Engine::new(Router::new(settings, 7).unwrap(), S), now: 100 * S, out: vec![] };
         let entries = (0..hosts).map(|i| entry(&format!("w{i}"), Condition::Up)).collect();
-        rig.engine.hosts(rig.now, ListKind::Cached, entries, &mut rig.out);
+        rig.engine.update_hosts(rig.now, ListKind::Cached, entries, &mut rig.out);
         rig
     }
 
@@ -210,7 +210,7 @@
     let mut rig = Rig::new(WhenCold::Misses, 1);
     let ticket = held(&mut rig, class);
     rig.engine.client_half_closed(rig.now, ticket, rig.now, &mut rig.out);
-    rig.pass(HALF_CLOSE_GRACE - MS);
+    rig.pass(HALF_CLOSE_GRACE_US - MS);
     assert!(rig.answers().is_empty(), "within the grace it may still go on");
     rig.pass(2 * MS);
     assert!(matches!(rig.answers()[..], [Verdict::Refused { .. }]), "{:?}", rig.answers());
@@ -225,7 +225,7 @@
     let mut rig = Rig::new(WhenCold::Misses, 1);
     let ticket = held(&mut rig, SAFE);
     rig.engine.client_half_closed(rig.now, ticket, rig.now, &mut rig.out);
-    rig.now += HALF_CLOSE_GRACE / 2;
+    rig.now += HALF_CLOSE_GRACE_US / 2;
     let order = rig.orders()[0];
     rig.engine.order_ended(rig.now, order, Outcome::Done, 1, &mut rig.out);
     let second = rig.sends()[1];
@@ -246,10 +246,10 @@
     let ticket = rig.request(SAFE, 4 * S);
     rig.engine.client_half_closed(rig.now, ticket, rig.now, &mut rig.out);
     if looked {
-        rig.pass(HALF_CLOSE_GRACE + 10 * MS);
+        rig.pass(HALF_CLOSE_GRACE_US + 10 * MS);
         assert!(rig.out.contains(&Command::Withdraw { attempt: rig.sends()[0] }));
     } else {
-        rig.now += HALF_CLOSE_GRACE + 10 * MS;
+        rig.now += HALF_CLOSE_GRACE_US + 10 * MS;
     }
     assert_eq!((rig.answers().len(), rig.cancels()), (0, 0));
     let first = rig.sends()[0];
@@ -264,7 +264,7 @@
     let ticket = rig.request(UNSAFE, 4 * S);
     let first = rig.sends()[0];
     rig.engine.client_half_closed(rig.now, ticket, rig.now, &mut rig.out);
-    rig.pass(HALF_CLOSE_GRACE + MS);
+    rig.pass(HALF_CLOSE_GRACE_US + MS);
     assert!(rig.out.contains(&Command::Withdraw { attempt: first }));
     rig.end(first, Outcome::NotSent);
     assert!(matches!(rig.answers()[..], [Verdict::Refused { .. }]), "{:?}", rig.answers());
@@ -275,7 +275,7 @@
 #[test]
 fn a_request_whose_client_ended_its_side_long_ago_is_not_begun() {
     let mut rig = Rig::new(WhenCold::Loads, 1);
-    let (due, half_closed) = (rig.now + S, Some(rig.now - HALF_CLOSE_GRACE - MS));
+    let (due, half_closed) = (rig.now + S, Some(rig.now - HALF_CLOSE_GRACE_US - MS));
     let function = "f".into();
     let new = NewRequest {
         class: SAFE,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -68,17 +68,22 @@
 
 /// A router of twelve that has heard of the others, with five workers.
 fn told_bed() -> Bed {
-    let large =
-        Settings { routers: 12, tell: 256, when_cold: WhenCold::Misses, fall_multiple: 6.0, ..settings() };
-    let mut other = Bed::new(Settings { me: 1, ..large.clone() }, 5);
+    let large = Settings {
+        routers: 12,
+        max_gossip_bytes: 256,
+        when_cold: WhenCold::Misses,
+        fall_multiple: 6.0,
+        ..settings()
+    };
+    let mut other = Bed::new(Settings { router_index: 1, ..large.clone() }, 5);
     other.call(SAFE, "something");
     let word = other.pass(S).into_iter().find_map(|a| match a {
-        Action::Tell { data } => Some(data),
+        Action::Broadcast { data } => Some(data),
         _ => None,
     });
     let mut bed = Bed::new(large, 5);
     for from in 1..12 {
-        bed.event(Event::Heard { from, data: word.clone().expect("a word") });
+        bed.event(Event::GossipReceived { from, data: word.clone().expect("a word") });
     }
     bed.pass(200 * MS);
     bed
@@ -146,14 +151,14 @@
     assert_ne!(other, home);
     // What it learnt reaches the others: none of them orders there either.
     let word = bed.pass(S).into_iter().find_map(|a| match a {
-        Action::Tell { data } => Some(data),
+        Action::Broadcast { data } => Some(data),
         _ => None,
     });
     let mut fellow = told_bed();
     let (r, out) = fellow.call(SAFE, "f");
     assert_eq!(sent(&out), Some(home.clone()), "the same order of hosts at each");
     fellow.pass(700 * MS);
-    fellow.event(Event::Heard { from: 2, data: word.expect("a word") });
+    fellow.event(Event::GossipReceived { from: 2, data: word.expect("a word") });
     let out = fellow.answer(&r, 0, &home, Outcome::Miss);
     // It goes where the first one has its copy loaded by now, and no order goes to the one without room.
     assert_eq!((sent(&out), loads(&out).len()), (Some(other), 0), "{out:?}");
@@ -163,15 +168,16 @@
 /// any. A router stays with those that it has to do with, and no host is crowded for it.
 #[test]
 fn a_router_stays_with_hosts_that_it_holds_connections_to() {
-    let settings = Settings { routers: 300, tell: 256, when_cold: WhenCold::Misses, ..settings() };
+    let settings =
+        Settings { routers: 300, max_gossip_bytes: 256, when_cold: WhenCold::Misses, ..settings() };
     let mut firsts = std::collections::BTreeSet::new();
     for seed in 0..30 {
         let mut bed = Bed::new(settings.clone(), 5);
         bed.router = Router::new(settings.clone(), seed).unwrap();
         let entries = (0..5).map(|i| entry(&format!("w{i}"), Condition::Up)).collect();
         bed.event(Event::List { kind: ListKind::Cached, entries });
-        (1..300).for_each(|from| drop(bed.event(Event::Heard { from, data: nothing(1) })));
-        let loaded = (0..5).map(|i| Loaded {
+        (1..300).for_each(|from| drop(bed.event(Event::GossipReceived { from, data: nothing(1) })));
+        let loaded = (0..5).map(|i| LoadedFunction {
             worker: format!("w{i}").as_str().into(),
             function: "f".into(),
             lanes: 4,
@@ -179,14 +185,14 @@
             until: bed.now + 9 * S,
             calls: 10.0,
         });
-        let legacy = Legacy { loaded: loaded.collect(), ..Legacy::default() };
-        bed.event(Event::Inherited(legacy));
+        let legacy = HandoverState { loaded: loaded.collect(), ..HandoverState::default() };
+        bed.event(Event::Handover(legacy));
         bed.pass(300 * MS);
         let first = bed.serve(SAFE, "f");
         for number in 2..22 {
             // Seldom: one that sees each host several times between two words goes by what it sees.
             bed.pass(400 * MS);
-            (1..300).for_each(|from| drop(bed.event(Event::Heard { from, data: nothing(number) })));
+            (1..300).for_each(|from| drop(bed.event(Event::GossipReceived { from, data: nothing(number) })));
             assert_eq!(bed.serve(SAFE, "f"), first, "all stand loaded, and one is held");
         }
         firsts.insert(first);
@@ -205,7 +211,7 @@
     // Its copy lies idle until it is gone. The others speak all the while, and not of it.
     for number in 0..30 {
         for from in 1..12 {
-            bed.event(Event::Heard { from, data: nothing(number) });
+            bed.event(Event::GossipReceived { from, data: nothing(number) });
         }
         bed.pass(300 * MS);
     }
@@ -229,23 +235,23 @@
         data
     };
     for from in [0, 12, 13, 999, u32::MAX] {
-        bed.event(Event::Heard { from, data: word(200) });
+        bed.event(Event::GossipReceived { from, data: word(200) });
     }
     let older = [vec![0x56, 1, 0], vec![], vec![0x57], vec![0x57; 256], word(1)[..9].to_vec()];
-    older.into_iter().for_each(|data| drop(bed.event(Event::Heard { from: 3, data })));
+    older.into_iter().for_each(|data| drop(bed.event(Event::GossipReceived { from: 3, data })));
     assert_eq!(bed.router.entries(), before, "its own number, none of the fleet's, and what cannot be read");
 
     // One that takes another's number is believed as that one, no more: a datagram replaces the last.
     let large = |routers| Settings {
         routers,
-        tell: 256,
+        max_gossip_bytes: 256,
         when_cold: WhenCold::Misses,
         fall_multiple: 6.0,
         ..settings()
     };
     bed.event(Event::Settings(Box::new(large(1000))));
     for number in 0..20 {
-        (1..1100).for_each(|from| drop(bed.event(Event::Heard { from, data: word(number) })));
+        (1..1100).for_each(|from| drop(bed.event(Event::GossipReceived { from, data: word(number) })));
         bed.pass(100 * MS);
     }
     let grown = bed.router.entries();
@@ -258,7 +264,7 @@
     bed.answer(&r, 0, &worker, Outcome::Done);
     for routers in [5, 12, 1] {
         bed.event(Event::Settings(Box::new(large(routers))));
-        (0..1100).for_each(|from| drop(bed.event(Event::Heard { from, data: word(77) })));
+        (0..1100).for_each(|from| drop(bed.event(Event::GossipReceived { from, data: word(77) })));
         bed.pass(6 * S);
         let (r, out) = bed.call(SAFE, "g");
         let worker = sent(&out).or_else(|| loads(&out).first().map(|l| l.0.clone()));
@@ -289,7 +295,7 @@
             finished: true,
             duration: patience,
             found: None,
-            crowd: None,
+            same_function_calls: None,
             report: None,
         });
         let rested = out.iter().any(|a| matches!(a, Action::Log { text } if text.contains("rests")));
@@ -301,9 +307,9 @@
 /// often a router hears of a host itself. Two routers; the other has ten calls out at one of two hosts.
 #[test]
 fn what_is_told_is_heeded_where_hosts_are_seldom_seen() {
-    let two = Settings { routers: 2, tell: 256, when_cold: WhenCold::Misses, ..settings() };
+    let two = Settings { routers: 2, max_gossip_bytes: 256, when_cold: WhenCold::Misses, ..settings() };
     let copies = |names: &[&str], until| {
-        let copy = |n: &&str| Loaded {
+        let copy = |n: &&str| LoadedFunction {
             worker: (*n).into(),
             function: "f".into(),
             lanes: 16,
@@ -311,15 +317,21 @@
             until,
             calls: 10.0,
         };
-        Event::Inherited(Legacy { loaded: names.iter().map(copy).collect(), ..Legacy::default() })
+        Event::Handover(HandoverState {
+            loaded: names.iter().map(copy).collect(),
+            ..HandoverState::default()
+        })
     };
-    let mut other = Bed::new(Settings { me: 1, ..two.clone() }, 1);
+    let mut other = Bed::new(Settings { router_index: 1, ..two.clone() }, 1);
     other.event(copies(&["w0"], other.now + 9 * S));
     (0..10).for_each(|_| drop(other.call(SAFE, "f")));
     let told = |other: &mut Bed| {
         let out = other.pass(250 * MS);
-        let data = |a| if let Action::Tell { data } = a { Some(data) } else { None };
-        Event::Heard { from: 1, data: out.into_iter().find_map(data).expect("two tell each other as well") }
+        let data = |a| if let Action::Broadcast { data } = a { Some(data) } else { None };
+        Event::GossipReceived {
+            from: 1,
+            data: out.into_iter().find_map(data).expect("two tell each other as well"),
+        }
     };
     for (calls_a_word, heeded) in [(1, true), (12, false)] {
         let mut bed = Bed::new(two.clone(), 2);
@@ -346,7 +358,7 @@
     bed.event(copies(&["w0", "w1"], bed.now + 99 * S));
     bed.event(told(&mut other));
     bed.pass(100 * MS);
-    bed.event(Event::Settings(Box::new(Settings { tell: 0, ..two })));
+    bed.event(Event::Settings(Box::new(Settings { max_gossip_bytes: 0, ..two })));
     bed.pass(100 * MS);
     assert!((0..20).any(|_| &*bed.serve(SAFE, "f").0 == "w0"), "words of before the reload count no more");
 }
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -60,7 +60,7 @@
         zone: labels.zones[rng.usize(..3)],
         when_cold: if misses { WhenCold::Misses } else { WhenCold::Loads },
         load_budget: misses.then_some(LoadBudget { free: 2.0, share: 0.2, period: 10 * S }),
-        tell: if rng.bool() { 256 } else { 0 },
+        max_gossip_bytes: if rng.bool() { 256 } else { 0 },
         ..settings()
     }
 }
@@ -101,7 +101,7 @@
             // No more than that its sender lives: keys of hosts are hashes of their names.
             let mut data = vec![0x57, step as u8, 0];
             data[2] = data.iter().fold(0x9d, |sum: u8, b| (sum.rotate_left(3) ^ b).wrapping_add(7));
-            Event::Heard { from: 1 + rng.u32(..routers - 1), data }
+            Event::GossipReceived { from: 1 + rng.u32(..routers - 1), data }
         } else {
             next += 1;
             let due = now + rng.i64(200 * MS..2 * S);
@@ -132,7 +132,7 @@
                     let duration = rng.i64(MS..400 * MS);
                     let finished = outcome == Outcome::Done;
                     let (attempt, found) = (std::mem::replace(attempt, *attempt + 1), None);
-                    let (crowd, report) = (None, None);
+                    let (same_function_calls, report) = (None, None);
                     let event = Event::Answer {
                         request,
                         attempt,
@@ -141,7 +141,7 @@
                         finished,
                         duration,
                         found,
-                        crowd,
+                        same_function_calls,
                         report,
                     };
                     ends.insert((now + duration, step), event);
--- a/tests/mass.rs
+++ b/tests/mass.rs
@@ -112,8 +112,9 @@
 /// clients leave. What it remembers at the end is what it remembered at half time.
 #[test]
 fn what_a_router_remembers_settles() {
-    let large = Settings { routers: 12, tell: 256, when_cold: WhenCold::Misses, ..settings() };
-    let (mut bed, mut other) = (Bed::new(large.clone(), 8), Bed::new(Settings { me: 1, ..large }, 8));
+    let large = Settings { routers: 12, max_gossip_bytes: 256, when_cold: WhenCold::Misses, ..settings() };
+    let (mut bed, mut other) =
+        (Bed::new(large.clone(), 8), Bed::new(Settings { router_index: 1, ..large }, 8));
     let mut rng = fastrand::Rng::with_seed(5);
     let mut entries = Vec::new();
     for second in 0..7200 {
@@ -143,8 +144,8 @@
         }
         bed.pass(S);
         for action in other.pass(S) {
-            if let Action::Tell { data } = action {
-                (1..12).for_each(|from| drop(bed.event(Event::Heard { from, data: data.clone() })));
+            if let Action::Broadcast { data } = action {
+                (1..12).for_each(|from| drop(bed.event(Event::GossipReceived { from, data: data.clone() })));
             }
         }
         // A router's tables breathe with its halvings: a mean over some minutes is what settles.
--- a/tests/no_connection.rs
+++ b/tests/no_connection.rs
@@ -13,7 +13,7 @@
 
 /// Where only orders load, and no ration bounds them.
 fn loaded_by_orders(routers: u32, tell: usize) -> Bed {
-    Bed::new(Settings { when_cold: WhenCold::Misses, routers, tell, ..settings() }, WORKERS)
+    Bed::new(Settings { when_cold: WhenCold::Misses, routers, max_gossip_bytes: tell, ..settings() }, WORKERS)
 }
 
 fn attempt_ends(bed: &mut Bed, request: &RequestId, worker: &WorkerId, outcome: Outcome) -> Vec<Action> {
@@ -25,7 +25,7 @@
         finished: false,
         duration: 0,
         found: None,
-        crowd: None,
+        same_function_calls: None,
         report: None,
     })
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -177,7 +177,7 @@
                     assert!(*at > now);
                     wakes.push(*at);
                 }
-                Action::Tell { data } => assert!(data.len() <= 256),
+                Action::Broadcast { data } => assert!(data.len() <= 256),
                 Action::Subscribe | Action::Log { .. } => {}
             }
         }
@@ -195,7 +195,7 @@
         finished: over,
         duration: took,
         found: None,
-        crowd: None,
+        same_function_calls: None,
         report: None,
     }
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -11,7 +11,7 @@
 use common::fleet::*;
 use common::*;
 use rstest::rstest;
-use wheellink::ramp::part_of_one;
+use wheellink::ramp::share_per_router;
 use wheellink::*;
 
 /// What the settings allow cold hosts, and what a call takes there.
@@ -94,7 +94,7 @@
     let Case { site, routers, gossip, trouble, flaw, seed, hosts } = case;
     let mut settings = Settings {
         routers,
-        tell: if gossip == Gossip::Off { 0 } else { 256 },
+        max_gossip_bytes: if gossip == Gossip::Off { 0 } else { 256 },
         when_cold: WhenCold::Misses,
         load_budget: Some(LoadBudget { free: 2.0, share: 0.2, period: 10 * S }),
         cold_from: site.cold_from,
@@ -263,7 +263,7 @@
 fn lots_take_the_sum_of_all_parts_beyond_the_limit_in_next_to_no_window() {
     for routers in [1, 2, 3, 5, 10, 20, 30, 100, 300, 1000] {
         for allowed in (1..=400).map(|n| f64::from(n) / 2.0) {
-            let part = part_of_one(allowed / f64::from(routers), f64::from(routers));
+            let part = share_per_router(allowed / f64::from(routers), f64::from(routers));
             let left = fall_limit(allowed) - part.floor() * f64::from(routers);
             let beyond = more_than(left, routers, part.fract());
             assert!(beyond < 4e-6, "{routers} routers, {allowed} allowed, parts of {part:.3}: {beyond:.1e}");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -20,7 +20,7 @@
     let strict = |effect, attempts| {
         let mut s = settings();
         (s.classes[SAFE].effect, s.classes[SAFE].attempts) = (effect, attempts);
-        Event::Terms(Box::new(s))
+        Event::ClassTerms(Box::new(s))
     };
     for (terms, again) in [
         (strict(Effect::Safe, None), true),
@@ -316,7 +316,7 @@
                 finished: true,
                 duration: 900 * MS,
                 found: Some(Found::Warm),
-                crowd: None,
+                same_function_calls: None,
                 report: None,
             });
         }
@@ -630,7 +630,7 @@
                 finished: true,
                 duration: 1000 * MS,
                 found: None,
-                crowd: None,
+                same_function_calls: None,
                 report: None,
             });
         }
@@ -672,13 +672,13 @@
 fn a_worker_out_by_hand_gets_nothing_until_it_is_put_back() {
     let mut bed = Bed::new(Settings { when_cold: WhenCold::Misses, ..settings() }, 3);
     let home = bed.serve(SAFE, "f");
-    bed.event(Event::Barred { worker: home.clone(), out: true });
+    bed.event(Event::OutOfService { worker: home.clone(), out: true });
     for condition in [Condition::Gone, Condition::Up] {
         bed.event(Event::List { kind: ListKind::Delta, entries: vec![entry(&home.0, condition)] });
     }
     let elsewhere: Vec<_> = (0..20).map(|_| bed.serve(SAFE, "f")).collect();
     assert!(!elsewhere.contains(&home));
-    bed.event(Event::Barred { worker: home.clone(), out: false });
+    bed.event(Event::OutOfService { worker: home.clone(), out: false });
     let (r, out) = bed.call(SAFE, "f");
     let ordered: Vec<_> = loads(&out).into_iter().map(|(n, ..)| n).collect();
     assert_eq!((sent(&out).as_ref(), ordered), (elsewhere.last(), vec![home.clone()]));
@@ -716,7 +716,7 @@
     // One call of each that finds nothing where it goes first, so that the order alone does not tell.
     for (i, place) in places.iter().enumerate() {
         let other = format!("w{}", (0..9).find(|n| format!("w{n}") != *place.0).unwrap());
-        let told = Loaded {
+        let told = LoadedFunction {
             worker: other.as_str().into(),
             function: format!("f{i}").as_str().into(),
             lanes: 2,
@@ -724,10 +724,11 @@
             until: new.now + 5 * S,
             calls: 3.0,
         };
-        new.event(Event::Inherited(Legacy { loaded: vec![told], ..Legacy::default() }));
+        new.event(Event::Handover(HandoverState { loaded: vec![told], ..HandoverState::default() }));
         assert_eq!(&*new.serve(SAFE, &format!("f{i}")).0, other);
     }
-    let told: Vec<_> = old.router.legacy().loaded.into_iter().map(|l| (l.function, l.worker)).collect();
+    let told: Vec<_> =
+        old.router.handover_state().loaded.into_iter().map(|l| (l.function, l.worker)).collect();
     assert!(places
         .iter()
         .enumerate()
@@ -754,7 +755,7 @@
     assert_eq!(tallies.iter().map(|t| t.orders as usize).sum::<usize>(), before);
     let mut new = Bed::new(settings(), 3);
     new.now = old.now;
-    new.event(Event::Inherited(Legacy { tallies, ..Legacy::default() }));
+    new.event(Event::Handover(HandoverState { tallies, ..HandoverState::default() }));
     let after = ordered(&mut new);
     assert!(before > 0 && before + after <= 2 + 24 / 2, "{before} and {after} orders for 24 calls");
 }
@@ -775,18 +776,18 @@
     (0..200).for_each(|i| drop(old.serve(SAFE, &format!("f{}", i % 9))));
     fresh(&mut old);
     let now = old.now;
-    let successor = |legacy: Legacy| {
+    let successor = |legacy: HandoverState| {
         let mut new = Bed::new(settings(), 3);
         new.now = now;
         fresh(&mut new);
-        new.event(Event::Inherited(legacy));
+        new.event(Event::Handover(legacy));
         new
     };
-    let (early, before) = (old.router.legacy(), calls(&mut old));
-    let nothing = calls(&mut successor(Legacy::default()));
+    let (early, before) = (old.router.handover_state(), calls(&mut old));
+    let nothing = calls(&mut successor(HandoverState::default()));
     assert!(before > 6 && nothing <= 6, "two each for who knows nothing: {nothing}, {before}");
     assert_eq!(calls(&mut successor(early)), before);
-    assert!(calls(&mut successor(old.router.legacy())) <= 2, "the old one has sent what they stand");
+    assert!(calls(&mut successor(old.router.handover_state())) <= 2, "the old one has sent what they stand");
 }
 
 /// Found on the second deployment, whose calls take a third of their aim on an idle worker: taken for slow, each
@@ -855,7 +856,7 @@
                     finished: false,
                     duration: MS,
                     found: None,
-                    crowd: None,
+                    same_function_calls: None,
                     report: None,
                 }));
             }
@@ -892,7 +893,7 @@
         let reset = Outcome::Reset;
         bed.event(Event::LoadEnded { worker: "w0".into(), function: "g".into(), outcome: reset, copies: 0 });
         bed.pass(100 * MS);
-        let believed = bed.router.legacy().loaded;
+        let believed = bed.router.handover_state().loaded;
         assert!(believed.is_empty(), "{end:?}: {believed:?} at a process that has loaded nothing");
     }
 }
--- a/tests/short_windows.rs
+++ b/tests/short_windows.rs
@@ -22,7 +22,7 @@
 fn keyed(scope: Scope, window: Micros) -> Fleet {
     let mut settings = Settings {
         routers: ROUTERS,
-        tell: 256,
+        max_gossip_bytes: 256,
         when_cold: WhenCold::Misses,
         load_budget: Some(LoadBudget { free: 2.0, share: 0.2, period: 10 * S }),
         ..settings()
--- a/tests/silent_hosts.rs
+++ b/tests/silent_hosts.rs
@@ -71,7 +71,7 @@
     let mut bed = two_workers([3, 3], WIDE);
     let mut settings = keyed_by_cell(WIDE);
     settings.classes[KEYED].attempts = Some(1);
-    bed.event(Event::Terms(Box::new(settings)));
+    bed.event(Event::ClassTerms(Box::new(settings)));
     let (keyed, _, out) = fall_silent(&mut bed);
     assert_eq!(cancels(&out, &keyed), 0, "{out:?}");
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -12,7 +12,7 @@
 /// A router that believes a copy of `f` at each of so many workers, where only orders load.
 fn believes_copies_at(workers: usize) -> Bed {
     let mut bed = Bed::new(Settings { when_cold: WhenCold::Misses, ..settings() }, workers);
-    let copy = |i: usize| Loaded {
+    let copy = |i: usize| LoadedFunction {
         worker: format!("w{i}").as_str().into(),
         function: "f".into(),
         lanes: 2,
@@ -21,13 +21,13 @@
         calls: 3.0,
     };
     let loaded = (0..workers).map(copy).collect();
-    bed.event(Event::Inherited(Legacy { loaded, ..Legacy::default() }));
+    bed.event(Event::Handover(HandoverState { loaded, ..HandoverState::default() }));
     bed
 }
 
 /// Workers that the router believes to hold a copy.
 fn believed(bed: &Bed) -> BTreeSet<WorkerId> {
-    bed.router.legacy().loaded.into_iter().map(|copy| copy.worker).collect()
+    bed.router.handover_state().loaded.into_iter().map(|copy| copy.worker).collect()
 }
 
 /// Each miss voids what was believed of its worker, for every call that comes after it, and of no other worker.
