--- a/node/src/hosts/lines.rs
+++ b/node/src/hosts/lines.rs
@@ -94,7 +94,7 @@
         };
         let counted = counts_alike && matches!(outcome, Outcome::Done | Outcome::Full);
         let held = self.field("queue_fn").and_then(|n| n.parse().ok()).unwrap_or(0);
-        AttemptEnd { outcome, found, same_function_calls: counted.then_some(held), report: self.report() }
+        AttemptEnd { outcome, found, overlap: counted.then_some(held), report: self.report() }
     }
 
     /// The load report that it carries, as in `outstanding:7.3;backlog:2`; other figures are passed over.
--- a/node/src/hosts/lines/tests.rs
+++ b/node/src/hosts/lines/tests.rs
@@ -56,7 +56,7 @@
     #[case] crowd: Option<u32>,
 ) {
     let end = parse(format!("a {text} 0\r\n\r\n").as_bytes()).unwrap().unwrap().attempt_end(true, true);
-    assert_eq!((end.outcome, end.found, end.same_function_calls), (outcome, found, crowd));
+    assert_eq!((end.outcome, end.found, end.overlap), (outcome, found, crowd));
 }
 
 #[rstest]
--- a/settings/tests/extremes.rs
+++ b/settings/tests/extremes.rs
@@ -71,7 +71,7 @@
                 finished: outcome == Outcome::Done,
                 duration: 3 * MS,
                 found: None,
-                same_function_calls: Some(2),
+                overlap: Some(2),
                 report: None,
             });
         }
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -174,7 +174,7 @@
                 finished: over.unwrap_or(false),
                 duration: duration_us.unwrap_or(0),
                 found: None,
-                same_function_calls: None,
+                overlap: None,
                 report: pressure.as_ref().and_then(|p| {
                     let figure = |name| p.get(name).and_then(Value::as_f64);
                     LoadReport::new(figure("outstanding")?, figure("backlog").unwrap_or(0.0))
@@ -267,7 +267,7 @@
             }
             Raw::Answer { info, ending, mut event } => {
                 let told = &self.deployment.transport;
-                if let Event::Answer { found, same_function_calls, .. } = &mut event {
+                if let Event::Answer { found, overlap, .. } = &mut event {
                     *found = match (info & 7, ending) {
                         (1, Outcome::Done) if told.says_warm => Some(Found::Warm),
                         (2, Outcome::Done) if told.says_warm => Some(Found::BeganLoad),
@@ -276,7 +276,7 @@
                         _ => None,
                     };
                     let counted = told.counts_alike && matches!(ending, Outcome::Done | Outcome::Full);
-                    *same_function_calls = counted.then_some((info >> 3).max(0) as u32);
+                    *overlap = counted.then_some((info >> 3).max(0) as u32);
                 }
                 event
             }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -18,7 +18,7 @@
 pub const HALF_CLOSE_GRACE_US: Micros = 50_000;
 
 /// Timers that are kept before those of what has ended are looked for.
-const FEW_TIMERS: usize = 256;
+const MIN_PRUNE_TIMERS: usize = 256;
 
 /// What decides: events in, actions out. It is the [`Router`] but in tests; the engine's promises hold for any.
 pub trait Module {
@@ -78,14 +78,14 @@
     /// What the answer told of the copy.
     pub found: Option<Found>,
     /// Requests for the same function that the host held.
-    pub same_function_calls: Option<u32>,
+    pub overlap: Option<u32>,
     /// What the answer told of the host's load.
     pub report: Option<LoadReport>,
 }
 
 impl From<Outcome> for AttemptEnd {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, found: None, same_function_calls: None, report: None }
+        Self { outcome, found: None, overlap: None, report: None }
     }
 }
 
@@ -173,20 +173,20 @@
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     id: RequestId,
     due: Micros,
     answered: bool,
     /// No attempt begins after this.
-    last_begin: Micros,
+    last_attempt_at: Micros,
     attempts: Vec<Attempt>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Whether an attempt may begin now.
-    fn may_begin(&self, now: Micros) -> bool {
+    fn may_start(&self, now: Micros) -> bool {
         let nothing_out = self.attempts.iter().all(|a| a.ended);
-        !self.answered && nothing_out && now < self.due && now <= self.last_begin
+        !self.answered && nothing_out && now < self.due && now <= self.last_attempt_at
     }
 }
 
@@ -195,7 +195,7 @@
     host: WorkerId,
     sent: Micros,
     /// Its adapter was told to give it up, for this reason.
-    called_off: Option<Outcome>,
+    cancelled: Option<Outcome>,
     ended: bool,
 }
 
@@ -207,8 +207,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    Due(Ticket),
-    LastBegin(Ticket),
+    RequestDue(Ticket),
+    LastAttempt(Ticket),
     Attempt(AttemptId),
     Order(OrderId),
     Wake,
@@ -219,8 +219,8 @@
     module: M,
     order_timeout: Micros,
     now: Micros,
-    next: u64,
-    open: BTreeMap<Ticket, Open>,
+    last_id: u64,
+    open: BTreeMap<Ticket, OpenRequest>,
     orders: BTreeMap<OrderId, Order>,
     timers: BinaryHeap<Reverse<(Micros, Timer)>>,
     /// Timers of what has ended are looked for when there are more than this.
@@ -235,11 +235,11 @@
             module,
             order_timeout,
             now: 0,
-            next: 0,
+            last_id: 0,
             open: BTreeMap::new(),
             orders: BTreeMap::new(),
             timers: BinaryHeap::new(),
-            prune_above: FEW_TIMERS,
+            prune_above: MIN_PRUNE_TIMERS,
             scratch: Vec::new(),
         }
     }
@@ -300,17 +300,17 @@
         out: &mut Vec<Command>,
     ) -> Ticket {
         self.advance(now);
-        let ticket = Ticket(self.fresh());
+        let ticket = Ticket(self.next_id());
         let id: RequestId = format!("{:016x}", ticket.0).as_str().into();
         let ended =
-            |p: &PastAttempt| Attempt { host: p.worker.clone(), sent: p.sent, called_off: None, ended: true };
+            |p: &PastAttempt| Attempt { host: p.worker.clone(), sent: p.sent, cancelled: None, ended: true };
         let attempts = past.iter().map(ended).collect();
-        let last_begin = new.half_closed.map_or(Micros::MAX, |since| since + HALF_CLOSE_GRACE_US);
-        let open = Open { id: id.clone(), due: new.due, answered: false, last_begin, attempts };
+        let last_attempt_at = new.half_closed.map_or(Micros::MAX, |since| since + HALF_CLOSE_GRACE_US);
+        let open = OpenRequest { id: id.clone(), due: new.due, answered: false, last_attempt_at, attempts };
         self.open.insert(ticket, open);
-        self.arm(new.due, Timer::Due(ticket));
+        self.arm(new.due, Timer::RequestDue(ticket));
         if new.half_closed.is_some() {
-            self.arm(last_begin, Timer::LastBegin(ticket));
+            self.arm(last_attempt_at, Timer::LastAttempt(ticket));
         }
         if !past.is_empty() {
             self.deliver(Event::PastAttempts(past), out);
@@ -328,7 +328,7 @@
         let request = open.id.clone();
         self.deliver(Event::ClientLeft { request }, out);
         // The module may lack the right to cancel; work that nobody waits for still stops.
-        self.call_off(ticket, Outcome::Cancelled, out);
+        self.cancel_attempts(ticket, Outcome::Cancelled, out);
         self.forget(ticket);
     }
 
@@ -337,15 +337,15 @@
     pub fn client_half_closed(&mut self, now: Micros, ticket: Ticket, since: Micros, out: &mut Vec<Command>) {
         self.advance(now);
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
-        let last_begin = since + HALF_CLOSE_GRACE_US;
-        if last_begin >= open.last_begin {
+        let last_attempt_at = since + HALF_CLOSE_GRACE_US;
+        if last_attempt_at >= open.last_attempt_at {
             return;
         }
-        open.last_begin = last_begin;
-        if last_begin < self.now {
-            self.begin_no_more(ticket, out);
+        open.last_attempt_at = last_attempt_at;
+        if last_attempt_at < self.now {
+            self.stop_attempts(ticket, out);
         } else {
-            self.arm(last_begin, Timer::LastBegin(ticket));
+            self.arm(last_attempt_at, Timer::LastAttempt(ticket));
         }
     }
 
@@ -356,7 +356,7 @@
         let Some(attempt) = open.attempts.get_mut(id.number as usize).filter(|a| !a.ended) else { return };
         attempt.ended = true;
         let mut outcome = end.outcome;
-        outcome = match (outcome, attempt.called_off) {
+        outcome = match (outcome, attempt.cancelled) {
             (Outcome::Cancelled, Some(reason)) => reason,
             // Taken back before it left, at the module's own wish: it means to send the request elsewhere.
             (Outcome::NotSent, Some(reason)) if !open.answered => reason,
@@ -372,14 +372,14 @@
             finished: open.answered,
             duration: self.now - attempt.sent,
             found: end.found,
-            same_function_calls: end.same_function_calls,
+            overlap: end.overlap,
             report: end.report,
         };
         if served {
             out.push(Command::Answer { ticket: id.ticket, verdict: Verdict::Served(id) });
         }
         self.deliver(event, out);
-        self.settle_due(id.ticket, out);
+        self.answer_if_due(id.ticket, out);
         self.forget(id.ticket);
     }
 
@@ -463,9 +463,9 @@
             }
             self.timers.pop();
             match timer {
-                Timer::Due(ticket) => self.over(ticket, out),
-                Timer::LastBegin(ticket) => self.begin_no_more(ticket, out),
-                Timer::Attempt(id) => self.attempt_over(id, out),
+                Timer::RequestDue(ticket) => self.request_timed_out(ticket, out),
+                Timer::LastAttempt(ticket) => self.stop_attempts(ticket, out),
+                Timer::Attempt(id) => self.attempt_timed_out(id, out),
                 Timer::Order(order) => self.order_ended(now, order, Outcome::TimedOut, 0, out),
                 Timer::Wake if woken => {}
                 Timer::Wake => {
@@ -497,33 +497,33 @@
             attempt.is_some_and(|a| !a.ended)
         };
         self.timers.retain(|Reverse((_, timer))| match timer {
-            Timer::Due(ticket) | Timer::LastBegin(ticket) => waits(ticket),
+            Timer::RequestDue(ticket) | Timer::LastAttempt(ticket) => waits(ticket),
             Timer::Attempt(id) => is_out(id),
             Timer::Order(order) => orders.contains_key(order),
             Timer::Wake => true,
         });
-        self.prune_above = FEW_TIMERS.max(2 * self.timers.len());
+        self.prune_above = MIN_PRUNE_TIMERS.max(2 * self.timers.len());
     }
 
-    fn fresh(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     /// Its time is up: attempts are given up, and whatever the module says of that, an answer goes out now.
-    fn over(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
+    fn request_timed_out(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
         // What never had an attempt out is the module's to refuse or fail.
         if open.attempts.iter().all(|a| a.ended) {
             self.deliver(Event::Woken, out);
         }
-        self.call_off(ticket, Outcome::TimedOut, out);
-        self.settle_due(ticket, out);
+        self.cancel_attempts(ticket, Outcome::TimedOut, out);
+        self.answer_if_due(ticket, out);
         self.forget(ticket);
     }
 
     /// The promise: past its time a request is answered, whatever else happens.
-    fn settle_due(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
+    fn answer_if_due(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered && o.due <= self.now) else {
             return;
         };
@@ -535,10 +535,10 @@
 
     /// No attempt of it begins from now on: the module decides whether it ends at once, and what has not begun to
     /// leave for a host is taken back.
-    fn begin_no_more(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
+    fn stop_attempts(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get(&ticket).filter(|o| !o.answered) else { return };
         let request = open.id.clone();
-        let is_out = |a: &Attempt| !a.ended && a.called_off.is_none();
+        let is_out = |a: &Attempt| !a.ended && a.cancelled.is_none();
         let last = open.attempts.iter().rposition(is_out);
         self.deliver(Event::NoFurtherAttempt { request }, out);
         if let Some(number) = last {
@@ -546,28 +546,28 @@
         }
     }
 
-    fn attempt_over(&mut self, id: AttemptId, out: &mut Vec<Command>) {
+    fn attempt_timed_out(&mut self, id: AttemptId, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&id.ticket) else { return };
         let Some(a) = open.attempts.get_mut(id.number as usize) else { return };
-        if !a.ended && a.called_off.is_none() {
-            a.called_off = Some(Outcome::TimedOut);
+        if !a.ended && a.cancelled.is_none() {
+            a.cancelled = Some(Outcome::TimedOut);
             out.push(Command::Cancel { attempt: id });
         }
     }
 
     /// Has the adapter give up what is out for the request.
-    fn call_off(&mut self, ticket: Ticket, reason: Outcome, out: &mut Vec<Command>) {
+    fn cancel_attempts(&mut self, ticket: Ticket, reason: Outcome, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
         for (number, a) in open.attempts.iter_mut().enumerate() {
-            if !a.ended && a.called_off.is_none() {
-                a.called_off = Some(reason);
+            if !a.ended && a.cancelled.is_none() {
+                a.cancelled = Some(reason);
                 out.push(Command::Cancel { attempt: AttemptId { ticket, number: number as u32 } });
             }
         }
     }
 
     fn forget(&mut self, ticket: Ticket) {
-        let done = |o: &Open| o.answered && o.attempts.iter().all(|a| a.ended);
+        let done = |o: &OpenRequest| o.answered && o.attempts.iter().all(|a| a.ended);
         if self.open.get(&ticket).is_some_and(done) {
             self.open.remove(&ticket);
         }
@@ -578,15 +578,15 @@
         let mut actions = std::mem::take(&mut self.scratch);
         self.module.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action, out);
+            self.carry_out(action, out);
         }
         self.scratch = actions;
     }
 
-    fn act(&mut self, action: Action, out: &mut Vec<Command>) {
+    fn carry_out(&mut self, action: Action, out: &mut Vec<Command>) {
         match action {
             Action::Send { request, worker, timeout, leave_by } => {
-                self.begin(ticket(&request), worker, (timeout, leave_by), out);
+                self.start_attempt(ticket(&request), worker, (timeout, leave_by), out);
             }
             Action::Refuse { request, retry_after } => {
                 self.answer(&request, Verdict::Refused { retry_after }, out)
@@ -595,15 +595,16 @@
             Action::Cancel { request, attempt } => {
                 let id = AttemptId { ticket: ticket(&request), number: attempt };
                 // What is called off so that it is asked anew would be lost where it may not be asked anew.
-                let open = self.open.get_mut(&id.ticket).filter(|o| o.answered || self.now <= o.last_begin);
+                let open =
+                    self.open.get_mut(&id.ticket).filter(|o| o.answered || self.now <= o.last_attempt_at);
                 let Some(a) = open.and_then(|o| o.attempts.get_mut(attempt as usize)) else { return };
-                if !a.ended && a.called_off.is_none() {
-                    a.called_off = Some(Outcome::Cancelled);
+                if !a.ended && a.cancelled.is_none() {
+                    a.cancelled = Some(Outcome::Cancelled);
                     out.push(Command::Cancel { attempt: id });
                 }
             }
             Action::Load { worker, function, copies } => {
-                let order = OrderId(self.fresh());
+                let order = OrderId(self.next_id());
                 self.orders.insert(order, Order { host: worker.clone(), function: function.clone() });
                 self.arm(self.now + self.order_timeout, Timer::Order(order));
                 out.push(Command::Load { order, host: worker, function, copies });
@@ -617,7 +618,7 @@
     }
 
     /// Begins an attempt that the module wants, or tells it that it was never sent where none may begin.
-    fn begin(
+    fn start_attempt(
         &mut self,
         ticket: Ticket,
         host: WorkerId,
@@ -625,10 +626,10 @@
         out: &mut Vec<Command>,
     ) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
-        let (begins, now) = (open.may_begin(self.now), self.now);
+        let (starts, now) = (open.may_start(self.now), self.now);
         let attempt = AttemptId { ticket, number: open.attempts.len() as u32 };
-        open.attempts.push(Attempt { host: host.clone(), sent: now, called_off: None, ended: !begins });
-        if !begins {
+        open.attempts.push(Attempt { host: host.clone(), sent: now, cancelled: None, ended: !starts });
+        if !starts {
             let event = Event::Answer {
                 request: open.id.clone(),
                 attempt: attempt.number,
@@ -637,7 +638,7 @@
                 finished: open.answered,
                 duration: 0,
                 found: None,
-                same_function_calls: None,
+                overlap: None,
                 report: None,
             };
             return self.deliver(event, out);
@@ -659,7 +660,7 @@
         let verdict =
             if verdict == Verdict::Failed && open.due <= self.now { Verdict::TimedOut } else { verdict };
         out.push(Command::Answer { ticket, verdict });
-        self.call_off(ticket, Outcome::Cancelled, out);
+        self.cancel_attempts(ticket, Outcome::Cancelled, out);
         self.forget(ticket);
     }
 }
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -2,19 +2,25 @@
 
 use super::*;
 
-fn line(host: u16, function: u32, word: Word) -> Line {
-    Line { host, function, word }
+fn entry(host: u16, function: u32, status: CopyStatus) -> Entry {
+    Entry { host, function, status }
 }
 
 #[test]
 fn what_is_told_is_read_and_noise_is_not() {
-    let words =
-        [Word::Holds(0), Word::Holds(10), Word::Loading, Word::Gone, Word::Copies(2), Word::Copies(4)];
-    let mut lines: Vec<_> = words.into_iter().map(|w| line(0xabcd, NO_FUNCTION - 1, w)).collect();
-    lines.push(line(7, NO_FUNCTION, Word::Laden));
-    let bytes = encode(9, &lines, 256);
-    assert_eq!(decode(&bytes), Some((9, lines)));
-    let many = vec![line(1, 2, Word::Holds(99)); 99];
+    let words = [
+        CopyStatus::Serving(0),
+        CopyStatus::Serving(10),
+        CopyStatus::Loading,
+        CopyStatus::Gone,
+        CopyStatus::Copies(2),
+        CopyStatus::Copies(4),
+    ];
+    let mut entries: Vec<_> = words.into_iter().map(|w| entry(0xabcd, NO_FUNCTION - 1, w)).collect();
+    entries.push(entry(7, NO_FUNCTION, CopyStatus::NoRoom));
+    let bytes = encode(9, &entries, 256);
+    assert_eq!(decode(&bytes), Some((9, entries)));
+    let many = vec![entry(1, 2, CopyStatus::Serving(99)); 99];
     let bytes = encode(0, &many, 256);
     assert!(bytes.len() <= 256 && decode(&bytes).is_some_and(|(_, l)| l.len() == 50));
     // Each changed byte and each shorter length is noticed.
@@ -27,45 +33,49 @@
     let mut rng = fastrand::Rng::with_seed(3);
     let noise = |rng: &mut fastrand::Rng| (0..rng.usize(..258)).map(|_| rng.u8(..)).collect::<Vec<_>>();
     let read = (0..20_000).filter(|_| decode(&noise(&mut rng)).is_some()).count();
-    assert!(read <= 3, "{read} of 20,000 passed for word");
+    assert!(read <= 3, "{read} of 20,000 passed for status");
 }
 
 #[test]
 fn what_is_out_is_summed_replaced_and_expires() {
     let (period, keep) = (500_000, 5_000_000);
-    let mut heard = Table::default();
-    let told = |number, n| encode(number, &[line(1, 5, Word::Holds(n)), line(2, 6, Word::Gone)], 256);
-    assert!(heard.take(1, period, 3, &told(255, 4)).is_some());
-    assert!(heard.take(2, period, 4, &told(7, 2)).is_some());
+    let mut heard = PeerTable::default();
+    let told = |sequence, n| {
+        encode(sequence, &[entry(1, 5, CopyStatus::Serving(n)), entry(2, 6, CopyStatus::Gone)], 256)
+    };
+    assert!(heard.accept(1, period, 3, &told(255, 4)).is_some());
+    assert!(heard.accept(2, period, 4, &told(7, 2)).is_some());
     assert_eq!((heard.at_host(1), heard.at_place(5, 1), heard.at_host(2)), (6.0, 6.0, 0.0));
     // A doubled one and one that was overtaken change nothing; the next replaces what was out.
     assert!(
-        heard.take(3, period, 3, &told(255, 9)).is_none()
-            && heard.take(3, period, 3, &told(250, 9)).is_none()
+        heard.accept(3, period, 3, &told(255, 9)).is_none()
+            && heard.accept(3, period, 3, &told(250, 9)).is_none()
     );
-    assert!(heard.take(4, period, 3, &told(0, 1)).is_some());
+    assert!(heard.accept(4, period, 3, &told(0, 1)).is_some());
     assert_eq!((heard.at_host(1), heard.at_place(5, 1)), (3.0, 3.0));
     // One that starts anew is heard once its old word is no longer believed.
-    assert!(heard.take(5 + BELIEVED * period, period, 3, &told(200, 5)).is_some());
-    heard.expire(5 + BELIEVED * period, (period, keep), 4, true);
-    assert_eq!((heard.at_host(1), heard.well), (5.0, true), "the other's is too old");
-    heard.expire(LATELY * 3, (period, keep), 4, true);
-    assert!(!heard.well && heard.peers.is_empty() && heard.at_host.is_empty() && heard.at_place.is_empty());
+    assert!(heard.accept(5 + MAX_AGE_PERIODS * period, period, 3, &told(200, 5)).is_some());
+    heard.expire(5 + MAX_AGE_PERIODS * period, (period, keep), 4, true);
+    assert_eq!((heard.at_host(1), heard.reliable), (5.0, true), "the other's is too old");
+    heard.expire(PEER_TIMEOUT_US * 3, (period, keep), 4, true);
+    assert!(
+        !heard.reliable && heard.peers.is_empty() && heard.at_host.is_empty() && heard.at_place.is_empty()
+    );
 }
 
 #[test]
 fn what_is_kept_of_uncalled_functions_is_bounded_and_expires() {
-    let mut heard = Table::default();
-    for f in 0..2 * MOST_PLACES as u32 {
-        heard.keep(1, (f, 0), Word::Holds(0));
+    let mut heard = PeerTable::default();
+    for f in 0..2 * MAX_UNCALLED_PLACES as u32 {
+        heard.remember(1, (f, 0), CopyStatus::Serving(0));
     }
-    assert_eq!(heard.standing.len(), MOST_PLACES);
-    heard.keep(2, (0, 0), Word::Copies(3));
-    assert_eq!(heard.standing[&(0, 0)], (2, 3), "a known place is kept up to date");
-    heard.keep(3, (0, 0), Word::Gone);
-    assert_eq!(heard.standing.len(), MOST_PLACES - 1);
+    assert_eq!(heard.uncalled.len(), MAX_UNCALLED_PLACES);
+    heard.remember(2, (0, 0), CopyStatus::Copies(3));
+    assert_eq!(heard.uncalled[&(0, 0)], (2, 3), "a known place is kept up to date");
+    heard.remember(3, (0, 0), CopyStatus::Gone);
+    assert_eq!(heard.uncalled.len(), MAX_UNCALLED_PLACES - 1);
     heard.expire(6_000_000, (500_000, 5_000_000), 4, true);
-    assert!(heard.standing.is_empty());
+    assert!(heard.uncalled.is_empty());
 }
 
 /// Found by reading: what is out was told from the lowest key up and news from the highest down, both cut at one
@@ -73,14 +83,16 @@
 #[test]
 fn where_there_is_more_to_say_each_place_gets_its_turn() {
     let mut composer = Composer::default();
-    let held: BTreeMap<Place, u8> = (0..120).map(|f| ((f, 1), 3)).collect();
+    let held: BTreeMap<PlaceKey, u8> = (0..120).map(|f| ((f, 1), 3)).collect();
     let mut told = std::collections::BTreeMap::new();
     for round in 0..8 {
-        (0..60).for_each(|f| composer.note((f, 2), if f % 2 == 0 { Word::Loading } else { Word::Gone }));
+        (0..60).for_each(|f| {
+            composer.note((f, 2), if f % 2 == 0 { CopyStatus::Loading } else { CopyStatus::Gone })
+        });
         let bytes = composer.compose(&held, 256, |_, _| true).expect("something to tell");
-        let (number, lines) = decode(&bytes).expect("it can be read");
-        assert_eq!((number, lines.len()), (round + 1, 50));
-        lines.iter().for_each(|l| *told.entry((l.host, l.function)).or_insert(0) += 1);
+        let (sequence, entries) = decode(&bytes).expect("it can be read");
+        assert_eq!((sequence, entries.len()), (round + 1, 50));
+        entries.iter().for_each(|l| *told.entry((l.host, l.function)).or_insert(0) += 1);
     }
     assert_eq!(told.len(), 180, "every place");
     assert!(told.values().all(|n| (1..=4).contains(n)), "about as often: {told:?}");
@@ -89,17 +101,20 @@
 #[test]
 fn news_are_bounded_the_last_word_counts_and_what_is_known_is_not_told() {
     let mut composer = Composer::default();
-    (0..2 * MOST_NEWS as u32).for_each(|f| composer.note((f, 0), Word::Loading));
-    assert_eq!(composer.entries(), MOST_NEWS);
-    composer.note((3, 0), Word::Gone);
+    (0..2 * MAX_QUEUED_NEWS as u32).for_each(|f| composer.note((f, 0), CopyStatus::Loading));
+    assert_eq!(composer.entries(), MAX_QUEUED_NEWS);
+    composer.note((3, 0), CopyStatus::Gone);
     let bytes = composer.compose(&BTreeMap::new(), 256, |_, _| false).expect("loads are told in any case");
-    let (_, lines) = decode(&bytes).unwrap();
-    assert!(lines.contains(&line(0, 3, Word::Gone)) && !lines.contains(&line(0, 3, Word::Loading)));
+    let (_, entries) = decode(&bytes).unwrap();
+    assert!(
+        entries.contains(&entry(0, 3, CopyStatus::Gone))
+            && !entries.contains(&entry(0, 3, CopyStatus::Loading))
+    );
     let mut composer = Composer::default();
-    (0..4).for_each(|f| composer.note((f, 0), Word::Holds(0)));
+    (0..4).for_each(|f| composer.note((f, 0), CopyStatus::Serving(0)));
     let bytes =
         composer.compose(&BTreeMap::new(), 256, |place, _| place.0 == 2).expect("one that is not known");
-    assert_eq!(decode(&bytes).unwrap().1, vec![line(0, 2, Word::Holds(0))]);
+    assert_eq!(decode(&bytes).unwrap().1, vec![entry(0, 2, CopyStatus::Serving(0))]);
 }
 
 #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -430,7 +430,7 @@
         /// What it tells of the copy.
         found: Option<Found>,
         /// Requests for the same function that the worker held when this one came.
-        same_function_calls: Option<u32>,
+        overlap: Option<u32>,
         /// What the worker last reported of its load.
         report: Option<LoadReport>,
     },
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::gossip::{Word, TELL_AGAIN};
+use crate::gossip::{CopyStatus, ANNOUNCE_AGAIN_DIVISOR};
 use crate::hash::hash;
 use crate::interface::*;
 use crate::repeats::repeat_by;
@@ -13,78 +13,78 @@
 // ---------------------------------------------------------------------------------------------- constants
 
 /// Counts halve this often, so that popularity which moves on is forgotten within some tens of seconds.
-const HALVING: Micros = 10_000_000;
+const HALVING_PERIOD_US: Micros = 10_000_000;
 /// ... but not before this many calls: a router that sees few tells little from fewer.
-const ENOUGH_CALLS: f64 = 200.0;
+const MIN_CALLS_TO_HALVE: f64 = 200.0;
 /// A call counts as a successor when it comes within this time, once per call and tenant.
-const FOLLOWS: Micros = 1_000_000;
+const SUCCESSION_WINDOW_US: Micros = 1_000_000;
 /// Calls of a function before its successor counts are believed.
-const MIN_CALLS: f64 = 4.0;
+const MIN_PREDECESSOR_CALLS: f64 = 4.0;
 /// A successor is preloaded when it follows more than this share of the calls.
-const THRESHOLD: f64 = 0.5;
+const PRELOAD_THRESHOLD: f64 = 0.5;
 /// Preloads under way at once: enough for the chains of a moment, too few to crowd the store.
 const MAX_PRELOADS: usize = 4;
 /// Load orders that preloads leave in the budget for requests that wait.
 const RESERVED_ORDERS: f64 = 2.0;
 /// Between looks at held requests, silent workers and copies about to be unloaded.
-const TICK: Micros = 20_000;
+const TICK_US: Micros = 20_000;
 /// ... and at a router that sees little and holds nothing: hundreds of idle ticks a second are all its work.
-const IDLE_TICK: Micros = 100_000;
+const IDLE_TICK_US: Micros = 100_000;
 /// Weight of one tick in the averages of requests in flight: a memory of about a second.
-const SMOOTHING: f64 = 0.02;
+const TICK_WEIGHT: f64 = 0.02;
 /// A worker is crowded above this multiple of the mean load for its size, as in bounded-load hashing.
-const CROWDED: f64 = 1.5;
+const CROWDED_MULTIPLE: f64 = 1.5;
 /// ... but never below this many requests for mean size: their number is not what makes it slow.
-const UNCROWDED: f64 = 4.0;
+const MIN_CROWDED_LOAD: f64 = 4.0;
 /// Workers over which a function's calls are spread, over those that they alone would keep at the fleet's
 /// mean load: chance then overlaps little parts of functions rather than whole ones.
-const SPREAD: f64 = 4.0;
+const SPREAD_FACTOR: f64 = 4.0;
 /// Loads are told apart in steps of this many requests for mean size: finer ones are chance.
-const LEVEL: f64 = 0.25;
+const LOAD_STEP: f64 = 0.25;
 /// Sums that were told are samples of what came and went: their roots scatter so, whatever their size.
-const SCATTER: f64 = 0.7;
+const ROOT_LOAD_STEP: f64 = 0.7;
 /// A worker is silent when attempts on loaded copies are older than this multiple of the usual answer...
 const SILENT_MULTIPLE: f64 = 5.0;
 /// ... and than this, since short calls scatter more.
-const SILENT_LEAST: Micros = 600_000;
+const MIN_SILENCE_US: Micros = 600_000;
 /// Share of lost ones among the old above which it pays to ask anew.
-const LOST: f64 = 0.5;
+const MIN_LOST_SHARE: f64 = 0.5;
 /// So many that grew old, if they are most of what it holds, tell that a worker has all but stopped...
-const STUCK: u32 = 3;
+const MIN_STUCK_ATTEMPTS: u32 = 3;
 /// ... as long as it is no more than this share of the workers: else it is the load.
-const STUCK_SHARE: f64 = 0.34;
+const MAX_STUCK_SHARE: f64 = 0.34;
 /// First rest of a worker that looks ill; doubles up to the longest while trials fail.
-const FIRST_REST: Micros = 1_000_000;
+const MIN_REST_US: Micros = 1_000_000;
 /// Longest rest.
-const LONGEST_REST: Micros = 8_000_000;
+const MAX_REST_US: Micros = 8_000_000;
 /// A worker that turned one class of one tenant away, though it has room, is spared these for so long.
-const SHUT_FOR: Micros = 15_000_000;
+const REJECTION_MEMORY_US: Micros = 15_000_000;
 /// A worker that fails more than this share of its recent attempts is ill.
-const ILL_SHARE: f64 = 0.3;
+const MAX_FAILURE_SHARE: f64 = 0.3;
 /// Recent failures needed to say so.
-const ILL_FAILURES: f64 = 2.0;
+const MIN_FAILURES: f64 = 2.0;
 /// Never nothing from all of us together: what is not asked can neither warm up nor be told well.
-const LEAST_COLD: f64 = 2.0;
+const MIN_COLD_REQUESTS: f64 = 2.0;
 /// For so long one that was put back is given copies of functions ahead of their calls.
-const RETURNING: Micros = 5_000_000;
+const RESTORE_PERIOD_US: Micros = 5_000_000;
 /// A copy is renewed when it has less than this to live: time for an order and for its load.
-const RENEW_BEFORE: Micros = 1_500_000;
+const RENEWAL_LEAD_US: Micros = 1_500_000;
 /// Functions not called for this multiple of the keep-alive are let go.
-const RENEW_FOR: f64 = 2.5;
+const RENEWAL_MULTIPLE: f64 = 2.5;
 /// So many calls of all routers were due while a copy lay idle: as none came, they have ceased.
-const CEASED: f64 = 3.0;
+const MAX_MISSED_CALLS: f64 = 3.0;
 /// A tenant is over its share above this multiple of it: traffic is bursty and seen in part.
-const OVER: f64 = 1.1;
+const QUOTA_TOLERANCE: f64 = 1.1;
 /// A worker whose answers take more than this share of their aim is passed over for others: work varies.
-const PRESSURE: f64 = 0.3;
+const MAX_WORKER_SLOWNESS: f64 = 0.3;
 /// When the fleet's answers take more than this share of their aim, a part of the requests is refused.
-const SHED: f64 = 0.6;
+const MAX_FLEET_SLOWNESS: f64 = 0.6;
 /// A worker is alone in being slow above this multiple of the others' mean.
-const ALONE: f64 = 3.0;
+const OUTLIER_MULTIPLE: f64 = 3.0;
 /// A request that finds no room is held for this share of its aim, then refused while that is early.
-const HOLD_SHARE: f64 = 0.3;
+const MAX_HOLD_SHARE: f64 = 0.3;
 /// ... and for this share of the client's own time at most: a client told late has no time to try again.
-const EARLY: f64 = 0.4;
+const MAX_CLIENT_TIME_SHARE: f64 = 0.4;
 
 // ------------------------------------------------------------------------------------------------- events
 
@@ -94,7 +94,7 @@
         settings.check()?;
         let tenant_rates = vec![0.0; settings.tenants.len()];
         let rng = fastrand::Rng::with_seed(seed);
-        Ok(Self(Core { settings, rng, lot: seed, tenant_rates, ..Core::default() }))
+        Ok(Self(Core { settings, rng, seed, tenant_rates, ..Core::default() }))
     }
 
     /// Takes one event and appends what is to be done about it. Late, repeated or unknown ids do no harm.
@@ -106,18 +106,19 @@
 impl Core {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now.max(self.now);
-        if self.ticked == 0 {
-            (self.born, self.ticked, self.halved) = (self.now, self.now, self.now);
+        if self.last_tick == 0 {
+            (self.started_at, self.last_tick, self.last_halving) = (self.now, self.now, self.now);
         }
         if self.settings.discovery == Discovery::OnRequest && self.now >= self.subscribe_at {
             self.subscribe_at = Micros::MAX;
             out.push(Action::Subscribe);
         }
         match event {
-            Event::List { kind: ListKind::Failed, .. } => self.subscribe_at = self.now + FIRST_REST,
+            Event::List { kind: ListKind::Failed, .. } => self.subscribe_at = self.now + MIN_REST_US,
             Event::List { kind, entries } => self.list(kind, entries),
             Event::Arrival { request, class, tenant, function, due, lanes, repeat, hint } => {
-                let (tries, advice) = (std::mem::take(&mut self.past), std::mem::take(&mut self.advice));
+                let (attempts, preferred) =
+                    (std::mem::take(&mut self.past_attempts), std::mem::take(&mut self.preferred));
                 if class >= self.settings.classes.len() || self.requests.contains_key(&request) {
                     return;
                 }
@@ -125,27 +126,27 @@
                 let fresh = Request {
                     class,
                     terms: self.settings.classes[class],
-                    attempts: self.settings.classes[class].attempts.unwrap_or(self.settings.max_attempts),
+                    max_attempts: self.settings.classes[class].attempts.unwrap_or(self.settings.max_attempts),
                     tenant,
                     arrived: self.now,
                     worth: self.worth(class, tenant, repeat),
                     function: function.clone(),
                     due,
-                    tries,
+                    attempts,
                     answered: false,
                     held: false,
                     counted,
                     streaming: false,
-                    lot: 1.0 - self.rng.f64(),
+                    admission_draw: 1.0 - self.rng.f64(),
                     hint,
-                    advice,
+                    preferred,
                 };
-                self.mean_worth = learn(self.mean_worth, fresh.worth, LEARN);
+                self.mean_worth = learn(self.mean_worth, fresh.worth, AVERAGE_WEIGHT);
                 self.requests.insert(request.clone(), fresh);
                 // What is worth less than some that wait does not overtake them.
                 match self.requests.get_mut(&request) {
-                    Some(r) if r.worth < self.held_worth && self.now + 2 * TICK < due => {
-                        (r.held, self.holding) = (true, true);
+                    Some(r) if r.worth < self.max_held_worth && self.now + 2 * TICK_US < due => {
+                        (r.held, self.any_held) = (true, true);
                     }
                     _ => self.dispatch(&request, out),
                 }
@@ -159,7 +160,7 @@
                         self.arrivals.remove(at);
                     }
                     // Who leaves mostly tries again at once, and must not take room twice.
-                    for (k, _) in r.tries.iter().enumerate().filter(|(_, t)| t.ended.is_none()) {
+                    for (k, _) in r.attempts.iter().enumerate().filter(|(_, t)| t.ended.is_none()) {
                         if self.settings.cancel && !r.streaming {
                             out.push(Action::Cancel { request: request.clone(), attempt: k as u32 });
                         }
@@ -177,9 +178,9 @@
                 duration,
                 found,
                 report,
-                same_function_calls,
+                overlap,
             } => {
-                self.learn_crowd(&request, &worker, found, same_function_calls);
+                self.learn_overlap(&request, &worker, found, overlap);
                 let seen = (outcome, finished, duration, found, report);
                 self.answer(&request, attempt, &worker, seen, out);
             }
@@ -189,20 +190,20 @@
             Event::LoadEnded { worker, function, outcome, copies } => {
                 self.load_ended(&worker, &function, (outcome, copies), out)
             }
-            Event::OutOfService { worker, out } => self.bar(&worker, out),
-            Event::Settings(settings) => self.retune(*settings),
-            Event::ClassTerms(settings) => self.rebind(*settings),
-            Event::GossipReceived { from, data } => self.hear(from, &data),
+            Event::OutOfService { worker, out } => self.set_out_of_service(&worker, out),
+            Event::Settings(settings) => self.apply_settings(*settings),
+            Event::ClassTerms(settings) => self.apply_terms(*settings),
+            Event::GossipReceived { from, data } => self.receive_gossip(from, &data),
             Event::Handover(legacy) => self.inherit(legacy),
-            Event::PastAttempts(past) => self.attempted(past),
-            Event::PreferredLocations(advice) => self.advice = advice,
+            Event::PastAttempts(past) => self.set_past_attempts(past),
+            Event::PreferredLocations(preferred) => self.preferred = preferred,
             Event::Woken => {}
         }
         if self.wake_at <= self.now {
             self.tick(out);
         }
-        let busy = self.holding || self.trust() > 0.5;
-        let at = self.now + if busy { TICK } else { IDLE_TICK };
+        let busy = self.any_held || self.trust() > 0.5;
+        let at = self.now + if busy { TICK_US } else { IDLE_TICK_US };
         if self.wake_at <= self.now || at < self.wake_at {
             self.wake_at = at;
             out.push(Action::Wake { at });
@@ -211,37 +212,37 @@
 
     fn tick(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        let ticks = (now - self.ticked) as f64 / TICK as f64;
-        self.ticked = now;
-        let fade = (1.0 - SMOOTHING).powf(ticks);
+        let ticks = (now - self.last_tick) as f64 / TICK_US as f64;
+        self.last_tick = now;
+        let fade = (1.0 - TICK_WEIGHT).powf(ticks);
         let (slower, slowest) = (fade.powf(0.25), fade.powf(0.1));
         self.done_rate *= fade;
-        self.learn_capacity(ticks * TICK as f64, fade);
+        self.learn_capacity(ticks * TICK_US as f64, fade);
         self.tenant_rates.iter_mut().for_each(|r| *r *= fade);
         for w in self.workers.values_mut() {
             w.mean_in_flight += (w.in_flight as f64 - w.mean_in_flight) * (1.0 - fade);
             w.mean_awaiting += (w.awaiting as f64 - w.mean_awaiting) * (1.0 - fade);
-            w.slow *= slowest;
+            w.slowness *= slowest;
             w.tried *= slower;
             w.failed *= slower;
         }
         for p in self.functions.values_mut().flat_map(|f| f.places.values_mut()) {
             p.mean_in_flight += (p.in_flight as f64 - p.mean_in_flight) * (1.0 - fade);
         }
-        if now - self.halved >= HALVING && self.calls >= ENOUGH_CALLS {
-            self.halved = now;
+        if now - self.last_halving >= HALVING_PERIOD_US && self.calls >= MIN_CALLS_TO_HALVE {
+            self.last_halving = now;
             self.calls /= 2.0;
-            self.functions.retain(|_, f| f.halve(now, 4 * HALVING));
+            self.functions.retain(|_, f| f.halve(now, 4 * HALVING_PERIOD_US));
         }
-        self.tell(out);
+        self.send_gossip(out);
         self.find_silent(out);
         self.renew(out);
         // Held requests by worth; of equals the newest, so that a queue does not serve only the dead.
         let held = self.requests.iter().filter(|(_, r)| r.held);
         let mut held: Vec<_> = held.map(|(id, r)| (r.worth, r.arrived, id.clone())).collect();
         held.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)).then_with(|| a.2.cmp(&b.2)));
-        self.held_worth = held.first().map_or(0.0, |h| h.0);
-        self.holding = false;
+        self.max_held_worth = held.first().map_or(0.0, |h| h.0);
+        self.any_held = false;
         for (_, _, id) in held {
             self.dispatch(&id, out);
         }
@@ -263,14 +264,14 @@
     /// The load per size above which a worker is crowded.
     fn crowding(&self) -> f64 {
         let mean = self.totals.load / self.totals.up.max(1.0);
-        (CROWDED * mean).max(UNCROWDED) / self.mean_size()
+        (CROWDED_MULTIPLE * mean).max(MIN_CROWDED_LOAD) / self.mean_size()
     }
 
     /// Workers, first in order, that a function's calls are spread over by its share, where our own calls do
     /// not tell where copies stand: the others use them too, so they are presumed loaded.
     pub(crate) fn spread(&self, f: &Function) -> usize {
-        let n = SPREAD * self.share(f) * self.totals.up * (1.0 - self.trust());
-        if n < 2.0 || self.heard.well {
+        let n = SPREAD_FACTOR * self.share(f) * self.totals.up * (1.0 - self.trust());
+        if n < 2.0 || self.gossip.reliable {
             0
         } else {
             n as usize
@@ -287,7 +288,7 @@
     fn route(&mut self, id: &RequestId, out: &mut Vec<Action>) -> Route {
         let function = self.requests[id].function.clone();
         self.rank(&function);
-        if self.now - self.totals.at >= TICK {
+        if self.now - self.totals.at >= TICK_US {
             self.sum_up();
         }
         let mut rng = self.rng.fork();
@@ -295,8 +296,8 @@
             return Route::Busy;
         };
         // A slow fleet is sent less, by lot and by worth, where single workers are seldom seen.
-        let part = (SHED / self.slow).powf(self.mean_worth / r.worth);
-        if self.slow > SHED && r.lot > part.max(self.trust()) {
+        let part = (MAX_FLEET_SLOWNESS / self.slowness).powf(self.mean_worth / r.worth);
+        if self.slowness > MAX_FLEET_SLOWNESS && r.admission_draw > part.max(self.trust()) {
             return Route::Busy;
         }
         let panic = self.panicking();
@@ -304,15 +305,15 @@
         let limit = self.crowding();
         let others = (self.settings.routers - 1) as f64 * self.trust();
         let lanes = f.lanes.max(1) as f64;
-        let told = self.heard.well;
-        let queue = |p: &Place, w: &Worker| {
-            let theirs = if told { self.heard.at_place(f.key, w.key) } else { others * p.mean_in_flight };
+        let told = self.gossip.reliable;
+        let queue = |p: &Placement, w: &Worker| {
+            let theirs = if told { self.gossip.at_place(f.key, w.key) } else { others * p.mean_in_flight };
             (p.in_flight as f64 + theirs) / (lanes * p.copies.max(1) as f64)
         };
         // Told of all that is out, a starting worker is held to the part of its size that it has.
         let pressure = |w: &Worker| self.load(w) / w.size / if told { self.warmth(w) } else { 1.0 };
         // Where a worker was full, twice as many may hold it: a router that knows little finds them so.
-        let fulls = r.tries.iter().filter(|t| t.ended == Some(Outcome::Full)).count();
+        let fulls = r.attempts.iter().filter(|t| t.ended == Some(Outcome::Full)).count();
         let wider = if fulls > 0 && self.trust() < 0.5 { 1 << (fulls + 1).min(9) } else { 0 };
         let spread = self.spread(f).max(wider);
         let fit = self.ranked(f).filter(|(n, w)| usable(n, w));
@@ -320,13 +321,13 @@
         let missing = |n| f.places.get(n).is_some_and(|p| p.missed_until > self.now || p.loading.is_some());
         let presumed = fit.iter().take(spread).map(|(n, _)| *n).filter(|n| !missing(n));
         let presumed: BTreeSet<_> = presumed.collect();
-        let nothing = Place::default();
+        let nothing = Placement::default();
         let known = f.places.iter().filter(|(n, _)| !presumed.contains(n));
         let places = known.chain(presumed.iter().map(|n| (*n, f.places.get(n).unwrap_or(&nothing))));
         // The ordinary path: warm with room, least loaded; of those about equal one at random, by size.
         // Where a prefix lies goes before load, as long as answers there are not slow.
-        let advised = |n: &WorkerId, w: &Worker| match w.slow < PRESSURE {
-            true => PreferredLocation::rank(&r.advice, n, w.zone, w.cell),
+        let advised = |n: &WorkerId, w: &Worker| match w.slowness < MAX_WORKER_SLOWNESS {
+            true => PreferredLocation::rank(&r.preferred, n, w.zone, w.cell),
             false => MAX_PREFERRED_LOCATIONS,
         };
         let mut best: Option<(usize, f64, f64, WorkerId)> = None;
@@ -339,14 +340,16 @@
             }
             let (per_size, queue) = (pressure(w), queue(p, w));
             if warm && queue < 1.0 && per_size < limit {
-                let height = per_size * self.mean_size() + w.slow / PRESSURE + self.crowd(f, p, spread);
+                let height = per_size * self.mean_size()
+                    + w.slowness / MAX_WORKER_SLOWNESS
+                    + self.overlap(f, p, spread);
                 let (level, tie) = if told {
                     // What was told is old by up to a period: all would turn to the least loaded one of then.
-                    let apart =
-                        height.max(UNCROWDED).sqrt() / SCATTER + if w.held(self.now) { 0.0 } else { 1.0 };
-                    (apart.round(), w.draw)
+                    let apart = height.max(MIN_CROWDED_LOAD).sqrt() / ROOT_LOAD_STEP
+                        + if w.held(self.now) { 0.0 } else { 1.0 };
+                    (apart.round(), w.tie_break)
                 } else {
-                    ((height / LEVEL).round(), -rng.f64().max(1e-9).ln() / w.size)
+                    ((height / LOAD_STEP).round(), -rng.f64().max(1e-9).ln() / w.size)
                 };
                 let at = advised(n, w);
                 if best.as_ref().is_none_or(|(a, least, t, _)| (at, level, tie) < (*a, *least, *t)) {
@@ -361,7 +364,9 @@
         }
         // One put back holds nothing, so no call would find it: functions that are to be there go ahead.
         let lacks = |n| f.places.get(n).is_none_or(|p| p.warm_until <= self.now && p.loading.is_none());
-        let back = |n, w: &Worker| w.back > 0 && self.now - w.back < RETURNING && f.known && lacks(n);
+        let back = |n, w: &Worker| {
+            w.restored_at > 0 && self.now - w.restored_at < RESTORE_PERIOD_US && f.known && lacks(n)
+        };
         let back = fit.iter().find(|(n, w)| back(*n, w)).map(|(n, _)| (*n).clone());
         if let Some((.., n)) = best {
             if let Some(back) = back {
@@ -370,8 +375,11 @@
             return Route::Send(n);
         }
         // One alone in being slow is passed over. Where all are, ever more copies only push out others.
-        let rest = |w: &Worker| (self.totals.slow - w.slow).max(0.0) / (self.totals.up - 1.0).max(1.0);
-        let alone = |w: &Worker| w.slow > PRESSURE.max(ALONE * rest(w)) && rest(w) < PRESSURE;
+        let rest =
+            |w: &Worker| (self.totals.slowness - w.slowness).max(0.0) / (self.totals.up - 1.0).max(1.0);
+        let alone = |w: &Worker| {
+            w.slowness > MAX_WORKER_SLOWNESS.max(OUTLIER_MULTIPLE * rest(w)) && rest(w) < MAX_WORKER_SLOWNESS
+        };
         let takes = |w: &Worker| !alone(w) && (told || w.loads(self.now));
         let home = fit.iter().find(|(_, w)| takes(w)).or(fit.first()).filter(|(_, w)| self.admits(w));
         // Told of the loads, all pass over the same crowded ones.
@@ -386,7 +394,7 @@
             // Waiting for a lane, or for a load, must leave time to be served within the aim.
             let queue = self.workers.get(&n).map_or(0.0, |w| queue(p, w));
             let aim = r.terms.aim as f64;
-            let full = queue > 1.0 + HOLD_SHARE * aim / self.usual.max(1.0) && p.in_flight > 0;
+            let full = queue > 1.0 + MAX_HOLD_SHARE * aim / self.usual_duration.max(1.0) && p.in_flight > 0;
             let roomy = self.workers.get(&n).is_some_and(|w| pressure(w) < limit);
             // Lanes run out: one more copy there, or at the next worker in order when this one is crowded.
             if warm && roomy {
@@ -405,10 +413,10 @@
             return Route::AwaitLoad;
         }
         let Some(h) = home else { return Route::Busy };
-        let missed = r.tries.iter().any(|t| (told || t.worker == h) && t.ended == Some(Outcome::Miss));
+        let missed = r.attempts.iter().any(|t| (told || t.worker == h) && t.ended == Some(Outcome::Miss));
         // Where all were heard for long enough and none told of a copy, none stands: a call that finds that
         // out takes of what a cold worker bears, and opens a connection.
-        let nowhere = f.known && self.heard.whole(self.now, self.settings.keep);
+        let nowhere = f.known && self.gossip.is_complete(self.now, self.settings.keep);
         if self.settings.when_cold == WhenCold::Misses && (missed || nowhere) {
             // After a miss one instance is ordered and the request sent again when it stands.
             self.order(&h, &function, 1, false, out);
@@ -432,22 +440,22 @@
     fn count(&mut self, id: &FunctionId, tenant: Option<usize>, lanes: u32) -> bool {
         let now = self.now;
         if let Some(rate) = tenant.and_then(|t| self.tenant_rates.get_mut(t)) {
-            *rate += SMOOTHING * 1e6 / TICK as f64;
+            *rate += TICK_WEIGHT * 1e6 / TICK_US as f64;
         }
         let functions = &mut self.functions;
-        self.recent.call(now, (id, tenant), FOLLOWS, |before, calls| {
+        self.recent_calls.call(now, (id, tenant), SUCCESSION_WINDOW_US, |before, calls| {
             if let Some(f) = functions.get_mut(before) {
                 *f.successors.entry(id.clone()).or_default() += f64::from(calls);
             }
         });
-        self.meet(id);
+        self.register_function(id);
         let f = self.functions.entry(id.clone()).or_default();
         f.calls += 1.0;
         self.calls += 1.0;
-        (f.last_call, f.lanes, f.seen) = (now, lanes, f.seen + 1);
+        (f.last_call, f.lanes, f.call_count) = (now, lanes, f.call_count + 1);
         let known = f.known;
         if known {
-            self.grant(now);
+            self.count_call(now);
         }
         known
     }
@@ -455,8 +463,12 @@
     /// Algorithm 2: the likeliest successor not believed warm, if its ratio beats the threshold.
     fn preload_successor(&mut self, id: &FunctionId, out: &mut Vec<Action>) {
         let Some(f) = self.functions.get(id) else { return };
-        let likely = f.successors.iter().filter(|(_, n)| f.calls >= MIN_CALLS && **n / f.calls > THRESHOLD);
-        let cold = likely.filter(|(s, _)| self.functions.get(*s).is_some_and(|s| !s.anywhere(self.now)));
+        let likely = f
+            .successors
+            .iter()
+            .filter(|(_, n)| f.calls >= MIN_PREDECESSOR_CALLS && **n / f.calls > PRELOAD_THRESHOLD);
+        let cold =
+            likely.filter(|(s, _)| self.functions.get(*s).is_some_and(|s| !s.is_loaded_anywhere(self.now)));
         let Some(next) = cold.max_by(|a, b| a.1.total_cmp(b.1)).map(|(s, _)| s.clone()) else { return };
         self.rank(&next);
         let panic = self.panicking();
@@ -471,10 +483,12 @@
     /// keep-alive, as by timers, would find each copy just gone. Each router sees its part of the calls:
     /// where all should have come often, the others have them, or nobody has.
     fn renew(&mut self, out: &mut Vec<Action>) {
-        let (now, pace) = (self.now, (self.settings.keep as f64 * RENEW_FOR) as Micros);
-        let soon = |p: &Place| (now + 1..now + RENEW_BEFORE).contains(&p.warm_until) && p.in_flight == 0;
-        let due = self.settings.routers as f64 * self.settings.keep as f64 / (2 * HALVING) as f64;
-        let comes = |f: &Function| f.seen > 1 && now - f.last_call < pace && f.calls * due < CEASED;
+        let (now, pace) = (self.now, (self.settings.keep as f64 * RENEWAL_MULTIPLE) as Micros);
+        let soon =
+            |p: &Placement| (now + 1..now + RENEWAL_LEAD_US).contains(&p.warm_until) && p.in_flight == 0;
+        let due = self.settings.routers as f64 * self.settings.keep as f64 / (2 * HALVING_PERIOD_US) as f64;
+        let comes =
+            |f: &Function| f.call_count > 1 && now - f.last_call < pace && f.calls * due < MAX_MISSED_CALLS;
         let wanted = self.functions.iter().filter(|(_, f)| comes(f));
         let newest =
             wanted.filter_map(|(id, f)| Some((id, f.places.iter().max_by_key(|(_, p)| p.warm_until)?)));
@@ -499,7 +513,7 @@
             return;
         }
         if let Some(b) = self.settings.load_budget {
-            let spare = spare_orders(&b, now, &self.arrivals, &mut self.orders, &self.beside).0;
+            let spare = spare_orders(&b, now, &self.arrivals, &mut self.orders, &self.peer).0;
             if spare < if ahead { 1.0 + RESERVED_ORDERS } else { 1.0 } {
                 return;
             }
@@ -511,7 +525,7 @@
             self.preloads.insert((n.clone(), id.clone()));
         }
         out.push(Action::Load { worker: n.clone(), function: id.clone(), copies: copies.min(16) });
-        self.note(n, id, Word::Loading);
+        self.queue_news(n, id, CopyStatus::Loading);
     }
 
     fn load_ended(&mut self, n: &WorkerId, id: &FunctionId, told: (Outcome, u32), out: &mut Vec<Action>) {
@@ -529,8 +543,9 @@
         }
         p.copies = copies;
         p.warm_until = if copies > 0 { now + keep } else { 0 };
-        let word = [Word::Gone, Word::Holds(0), Word::Copies(copies.min(4) as u8)][copies.min(2) as usize];
-        self.note(n, id, word);
+        let word = [CopyStatus::Gone, CopyStatus::Serving(0), CopyStatus::Copies(copies.min(4) as u8)]
+            [copies.min(2) as usize];
+        self.queue_news(n, id, word);
         let Some(p) = self.functions.get_mut(id).and_then(|f| f.places.get_mut(n)) else { return };
         match end {
             // An order that has come whole stands, also when its connection ends: calls wait for its load.
@@ -538,7 +553,7 @@
             Outcome::ConnectFailed => self.failed(n, end, out),
             // Its memory is all at work, or it drains and the list does not tell yet: to order there again at
             // once would spend the ration, at every router of a large fleet.
-            Outcome::Full if copies == 0 => self.laden(n),
+            Outcome::Full if copies == 0 => self.mark_no_room(n),
             _ => {}
         }
         let held = self.requests.iter().filter(|(_, r)| r.held && r.function == *id).map(|(q, _)| q.clone());
@@ -553,23 +568,23 @@
 impl Core {
     fn dispatch(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(id) else { return };
-        if r.answered || r.streaming || r.tries.iter().any(|t| t.ended.is_none()) {
+        if r.answered || r.streaming || r.attempts.iter().any(|t| t.ended.is_none()) {
             return;
         }
         // Held requests are looked at once a tick; answer while the client surely still waits.
-        let most = r.attempts.min(self.settings.max_attempts);
-        if r.tries.len() as u32 >= most || self.now + 2 * TICK >= r.due || !self.may_repeat(r) {
+        let most = r.max_attempts.min(self.settings.max_attempts);
+        if r.attempts.len() as u32 >= most || self.now + 2 * TICK_US >= r.due || !self.may_repeat(r) {
             return self.give_up(id, out);
         }
         let route = self.route(id, out);
         let now = self.now;
         let Some(r) = self.requests.get_mut(id) else { return };
         match route {
-            Route::AwaitLoad => (r.held, self.holding) = (true, true),
+            Route::AwaitLoad => (r.held, self.any_held) = (true, true),
             Route::Busy => {
-                (r.held, self.holding) = (true, true);
+                (r.held, self.any_held) = (true, true);
                 let aim = r.terms.aim as f64;
-                let patience = (HOLD_SHARE * aim).min(EARLY * (r.due - r.arrived) as f64);
+                let patience = (MAX_HOLD_SHARE * aim).min(MAX_CLIENT_TIME_SHARE * (r.due - r.arrived) as f64);
                 if (now - r.arrived) as f64 > patience && self.may_refuse(id) {
                     self.give_up(id, out);
                 }
@@ -577,9 +592,9 @@
             Route::Send(n) => {
                 r.held = false;
                 let lanes = self.functions.get(&r.function).map_or(1, |f| f.lanes.max(1));
-                let place = place(&mut self.functions, &r.function, &n);
+                let place = placement(&mut self.functions, &r.function, &n);
                 let warm = place.warm_until > now;
-                let clear = warm && place.in_flight < lanes * place.copies.max(1);
+                let lane_free = warm && place.in_flight < lanes * place.copies.max(1);
                 if !warm && self.settings.when_cold == WhenCold::Loads {
                     place.loading = place.loading.or(Some(now));
                 }
@@ -590,7 +605,7 @@
                     w.cold_sends.retain(|t| now - t <= self.settings.fall_window);
                 }
                 let leave_by = repeat_by(r);
-                r.tries.push(Try { worker: n.clone(), sent: now, warm, clear, ended: None });
+                r.attempts.push(Attempt { worker: n.clone(), sent: now, warm, lane_free, ended: None });
                 // No time-out but the client's: beginning anew what waits for a load or a lane adds to both.
                 out.push(Action::Send { request: id.clone(), worker: n, timeout: None, leave_by });
             }
@@ -600,8 +615,8 @@
     /// The request has had its last attempt: it ends with what is out, or now.
     fn limit_attempts(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(id).filter(|r| !r.answered) else { return };
-        r.attempts = r.tries.len() as u32;
-        if r.tries.iter().all(|t| t.ended.is_some()) {
+        r.max_attempts = r.attempts.len() as u32;
+        if r.attempts.iter().all(|t| t.ended.is_some()) {
             self.give_up(id, out);
         }
     }
@@ -632,14 +647,14 @@
         let now = self.now;
         let Some(r) = self.requests.get_mut(id) else { return };
         r.answered |= finished;
-        let Some(t) = r.tries.get_mut(attempt as usize).filter(|t| t.ended.is_none() && t.worker == *n)
+        let Some(t) = r.attempts.get_mut(attempt as usize).filter(|t| t.ended.is_none() && t.worker == *n)
         else {
             return;
         };
         t.ended = Some(outcome);
         let (warm, function, sent, arrived) = (t.warm, r.function.clone(), t.sent, r.arrived);
-        let (class, tenant, aim, hint, clear) = (r.class, r.tenant, r.terms.aim, r.hint, t.clear);
-        let errors = r.tries.iter().filter(|t| t.ended == Some(Outcome::Error)).count();
+        let (class, tenant, aim, hint, lane_free) = (r.class, r.tenant, r.terms.aim, r.hint, t.lane_free);
+        let errors = r.attempts.iter().filter(|t| t.ended == Some(Outcome::Error)).count();
         let knows = matches!(outcome, Outcome::Done | Outcome::Miss);
         let counts = knows && !r.counted;
         r.counted |= knows;
@@ -648,7 +663,7 @@
             f.known
         });
         if counts {
-            self.grant(arrived);
+            self.count_call(arrived);
         }
         if let Some(w) = self.workers.get_mut(n) {
             w.in_flight = w.in_flight.saturating_sub(1);
@@ -657,7 +672,7 @@
             w.tried += if outcome == Outcome::NoConnection { 0.0 } else { 1.0 };
             use Outcome::*;
             if !matches!(outcome, TimedOut | ConnectFailed | Cancelled | NotSent | NoConnection) {
-                (w.heard, w.spoke) = (now, now);
+                (w.last_heard, w.last_answer) = (now, now);
             }
         }
         // What an earlier process of the worker says tells nothing of the one that has started since.
@@ -669,10 +684,11 @@
                 _ if earlier => {}
                 Outcome::Done => {
                     (p.warm_until, p.loading, p.copies) = (now + keep, None, p.copies.max(1));
-                    news = (now - p.told_at > keep / TELL_AGAIN).then_some(Word::Holds(0));
+                    news = (now - p.announced_at > keep / ANNOUNCE_AGAIN_DIVISOR)
+                        .then_some(CopyStatus::Serving(0));
                 }
                 Outcome::Miss => {
-                    news = (p.warm_until > now).then_some(Word::Gone);
+                    news = (p.warm_until > now).then_some(CopyStatus::Gone);
                     (p.warm_until, p.copies, p.missed_until) = (0, 0, now + keep / 4);
                     p.loading = p.loading.filter(|_| p.ordered);
                 }
@@ -680,33 +696,33 @@
                 _ => p.loading = p.loading.filter(|since| *since > sent),
             }
         }
-        news.into_iter().for_each(|word| self.note(n, &function, word));
+        news.into_iter().for_each(|word| self.queue_news(n, &function, word));
         match outcome {
             Outcome::Done => {
                 let loaded = found.map_or(warm, |f| f == Found::Warm);
-                self.done_rate += SMOOTHING * 1e6 / TICK as f64;
+                self.done_rate += TICK_WEIGHT * 1e6 / TICK_US as f64;
                 if let Some(w) = self.workers.get_mut(n) {
                     (w.on_trial, w.rest) = (false, 0);
                 }
                 let of_aim = |time: Micros| (time as f64 / aim.max(1) as f64).min(2.0);
                 // Where answers do not tell what they found, most come from copies that others had loaded.
                 if loaded || found.is_none() {
-                    self.slow = learn(self.slow, of_aim(now - arrived), LEARN);
+                    self.slowness = learn(self.slowness, of_aim(now - arrived), AVERAGE_WEIGHT);
                 }
                 if loaded {
-                    self.usual = learn(self.usual, duration as f64, LEARN);
-                    self.learn_bound(n, (duration, hint), clear);
-                    self.learn_slow(n, of_aim(duration));
+                    self.usual_duration = learn(self.usual_duration, duration as f64, AVERAGE_WEIGHT);
+                    self.learn_concurrency_limit(n, (duration, hint), lane_free);
+                    self.learn_slowness(n, of_aim(duration));
                 }
             }
             Outcome::Full | Outcome::NoConnection => {
                 if let Some(w) = self.workers.get_mut(n) {
-                    w.shut.retain(|shut| shut.2 > now);
+                    w.rejections.retain(|rejection| rejection.2 > now);
                     // A full queue says so at once; one that takes its time turns away this kind of request.
-                    if duration > TICK && outcome == Outcome::Full {
-                        w.shut.push((class, tenant, now + SHUT_FOR));
+                    if duration > TICK_US && outcome == Outcome::Full {
+                        w.rejections.push((class, tenant, now + REJECTION_MEMORY_US));
                     } else {
-                        w.full_until = now + 5 * TICK;
+                        w.full_until = now + 5 * TICK_US;
                     }
                 }
             }
@@ -718,22 +734,23 @@
             // Nor does it say anything of the worker, where others are seen often enough to tell.
             Outcome::Error if !known && self.trust() > 0.5 => {}
             // A client that gave up early tells nothing; seen seldom, a worker would rest for that alone.
-            Outcome::TimedOut if self.seldom() && duration < self.old() => {}
+            Outcome::TimedOut if self.sees_little() && duration < self.old() => {}
             _ if earlier => {}
             // A time-out speaks against the worker only when it has been silent since.
-            Outcome::TimedOut if !warm || self.workers.get(n).is_none_or(|w| w.heard > sent) => {}
+            Outcome::TimedOut if !warm || self.workers.get(n).is_none_or(|w| w.last_heard > sent) => {}
             _ => self.failed(n, outcome, out),
         }
         if warm && duration > self.old() && matches!(outcome, Outcome::Done | Outcome::TimedOut) {
-            self.lost += (f64::from(u8::from(outcome != Outcome::Done)) - self.lost) * 2.0 * LEARN;
+            self.lost_share +=
+                (f64::from(u8::from(outcome != Outcome::Done)) - self.lost_share) * 2.0 * AVERAGE_WEIGHT;
         }
         match outcome {
-            Outcome::Full if duration <= TICK => self.learn_slow(n, 2.0),
+            Outcome::Full if duration <= TICK_US => self.learn_slowness(n, 2.0),
             // It took this long at least. A client that gives up early says no more of the worker.
             Outcome::TimedOut => {
                 let least = (duration as f64 / aim.max(1) as f64).min(2.0);
-                if self.workers.get(n).is_some_and(|w| w.slow < least) {
-                    self.learn_slow(n, least);
+                if self.workers.get(n).is_some_and(|w| w.slowness < least) {
+                    self.learn_slowness(n, least);
                 }
             }
             _ => {}
@@ -743,7 +760,7 @@
             self.forget(id);
         } else if self.may_repeat(r) && outcome != Outcome::NotSent {
             self.dispatch(id, out);
-        } else if r.tries.iter().all(|t| t.ended.is_some()) {
+        } else if r.attempts.iter().all(|t| t.ended.is_some()) {
             self.give_up(id, out);
         }
     }
@@ -755,23 +772,24 @@
     /// Whether the worker has room for one more of ours, by what runs there alone: an estimate of its speed
     /// that only answers refresh would, once wrong, keep them away. What awaits a load takes no core.
     fn admits(&self, w: &Worker) -> bool {
-        let room = self.running(w) < self.bound.get() * w.size / self.mean_size();
+        let room = self.running(w) < self.concurrency_limit.get() * w.size / self.mean_size();
         // What many tell is old by a period: a bound on that would turn them all away at once, and back.
-        (room || self.heard.well) && w.full_until <= self.now
+        (room || self.gossip.reliable) && w.full_until <= self.now
     }
 
     /// Whether the worker may be sent this request now.
     fn usable(&self, name: &str, w: &Worker, r: &Request, panic: bool) -> bool {
-        let here = |t: &&Try| self.workers.get(&t.worker).is_some_and(|x| std::ptr::eq(x, w));
-        let ended =
-            |t: &Try| t.ended.filter(|e| !matches!(e, Outcome::Miss | Outcome::Full | Outcome::NoConnection));
+        let here = |t: &&Attempt| self.workers.get(&t.worker).is_some_and(|x| std::ptr::eq(x, w));
+        let ended = |t: &Attempt| {
+            t.ended.filter(|e| !matches!(e, Outcome::Miss | Outcome::Full | Outcome::NoConnection))
+        };
         // A connection that broke does not speak against its worker; two do.
-        let fails = |t: &Try| ended(t).map_or(0, |e| if e == Outcome::Reset { 1 } else { 2 });
-        let failed_here = r.tries.iter().filter(here).map(fails).sum::<u32>() >= 2;
+        let fails = |t: &Attempt| ended(t).map_or(0, |e| if e == Outcome::Reset { 1 } else { 2 });
+        let failed_here = r.attempts.iter().filter(here).map(fails).sum::<u32>() >= 2;
         let safe = r.terms.effect == Effect::Safe;
         let well = panic || (w.ill_until <= self.now && (!w.on_trial || (safe && w.in_flight == 0)));
-        let shut = w.shut.iter().any(|s| (s.0, s.1) == (r.class, r.tenant) && s.2 > self.now);
-        w.up && well && !shut && self.cold_room(name, w) && !failed_here
+        let rejected = w.rejections.iter().any(|s| (s.0, s.1) == (r.class, r.tenant) && s.2 > self.now);
+        w.up && well && !rejected && self.cold_room(name, w) && !failed_here
     }
 
     /// A starting worker is sent no more than its share of what a warm one is seen to serve.
@@ -780,11 +798,11 @@
         if self.warmth(w) >= 1.0 {
             return true;
         }
-        let budget = self.cold_part(w).max(LEAST_COLD / s.routers as f64);
+        let budget = self.cold_part(w).max(MIN_COLD_REQUESTS / s.routers as f64);
         // A part of a request is admitted by lot, drawn anew each half window, so that hundreds of routers
         // whose share is far below one keep the limit together and none is shut out for ever.
         let slot = 2 * self.now / s.fall_window.max(1);
-        let lot = hash(name, &format!("{}/{slot}", self.lot)) < budget.fract() / 2.0;
+        let lot = hash(name, &format!("{}/{slot}", self.seed)) < budget.fract() / 2.0;
         let sent = w.cold_sends.iter().filter(|t| self.now - **t < s.fall_window).count();
         sent < budget as usize + usize::from(lot)
     }
@@ -801,7 +819,7 @@
         let trust = self.trust();
         let Some(w) = self.workers.get_mut(n) else { return };
         let broken = outcome == Outcome::ConnectFailed;
-        if outcome == Outcome::Reset && self.now - std::mem::replace(&mut w.broken_at, self.now) < TICK {
+        if outcome == Outcome::Reset && self.now - std::mem::replace(&mut w.last_reset, self.now) < TICK_US {
             return;
         }
         w.failed += 1.0;
@@ -809,7 +827,7 @@
             // It may be starting anew, long before the list tells: cold until it has had the time to warm up.
             w.cold_since = self.now;
         }
-        let often = w.failed > ILL_FAILURES * trust && w.failed > ILL_SHARE * w.tried;
+        let often = w.failed > MIN_FAILURES * trust && w.failed > MAX_FAILURE_SHARE * w.tried;
         if (broken || often || w.on_trial) && outcome != Outcome::Full {
             self.rest(n, out);
         }
@@ -817,9 +835,9 @@
 
     fn rest(&mut self, n: &WorkerId, out: &mut Vec<Action>) {
         let now = self.now;
-        let first = if self.trust() > 0.5 { FIRST_REST } else { LONGEST_REST };
+        let first = if self.trust() > 0.5 { MIN_REST_US } else { MAX_REST_US };
         let Some(w) = self.workers.get_mut(n).filter(|w| w.ill_until <= now) else { return };
-        w.rest = (w.rest * 2).clamp(first, LONGEST_REST);
+        w.rest = (w.rest * 2).clamp(first, MAX_REST_US);
         (w.ill_until, w.on_trial) = (now + w.rest, true);
         (w.failed, w.tried) = (0.0, 0.0);
         out.push(Action::Log { text: format!("worker {} rests for {} ms", n.0, w.rest / 1000) });
@@ -827,7 +845,7 @@
 
     /// Age from which an attempt on a loaded copy is old.
     fn old(&self) -> Micros {
-        ((self.usual * SILENT_MULTIPLE) as Micros).max(SILENT_LEAST)
+        ((self.usual_duration * SILENT_MULTIPLE) as Micros).max(MIN_SILENCE_US)
     }
 
     /// Workers that take requests and answer none: attempts on loaded copies grow old and nothing is heard.
@@ -836,12 +854,12 @@
         let (mut waiting, mut aged): (BTreeMap<&WorkerId, u32>, BTreeMap<&WorkerId, u32>) =
             Default::default();
         for r in self.requests.values() {
-            for t in r.tries.iter().filter(|t| t.ended.is_none() && t.warm) {
+            for t in r.attempts.iter().filter(|t| t.ended.is_none() && t.warm) {
                 let age = self.now - t.sent;
                 if age > old {
                     *aged.entry(&t.worker).or_default() += 1;
                 }
-                if age > old && self.workers.get(&t.worker).is_some_and(|w| w.heard <= t.sent) {
+                if age > old && self.workers.get(&t.worker).is_some_and(|w| w.last_heard <= t.sent) {
                     *waiting.entry(&t.worker).or_default() += 1 + u32::from(age > 2 * old);
                 }
             }
@@ -852,18 +870,20 @@
         // One that answers now and then while most of what it holds grows old has all but stopped.
         let stuck = aged.into_iter().filter(|(n, k)| {
             let w = self.workers.get(*n).filter(|w| w.up && w.ill_until <= self.now);
-            w.is_some_and(|w| *k >= STUCK && *k * 2 > w.in_flight)
+            w.is_some_and(|w| *k >= MIN_STUCK_ATTEMPTS && *k * 2 > w.in_flight)
         });
         let stuck: Vec<_> = stuck.map(|(n, _)| n.clone()).collect();
-        if stuck.len() as f64 + self.totals.ill <= STUCK_SHARE * self.totals.up {
+        if stuck.len() as f64 + self.totals.ill <= MAX_STUCK_SHARE * self.totals.up {
             silent.extend(stuck);
         }
         // Where the old are mostly lost, not slow, a read is asked for anew while there is time.
-        let lost = self.lost > LOST && self.slow < SHED && self.settings.cancel;
+        let lost =
+            self.lost_share > MIN_LOST_SHARE && self.slowness < MAX_FLEET_SLOWNESS && self.settings.cancel;
         for (id, r) in self.requests.iter().filter(|(_, r)| lost && !r.answered && !r.streaming) {
             let safe = r.terms.effect == Effect::Safe;
-            let k = r.tries.iter().position(|t| t.ended.is_none() && t.warm && self.now - t.sent > old);
-            if let (true, Some(k)) = (safe && r.tries.iter().all(|t| t.ended != Some(Outcome::Cancelled)), k)
+            let k = r.attempts.iter().position(|t| t.ended.is_none() && t.warm && self.now - t.sent > old);
+            if let (true, Some(k)) =
+                (safe && r.attempts.iter().all(|t| t.ended != Some(Outcome::Cancelled)), k)
             {
                 out.push(Action::Cancel { request: id.clone(), attempt: k as u32 });
             }
@@ -875,7 +895,9 @@
             }
             // What may be repeated is called off there, and goes elsewhere when that is confirmed.
             for (id, r) in &self.requests {
-                for (k, t) in r.tries.iter().enumerate().filter(|(_, t)| t.ended.is_none() && t.worker == n) {
+                for (k, t) in
+                    r.attempts.iter().enumerate().filter(|(_, t)| t.ended.is_none() && t.worker == n)
+                {
                     let grown_old = !r.answered && !r.streaming && self.now - t.sent > old;
                     if grown_old && self.may_leave(r, &n) {
                         out.push(Action::Cancel { request: id.clone(), attempt: k as u32 });
@@ -890,7 +912,7 @@
     fn worth(&self, class: usize, tenant: Option<usize>, repeat: bool) -> f64 {
         let c = &self.settings.classes[class];
         let over = tenant.is_some_and(|t| match (self.settings.tenants.get(t), self.tenant_rates.get(t)) {
-            (Some(told), Some(rate)) => rate * self.settings.routers as f64 > told.quota * OVER,
+            (Some(told), Some(rate)) => rate * self.settings.routers as f64 > told.quota * QUOTA_TOLERANCE,
             _ => false,
         });
         c.worth
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,39 +2,39 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::bound::Bound;
-use crate::gossip::{host_key, Composer, Table, Word};
+use crate::bound::ConcurrencyLimit;
+use crate::gossip::{host_key, Composer, CopyStatus, PeerTable};
 use crate::hash::hash;
 use crate::interface::*;
 use crate::ramp::share_per_router;
 use crate::succession::Succession;
 
 /// Shares of fewer calls than this are taken as of so many.
-pub(crate) const FEW_CALLS: f64 = 10.0;
+pub(crate) const MIN_SHARE_CALLS: f64 = 10.0;
 /// Calls of a function that prove nothing of its share: seldom called ones come twice by chance.
-pub(crate) const BY_CHANCE: f64 = 1.0;
+pub(crate) const IGNORED_CALLS: f64 = 1.0;
 /// Calls at the average worker, at least, that a crowd is taken as a part of: of fewer, it slows nobody.
-pub(crate) const FEW_OUT: f64 = 4.0;
+pub(crate) const MIN_OVERLAP_BASE: f64 = 4.0;
 /// Calls that one answer is believed to have met: more than a worker runs of one function are a spoilt answer.
-const MOST_MET: u32 = 64;
+const MAX_OVERLAP: u32 = 64;
 /// In flight at the average worker below which a router sees too little of the others' load to tell it.
-pub(crate) const TELLING: f64 = 0.1;
+pub(crate) const HALF_TRUST_IN_FLIGHT: f64 = 0.1;
 /// An answer's time says this long how slow its worker is.
-pub(crate) const SLOW_MEMORY: f64 = 3e6;
+pub(crate) const SLOWNESS_MEMORY_US: f64 = 3e6;
 /// A connection that was used within this is thought to stand: hosts close idle ones after half a minute. A wrong
 /// guess costs no more than a connection.
-const HELD: Micros = 20_000_000;
+const CONNECTION_REUSE_US: Micros = 20_000_000;
 /// A load report older than this says nothing.
-const REPORT_AGE: Micros = 1_000_000;
+const MAX_REPORT_AGE_US: Micros = 1_000_000;
 /// Time in which a higher rate than was seen before is believed, and in which one seen once is forgotten.
-const RISES: f64 = 3e6;
-const FALLS: f64 = 120e6;
+const CAPACITY_RISE_US: f64 = 3e6;
+const CAPACITY_FALL_US: f64 = 120e6;
 /// Weight of one answer in the averages of durations.
-pub(crate) const LEARN: f64 = 0.05;
+pub(crate) const AVERAGE_WEIGHT: f64 = 0.05;
 
 /// What is believed of one function on one worker.
 #[derive(Default)]
-pub(crate) struct Place {
+pub(crate) struct Placement {
     /// Believed loaded until then.
     pub(crate) warm_until: Micros,
     pub(crate) copies: u32,
@@ -47,10 +47,10 @@
     pub(crate) in_flight: u32,
     pub(crate) mean_in_flight: f64,
     /// Calls for the function that were there when one of ours came, as its answer told, and when it did; 0: never.
-    pub(crate) crowd: f64,
-    pub(crate) crowd_at: Micros,
+    pub(crate) overlap: f64,
+    pub(crate) overlap_at: Micros,
     /// When somebody last told that a copy stands.
-    pub(crate) told_at: Micros,
+    pub(crate) announced_at: Micros,
 }
 
 /// Sums over the workers that are up.
@@ -67,7 +67,7 @@
     pub(crate) running: f64,
     pub(crate) ill: f64,
     /// Times of their answers, over their aim.
-    pub(crate) slow: f64,
+    pub(crate) slowness: f64,
 }
 
 #[derive(Default)]
@@ -76,18 +76,18 @@
     pub(crate) key: u32,
     pub(crate) calls: f64,
     /// Calls of all routers that answers told of, and out of how many.
-    pub(crate) crowd: f64,
-    pub(crate) crowd_of: f64,
+    pub(crate) overlap: f64,
+    pub(crate) overlap_base: f64,
     pub(crate) last_call: Micros,
-    pub(crate) seen: u64,
+    pub(crate) call_count: u64,
     /// Some worker knows it: it was served or missed there, not answered with an error.
     pub(crate) known: bool,
     pub(crate) successors: BTreeMap<FunctionId, f64>,
     pub(crate) lanes: u32,
-    pub(crate) places: BTreeMap<WorkerId, Place>,
+    pub(crate) places: BTreeMap<WorkerId, Placement>,
     /// Workers in rendezvous order, as of this list version.
     pub(crate) ranked: Vec<WorkerId>,
-    pub(crate) ranked_at: u64,
+    pub(crate) ranked_version: u64,
 }
 
 /// What the other routers have on a worker: running means of what it reported, less our own.
@@ -108,15 +108,15 @@
     pub(crate) cell: i64,
     pub(crate) size: f64,
     /// Orders workers for this router alone, so that many routers do not turn to the same of equals.
-    pub(crate) draw: f64,
+    pub(crate) tie_break: f64,
     /// In service, as the list has it.
     pub(crate) listed: bool,
     /// Taken out by an operator.
-    pub(crate) barred: bool,
+    pub(crate) out_of_service: bool,
     /// May be sent new work: listed and not barred.
     pub(crate) up: bool,
     /// When an operator put it back.
-    pub(crate) back: Micros,
+    pub(crate) restored_at: Micros,
     pub(crate) started: Micros,
     /// Its start, or the last sign of one.
     pub(crate) cold_since: Micros,
@@ -127,36 +127,36 @@
     pub(crate) mean_awaiting: f64,
     /// What the other routers have there, by its load reports.
     pub(crate) others: Others,
-    pub(crate) heard: Micros,
+    pub(crate) last_heard: Micros,
     /// When an answer came over a connection; 0: never.
-    pub(crate) spoke: Micros,
+    pub(crate) last_answer: Micros,
     pub(crate) tried: f64,
     pub(crate) failed: f64,
     /// When a connection to it broke last: what ends with one connection is one failure.
-    pub(crate) broken_at: Micros,
+    pub(crate) last_reset: Micros,
     pub(crate) rest: Micros,
     pub(crate) ill_until: Micros,
     pub(crate) on_trial: bool,
     pub(crate) full_until: Micros,
     /// It takes no order to load until then.
-    pub(crate) laden_until: Micros,
+    pub(crate) no_loads_until: Micros,
     /// Class and tenant that it turns away, and until when that is believed.
-    pub(crate) shut: Vec<(usize, Option<usize>, Micros)>,
+    pub(crate) rejections: Vec<(usize, Option<usize>, Micros)>,
     pub(crate) cold_sends: VecDeque<Micros>,
     /// Time of its answers from loaded copies, over their aim.
-    pub(crate) slow: f64,
-    pub(crate) learnt: Micros,
+    pub(crate) slowness: f64,
+    pub(crate) slowness_at: Micros,
 }
 
 /// How an attempt ended, whether that finished its request, after how long, and what the answer told.
 pub(crate) type Seen = (Outcome, bool, Micros, Option<Found>, Option<LoadReport>);
 
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
     pub(crate) sent: Micros,
     pub(crate) warm: bool,
     /// It found a lane free, as far as is known here.
-    pub(crate) clear: bool,
+    pub(crate) lane_free: bool,
     pub(crate) ended: Option<Outcome>,
 }
 
@@ -165,14 +165,14 @@
     pub(crate) class: usize,
     /// Its class, and the attempts that it may have, as they were when it came.
     pub(crate) terms: Class,
-    pub(crate) attempts: u32,
+    pub(crate) max_attempts: u32,
     pub(crate) tenant: Option<usize>,
     pub(crate) arrived: Micros,
     /// What an answer is likely to earn.
     pub(crate) worth: f64,
     pub(crate) function: FunctionId,
     pub(crate) due: Micros,
-    pub(crate) tries: Vec<Try>,
+    pub(crate) attempts: Vec<Attempt>,
     pub(crate) answered: bool,
     pub(crate) held: bool,
     /// Counts for the ration of load orders.
@@ -181,9 +181,9 @@
     /// Work that it was said to take, as time on a standard core; 0: not told.
     pub(crate) hint: Micros,
     /// Drawn in (0, 1]; where only a part is admitted, those above it wait.
-    pub(crate) lot: f64,
+    pub(crate) admission_draw: f64,
     /// Where it is best served, best first.
-    pub(crate) advice: Vec<PreferredLocation>,
+    pub(crate) preferred: Vec<PreferredLocation>,
 }
 
 /// The decisions of one router. Feed it events in order; it answers with actions.
@@ -195,50 +195,50 @@
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
     /// Seed of the lots drawn for cold workers.
-    pub(crate) lot: u64,
+    pub(crate) seed: u64,
     pub(crate) now: Micros,
     pub(crate) workers: BTreeMap<WorkerId, Worker>,
     /// Counts changes of the workers' set and sizes.
-    pub(crate) roster: u64,
+    pub(crate) worker_set_version: u64,
     pub(crate) totals: Totals,
     pub(crate) functions: BTreeMap<FunctionId, Function>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    pub(crate) recent: Succession,
+    pub(crate) recent_calls: Succession,
     pub(crate) arrivals: VecDeque<Micros>,
     /// Calls of all functions, halved with theirs.
     pub(crate) calls: f64,
     pub(crate) orders: VecDeque<Micros>,
     pub(crate) preloads: BTreeSet<(WorkerId, FunctionId)>,
     pub(crate) tenant_rates: Vec<f64>,
-    pub(crate) halved: Micros,
-    pub(crate) ticked: Micros,
+    pub(crate) last_halving: Micros,
+    pub(crate) last_tick: Micros,
     /// When its first event came.
-    pub(crate) born: Micros,
+    pub(crate) started_at: Micros,
     pub(crate) wake_at: Micros,
     /// Some request waits here.
-    pub(crate) holding: bool,
+    pub(crate) any_held: bool,
     pub(crate) subscribe_at: Micros,
     /// Usual time of an answer from a loaded copy.
-    pub(crate) usual: f64,
+    pub(crate) usual_duration: f64,
     /// Time of answers over their aim, from when their request came.
-    pub(crate) slow: f64,
+    pub(crate) slowness: f64,
     pub(crate) mean_worth: f64,
     /// Share of the attempts that grew old whose answer never came.
-    pub(crate) lost: f64,
+    pub(crate) lost_share: f64,
     pub(crate) done_rate: f64,
     /// Calls that a worker of mean size is to run at once.
-    pub(crate) bound: Bound,
+    pub(crate) concurrency_limit: ConcurrencyLimit,
     /// The most that was served for long enough to be believed: answers a second for each size that is warm.
     pub(crate) capacity: f64,
     /// Sizes that were warm, over the same time as `done_rate`.
     pub(crate) mean_warm: f64,
-    pub(crate) held_worth: f64,
+    pub(crate) max_held_worth: f64,
     /// Attempts elsewhere of the request that arrives next.
-    pub(crate) past: Vec<Try>,
+    pub(crate) past_attempts: Vec<Attempt>,
     /// ... and where it is best served.
-    pub(crate) advice: Vec<PreferredLocation>,
-    pub(crate) beside: Beside,
-    pub(crate) heard: Table,
+    pub(crate) preferred: Vec<PreferredLocation>,
+    pub(crate) peer: PeerRouter,
+    pub(crate) gossip: PeerTable,
     pub(crate) composer: Composer,
     /// Workers and called functions by what stands for them where routers tell one another.
     pub(crate) host_keys: BTreeMap<u16, WorkerId>,
@@ -247,7 +247,7 @@
 
 /// A router beside this one, with which it shares the ration of orders.
 #[derive(Default)]
-pub(crate) struct Beside {
+pub(crate) struct PeerRouter {
     /// Calls that it told of, which are among this one's arrivals.
     calls: VecDeque<Micros>,
     /// Orders that it told of or was granted, which are among this one's.
@@ -258,7 +258,7 @@
 
 /// Orders at the most that either of two routers leaves to the other of what that is due: neither is kept from
 /// what it needs first by the other's burst, and little lies unused.
-const LEFT_TO_OTHER: f64 = 2.0;
+const MAX_ORDERS_LEFT_TO_PEER: f64 = 2.0;
 
 /// Orders that the ration leaves now to this router, and to one beside it; below 1 none may be given.
 pub(crate) fn spare_orders(
@@ -266,20 +266,20 @@
     now: Micros,
     arrivals: &VecDeque<Micros>,
     orders: &mut VecDeque<Micros>,
-    beside: &Beside,
+    peer: &PeerRouter,
 ) -> (f64, f64) {
     orders.retain(|t| *t >= now - budget.period);
     let gone = arrivals.partition_point(|t| *t <= now - budget.period);
     let taken = (arrivals.len() - gone) as f64;
     let ration = budget.free + budget.share * taken;
     let spare = ration - orders.len() as f64;
-    if beside.share <= 0.0 {
+    if peer.share <= 0.0 {
         return (spare, spare);
     }
-    let theirs = beside.orders.iter().filter(|t| **t >= now - budget.period).count() as f64;
+    let theirs = peer.orders.iter().filter(|t| **t >= now - budget.period).count() as f64;
     let own = (orders.len() as f64 - theirs).max(0.0);
-    let left = |share: f64, had: f64| ((share * ration).max(1.0) - had).clamp(0.0, LEFT_TO_OTHER);
-    (spare - left(beside.share, theirs), spare - left(1.0 - beside.share, own))
+    let left = |share: f64, had: f64| ((share * ration).max(1.0) - had).clamp(0.0, MAX_ORDERS_LEFT_TO_PEER);
+    (spare - left(peer.share, theirs), spare - left(1.0 - peer.share, own))
 }
 
 /// What is told to a router that takes another's place.
@@ -304,23 +304,23 @@
         core.now = now.max(core.now);
         let Some(budget) = core.settings.load_budget else { return true };
         let start = core.now - budget.period;
-        core.beside.orders.retain(|t| *t >= start);
-        let (_, spare) = spare_orders(&budget, core.now, &core.arrivals, &mut core.orders, &core.beside);
+        core.peer.orders.retain(|t| *t >= start);
+        let (_, spare) = spare_orders(&budget, core.now, &core.arrivals, &mut core.orders, &core.peer);
         if spare >= 1.0 {
             core.orders.push_back(core.now);
-            core.beside.orders.push_back(core.now);
+            core.peer.orders.push_back(core.now);
         }
         spare >= 1.0
     }
 
     /// The router beside this one has this share of the calls, and is due as much of the ration.
     pub fn set_peer_share(&mut self, share: f64) {
-        self.0.beside.share = if share.is_finite() { share.clamp(0.0, 1.0) } else { 0.0 };
+        self.0.peer.share = if share.is_finite() { share.clamp(0.0, 1.0) } else { 0.0 };
     }
 
     /// The router beside this one is gone: what it told counts as this one's own from now on.
     pub fn peer_gone(&mut self) {
-        self.0.beside = Default::default();
+        self.0.peer = Default::default();
     }
 
     /// Entries of all tables: what this router remembers. Each has a bound or an expiry, so this settles.
@@ -328,15 +328,15 @@
         let c = &self.0;
         let of = |f: &Function| 1 + f.successors.len() + f.places.len() + f.ranked.len();
         c.functions.values().map(of).sum::<usize>()
-            + c.workers.values().map(|w| 1 + w.shut.len() + w.cold_sends.len()).sum::<usize>()
-            + c.requests.values().map(|r| 1 + r.tries.len()).sum::<usize>()
+            + c.workers.values().map(|w| 1 + w.rejections.len() + w.cold_sends.len()).sum::<usize>()
+            + c.requests.values().map(|r| 1 + r.attempts.len()).sum::<usize>()
             + c.arrivals.len()
             + c.orders.len()
             + c.preloads.len()
-            + c.beside.calls.len()
-            + c.beside.orders.len()
-            + c.recent.entries()
-            + c.heard.entries()
+            + c.peer.calls.len()
+            + c.peer.orders.len()
+            + c.recent_calls.entries()
+            + c.gossip.entries()
             + c.composer.entries()
             + c.host_keys.len()
             + c.function_keys.len()
@@ -351,12 +351,13 @@
 impl Worker {
     /// Whether a connection to it is likely to stand: to open one costs both sides.
     pub(crate) fn held(&self, now: Micros) -> bool {
-        self.in_flight > 0 || (self.spoke > self.broken_at && now - self.spoke < HELD)
+        self.in_flight > 0
+            || (self.last_answer > self.last_reset && now - self.last_answer < CONNECTION_REUSE_US)
     }
 
     /// Whether it is thought to take orders to load.
     pub(crate) fn loads(&self, now: Micros) -> bool {
-        self.laden_until <= now
+        self.no_loads_until <= now
     }
 
     /// Takes in a load report. It is late and counts our own too, which we know as of now: only its mean over
@@ -364,18 +365,18 @@
     pub(crate) fn learn_others(&mut self, now: Micros, report: LoadReport) {
         let holding = report.in_flight - f64::from(self.in_flight);
         let running = report.in_flight - report.waiting - f64::from(self.in_flight - self.awaiting);
-        let weight = if self.others.at == 0 { 1.0 } else { LEARN };
+        let weight = if self.others.at == 0 { 1.0 } else { AVERAGE_WEIGHT };
         let mean = |before: f64, now: f64| before + (now - before) * weight;
         let Others { holding: held, running: ran, .. } = self.others;
         self.others = Others { at: now, holding: mean(held, holding), running: mean(ran, running) };
     }
 
     /// A new process is met without a record.
-    pub(crate) fn acquit(&mut self) {
+    pub(crate) fn reset_record(&mut self) {
         (self.failed, self.tried, self.rest, self.ill_until, self.full_until) = (0.0, 0.0, 0, 0, 0);
-        self.laden_until = 0;
-        (self.on_trial, self.others, self.slow) = (false, Others::default(), 0.0);
-        self.shut.clear();
+        self.no_loads_until = 0;
+        (self.on_trial, self.others, self.slowness) = (false, Others::default(), 0.0);
+        self.rejections.clear();
     }
 }
 
@@ -384,9 +385,9 @@
     /// routers which share nothing agree on few copies, also after a restart.
     pub(crate) fn rank(&mut self, id: &FunctionId) {
         let Some(f) = self.functions.get_mut(id) else { return };
-        if f.ranked_at != self.roster {
+        if f.ranked_version != self.worker_set_version {
             f.ranked = in_order(&id.0, self.workers.iter().map(|(n, w)| (n, w.size)));
-            f.ranked_at = self.roster;
+            f.ranked_version = self.worker_set_version;
         }
     }
 
@@ -399,8 +400,8 @@
     /// or what our own share lets us expect, which is the fleet's mean where we see too little of each worker.
     pub(crate) fn load(&self, w: &Worker) -> f64 {
         let own = w.in_flight as f64;
-        if self.heard.well {
-            return own + self.heard.at_host(w.key);
+        if self.gossip.reliable {
+            return own + self.gossip.at_host(w.key);
         }
         if let Some(others) = self.others(w) {
             return own + others.holding.max(0.0);
@@ -420,79 +421,86 @@
 
     /// What the others have there, by its reports, as long as they are fresh. A router alone has no others.
     fn others(&self, w: &Worker) -> Option<Others> {
-        let told = self.settings.routers > 1 && w.others.at > 0 && self.now - w.others.at < REPORT_AGE;
-        told.then_some(w.others)
+        let fresh =
+            self.settings.routers > 1 && w.others.at > 0 && self.now - w.others.at < MAX_REPORT_AGE_US;
+        fresh.then_some(w.others)
     }
 
     /// How far our own requests tell what the others do: next to nothing when they are few for each worker.
     pub(crate) fn trust(&self) -> f64 {
         let seen = (self.totals.in_flight / self.totals.up.max(1.0)).powi(2) + 1e-9;
-        let unseen = TELLING.powi(2) * (1.0 - 1.0 / self.settings.routers as f64);
+        let unseen = HALF_TRUST_IN_FLIGHT.powi(2) * (1.0 - 1.0 / self.settings.routers as f64);
         seen / (seen + unseen)
     }
 
     /// A function's share of the calls: of our own, and of all that answers told of.
     pub(crate) fn share(&self, f: &Function) -> f64 {
-        ((f.calls - BY_CHANCE).max(0.0) + f.crowd) / (self.calls.max(FEW_CALLS) + f.crowd_of)
+        ((f.calls - IGNORED_CALLS).max(0.0) + f.overlap) / (self.calls.max(MIN_SHARE_CALLS) + f.overlap_base)
     }
 
     /// Calls that all routers have out, as far as this one neither sees them nor could hear of them. Where routers tell one
     /// another, a moment without word is short, and what answers told in it would count for half a minute after.
-    fn unseen(&self) -> f64 {
+    fn unseen_calls(&self) -> f64 {
         if self.gossip_enabled() {
             return 0.0;
         }
         let out = self.totals.in_flight * f64::from(self.settings.routers);
-        (1.0 - self.trust()) * out.max(FEW_OUT * self.totals.up)
+        (1.0 - self.trust()) * out.max(MIN_OVERLAP_BASE * self.totals.up)
     }
 
     /// Takes in how many calls of all routers for its function a call met. They are a part of all that are out, which is
     /// as many calls as this router would see in minutes: a share of two or three of its own is chance, and each router
     /// that is wrong by itself begins a load that nobody else uses. What awaits a load piles up, and tells of the load.
-    pub(crate) fn learn_crowd(
+    pub(crate) fn learn_overlap(
         &mut self,
         id: &RequestId,
         n: &WorkerId,
         found: Option<Found>,
-        crowd: Option<u32>,
+        overlap: Option<u32>,
     ) {
-        let met = crowd.filter(|_| matches!(found, Some(Found::Warm | Found::BeganLoad)));
+        let met = overlap.filter(|_| matches!(found, Some(Found::Warm | Found::BeganLoad)));
         let (Some(met), Some(r)) = (met, self.requests.get(id)) else { return };
         let Some(f) = self.functions.get(&r.function) else { return };
-        let (now, part) = (self.now, self.unseen() / self.spread(f).max(1) as f64);
-        let met = if part > 0.0 { (1.0 - self.trust()) * f64::from(met.min(MOST_MET)) } else { 0.0 };
+        let (now, part) = (self.now, self.unseen_calls() / self.spread(f).max(1) as f64);
+        let met = if part > 0.0 { (1.0 - self.trust()) * f64::from(met.min(MAX_OVERLAP)) } else { 0.0 };
         let Some(f) = self.functions.get_mut(&r.function) else { return };
-        (f.crowd, f.crowd_of) = (f.crowd + met, f.crowd_of + part);
-        f.places.entry(n.clone()).and_modify(|p| (p.crowd, p.crowd_at) = (met, now));
+        (f.overlap, f.overlap_base) = (f.overlap + met, f.overlap_base + part);
+        f.places.entry(n.clone()).and_modify(|p| (p.overlap, p.overlap_at) = (met, now));
     }
 
     /// Calls for the function at one of so many places, of routers that this one does not hear: as it met them there
     /// while a copy lay idle at the most, else their fair part; none where no answer told of any.
-    pub(crate) fn crowd(&self, f: &Function, p: &Place, places: usize) -> f64 {
-        if f.crowd_of == 0.0 || self.heard.well {
+    pub(crate) fn overlap(&self, f: &Function, p: &Placement, places: usize) -> f64 {
+        if f.overlap_base == 0.0 || self.gossip.reliable {
             0.0
-        } else if p.crowd_at > 0 && self.now - p.crowd_at < self.settings.keep {
-            p.crowd
+        } else if p.overlap_at > 0 && self.now - p.overlap_at < self.settings.keep {
+            p.overlap
         } else {
-            self.share(f) * self.unseen() / places.max(1) as f64
+            self.share(f) * self.unseen_calls() / places.max(1) as f64
         }
     }
 
     /// Takes in the time of an answer, over its aim.
-    pub(crate) fn learn_slow(&mut self, n: &WorkerId, ratio: f64) {
+    pub(crate) fn learn_slowness(&mut self, n: &WorkerId, ratio: f64) {
         if let Some(w) = self.workers.get_mut(n) {
             // One seldom asked is believed by its last answer.
-            let weight = LEARN.max(1.0 - (-((self.now - w.learnt) as f64) / SLOW_MEMORY).exp());
-            w.slow += (ratio - w.slow) * weight;
-            w.learnt = self.now;
+            let weight =
+                AVERAGE_WEIGHT.max(1.0 - (-((self.now - w.slowness_at) as f64) / SLOWNESS_MEMORY_US).exp());
+            w.slowness += (ratio - w.slowness) * weight;
+            w.slowness_at = self.now;
         }
     }
 
     /// Takes in what a call took that found its copy and a lane, of one that has warmed up.
-    pub(crate) fn learn_bound(&mut self, n: &WorkerId, (took, work): (Micros, Micros), clear: bool) {
-        if clear && self.workers.get(n).is_some_and(|w| self.warmth(w) >= 1.0) {
+    pub(crate) fn learn_concurrency_limit(
+        &mut self,
+        n: &WorkerId,
+        (took, work): (Micros, Micros),
+        lane_free: bool,
+    ) {
+        if lane_free && self.workers.get(n).is_some_and(|w| self.warmth(w) >= 1.0) {
             let up = self.totals.up.max(1.0);
-            self.bound.learn(took as f64, work as f64, self.totals.running / up, up);
+            self.concurrency_limit.learn(took as f64, work as f64, self.totals.running / up, up);
         }
     }
 
@@ -505,7 +513,7 @@
         // The scatter of what is counted over a fading second: twice that over the time in which it is believed.
         let chance = (self.done_rate / 2.0).sqrt();
         let rate = (self.done_rate - chance).max(0.0) / self.mean_warm.max(1e-9);
-        let time = if rate > self.capacity { RISES } else { FALLS };
+        let time = if rate > self.capacity { CAPACITY_RISE_US } else { CAPACITY_FALL_US };
         self.capacity += (rate - self.capacity) * (1.0 - (-passed / time).exp());
     }
 
@@ -520,7 +528,7 @@
     pub(crate) fn cold_part(&self, w: &Worker) -> f64 {
         let (s, now) = (&self.settings, self.now);
         // An earlier life of this router, which it knows nothing of, may have sent its part just before it ended.
-        if w.cold_since < self.born && now - self.born < s.fall_window {
+        if w.cold_since < self.started_at && now - self.started_at < s.fall_window {
             return 0.0;
         }
         let served = self.capacity.max(self.warm_rate()) * w.size * s.fall_window as f64 / 1e6;
@@ -542,7 +550,7 @@
             warm: up().map(|w| w.size * self.warmth(w)).sum(),
             in_flight: up().map(|w| w.mean_in_flight).sum(),
             ill: up().filter(|w| w.ill_until > self.now || w.on_trial).count() as f64,
-            slow: up().map(|w| w.slow).sum(),
+            slowness: up().map(|w| w.slowness).sum(),
             load: 0.0,
             running: 0.0,
         };
@@ -551,7 +559,7 @@
     }
 
     /// A call that came then counts for the ration of orders.
-    pub(crate) fn grant(&mut self, arrived: Micros) {
+    pub(crate) fn count_call(&mut self, arrived: Micros) {
         let window = self.settings.load_budget.map_or(0, |b| b.period);
         while self.arrivals.front().is_some_and(|t| *t <= self.now - window) {
             self.arrivals.pop_front();
@@ -561,23 +569,23 @@
     }
 
     /// Takes new settings up. Classes and tenants go by index: what was told by the old ones is let go.
-    pub(crate) fn retune(&mut self, settings: Settings) {
+    pub(crate) fn apply_settings(&mut self, settings: Settings) {
         if settings.tenants != self.settings.tenants {
             self.tenant_rates = vec![0.0; settings.tenants.len()];
-            self.recent.clear();
+            self.recent_calls.clear();
         }
-        self.workers.values_mut().for_each(|w| w.shut.clear());
+        self.workers.values_mut().for_each(|w| w.rejections.clear());
         self.requests.values_mut().for_each(|r| (r.class, r.tenant) = (usize::MAX, None));
         self.settings = settings;
     }
 
     /// Takes other terms of the same classes and tenants; what is open is held to the stricter of old and new.
-    pub(crate) fn rebind(&mut self, settings: Settings) {
+    pub(crate) fn apply_terms(&mut self, settings: Settings) {
         self.tenant_rates.resize(settings.tenants.len(), 0.0);
         for r in self.requests.values_mut() {
             if let Some(class) = settings.classes.get(r.class) {
                 r.terms.effect = r.terms.effect.stricter(class.effect);
-                r.attempts = r.attempts.min(class.attempts.unwrap_or(settings.max_attempts));
+                r.max_attempts = r.max_attempts.min(class.attempts.unwrap_or(settings.max_attempts));
             }
         }
         self.settings = settings;
@@ -588,7 +596,7 @@
         let places =
             self.functions.iter().flat_map(|(id, f)| f.places.iter().map(move |(n, p)| (id, f, n, p)));
         let warm = places.filter(|(.., p)| p.warm_until > self.now);
-        let told = warm.map(|(id, f, n, p)| LoadedFunction {
+        let loaded = warm.map(|(id, f, n, p)| LoadedFunction {
             worker: n.clone(),
             function: id.clone(),
             lanes: f.lanes,
@@ -596,7 +604,7 @@
             until: p.warm_until,
             calls: f.calls,
         });
-        told.collect()
+        loaded.collect()
     }
 
     /// Calls and orders since then, for a router that takes this one's place: all of them, or its own.
@@ -611,10 +619,10 @@
             (tally.calls, tally.orders) = (tally.calls + calls, tally.orders + orders);
         }
         if own {
-            for t in self.beside.calls.iter().filter(|t| **t > since) {
+            for t in self.peer.calls.iter().filter(|t| **t > since) {
                 all.entry(slot(t)).and_modify(|tally| tally.calls = tally.calls.saturating_sub(1));
             }
-            for t in self.beside.orders.iter().filter(|t| **t > since) {
+            for t in self.peer.orders.iter().filter(|t| **t > since) {
                 all.entry(slot(t)).and_modify(|tally| tally.orders = tally.orders.saturating_sub(1));
             }
         }
@@ -622,14 +630,14 @@
     }
 
     /// The request that arrives next has had these attempts.
-    pub(crate) fn attempted(&mut self, past: Vec<PastAttempt>) {
+    pub(crate) fn set_past_attempts(&mut self, past: Vec<PastAttempt>) {
         let past = past.into_iter();
-        self.past = past
-            .map(|p| Try {
+        self.past_attempts = past
+            .map(|p| Attempt {
                 worker: p.worker,
                 sent: p.sent,
                 warm: false,
-                clear: false,
+                lane_free: false,
                 ended: Some(p.outcome),
             })
             .collect();
@@ -643,7 +651,7 @@
             if served.is_finite() && self.totals.size > 0.0 { served / self.totals.size } else { 0.0 };
         self.capacity = self.capacity.max(served);
         // What an earlier process sent is told: nothing is unknown of it.
-        self.born = 0;
+        self.started_at = 0;
         for (n, times) in sends {
             let (now, window) = (self.now, self.settings.fall_window);
             self.workers.entry(n).and_modify(|w| {
@@ -653,15 +661,15 @@
         }
         let period = self.settings.load_budget.map_or(0, |b| b.period);
         let start = self.now - period;
-        let told = &mut self.beside;
-        [&mut told.calls, &mut told.orders].into_iter().for_each(|times| times.retain(|t| *t > start));
+        let peer = &mut self.peer;
+        [&mut peer.calls, &mut peer.orders].into_iter().for_each(|times| times.retain(|t| *t > start));
         for t in tallies.into_iter().filter(|t| t.at > start) {
             let at = self.arrivals.partition_point(|a| *a < t.at);
             (0..t.calls).for_each(|_| self.arrivals.insert(at, t.at));
             let late = (0..t.orders).map(|_| t.at + Tally::LENGTH_US);
             if sender_keeps_running {
-                self.beside.calls.extend((0..t.calls).map(|_| t.at));
-                self.beside.orders.extend(late.clone());
+                self.peer.calls.extend((0..t.calls).map(|_| t.at));
+                self.peer.orders.extend(late.clone());
             }
             self.orders.extend(late);
         }
@@ -670,7 +678,7 @@
             if f.places.is_empty() {
                 self.calls += l.calls.max(0.0);
                 (f.calls, f.lanes, f.known) = (f.calls + l.calls.max(0.0), l.lanes.max(1), true);
-                (f.last_call, f.seen) = (self.now, f.seen.max(2));
+                (f.last_call, f.call_count) = (self.now, f.call_count.max(2));
             }
             let p = f.places.entry(l.worker).or_default();
             (p.warm_until, p.copies) = (p.warm_until.max(l.until), p.copies.max(l.copies));
@@ -686,41 +694,41 @@
             let fresh = || Worker {
                 started: e.ready_at,
                 cold_since: e.ready_at,
-                heard: self.now,
+                last_heard: self.now,
                 ..Worker::default()
             };
             let w = self.workers.entry(e.worker.clone()).or_insert_with(fresh);
             w.listed = e.condition == Condition::Up;
-            w.up = w.listed && !w.barred;
+            w.up = w.listed && !w.out_of_service;
             (w.zone, w.cell, w.key) = (e.zone, e.cell, host_key(&e.worker));
             let size = if e.size.is_finite() && e.size > 0.0 { e.size } else { 1.0 };
-            self.roster += u64::from(size != w.size);
-            (w.size, w.draw) = (size, -hash(&e.worker.0, &self.lot.to_string()).ln() / size);
+            self.worker_set_version += u64::from(size != w.size);
+            (w.size, w.tie_break) = (size, -hash(&e.worker.0, &self.seed.to_string()).ln() / size);
             if e.ready_at > w.started || e.condition == Condition::Gone {
                 // A new process holds nothing and has no record.
-                w.acquit();
+                w.reset_record();
                 w.cold_sends.retain(|t| *t >= e.ready_at);
                 (w.started, w.cold_since) = (w.started.max(e.ready_at), w.started.max(e.ready_at));
-                self.functions.values_mut().for_each(|f| f.lose(&e.worker));
+                self.functions.values_mut().for_each(|f| f.drop_copies(&e.worker));
             }
         }
         self.sum_up();
         // Those that are gone keep their place in the orders, as they mostly come back; not for ever.
         if self.workers.len() as f64 > 2.0 * self.totals.up {
-            self.workers.retain(|_, w| w.up || w.barred || w.in_flight > 0);
+            self.workers.retain(|_, w| w.up || w.out_of_service || w.in_flight > 0);
         }
-        self.key_hosts();
+        self.index_host_keys();
     }
 
     /// Out, a worker gets nothing new. Back in, it may be another process that holds nothing and is cold.
-    pub(crate) fn bar(&mut self, n: &WorkerId, out: bool) {
+    pub(crate) fn set_out_of_service(&mut self, n: &WorkerId, out: bool) {
         let w = self.workers.entry(n.clone()).or_default();
         w.up = w.listed && !out;
-        if std::mem::replace(&mut w.barred, out) && !out {
-            w.acquit();
-            (w.back, w.cold_since) = (self.now, self.now);
+        if std::mem::replace(&mut w.out_of_service, out) && !out {
+            w.reset_record();
+            (w.restored_at, w.cold_since) = (self.now, self.now);
             for f in self.functions.values_mut() {
-                f.lose(n);
+                f.drop_copies(n);
                 f.places.entry(n.clone()).and_modify(|p| p.missed_until = 0);
             }
         }
@@ -729,7 +737,7 @@
 
     /// Drops a request that is answered and has nothing out.
     pub(crate) fn forget(&mut self, id: &RequestId) {
-        let over = |r: &Request| r.answered && r.tries.iter().all(|t| t.ended.is_some());
+        let over = |r: &Request| r.answered && r.attempts.iter().all(|t| t.ended.is_some());
         if self.requests.get(id).is_some_and(over) {
             self.requests.remove(id);
         }
@@ -749,7 +757,8 @@
 impl Function {
     /// Halves the counts; false when nothing is left to remember.
     pub(crate) fn halve(&mut self, now: Micros, forget: Micros) -> bool {
-        (self.calls, self.crowd, self.crowd_of) = (self.calls / 2.0, self.crowd / 2.0, self.crowd_of / 2.0);
+        (self.calls, self.overlap, self.overlap_base) =
+            (self.calls / 2.0, self.overlap / 2.0, self.overlap_base / 2.0);
         self.successors.retain(|_, n| {
             *n /= 2.0;
             *n >= 0.25
@@ -759,27 +768,33 @@
     }
 
     /// Takes another router's word, given then, unless it is known better here.
-    pub(crate) fn told(&mut self, n: &WorkerId, (now, at): (Micros, Micros), keep: Micros, word: Word) {
+    pub(crate) fn apply_gossip(
+        &mut self,
+        n: &WorkerId,
+        (now, at): (Micros, Micros),
+        keep: Micros,
+        status: CopyStatus,
+    ) {
         let p = self.places.entry(n.clone()).or_default();
-        p.told_at = now;
-        match word {
-            Word::Gone => (p.warm_until, p.copies, p.told_at) = (0, 0, 0),
+        p.announced_at = now;
+        match status {
+            CopyStatus::Gone => (p.warm_until, p.copies, p.announced_at) = (0, 0, 0),
             // What was missed here later is missing.
             _ if p.missed_until - keep / 4 >= at => {}
             _ => {
-                let copies = if let Word::Copies(n) = word { u32::from(n) } else { 1 };
+                let copies = if let CopyStatus::Copies(n) = status { u32::from(n) } else { 1 };
                 (p.warm_until, p.copies) = (p.warm_until.max(at + keep), p.copies.max(copies));
             }
         }
     }
 
     /// Loaded, or being loaded, on some worker.
-    pub(crate) fn anywhere(&self, now: Micros) -> bool {
+    pub(crate) fn is_loaded_anywhere(&self, now: Micros) -> bool {
         self.places.values().any(|p| p.warm_until > now || p.loading.is_some())
     }
 
     /// The worker's copies are gone.
-    pub(crate) fn lose(&mut self, worker: &WorkerId) {
+    pub(crate) fn drop_copies(&mut self, worker: &WorkerId) {
         if let Some(p) = self.places.get_mut(worker) {
             (p.warm_until, p.copies, p.loading) = (0, 0, None);
         }
@@ -787,11 +802,11 @@
 }
 
 /// What is believed of the function on the worker.
-pub(crate) fn place<'a>(
+pub(crate) fn placement<'a>(
     all: &'a mut BTreeMap<FunctionId, Function>,
     f: &FunctionId,
     n: &WorkerId,
-) -> &'a mut Place {
+) -> &'a mut Placement {
     all.entry(f.clone()).or_default().places.entry(n.clone()).or_default()
 }
 
--- a/src/succession.rs
+++ b/src/succession.rs
@@ -11,7 +11,7 @@
 
 /// The calls of one tenant within the window.
 #[derive(Default)]
-struct Line {
+struct TenantCalls {
     /// By function, numbers of its calls, oldest first.
     calls: BTreeMap<FunctionId, VecDeque<u64>>,
     /// By the number of its last call, each of these functions.
@@ -24,7 +24,7 @@
     number: u64,
     /// Oldest first: what bounds everything here is the number of calls in the window.
     window: VecDeque<(Micros, Option<usize>, FunctionId)>,
-    lines: BTreeMap<Option<usize>, Line>,
+    tenants: BTreeMap<Option<usize>, TenantCalls>,
 }
 
 impl Succession {
@@ -38,44 +38,44 @@
     ) {
         self.expire(now, window);
         self.number += 1;
-        let line = self.lines.entry(tenant).or_default();
-        let own = line.calls.entry(id.clone()).or_default();
+        let tenant_calls = self.tenants.entry(tenant).or_default();
+        let own = tenant_calls.calls.entry(id.clone()).or_default();
         let since = own.back().copied().unwrap_or(0);
         own.push_back(self.number);
-        line.latest.remove(&since);
-        for other in line.latest.range(since + 1..).map(|(_, other)| other) {
-            let calls = &line.calls[other];
+        tenant_calls.latest.remove(&since);
+        for other in tenant_calls.latest.range(since + 1..).map(|(_, other)| other) {
+            let calls = &tenant_calls.calls[other];
             let before = calls.partition_point(|number| *number <= since);
             followed(other, (calls.len() - before) as u32);
         }
-        line.latest.insert(self.number, id.clone());
+        tenant_calls.latest.insert(self.number, id.clone());
         self.window.push_back((now, tenant, id.clone()));
     }
 
     /// How much is remembered.
     pub(crate) fn entries(&self) -> usize {
-        let of = |l: &Line| l.latest.len() + l.calls.values().map(|c| 1 + c.len()).sum::<usize>();
-        self.window.len() + self.lines.values().map(of).sum::<usize>()
+        let of = |l: &TenantCalls| l.latest.len() + l.calls.values().map(|c| 1 + c.len()).sum::<usize>();
+        self.window.len() + self.tenants.values().map(of).sum::<usize>()
     }
 
     /// Forgets all: tenants go by other numbers.
     pub(crate) fn clear(&mut self) {
         self.window.clear();
-        self.lines.clear();
+        self.tenants.clear();
     }
 
     fn expire(&mut self, now: Micros, window: Micros) {
         while self.window.front().is_some_and(|(at, ..)| now - at > window) {
             let Some((_, tenant, id)) = self.window.pop_front() else { return };
-            let Some(line) = self.lines.get_mut(&tenant) else { continue };
-            let Some(calls) = line.calls.get_mut(&id) else { continue };
+            let Some(tenant_calls) = self.tenants.get_mut(&tenant) else { continue };
+            let Some(calls) = tenant_calls.calls.get_mut(&id) else { continue };
             let last = calls.pop_front();
             if calls.is_empty() {
-                line.calls.remove(&id);
-                last.map(|number| line.latest.remove(&number));
+                tenant_calls.calls.remove(&id);
+                last.map(|number| tenant_calls.latest.remove(&number));
             }
-            if line.calls.is_empty() {
-                self.lines.remove(&tenant);
+            if tenant_calls.calls.is_empty() {
+                self.tenants.remove(&tenant);
             }
         }
     }
--- a/src/succession/tests.rs
+++ b/src/succession/tests.rs
@@ -86,8 +86,8 @@
     }
     assert!(s.window.len() <= 101);
     counted(&mut s, 100 * WINDOW, &function(0), None);
-    let kept: usize = s.lines.values().map(|l| l.calls.len() + l.latest.len()).sum();
-    assert_eq!((s.window.len(), s.lines.len(), kept), (1, 1, 2));
+    let kept: usize = s.tenants.values().map(|l| l.calls.len() + l.latest.len()).sum();
+    assert_eq!((s.window.len(), s.tenants.len(), kept), (1, 1, 2));
     s.clear();
-    assert_eq!((s.window.len(), s.lines.len()), (0, 0));
+    assert_eq!((s.window.len(), s.tenants.len()), (0, 0));
 }
--- a/tests/advice.rs
+++ b/tests/advice.rs
@@ -46,7 +46,7 @@
             let (request, out) = bed.call(SAFE, "f");
             let worker = sent(&out).remove(0);
             // The first three hold twenty calls of the function, the others none.
-            let same_function_calls = told.then_some(if worker.as_str() < "w3" { 20 } else { 0 });
+            let overlap = told.then_some(if worker.as_str() < "w3" { 20 } else { 0 });
             bed.event(Event::Answer {
                 request,
                 attempt: 0,
@@ -55,7 +55,7 @@
                 finished: true,
                 duration: 50 * MS,
                 found: Some(Found::Warm),
-                same_function_calls,
+                overlap,
                 report: None,
             });
             to.push(worker);
@@ -117,7 +117,7 @@
                     finished: outcome == Outcome::Done,
                     duration: 50 * MS,
                     found: None,
-                    same_function_calls: None,
+                    overlap: None,
                     report: None,
                 }));
             }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -591,9 +591,9 @@
                 let met = *crowd;
                 *crowd += u32::from(is_held(outcome));
                 let mut event = Self::end(request, (number, worker), outcome, after);
-                if let Event::Answer { report, same_function_calls, found: told, .. } = &mut event {
+                if let Event::Answer { report, overlap, found: told, .. } = &mut event {
                     if self.crowds && outcome == Outcome::Done {
-                        (*same_function_calls, *told) = (Some(met.min(30)), Some(found));
+                        (*overlap, *told) = (Some(met.min(30)), Some(found));
                     }
                     *report = if self.reports { LoadReport::new(f64::from(h.held), 0.0) } else { None };
                 }
@@ -663,18 +663,8 @@
     ) -> Event {
         let finished = outcome == Outcome::Done;
         let found = finished.then_some(Found::Warm);
-        let (same_function_calls, report) = (None, None);
-        Event::Answer {
-            request,
-            attempt,
-            worker,
-            outcome,
-            finished,
-            duration,
-            found,
-            same_function_calls,
-            report,
-        }
+        let (overlap, report) = (None, None);
+        Event::Answer { request, attempt, worker, outcome, finished, duration, found, overlap, report }
     }
 
     fn kept_drain(&self, router: usize, host: &str) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -110,7 +110,7 @@
             finished: outcome == Outcome::Done,
             duration: 50 * MS,
             found: None,
-            same_function_calls: None,
+            overlap: None,
             report: None,
         })
     }
@@ -125,7 +125,7 @@
             finished: true,
             duration,
             found: Some(Found::Warm),
-            same_function_calls: None,
+            overlap: None,
             report: None,
         })
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -295,7 +295,7 @@
             finished: true,
             duration: patience,
             found: None,
-            same_function_calls: None,
+            overlap: None,
             report: None,
         });
         let rested = out.iter().any(|a| matches!(a, Action::Log { text } if text.contains("rests")));
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -132,7 +132,7 @@
                     let duration = rng.i64(MS..400 * MS);
                     let finished = outcome == Outcome::Done;
                     let (attempt, found) = (std::mem::replace(attempt, *attempt + 1), None);
-                    let (same_function_calls, report) = (None, None);
+                    let (overlap, report) = (None, None);
                     let event = Event::Answer {
                         request,
                         attempt,
@@ -141,7 +141,7 @@
                         finished,
                         duration,
                         found,
-                        same_function_calls,
+                        overlap,
                         report,
                     };
                     ends.insert((now + duration, step), event);
--- a/tests/no_connection.rs
+++ b/tests/no_connection.rs
@@ -25,7 +25,7 @@
         finished: false,
         duration: 0,
         found: None,
-        same_function_calls: None,
+        overlap: None,
         report: None,
     })
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -195,7 +195,7 @@
         finished: over,
         duration: took,
         found: None,
-        same_function_calls: None,
+        overlap: None,
         report: None,
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -316,7 +316,7 @@
                 finished: true,
                 duration: 900 * MS,
                 found: Some(Found::Warm),
-                same_function_calls: None,
+                overlap: None,
                 report: None,
             });
         }
@@ -630,7 +630,7 @@
                 finished: true,
                 duration: 1000 * MS,
                 found: None,
-                same_function_calls: None,
+                overlap: None,
                 report: None,
             });
         }
@@ -856,7 +856,7 @@
                     finished: false,
                     duration: MS,
                     found: None,
-                    same_function_calls: None,
+                    overlap: None,
                     report: None,
                 }));
             }
