--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,6 +1,6 @@
-//! Most decisions of the library; which repeats are allowed is in `src/repeats.rs`. The types are in
-//! `src/interface.rs`; ARCHITECTURE.md tells where each rule comes from. Reading order: constants, events,
-//! routing, chain preloading, attempts and answers, health and guards.
+//! Routing, load orders, health checks and admission; `src/repeats.rs` decides which retries are allowed.
+//! The types are in `src/interface.rs`, and ARCHITECTURE.md names the source of each rule. Reading order:
+//! constants, events, routing, chain preloading, attempts and answers, health and guards.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,84 +12,89 @@
 
 // ---------------------------------------------------------------------------------------------- constants
 
-/// Counts halve this often, so that popularity which moves on is forgotten within some tens of seconds.
+/// Interval at which call counts are halved, so that past popularity fades within some tens of seconds.
 const HALVING_PERIOD_US: Micros = 10_000_000;
-/// ... but not before this many calls: a router that sees few tells little from fewer.
+/// Calls that must be counted before counts are halved: a router with little traffic needs its old counts.
 const MIN_CALLS_TO_HALVE: f64 = 200.0;
-/// A call counts as a successor when it comes within this time, once per call and tenant.
+/// A call counts as a successor of an earlier call of the same tenant within this time, once per call.
 const SUCCESSION_WINDOW_US: Micros = 1_000_000;
-/// Calls of a function before its successor counts are believed.
+/// Calls of a function that are needed before its successor counts are used.
 const MIN_PREDECESSOR_CALLS: f64 = 4.0;
-/// A successor is preloaded when it follows more than this share of the calls.
+/// A successor is preloaded when it follows more than this share of the calls of a function.
 const PRELOAD_THRESHOLD: f64 = 0.5;
-/// Preloads under way at once: enough for the chains of a moment, too few to crowd the store.
+/// Preload orders in progress at once. The limit keeps preloads from overloading the function store.
 const MAX_PRELOADS: usize = 4;
-/// Load orders that preloads leave in the budget for requests that wait.
+/// Load orders that preloads must leave in the budget for waiting requests.
 const RESERVED_ORDERS: f64 = 2.0;
-/// Between looks at held requests, silent workers and copies about to be unloaded.
+/// Interval of checks for held requests, silent workers and copies that are about to be unloaded.
 const TICK_US: Micros = 20_000;
-/// ... and at a router that sees little and holds nothing: hundreds of idle ticks a second are all its work.
+/// The same at a router with little traffic and no held requests: hundreds of idle ticks a second would be
+/// all its work.
 const IDLE_TICK_US: Micros = 100_000;
-/// Weight of one tick in the averages of requests in flight: a memory of about a second.
+/// Weight of one tick in the running means of requests in flight: a time constant of about one second.
 const TICK_WEIGHT: f64 = 0.02;
-/// A worker is crowded above this multiple of the mean load for its size, as in bounded-load hashing.
+/// A worker is crowded above this multiple of the mean load per size, as in bounded-load hashing.
 const CROWDED_MULTIPLE: f64 = 1.5;
-/// ... but never below this many requests for mean size: their number is not what makes it slow.
+/// A worker of mean size with no more requests than this is never crowded: so few do not slow it down.
 const MIN_CROWDED_LOAD: f64 = 4.0;
-/// Workers over which a function's calls are spread, over those that they alone would keep at the fleet's
-/// mean load: chance then overlaps little parts of functions rather than whole ones.
+/// A function's calls are spread over this multiple of the workers that they would keep at the mean load.
+/// Functions that share a worker by chance then share small parts of their load rather than all of it.
 const SPREAD_FACTOR: f64 = 4.0;
-/// Loads are told apart in steps of this many requests for mean size: finer ones are chance.
+/// Loads that differ by less than this many requests, for mean size, count as equal: that is noise.
 const LOAD_STEP: f64 = 0.25;
-/// Sums that were told are samples of what came and went: their roots scatter so, whatever their size.
+/// The same for the square roots of loads known by gossip: the root of a sampled count has the same
+/// scatter whatever the count.
 const ROOT_LOAD_STEP: f64 = 0.7;
-/// A worker is silent when attempts on loaded copies are older than this multiple of the usual answer...
+/// A worker is silent when attempts on loaded copies are older than this multiple of the usual duration
+/// and than [`MIN_SILENCE_US`].
 const SILENT_MULTIPLE: f64 = 5.0;
-/// ... and than this, since short calls scatter more.
+/// Attempts younger than this are never overdue: the durations of short calls vary more.
 const MIN_SILENCE_US: Micros = 600_000;
-/// Share of lost ones among the old above which it pays to ask anew.
+/// Share of overdue attempts that never get an answer, above which safe requests are cancelled and retried.
 const MIN_LOST_SHARE: f64 = 0.5;
-/// So many that grew old, if they are most of what it holds, tell that a worker has all but stopped...
+/// A worker has almost stopped when at least this many of its attempts, and more than half, are overdue.
 const MIN_STUCK_ATTEMPTS: u32 = 3;
-/// ... as long as it is no more than this share of the workers: else it is the load.
+/// Above this share of stuck and ill workers, the cause is overload and none is rested for being stuck.
 const MAX_STUCK_SHARE: f64 = 0.34;
-/// First rest of a worker that looks ill; doubles up to the longest while trials fail.
+/// First rest of an unhealthy worker; each failed trial doubles it, up to [`MAX_REST_US`].
 const MIN_REST_US: Micros = 1_000_000;
-/// Longest rest.
 const MAX_REST_US: Micros = 8_000_000;
-/// A worker that turned one class of one tenant away, though it has room, is spared these for so long.
+/// A worker that rejected a class and tenant though it has room gets no such requests for this time.
 const REJECTION_MEMORY_US: Micros = 15_000_000;
-/// A worker that fails more than this share of its recent attempts is ill.
+/// A worker is unhealthy when more than this share of its recent attempts failed...
 const MAX_FAILURE_SHARE: f64 = 0.3;
-/// Recent failures needed to say so.
+/// ... and at least this many did.
 const MIN_FAILURES: f64 = 2.0;
-/// Never nothing from all of us together: what is not asked can neither warm up nor be told well.
+/// Requests per window that all routers together may always send to a starting worker: without any, it
+/// neither warms up nor shows that it is healthy.
 const MIN_COLD_REQUESTS: f64 = 2.0;
-/// For so long one that was put back is given copies of functions ahead of their calls.
+/// Time after a worker returns to service in which copies are ordered on it ahead of calls.
 const RESTORE_PERIOD_US: Micros = 5_000_000;
-/// A copy is renewed when it has less than this to live: time for an order and for its load.
+/// A copy is renewed when it would be unloaded within this time, which covers an order and its load.
 const RENEWAL_LEAD_US: Micros = 1_500_000;
-/// Functions not called for this multiple of the keep-alive are let go.
+/// Copies of functions not called for this multiple of the keep-alive are no longer renewed.
 const RENEWAL_MULTIPLE: f64 = 2.5;
-/// So many calls of all routers were due while a copy lay idle: as none came, they have ceased.
+/// When a copy stays idle although all routers together should have sent it this many calls, the calls
+/// have stopped.
 const MAX_MISSED_CALLS: f64 = 3.0;
-/// A tenant is over its share above this multiple of it: traffic is bursty and seen in part.
+/// A tenant exceeds its quota above this multiple of it: traffic is bursty, and a router sees only a part.
 const QUOTA_TOLERANCE: f64 = 1.1;
-/// A worker whose answers take more than this share of their aim is passed over for others: work varies.
+/// Slowness, as answer time over latency aim, above which a worker may be passed over. It is well below 1,
+/// as the work of calls varies.
 const MAX_WORKER_SLOWNESS: f64 = 0.3;
-/// When the fleet's answers take more than this share of their aim, a part of the requests is refused.
+/// Slowness of the whole fleet above which a part of the requests is held, then refused.
 const MAX_FLEET_SLOWNESS: f64 = 0.6;
-/// A worker is alone in being slow above this multiple of the others' mean.
+/// A worker is a slow outlier above this multiple of the mean slowness of the others.
 const OUTLIER_MULTIPLE: f64 = 3.0;
-/// A request that finds no room is held for this share of its aim, then refused while that is early.
+/// A request that finds no room is held for at most this share of its latency aim, then refused...
 const MAX_HOLD_SHARE: f64 = 0.3;
-/// ... and for this share of the client's own time at most: a client told late has no time to try again.
+/// ... and for at most this share of the time until its client gives up, which leaves time for a retry.
 const MAX_CLIENT_TIME_SHARE: f64 = 0.4;
 
 // ------------------------------------------------------------------------------------------------- events
 
 impl Router {
-    /// A router that knows nothing yet. The same seed and events always give the same actions.
+    /// Creates a router without any state. The same seed and events always give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let tenant_rates = vec![0.0; settings.tenants.len()];
@@ -97,7 +102,7 @@
         Ok(Self(Core { settings, rng, seed, tenant_rates, ..Core::default() }))
     }
 
-    /// Takes one event and appends what is to be done about it. Late, repeated or unknown ids do no harm.
+    /// Handles one event and appends the resulting actions. Late, repeated and unknown ids are ignored.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.0.handle(now, event, out);
     }
@@ -143,7 +148,7 @@
                 };
                 self.mean_worth = learn(self.mean_worth, fresh.worth, AVERAGE_WEIGHT);
                 self.requests.insert(request.clone(), fresh);
-                // What is worth less than some that wait does not overtake them.
+                // A new request does not overtake held requests that are worth more.
                 match self.requests.get_mut(&request) {
                     Some(r) if r.worth < self.max_held_worth && self.now + 2 * TICK_US < due => {
                         (r.held, self.any_held) = (true, true);
@@ -159,7 +164,8 @@
                         let at = self.arrivals.partition_point(|t| *t < r.arrived);
                         self.arrivals.remove(at);
                     }
-                    // Who leaves mostly tries again at once, and must not take room twice.
+                    // A client that leaves mostly retries at once; cancelling keeps it from using room
+                    // twice.
                     for (k, _) in r.attempts.iter().enumerate().filter(|(_, t)| t.ended.is_none()) {
                         if self.settings.cancel && !r.streaming {
                             out.push(Action::Cancel { request: request.clone(), attempt: k as u32 });
@@ -194,7 +200,7 @@
             Event::Settings(settings) => self.apply_settings(*settings),
             Event::ClassTerms(settings) => self.apply_terms(*settings),
             Event::GossipReceived { from, data } => self.receive_gossip(from, &data),
-            Event::Handover(legacy) => self.inherit(legacy),
+            Event::Handover(state) => self.inherit(state),
             Event::PastAttempts(past) => self.set_past_attempts(past),
             Event::PreferredLocations(preferred) => self.preferred = preferred,
             Event::Woken => {}
@@ -237,7 +243,7 @@
         self.send_gossip(out);
         self.find_silent(out);
         self.renew(out);
-        // Held requests by worth; of equals the newest, so that a queue does not serve only the dead.
+        // Held requests by worth, newest first among equals: the oldest are the likeliest to time out.
         let held = self.requests.iter().filter(|(_, r)| r.held);
         let mut held: Vec<_> = held.map(|(id, r)| (r.worth, r.arrived, id.clone())).collect();
         held.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)).then_with(|| a.2.cmp(&b.2)));
@@ -251,10 +257,10 @@
 
 // ------------------------------------------------------------------------------------------------ routing
 
-/// Where a request may go now.
+/// Outcome of routing a request.
 enum Route {
     Send(WorkerId),
-    /// A load is under way: wait for it here.
+    /// A load is in progress: the router holds the request until it ends.
     AwaitLoad,
     /// No worker has room.
     Busy,
@@ -267,8 +273,9 @@
         (CROWDED_MULTIPLE * mean).max(MIN_CROWDED_LOAD) / self.mean_size()
     }
 
-    /// Workers, first in order, that a function's calls are spread over by its share, where our own calls do
-    /// not tell where copies stand: the others use them too, so they are presumed loaded.
+    /// Number of workers, from the first in rendezvous order, that a function's calls are spread over by
+    /// its share of the calls. Used where this router's own calls do not show where copies are loaded: the
+    /// other routers use the same workers, so these are presumed loaded.
     pub(crate) fn spread(&self, f: &Function) -> usize {
         let n = SPREAD_FACTOR * self.share(f) * self.totals.up * (1.0 - self.trust());
         if n < 2.0 || self.gossip.reliable {
@@ -278,8 +285,8 @@
         }
     }
 
-    /// Workers that a function may be loaded on: two, and more as its calls need lanes. A function that finds
-    /// no room at these waits: loading it on ever more workers pushes out what others need.
+    /// Number of workers that a function may be loaded on: two, and more as its calls need lanes. Calls
+    /// that find no room there wait, as further copies elsewhere would evict functions that others need.
     fn reach(&self, f: &Function) -> usize {
         let running = self.share(f) * self.totals.in_flight * self.settings.routers as f64;
         2 + self.spread(f).max((running / f.lanes.max(1) as f64) as usize)
@@ -295,7 +302,8 @@
         let (Some(r), Some(f)) = (self.requests.get(id), self.functions.get(&function)) else {
             return Route::Busy;
         };
-        // A slow fleet is sent less, by lot and by worth, where single workers are seldom seen.
+        // Where this router sees too little of single workers, it sends a slow fleet only a random part of
+        // the requests, chosen by worth.
         let part = (MAX_FLEET_SLOWNESS / self.slowness).powf(self.mean_worth / r.worth);
         if self.slowness > MAX_FLEET_SLOWNESS && r.admission_draw > part.max(self.trust()) {
             return Route::Busy;
@@ -305,27 +313,30 @@
         let limit = self.crowding();
         let others = (self.settings.routers - 1) as f64 * self.trust();
         let lanes = f.lanes.max(1) as f64;
-        let told = self.gossip.reliable;
+        let use_gossip = self.gossip.reliable;
         let queue = |p: &Placement, w: &Worker| {
-            let theirs = if told { self.gossip.at_place(f.key, w.key) } else { others * p.mean_in_flight };
+            let theirs =
+                if use_gossip { self.gossip.at_place(f.key, w.key) } else { others * p.mean_in_flight };
             (p.in_flight as f64 + theirs) / (lanes * p.copies.max(1) as f64)
         };
-        // Told of all that is out, a starting worker is held to the part of its size that it has.
-        let pressure = |w: &Worker| self.load(w) / w.size / if told { self.warmth(w) } else { 1.0 };
-        // Where a worker was full, twice as many may hold it: a router that knows little finds them so.
-        let fulls = r.attempts.iter().filter(|t| t.ended == Some(Outcome::Full)).count();
-        let wider = if fulls > 0 && self.trust() < 0.5 { 1 << (fulls + 1).min(9) } else { 0 };
-        let spread = self.spread(f).max(wider);
-        let fit = self.ranked(f).filter(|(n, w)| usable(n, w));
-        let fit: Vec<_> = fit.take(self.reach(f).max(spread)).collect();
+        // With gossip the whole load is known, so a starting worker counts with its current part of its
+        // size.
+        let pressure = |w: &Worker| self.load(w) / w.size / if use_gossip { self.warmth(w) } else { 1.0 };
+        // Each worker that was full doubles the number of candidates: a router with little traffic finds
+        // copies that way.
+        let full_count = r.attempts.iter().filter(|t| t.ended == Some(Outcome::Full)).count();
+        let widened = if full_count > 0 && self.trust() < 0.5 { 1 << (full_count + 1).min(9) } else { 0 };
+        let spread = self.spread(f).max(widened);
+        let candidates = self.ranked(f).filter(|(n, w)| usable(n, w));
+        let candidates: Vec<_> = candidates.take(self.reach(f).max(spread)).collect();
         let missing = |n| f.places.get(n).is_some_and(|p| p.missed_until > self.now || p.loading.is_some());
-        let presumed = fit.iter().take(spread).map(|(n, _)| *n).filter(|n| !missing(n));
-        let presumed: BTreeSet<_> = presumed.collect();
-        let nothing = Placement::default();
-        let known = f.places.iter().filter(|(n, _)| !presumed.contains(n));
-        let places = known.chain(presumed.iter().map(|n| (*n, f.places.get(n).unwrap_or(&nothing))));
-        // The ordinary path: warm with room, least loaded; of those about equal one at random, by size.
-        // Where a prefix lies goes before load, as long as answers there are not slow.
+        let presumed_loaded = candidates.iter().take(spread).map(|(n, _)| *n).filter(|n| !missing(n));
+        let presumed_loaded: BTreeSet<_> = presumed_loaded.collect();
+        let unknown = Placement::default();
+        let known = f.places.iter().filter(|(n, _)| !presumed_loaded.contains(n));
+        let places = known.chain(presumed_loaded.iter().map(|n| (*n, f.places.get(n).unwrap_or(&unknown))));
+        // The usual path: the least loaded worker with a loaded copy and room, a random one by size among
+        // about equal ones. Preferred locations take precedence over load, unless the worker is slow.
         let advised = |n: &WorkerId, w: &Worker| match w.slowness < MAX_WORKER_SLOWNESS {
             true => PreferredLocation::rank(&r.preferred, n, w.zone, w.cell),
             false => MAX_PREFERRED_LOCATIONS,
@@ -334,22 +345,23 @@
         let mut waiting: Option<(f64, WorkerId)> = None;
         for (n, p) in places {
             let Some(w) = self.workers.get(n).filter(|w| usable(n, w) && self.admits(w)) else { continue };
-            let warm = p.warm_until > self.now || presumed.contains(n);
+            let warm = p.warm_until > self.now || presumed_loaded.contains(n);
             if !warm && p.loading.is_none() {
                 continue;
             }
             let (per_size, queue) = (pressure(w), queue(p, w));
             if warm && queue < 1.0 && per_size < limit {
-                let height = per_size * self.mean_size()
+                let score = per_size * self.mean_size()
                     + w.slowness / MAX_WORKER_SLOWNESS
                     + self.overlap(f, p, spread);
-                let (level, tie) = if told {
-                    // What was told is old by up to a period: all would turn to the least loaded one of then.
-                    let apart = height.max(MIN_CROWDED_LOAD).sqrt() / ROOT_LOAD_STEP
+                let (level, tie) = if use_gossip {
+                    // Gossip is up to a period old: with finer steps, all routers would choose the worker
+                    // that was least loaded at that time.
+                    let apart = score.max(MIN_CROWDED_LOAD).sqrt() / ROOT_LOAD_STEP
                         + if w.held(self.now) { 0.0 } else { 1.0 };
                     (apart.round(), w.tie_break)
                 } else {
-                    ((height / LOAD_STEP).round(), -rng.f64().max(1e-9).ln() / w.size)
+                    ((score / LOAD_STEP).round(), -rng.f64().max(1e-9).ln() / w.size)
                 };
                 let at = advised(n, w);
                 if best.as_ref().is_none_or(|(a, least, t, _)| (at, level, tie) < (*a, *least, *t)) {
@@ -362,45 +374,52 @@
                 }
             }
         }
-        // One put back holds nothing, so no call would find it: functions that are to be there go ahead.
-        let lacks = |n| f.places.get(n).is_none_or(|p| p.warm_until <= self.now && p.loading.is_none());
-        let back = |n, w: &Worker| {
-            w.restored_at > 0 && self.now - w.restored_at < RESTORE_PERIOD_US && f.known && lacks(n)
+        // A worker that returned to service has no copies, so no call would go there: functions that belong
+        // there are ordered ahead of calls.
+        let lacks_copy = |n| f.places.get(n).is_none_or(|p| p.warm_until <= self.now && p.loading.is_none());
+        let restored = |n, w: &Worker| {
+            w.restored_at > 0 && self.now - w.restored_at < RESTORE_PERIOD_US && f.known && lacks_copy(n)
         };
-        let back = fit.iter().find(|(n, w)| back(*n, w)).map(|(n, _)| (*n).clone());
+        let restored = candidates.iter().find(|(n, w)| restored(*n, w)).map(|(n, _)| (*n).clone());
         if let Some((.., n)) = best {
-            if let Some(back) = back {
-                self.order(&back, &function, 1, true, out);
+            if let Some(restored) = restored {
+                self.order(&restored, &function, 1, true, out);
             }
             return Route::Send(n);
         }
-        // One alone in being slow is passed over. Where all are, ever more copies only push out others.
-        let rest =
+        // A slow outlier is passed over. Where all workers are slow, more copies would only evict others.
+        let others_mean =
             |w: &Worker| (self.totals.slowness - w.slowness).max(0.0) / (self.totals.up - 1.0).max(1.0);
-        let alone = |w: &Worker| {
-            w.slowness > MAX_WORKER_SLOWNESS.max(OUTLIER_MULTIPLE * rest(w)) && rest(w) < MAX_WORKER_SLOWNESS
+        let outlier = |w: &Worker| {
+            w.slowness > MAX_WORKER_SLOWNESS.max(OUTLIER_MULTIPLE * others_mean(w))
+                && others_mean(w) < MAX_WORKER_SLOWNESS
         };
-        let takes = |w: &Worker| !alone(w) && (told || w.loads(self.now));
-        let home = fit.iter().find(|(_, w)| takes(w)).or(fit.first()).filter(|(_, w)| self.admits(w));
-        // Told of the loads, all pass over the same crowded ones.
-        let roomy = |w: &Worker| self.admits(w) && pressure(w) < limit && w.loads(self.now);
-        let near = self.ranked(f).find(|(n, w)| told && usable(n, w) && roomy(w));
+        let accepts = |w: &Worker| !outlier(w) && (use_gossip || w.loads(self.now));
+        let home = candidates
+            .iter()
+            .find(|(_, w)| accepts(w))
+            .or(candidates.first())
+            .filter(|(_, w)| self.admits(w));
+        // With gossip, all routers know the loads and pass over the same crowded workers.
+        let has_room = |w: &Worker| self.admits(w) && pressure(w) < limit && w.loads(self.now);
+        let near = self.ranked(f).find(|(n, w)| use_gossip && usable(n, w) && has_room(w));
         let home = near.or(home.copied()).map(|(n, _)| n.clone());
-        let free = |n, w: &Worker| lacks(n) && roomy(w);
-        let spill = fit.iter().find(|(n, w)| free(*n, w)).map(|(n, _)| (*n).clone());
+        let free = |n, w: &Worker| lacks_copy(n) && has_room(w);
+        let overflow = candidates.iter().find(|(n, w)| free(*n, w)).map(|(n, _)| (*n).clone());
         if let Some((_, n)) = waiting {
-            let p = f.places.get(&n).unwrap_or(&nothing);
-            let warm = p.warm_until > self.now || presumed.contains(&n);
-            // Waiting for a lane, or for a load, must leave time to be served within the aim.
+            let p = f.places.get(&n).unwrap_or(&unknown);
+            let warm = p.warm_until > self.now || presumed_loaded.contains(&n);
+            // Waiting for a lane or a load must leave enough time to answer within the latency aim.
             let queue = self.workers.get(&n).map_or(0.0, |w| queue(p, w));
             let aim = r.terms.aim as f64;
             let full = queue > 1.0 + MAX_HOLD_SHARE * aim / self.usual_duration.max(1.0) && p.in_flight > 0;
-            let roomy = self.workers.get(&n).is_some_and(|w| pressure(w) < limit);
-            // Lanes run out: one more copy there, or at the next worker in order when this one is crowded.
-            if warm && roomy {
+            let has_room = self.workers.get(&n).is_some_and(|w| pressure(w) < limit);
+            // All lanes are busy: order one more copy there, or on the next worker in rendezvous order when
+            // this one is crowded.
+            if warm && has_room {
                 let copies = p.copies.max(1) + 1;
                 self.order(&n, &function, copies, true, out);
-            } else if let Some(h) = spill.filter(|_| warm) {
+            } else if let Some(h) = overflow.filter(|_| warm) {
                 self.order(&h, &function, 1, true, out);
             }
             if !warm && self.settings.when_cold == WhenCold::Misses {
@@ -408,20 +427,23 @@
             }
             return if full { Route::Busy } else { Route::Send(n) };
         }
-        // Its own load may be where there is no room just now: ever more loads elsewhere spend the ration.
-        if told && f.places.iter().any(|(n, p)| p.ordered && self.workers.get(n).is_some_and(|w| w.up)) {
+        // A load that this router ordered may be at a worker without room just now. Ordering more elsewhere
+        // would use up the load budget.
+        if use_gossip && f.places.iter().any(|(n, p)| p.ordered && self.workers.get(n).is_some_and(|w| w.up))
+        {
             return Route::AwaitLoad;
         }
         let Some(h) = home else { return Route::Busy };
-        let missed = r.attempts.iter().any(|t| (told || t.worker == h) && t.ended == Some(Outcome::Miss));
-        // Where all were heard for long enough and none told of a copy, none stands: a call that finds that
-        // out takes of what a cold worker bears, and opens a connection.
+        let missed =
+            r.attempts.iter().any(|t| (use_gossip || t.worker == h) && t.ended == Some(Outcome::Miss));
+        // When gossip is complete and reports no copy, no worker has one. A call sent to find that out
+        // would use a cold worker's limited capacity and open a connection.
         let nowhere = f.known && self.gossip.is_complete(self.now, self.settings.keep);
         if self.settings.when_cold == WhenCold::Misses && (missed || nowhere) {
-            // After a miss one instance is ordered and the request sent again when it stands.
+            // After a miss, one copy is ordered, and the request is sent again once it is loaded.
             self.order(&h, &function, 1, false, out);
             let ordered = self.functions[&function].places.get(&h).is_some_and(|p| p.ordered);
-            if ordered || !told {
+            if ordered || !use_gossip {
                 return Route::AwaitLoad;
             }
             if missed {
@@ -435,8 +457,9 @@
 // --------------------------------------------------------------------------------------- chain preloading
 
 impl Core {
-    /// Accessed_Num and hit_candidate_path of the paper's Algorithm 2, on order-one paths.
-    /// Whether it counts for the ration of orders: clients may call hundreds of functions that they made up.
+    /// Counts a call and its predecessors: Accessed_Num and hit_candidate_path of the paper's Algorithm 2,
+    /// on order-one paths. Returns whether the call counts for the load budget: calls of functions that no
+    /// worker is known to have do not, as clients may invent hundreds of names.
     fn count(&mut self, id: &FunctionId, tenant: Option<usize>, lanes: u32) -> bool {
         let now = self.now;
         if let Some(rate) = tenant.and_then(|t| self.tenant_rates.get_mut(t)) {
@@ -460,7 +483,8 @@
         known
     }
 
-    /// Algorithm 2: the likeliest successor not believed warm, if its ratio beats the threshold.
+    /// Algorithm 2: orders the most likely successor that is not loaded, if its share is above the
+    /// threshold.
     fn preload_successor(&mut self, id: &FunctionId, out: &mut Vec<Action>) {
         let Some(f) = self.functions.get(id) else { return };
         let likely = f
@@ -479,9 +503,10 @@
         }
     }
 
-    /// Copies about to be unloaded though calls still come are renewed: what is called at the pace of the
-    /// keep-alive, as by timers, would find each copy just gone. Each router sees its part of the calls:
-    /// where all should have come often, the others have them, or nobody has.
+    /// Renews copies that are about to be unloaded while calls still come: calls at the interval of the
+    /// keep-alive, as from timers, would find each copy just unloaded. A router sees only its part of the
+    /// calls: where all routers together should have sent several, either others keep the copy in use or
+    /// the calls have stopped.
     fn renew(&mut self, out: &mut Vec<Action>) {
         let (now, pace) = (self.now, (self.settings.keep as f64 * RENEWAL_MULTIPLE) as Micros);
         let soon =
@@ -500,7 +525,8 @@
         }
     }
 
-    /// Orders copies, if the rules and the budget allow.
+    /// Orders copies if the settings, the worker and the load budget allow it. `ahead` marks a preload: an
+    /// order that no request waits for.
     fn order(&mut self, n: &WorkerId, id: &FunctionId, copies: u32, ahead: bool, out: &mut Vec<Action>) {
         let now = self.now;
         let crowded = ahead && self.preloads.len() >= MAX_PRELOADS;
@@ -528,31 +554,32 @@
         self.queue_news(n, id, CopyStatus::Loading);
     }
 
-    fn load_ended(&mut self, n: &WorkerId, id: &FunctionId, told: (Outcome, u32), out: &mut Vec<Action>) {
-        let (end, copies) = told;
+    fn load_ended(&mut self, n: &WorkerId, id: &FunctionId, result: (Outcome, u32), out: &mut Vec<Action>) {
+        let (end, copies) = result;
         self.preloads.remove(&(n.clone(), id.clone()));
         let (now, keep) = (self.now, self.settings.keep);
         let Some(p) = self.functions.get_mut(id).and_then(|f| f.places.get_mut(n)) else { return };
-        // An order that ends with the process that had it left nothing behind.
+        // The worker restarted since the order was sent, so nothing of the load is left.
         let lost = end == Outcome::Reset && p.loading.is_none() && p.warm_until == 0;
         (p.ordered, p.loading) = (false, None);
         if end == Outcome::NotSent {
-            // It tells nothing of the worker; to try again at once would be to ask for ever.
+            // This says nothing about the worker. Ordering again at once could loop without end.
             self.orders.pop_back();
             return;
         }
         p.copies = copies;
         p.warm_until = if copies > 0 { now + keep } else { 0 };
-        let word = [CopyStatus::Gone, CopyStatus::Serving(0), CopyStatus::Copies(copies.min(4) as u8)]
+        let status = [CopyStatus::Gone, CopyStatus::Serving(0), CopyStatus::Copies(copies.min(4) as u8)]
             [copies.min(2) as usize];
-        self.queue_news(n, id, word);
+        self.queue_news(n, id, status);
         let Some(p) = self.functions.get_mut(id).and_then(|f| f.places.get_mut(n)) else { return };
         match end {
-            // An order that has come whole stands, also when its connection ends: calls wait for its load.
+            // The worker carries out an order that it has received, even if the connection breaks: calls
+            // wait there for the load.
             Outcome::Reset if !lost => (p.warm_until, p.copies) = (now + keep / 2, 1),
             Outcome::ConnectFailed => self.failed(n, end, out),
-            // Its memory is all at work, or it drains and the list does not tell yet: to order there again at
-            // once would spend the ration, at every router of a large fleet.
+            // All its memory is in use, or it drains and the list does not show it yet. Ordering there
+            // again at once would use up the load budget of every router in a large fleet.
             Outcome::Full if copies == 0 => self.mark_no_room(n),
             _ => {}
         }
@@ -571,7 +598,7 @@
         if r.answered || r.streaming || r.attempts.iter().any(|t| t.ended.is_none()) {
             return;
         }
-        // Held requests are looked at once a tick; answer while the client surely still waits.
+        // Held requests are checked once a tick; answer while the client certainly still waits.
         let most = r.max_attempts.min(self.settings.max_attempts);
         if r.attempts.len() as u32 >= most || self.now + 2 * TICK_US >= r.due || !self.may_repeat(r) {
             return self.give_up(id, out);
@@ -606,13 +633,15 @@
                 }
                 let leave_by = repeat_by(r);
                 r.attempts.push(Attempt { worker: n.clone(), sent: now, warm, lane_free, ended: None });
-                // No time-out but the client's: beginning anew what waits for a load or a lane adds to both.
+                // Only the client's time-out applies: retrying what waits for a load or a lane adds to both
+                // queues.
                 out.push(Action::Send { request: id.clone(), worker: n, timeout: None, leave_by });
             }
         }
     }
 
-    /// The request has had its last attempt: it ends with what is out, or now.
+    /// Allows no further attempt: the request ends with its attempt in progress, or at once if there is
+    /// none.
     fn limit_attempts(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(id).filter(|r| !r.answered) else { return };
         r.max_attempts = r.attempts.len() as u32;
@@ -621,13 +650,15 @@
         }
     }
 
-    /// The final answer when nothing more can be tried: a refusal where that is true, else a failure.
+    /// Gives the final answer when no further attempt is possible: a refusal if a retry is harmless, else a
+    /// failure.
     fn give_up(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let harmless = self.may_refuse(id);
         let Some(r) = self.requests.get_mut(id).filter(|r| !r.answered) else { return };
         (r.answered, r.held) = (true, false);
         out.push(if harmless {
-            // A repeat mostly comes too late for the aim: the later, the less it takes from others.
+            // A client's retry mostly misses the latency aim: the later it comes, the less it takes from
+            // others.
             let retry_after = self.settings.max_retry_after;
             Action::Refuse { request: id.clone(), retry_after }
         } else {
@@ -675,7 +706,8 @@
                 (w.last_heard, w.last_answer) = (now, now);
             }
         }
-        // What an earlier process of the worker says tells nothing of the one that has started since.
+        // An answer from an earlier process of the worker says nothing about the one that has started
+        // since.
         let earlier = self.workers.get(n).is_some_and(|w| w.started > sent);
         let (keep, mut news) = (self.settings.keep, None);
         if let Some(p) = self.functions.get_mut(&function).and_then(|f| f.places.get_mut(n)) {
@@ -696,7 +728,7 @@
                 _ => p.loading = p.loading.filter(|since| *since > sent),
             }
         }
-        news.into_iter().for_each(|word| self.queue_news(n, &function, word));
+        news.into_iter().for_each(|status| self.queue_news(n, &function, status));
         match outcome {
             Outcome::Done => {
                 let loaded = found.map_or(warm, |f| f == Found::Warm);
@@ -705,7 +737,8 @@
                     (w.on_trial, w.rest) = (false, 0);
                 }
                 let of_aim = |time: Micros| (time as f64 / aim.max(1) as f64).min(2.0);
-                // Where answers do not tell what they found, most come from copies that others had loaded.
+                // Where answers do not report what they found, most come from copies that were already
+                // loaded.
                 if loaded || found.is_none() {
                     self.slowness = learn(self.slowness, of_aim(now - arrived), AVERAGE_WEIGHT);
                 }
@@ -718,7 +751,7 @@
             Outcome::Full | Outcome::NoConnection => {
                 if let Some(w) = self.workers.get_mut(n) {
                     w.rejections.retain(|rejection| rejection.2 > now);
-                    // A full queue says so at once; one that takes its time turns away this kind of request.
+                    // A full queue rejects at once; a slow rejection concerns this class and tenant.
                     if duration > TICK_US && outcome == Outcome::Full {
                         w.rejections.push((class, tenant, now + REJECTION_MEMORY_US));
                     } else {
@@ -726,27 +759,29 @@
                     }
                 }
             }
-            // One copy there for the next call; this one may find another meanwhile.
+            // Orders a copy there for the next call; this request may find another copy meanwhile.
             Outcome::Miss => self.order(n, &function, 1, true, out),
             Outcome::NotSent | Outcome::Cancelled => {}
-            // Two that do not know the function: no worker does, and a client made it up.
+            // Two workers do not know the function: no worker does, and the client invented the name.
             Outcome::Error if !known && errors > 1 => return self.give_up(id, out),
-            // Nor does it say anything of the worker, where others are seen often enough to tell.
+            // An error for an unknown function does not count against the worker, where this router sees
+            // enough other answers of it to judge.
             Outcome::Error if !known && self.trust() > 0.5 => {}
-            // A client that gave up early tells nothing; seen seldom, a worker would rest for that alone.
-            Outcome::TimedOut if self.sees_little() && duration < self.old() => {}
+            // An early client time-out says nothing about the worker. A router with little traffic would
+            // rest the worker for this one alone.
+            Outcome::TimedOut if self.sees_little() && duration < self.overdue_age() => {}
             _ if earlier => {}
-            // A time-out speaks against the worker only when it has been silent since.
+            // A time-out counts against the worker only if it has sent nothing since the attempt was sent.
             Outcome::TimedOut if !warm || self.workers.get(n).is_none_or(|w| w.last_heard > sent) => {}
             _ => self.failed(n, outcome, out),
         }
-        if warm && duration > self.old() && matches!(outcome, Outcome::Done | Outcome::TimedOut) {
+        if warm && duration > self.overdue_age() && matches!(outcome, Outcome::Done | Outcome::TimedOut) {
             self.lost_share +=
                 (f64::from(u8::from(outcome != Outcome::Done)) - self.lost_share) * 2.0 * AVERAGE_WEIGHT;
         }
         match outcome {
             Outcome::Full if duration <= TICK_US => self.learn_slowness(n, 2.0),
-            // It took this long at least. A client that gives up early says no more of the worker.
+            // The answer would have taken at least this long; an early client time-out says no more.
             Outcome::TimedOut => {
                 let least = (duration as f64 / aim.max(1) as f64).min(2.0);
                 if self.workers.get(n).is_some_and(|w| w.slowness < least) {
@@ -769,11 +804,13 @@
 // -------------------------------------------------------------------------------------- health and guards
 
 impl Core {
-    /// Whether the worker has room for one more of ours, by what runs there alone: an estimate of its speed
-    /// that only answers refresh would, once wrong, keep them away. What awaits a load takes no core.
+    /// Whether the worker has room for one more request, by the requests running there alone: an estimate
+    /// of its speed that only answers update would, once wrong, keep away the requests that could correct
+    /// it. Requests that await a load use no core.
     fn admits(&self, w: &Worker) -> bool {
         let room = self.running(w) < self.concurrency_limit.get() * w.size / self.mean_size();
-        // What many tell is old by a period: a bound on that would turn them all away at once, and back.
+        // Gossip is up to a period old: a limit on it would make all routers leave the worker at the same
+        // time, and return at the same time.
         (room || self.gossip.reliable) && w.full_until <= self.now
     }
 
@@ -783,7 +820,7 @@
         let ended = |t: &Attempt| {
             t.ended.filter(|e| !matches!(e, Outcome::Miss | Outcome::Full | Outcome::NoConnection))
         };
-        // A connection that broke does not speak against its worker; two do.
+        // One broken connection does not count against its worker; two do.
         let fails = |t: &Attempt| ended(t).map_or(0, |e| if e == Outcome::Reset { 1 } else { 2 });
         let failed_here = r.attempts.iter().filter(here).map(fails).sum::<u32>() >= 2;
         let safe = r.terms.effect == Effect::Safe;
@@ -792,30 +829,33 @@
         w.up && well && !rejected && self.cold_room(name, w) && !failed_here
     }
 
-    /// A starting worker is sent no more than its share of what a warm one is seen to serve.
+    /// Whether a starting worker may get one more request: it gets at most its share of what a warm worker
+    /// is observed to serve.
     fn cold_room(&self, name: &str, w: &Worker) -> bool {
         let s = &self.settings;
         if self.warmth(w) >= 1.0 {
             return true;
         }
         let budget = self.cold_part(w).max(MIN_COLD_REQUESTS / s.routers as f64);
-        // A part of a request is admitted by lot, drawn anew each half window, so that hundreds of routers
-        // whose share is far below one keep the limit together and none is shut out for ever.
+        // The fraction of a request is admitted at random, drawn again each half window. Hundreds of
+        // routers whose share is far below one then keep the limit together, and none is excluded for good.
         let slot = 2 * self.now / s.fall_window.max(1);
         let lot = hash(name, &format!("{}/{slot}", self.seed)) < budget.fract() / 2.0;
         let sent = w.cold_sends.iter().filter(|t| self.now - **t < s.fall_window).count();
         sent < budget as usize + usize::from(lot)
     }
 
-    /// With most of the fleet looking ill, the view is wrong rather than every worker.
+    /// Whether most of the fleet looks unhealthy: then this router's view is wrong rather than every
+    /// worker.
     fn panicking(&self) -> bool {
         self.totals.ill * 2.0 > self.totals.up
     }
 
-    /// A failure of a worker: one that takes no connection at once, all else by its share. A connection that
-    /// breaks is one failure, however many attempts end with it: resting for each starves the fleet.
+    /// Counts a failure of a worker. A failed connect rests it at once, other failures rest it by their
+    /// share of its attempts. A broken connection is one failure, however many attempts end with it:
+    /// resting the worker for each would starve the fleet.
     fn failed(&mut self, n: &WorkerId, outcome: Outcome, out: &mut Vec<Action>) {
-        // A router that sees a worker seldom cannot wait for a second failure.
+        // A router that sends the worker few requests cannot wait for a second failure.
         let trust = self.trust();
         let Some(w) = self.workers.get_mut(n) else { return };
         let broken = outcome == Outcome::ConnectFailed;
@@ -824,7 +864,7 @@
         }
         w.failed += 1.0;
         if broken {
-            // It may be starting anew, long before the list tells: cold until it has had the time to warm up.
+            // It may be restarting long before the list shows it: cold until it has had time to warm up.
             w.cold_since = self.now;
         }
         let often = w.failed > MIN_FAILURES * trust && w.failed > MAX_FAILURE_SHARE * w.tried;
@@ -843,14 +883,15 @@
         out.push(Action::Log { text: format!("worker {} rests for {} ms", n.0, w.rest / 1000) });
     }
 
-    /// Age from which an attempt on a loaded copy is old.
-    fn old(&self) -> Micros {
+    /// Age from which an attempt on a loaded copy is overdue.
+    fn overdue_age(&self) -> Micros {
         ((self.usual_duration * SILENT_MULTIPLE) as Micros).max(MIN_SILENCE_US)
     }
 
-    /// Workers that take requests and answer none: attempts on loaded copies grow old and nothing is heard.
+    /// Rests workers that accept requests without answering: attempts on loaded copies are overdue, and the
+    /// worker has sent nothing since.
     fn find_silent(&mut self, out: &mut Vec<Action>) {
-        let old = self.old();
+        let old = self.overdue_age();
         let (mut waiting, mut aged): (BTreeMap<&WorkerId, u32>, BTreeMap<&WorkerId, u32>) =
             Default::default();
         for r in self.requests.values() {
@@ -867,7 +908,7 @@
         let enough = if self.trust() > 0.5 { 2 } else { 1 };
         let mut silent: BTreeSet<_> =
             waiting.into_iter().filter(|(_, k)| *k > enough).map(|(n, _)| n.clone()).collect();
-        // One that answers now and then while most of what it holds grows old has all but stopped.
+        // A worker that answers now and then, while most of its attempts are overdue, has almost stopped.
         let stuck = aged.into_iter().filter(|(n, k)| {
             let w = self.workers.get(*n).filter(|w| w.up && w.ill_until <= self.now);
             w.is_some_and(|w| *k >= MIN_STUCK_ATTEMPTS && *k * 2 > w.in_flight)
@@ -876,7 +917,8 @@
         if stuck.len() as f64 + self.totals.ill <= MAX_STUCK_SHARE * self.totals.up {
             silent.extend(stuck);
         }
-        // Where the old are mostly lost, not slow, a read is asked for anew while there is time.
+        // Where overdue attempts mostly get no answer at all, a safe request is retried while there is
+        // time.
         let lost =
             self.lost_share > MIN_LOST_SHARE && self.slowness < MAX_FLEET_SLOWNESS && self.settings.cancel;
         for (id, r) in self.requests.iter().filter(|(_, r)| lost && !r.answered && !r.streaming) {
@@ -893,7 +935,7 @@
             if !self.settings.cancel || self.panicking() {
                 continue;
             }
-            // What may be repeated is called off there, and goes elsewhere when that is confirmed.
+            // Requests that may be repeated are cancelled there, and sent elsewhere once that is confirmed.
             for (id, r) in &self.requests {
                 for (k, t) in
                     r.attempts.iter().enumerate().filter(|(_, t)| t.ended.is_none() && t.worker == n)
@@ -907,12 +949,12 @@
         }
     }
 
-    /// What an answer is likely to earn: less beyond the tenant's share, as far as this router can tell, and
-    /// less for a client's repeat, whose aim has mostly passed.
+    /// Expected worth of an answer: less when the tenant exceeds its quota, as far as this router can see,
+    /// and less for a client's retry, whose latency aim has mostly passed.
     fn worth(&self, class: usize, tenant: Option<usize>, repeat: bool) -> f64 {
         let c = &self.settings.classes[class];
         let over = tenant.is_some_and(|t| match (self.settings.tenants.get(t), self.tenant_rates.get(t)) {
-            (Some(told), Some(rate)) => rate * self.settings.routers as f64 > told.quota * QUOTA_TOLERANCE,
+            (Some(t), Some(rate)) => rate * self.settings.routers as f64 > t.quota * QUOTA_TOLERANCE,
             _ => false,
         });
         c.worth
