--- a/src/repeats.rs
+++ b/src/repeats.rs
@@ -1,19 +1,20 @@
-//! Which repeats and refusals of a request its class, scope and window allow, by what its attempts may have
-//! done.
+//! Which retries and refusals of a request are allowed by its class, scope and window, and by what its
+//! attempts may have done.
 //!
-//! `src/interface.rs` has the classes' effects. An attempt may have run unless its outcome proves that it
-//! never did.
+//! `src/interface.rs` defines the effects of classes. An attempt may have run unless its outcome proves
+//! that it did not.
 
 use crate::interface::*;
 use crate::state::{Attempt, Core, Request, Worker};
 
-/// Part of the window of keyed repeats in which none is decided: a repeat may have to wait for a connection.
-const REPEAT_MARGIN: Micros = 16;
-/// ... and part of it in which none leaves: it has yet to arrive.
-const ARRIVAL_MARGIN: Micros = 32;
+/// A keyed retry is not decided in the last part, one over this, of the window in which workers drop
+/// repeats: it may have to wait for a connection.
+const DECISION_MARGIN_DIVISOR: Micros = 16;
+/// A keyed retry is not sent in the last part, one over this, of the window: it still has to arrive.
+const ARRIVAL_MARGIN_DIVISOR: Micros = 32;
 
 impl Core {
-    /// Whether a refusal, which calls a repeat harmless, would be true.
+    /// Whether the request may be refused: a refusal promises that a client's retry is harmless.
     pub(crate) fn may_refuse(&self, id: &RequestId) -> bool {
         let Some(r) = self.requests.get(id) else { return false };
         let never_ran = r.attempts.iter().all(|t| t.ended.is_some_and(Outcome::never_ran));
@@ -24,13 +25,14 @@
         }
     }
 
-    /// Whether the request may have another attempt somewhere.
+    /// Whether the request may have another attempt at any worker.
     pub(crate) fn may_repeat(&self, r: &Request) -> bool {
         let never_ran = r.attempts.iter().all(|t| t.ended.is_some_and(Outcome::never_ran));
         never_ran || r.terms.effect != Effect::Unsafe
     }
 
-    /// Whether it may go to this worker: keyed requests stay with those that drop their repeats.
+    /// Whether the request may be sent to this worker: keyed requests stay with workers that drop repeats
+    /// of their earlier attempts.
     pub(crate) fn may_repeat_on(&self, r: &Request, n: &WorkerId, w: &Worker) -> bool {
         let Effect::Keyed { scope, window } = r.terms.effect else { return true };
         let ran = |t: &&Attempt| !t.ended.is_some_and(Outcome::never_ran);
@@ -42,12 +44,12 @@
                 (Scope::Cell, Some(first)) => first.cell == w.cell,
                 _ => false,
             };
-            same && self.now - t.sent < window - window / REPEAT_MARGIN
+            same && self.now - t.sent < window - window / DECISION_MARGIN_DIVISOR
         })
     }
 
-    /// Whether an attempt at this worker is worth cancelling for a retry: a keyed one only while another
-    /// worker that drops its repeats is well, as else it could do nothing but fail.
+    /// Whether an attempt at this worker may be cancelled for a retry: a keyed one only while another
+    /// healthy worker drops its repeats, as the request could only fail otherwise.
     pub(crate) fn may_leave(&self, r: &Request, n: &WorkerId) -> bool {
         let retries_left = (r.attempts.len() as u32) < r.max_attempts.min(self.settings.max_attempts);
         let takes_over = |(m, w): (&WorkerId, &Worker)| {
@@ -61,9 +63,9 @@
     }
 }
 
-/// Until when a repeat of a keyed request may leave, by its earlier attempts that may have run.
+/// Latest time at which a retry of a keyed request may be sent, by its earlier attempts that may have run.
 pub(crate) fn repeat_by(request: &Request) -> Option<Micros> {
     let Effect::Keyed { window, .. } = request.terms.effect else { return None };
     let may_have_run = request.attempts.iter().filter(|t| !t.ended.is_some_and(Outcome::never_ran));
-    may_have_run.map(|t| t.sent + window - window / ARRIVAL_MARGIN).min()
+    may_have_run.map(|t| t.sent + window - window / ARRIVAL_MARGIN_DIVISOR).min()
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a router remembers: plain data and its upkeep, no decisions. Those are in `src/rules.rs`.
+//! State of a router and its maintenance, without decisions, which are in `src/rules.rs`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,47 +9,52 @@
 use crate::ramp::share_per_router;
 use crate::succession::Succession;
 
-/// Shares of fewer calls than this are taken as of so many.
+/// Minimum number of calls that a share is computed of.
 pub(crate) const MIN_SHARE_CALLS: f64 = 10.0;
-/// Calls of a function that prove nothing of its share: seldom called ones come twice by chance.
+/// Calls of each function that do not count for its share: rarely called functions occur twice by chance.
 pub(crate) const IGNORED_CALLS: f64 = 1.0;
-/// Calls at the average worker, at least, that a crowd is taken as a part of: of fewer, it slows nobody.
+/// Minimum number of calls at the average worker that overlapping calls are taken as a share of: fewer calls do not
+/// slow a worker down.
 pub(crate) const MIN_OVERLAP_BASE: f64 = 4.0;
-/// Calls that one answer is believed to have met: more than a worker runs of one function are a spoilt answer.
+/// Maximum number of overlapping calls used from one answer: no worker runs more of one function, so a greater
+/// number is corrupt.
 const MAX_OVERLAP: u32 = 64;
-/// In flight at the average worker below which a router sees too little of the others' load to tell it.
+/// Own requests in flight at the average worker at which a router trusts about half of what its own requests show of
+/// the other routers' load.
 pub(crate) const HALF_TRUST_IN_FLIGHT: f64 = 0.1;
-/// An answer's time says this long how slow its worker is.
+/// Time constant in which a measured slowness of a worker loses its weight.
 pub(crate) const SLOWNESS_MEMORY_US: f64 = 3e6;
-/// A connection that was used within this is thought to stand: hosts close idle ones after half a minute. A wrong
-/// guess costs no more than a connection.
+/// A connection used within this time is assumed to be open: hosts close idle ones after half a minute. A wrong
+/// assumption costs one new connection.
 const CONNECTION_REUSE_US: Micros = 20_000_000;
-/// A load report older than this says nothing.
+/// Age above which a load report is ignored.
 const MAX_REPORT_AGE_US: Micros = 1_000_000;
-/// Time in which a higher rate than was seen before is believed, and in which one seen once is forgotten.
+/// Time constant in which the capacity estimate follows a higher rate.
 const CAPACITY_RISE_US: f64 = 3e6;
+/// Time constant in which the capacity estimate falls to a lower rate.
 const CAPACITY_FALL_US: f64 = 120e6;
-/// Weight of one answer in the averages of durations.
+/// Weight of one sample in running means, as of durations.
 pub(crate) const AVERAGE_WEIGHT: f64 = 0.05;
 
-/// What is believed of one function on one worker.
+/// Known or assumed state of one function on one worker.
 #[derive(Default)]
 pub(crate) struct Placement {
-    /// Believed loaded until then.
+    /// Assumed to be loaded until this time.
     pub(crate) warm_until: Micros,
     pub(crate) copies: u32,
-    /// A load is under way since then, by an order or by a request sent there.
+    /// Start of the load in progress, begun by an order or by a request sent there.
     pub(crate) loading: Option<Micros>,
-    /// An order of ours is out.
+    /// A load order of this router is in progress.
     pub(crate) ordered: bool,
-    /// It was found missing there: not presumed loaded until then.
+    /// Not presumed loaded until this time, as a request found it missing.
     pub(crate) missed_until: Micros,
     pub(crate) in_flight: u32,
     pub(crate) mean_in_flight: f64,
-    /// Calls for the function that were there when one of ours came, as its answer told, and when it did; 0: never.
+    /// Calls of the function that the worker held when a call of this router arrived, as its answer reported.
     pub(crate) overlap: f64,
+    /// When that answer came; 0: never.
     pub(crate) overlap_at: Micros,
-    /// When somebody last told that a copy stands.
+    /// When a router last announced a loaded copy.
     pub(crate) announced_at: Micros,
 }
 
@@ -59,208 +64,210 @@
     pub(crate) at: Micros,
     pub(crate) up: f64,
     pub(crate) size: f64,
-    /// Sizes by the share of their capacity that starting workers are sure to have.
+    /// Sum of sizes, each times the share of its capacity that the worker certainly has.
     pub(crate) warm: f64,
-    /// Mean numbers of our own requests there.
+    /// Mean number of requests of this router in flight there.
     pub(crate) in_flight: f64,
     pub(crate) load: f64,
     pub(crate) running: f64,
     pub(crate) ill: f64,
-    /// Times of their answers, over their aim.
+    /// Sum of the slowness of the workers.
     pub(crate) slowness: f64,
 }
 
 #[derive(Default)]
 pub(crate) struct Function {
-    /// What stands for it where routers tell one another.
+    /// Key of the function in gossip.
     pub(crate) key: u32,
     pub(crate) calls: f64,
-    /// Calls of all routers that answers told of, and out of how many.
+    /// Sum of the overlapping calls of all routers that answers reported.
     pub(crate) overlap: f64,
+    /// Sum of all calls in progress that these were a part of.
     pub(crate) overlap_base: f64,
     pub(crate) last_call: Micros,
     pub(crate) call_count: u64,
-    /// Some worker knows it: it was served or missed there, not answered with an error.
+    /// Some worker has it in its store: it answered a call or reported a miss, not an error.
     pub(crate) known: bool,
     pub(crate) successors: BTreeMap<FunctionId, f64>,
     pub(crate) lanes: u32,
     pub(crate) places: BTreeMap<WorkerId, Placement>,
-    /// Workers in rendezvous order, as of this list version.
+    /// Workers in rendezvous order, as of `ranked_version` of the worker set.
     pub(crate) ranked: Vec<WorkerId>,
     pub(crate) ranked_version: u64,
 }
 
-/// What the other routers have on a worker: running means of what it reported, less our own.
+/// Requests of the other routers at a worker: running means of its load reports without the own requests.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Others {
-    /// When it last reported; 0: never.
+    /// When the last report came; 0: never.
     pub(crate) at: Micros,
     pub(crate) holding: f64,
-    /// Without those that wait there.
+    /// Without requests that wait there.
     pub(crate) running: f64,
 }
 
 #[derive(Default)]
 pub(crate) struct Worker {
-    /// What stands for it where routers tell one another.
+    /// Key of the worker in gossip.
     pub(crate) key: u16,
     pub(crate) zone: u32,
     pub(crate) cell: i64,
     pub(crate) size: f64,
-    /// Orders workers for this router alone, so that many routers do not turn to the same of equals.
+    /// Order of equally loaded workers, different at each router so that routers do not all choose the same one.
     pub(crate) tie_break: f64,
-    /// In service, as the list has it.
+    /// In service according to the worker list.
     pub(crate) listed: bool,
-    /// Taken out by an operator.
+    /// Taken out of service by an operator.
     pub(crate) out_of_service: bool,
-    /// May be sent new work: listed and not barred.
+    /// May be sent new work: listed and not out of service.
     pub(crate) up: bool,
-    /// When an operator put it back.
+    /// When an operator returned it to service.
     pub(crate) restored_at: Micros,
     pub(crate) started: Micros,
-    /// Its start, or the last sign of one.
+    /// When it started, or last showed a sign of a restart.
     pub(crate) cold_since: Micros,
     pub(crate) in_flight: u32,
-    /// Of these, sent for a load that they begin or await.
+    /// Of these, requests that begin or await a load.
     pub(crate) awaiting: u32,
     pub(crate) mean_in_flight: f64,
     pub(crate) mean_awaiting: f64,
-    /// What the other routers have there, by its load reports.
+    /// Requests of the other routers there, from its load reports.
     pub(crate) others: Others,
     pub(crate) last_heard: Micros,
-    /// When an answer came over a connection; 0: never.
+    /// When a connection to it last worked; 0: never.
     pub(crate) last_answer: Micros,
     pub(crate) tried: f64,
     pub(crate) failed: f64,
-    /// When a connection to it broke last: what ends with one connection is one failure.
+    /// When a connection to it last broke: all attempts that end with one connection are one failure.
     pub(crate) last_reset: Micros,
     pub(crate) rest: Micros,
     pub(crate) ill_until: Micros,
     pub(crate) on_trial: bool,
     pub(crate) full_until: Micros,
-    /// It takes no order to load until then.
+    /// No load is ordered there until this time.
     pub(crate) no_loads_until: Micros,
-    /// Class and tenant that it turns away, and until when that is believed.
+    /// Classes and tenants that it rejects, and until when no such request is sent there.
     pub(crate) rejections: Vec<(usize, Option<usize>, Micros)>,
     pub(crate) cold_sends: VecDeque<Micros>,
-    /// Time of its answers from loaded copies, over their aim.
+    /// Running mean of the duration of its answers from loaded copies, divided by their latency aim.
     pub(crate) slowness: f64,
     pub(crate) slowness_at: Micros,
 }
 
-/// How an attempt ended, whether that finished its request, after how long, and what the answer told.
+/// Outcome of an attempt, whether its request is finished, its duration, and the reports of the answer.
 pub(crate) type Seen = (Outcome, bool, Micros, Option<Found>, Option<LoadReport>);
 
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
     pub(crate) sent: Micros,
     pub(crate) warm: bool,
-    /// It found a lane free, as far as is known here.
+    /// A lane of a loaded copy was free when it was sent, as far as this router knows.
     pub(crate) lane_free: bool,
     pub(crate) ended: Option<Outcome>,
 }
 
 pub(crate) struct Request {
-    /// Index of its class; of none any more since the settings changed.
+    /// Index of its class; `usize::MAX` once the settings have changed.
     pub(crate) class: usize,
-    /// Its class, and the attempts that it may have, as they were when it came.
+    /// Its class and maximum attempts as they were when it arrived.
     pub(crate) terms: Class,
     pub(crate) max_attempts: u32,
     pub(crate) tenant: Option<usize>,
     pub(crate) arrived: Micros,
-    /// What an answer is likely to earn.
+    /// Expected worth of an answer.
     pub(crate) worth: f64,
     pub(crate) function: FunctionId,
     pub(crate) due: Micros,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) answered: bool,
     pub(crate) held: bool,
-    /// Counts for the ration of load orders.
+    /// Whether it is counted for the load budget.
     pub(crate) counted: bool,
     pub(crate) streaming: bool,
-    /// Work that it was said to take, as time on a standard core; 0: not told.
+    /// Expected work, as time on a standard core; 0: unknown.
     pub(crate) hint: Micros,
-    /// Drawn in (0, 1]; where only a part is admitted, those above it wait.
+    /// Random in (0, 1]; where only a part of the requests is admitted, those above that part wait.
     pub(crate) admission_draw: f64,
-    /// Where it is best served, best first.
+    /// Preferred locations, best first.
     pub(crate) preferred: Vec<PreferredLocation>,
 }
 
-/// The decisions of one router. Feed it events in order; it answers with actions.
+/// The decision logic of one router: takes events in order and returns actions.
 pub struct Router(pub(crate) Core);
 
-/// All that one router knows.
+/// The state of one router.
 #[derive(Default)]
 pub(crate) struct Core {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
-    /// Seed of the lots drawn for cold workers.
+    /// Seed of the random admission at cold workers and of `tie_break`.
     pub(crate) seed: u64,
     pub(crate) now: Micros,
     pub(crate) workers: BTreeMap<WorkerId, Worker>,
-    /// Counts changes of the workers' set and sizes.
+    /// Version of the set of workers and their sizes, incremented at each change.
     pub(crate) worker_set_version: u64,
     pub(crate) totals: Totals,
     pub(crate) functions: BTreeMap<FunctionId, Function>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) recent_calls: Succession,
     pub(crate) arrivals: VecDeque<Micros>,
-    /// Calls of all functions, halved with theirs.
+    /// Calls of all functions, halved together with the counts of the functions.
     pub(crate) calls: f64,
     pub(crate) orders: VecDeque<Micros>,
     pub(crate) preloads: BTreeSet<(WorkerId, FunctionId)>,
     pub(crate) tenant_rates: Vec<f64>,
     pub(crate) last_halving: Micros,
     pub(crate) last_tick: Micros,
-    /// When its first event came.
+    /// Time of the first event.
     pub(crate) started_at: Micros,
     pub(crate) wake_at: Micros,
-    /// Some request waits here.
+    /// Whether a request is held here.
     pub(crate) any_held: bool,
     pub(crate) subscribe_at: Micros,
-    /// Usual time of an answer from a loaded copy.
+    /// Running mean of the duration of attempts on loaded copies.
     pub(crate) usual_duration: f64,
-    /// Time of answers over their aim, from when their request came.
+    /// Running mean of the time from arrival to answer, divided by the latency aim.
     pub(crate) slowness: f64,
     pub(crate) mean_worth: f64,
-    /// Share of the attempts that grew old whose answer never came.
+    /// Share of overdue attempts that never got an answer.
     pub(crate) lost_share: f64,
     pub(crate) done_rate: f64,
-    /// Calls that a worker of mean size is to run at once.
+    /// Maximum number of calls that a worker of mean size runs at once.
     pub(crate) concurrency_limit: ConcurrencyLimit,
-    /// The most that was served for long enough to be believed: answers a second for each size that is warm.
+    /// Highest rate sustained in the last minutes: answers a second per warm size.
     pub(crate) capacity: f64,
-    /// Sizes that were warm, over the same time as `done_rate`.
+    /// Mean warm size over the same time as `done_rate`.
     pub(crate) mean_warm: f64,
     pub(crate) max_held_worth: f64,
-    /// Attempts elsewhere of the request that arrives next.
+    /// Attempts that the next request to arrive had at another router.
     pub(crate) past_attempts: Vec<Attempt>,
-    /// ... and where it is best served.
+    /// Preferred locations of the next request to arrive.
     pub(crate) preferred: Vec<PreferredLocation>,
     pub(crate) peer: PeerRouter,
     pub(crate) gossip: PeerTable,
     pub(crate) composer: Composer,
-    /// Workers and called functions by what stands for them where routers tell one another.
+    /// Workers by their key in gossip.
     pub(crate) host_keys: BTreeMap<u16, WorkerId>,
+    /// Called functions by their key in gossip.
     pub(crate) function_keys: BTreeMap<u32, FunctionId>,
 }
 
-/// A router beside this one, with which it shares the ration of orders.
+/// A second router of the same activator during a handover, which shares the load budget.
 #[derive(Default)]
 pub(crate) struct PeerRouter {
-    /// Calls that it told of, which are among this one's arrivals.
+    /// Calls that it reported, which are also in this router's arrivals.
     calls: VecDeque<Micros>,
-    /// Orders that it told of or was granted, which are among this one's.
+    /// Orders that it reported or was granted, which are also in this router's orders.
     orders: VecDeque<Micros>,
-    /// Its share of the calls; 0: it may have none.
+    /// Its share of the calls; 0: no budget is reserved for it.
     share: f64,
 }
 
-/// Orders at the most that either of two routers leaves to the other of what that is due: neither is kept from
-/// what it needs first by the other's burst, and little lies unused.
+/// Orders that each of two routers at most reserves for the other: enough that a burst of one does not block the
+/// first orders of the other, and few enough that little of the budget stays unused.
 const MAX_ORDERS_LEFT_TO_PEER: f64 = 2.0;
 
-/// Orders that the ration leaves now to this router, and to one beside it; below 1 none may be given.
+/// Orders that the load budget leaves to this router and to its peer; below 1, no order may be given.
 pub(crate) fn spare_orders(
     budget: &LoadBudget,
     now: Micros,
@@ -282,9 +289,9 @@
     (spare - left(peer.share, theirs), spare - left(1.0 - peer.share, own))
 }
 
-/// What is told to a router that takes another's place.
+/// Handover to another router, and queries.
 impl Router {
-    /// All that a router needs which takes this one's place.
+    /// State for a router that replaces this one.
     pub fn handover_state(&self) -> HandoverState {
         let sends = self.0.workers.iter().filter(|(_, w)| self.0.warmth(w) < 1.0);
         let sends = sends.map(|(n, w)| (n.clone(), w.cold_sends.iter().copied().collect())).collect();
@@ -293,12 +300,12 @@
         HandoverState { loaded, tallies, served, sends, sender_keeps_running: false }
     }
 
-    /// Calls and orders of its own since then that count for the ration, for such a router.
+    /// Own calls and orders since this time that count for the load budget, for such a router.
     pub fn tallies(&self, since: Micros) -> Vec<Tally> {
         self.0.tallies(since, true)
     }
 
-    /// Whether the ration has room for an order of a router beside this one. If so, it is counted.
+    /// Grants an order of the peer router if the load budget allows it, and counts it then.
     pub fn grant_order(&mut self, now: Micros) -> bool {
         let core = &mut self.0;
         core.now = now.max(core.now);
@@ -313,17 +320,17 @@
         spare >= 1.0
     }
 
-    /// The router beside this one has this share of the calls, and is due as much of the ration.
+    /// Sets the peer router's share of the calls and of the load budget.
     pub fn set_peer_share(&mut self, share: f64) {
         self.0.peer.share = if share.is_finite() { share.clamp(0.0, 1.0) } else { 0.0 };
     }
 
-    /// The router beside this one is gone: what it told counts as this one's own from now on.
+    /// The peer router has ended: calls and orders that it reported count as this router's own from now on.
     pub fn peer_gone(&mut self) {
         self.0.peer = Default::default();
     }
 
-    /// Entries of all tables: what this router remembers. Each has a bound or an expiry, so this settles.
+    /// Number of entries in all tables. Each table is bounded or expires, so the number does not grow for ever.
     pub fn entries(&self) -> usize {
         let c = &self.0;
         let of = |f: &Function| 1 + f.successors.len() + f.places.len() + f.ranked.len();
@@ -342,26 +349,26 @@
             + c.function_keys.len()
     }
 
-    /// Whether the worker is not known to have all of its capacity yet.
+    /// Whether the worker is known but may not have its full capacity yet.
     pub fn is_cold(&self, worker: &WorkerId) -> bool {
         self.0.workers.get(worker).is_some_and(|w| self.0.warmth(w) < 1.0)
     }
 }
 
 impl Worker {
-    /// Whether a connection to it is likely to stand: to open one costs both sides.
+    /// Whether a connection to it is probably open; a new one costs both sides.
     pub(crate) fn held(&self, now: Micros) -> bool {
         self.in_flight > 0
             || (self.last_answer > self.last_reset && now - self.last_answer < CONNECTION_REUSE_US)
     }
 
-    /// Whether it is thought to take orders to load.
+    /// Whether it probably accepts load orders.
     pub(crate) fn loads(&self, now: Micros) -> bool {
         self.no_loads_until <= now
     }
 
-    /// Takes in a load report. It is late and counts our own too, which we know as of now: only its mean over
-    /// some reports tells what the others have there.
+    /// Learns from a load report. A report is late and includes the own requests, whose number is known as of now: only
+    /// the mean over several reports shows the requests of the other routers.
     pub(crate) fn learn_others(&mut self, now: Micros, report: LoadReport) {
         let holding = report.in_flight - f64::from(self.in_flight);
         let running = report.in_flight - report.waiting - f64::from(self.in_flight - self.awaiting);
@@ -371,7 +378,7 @@
         self.others = Others { at: now, holding: mean(held, holding), running: mean(ran, running) };
     }
 
-    /// A new process is met without a record.
+    /// Clears what was learnt of an earlier process of the worker.
     pub(crate) fn reset_record(&mut self) {
         (self.failed, self.tried, self.rest, self.ill_until, self.full_until) = (0.0, 0.0, 0, 0, 0);
         self.no_loads_until = 0;
@@ -381,8 +388,8 @@
 }
 
 impl Core {
-    /// Workers by weighted rendezvous of function and worker: the same order at every router, so that
-    /// routers which share nothing agree on few copies, also after a restart.
+    /// Ranks the workers by weighted rendezvous hashing of function and worker. The order is the same at every router,
+    /// also after a restart, so that routers without shared state agree on few copies.
     pub(crate) fn rank(&mut self, id: &FunctionId) {
         let Some(f) = self.functions.get_mut(id) else { return };
         if f.ranked_version != self.worker_set_version {
@@ -391,13 +398,13 @@
         }
     }
 
-    /// The workers in rendezvous order: the first usable one is the place for a new load.
+    /// The workers in rendezvous order: a new load goes to the first usable one.
     pub(crate) fn ranked<'a>(&'a self, f: &'a Function) -> impl Iterator<Item = (&'a WorkerId, &'a Worker)> {
         f.ranked.iter().filter_map(|n| self.workers.get_key_value(n))
     }
 
-    /// Requests that the worker is thought to hold: our own, and for those of the others what its reports say
-    /// or what our own share lets us expect, which is the fleet's mean where we see too little of each worker.
+    /// Estimated number of requests that the worker holds: the own ones, and those of the other routers by gossip, by
+    /// load reports, or in proportion to the own ones; the last is the fleet's mean where the own ones are too few.
     pub(crate) fn load(&self, w: &Worker) -> f64 {
         let own = w.in_flight as f64;
         if self.gossip.reliable {
@@ -411,7 +418,7 @@
         own + others * (fair + self.trust() * (w.mean_in_flight - fair))
     }
 
-    /// Requests that take the worker's cores: what awaits a load takes none, nor does what waits in a queue.
+    /// Estimated number of requests that use the worker's cores: without those that await a load or wait in a queue.
     pub(crate) fn running(&self, w: &Worker) -> f64 {
         match self.others(w) {
             Some(others) => f64::from(w.in_flight - w.awaiting) + others.running.max(0.0),
@@ -419,27 +426,27 @@
         }
     }
 
-    /// What the others have there, by its reports, as long as they are fresh. A router alone has no others.
+    /// Requests of the other routers there by fresh load reports; `None` if there are no other routers.
     fn others(&self, w: &Worker) -> Option<Others> {
         let fresh =
             self.settings.routers > 1 && w.others.at > 0 && self.now - w.others.at < MAX_REPORT_AGE_US;
         fresh.then_some(w.others)
     }
 
-    /// How far our own requests tell what the others do: next to nothing when they are few for each worker.
+    /// How far, from 0 to 1, the own requests show what the other routers do: near 0 with few requests per worker.
     pub(crate) fn trust(&self) -> f64 {
         let seen = (self.totals.in_flight / self.totals.up.max(1.0)).powi(2) + 1e-9;
         let unseen = HALF_TRUST_IN_FLIGHT.powi(2) * (1.0 - 1.0 / self.settings.routers as f64);
         seen / (seen + unseen)
     }
 
-    /// A function's share of the calls: of our own, and of all that answers told of.
+    /// A function's share of the calls: the own ones, and those of all routers that answers reported.
     pub(crate) fn share(&self, f: &Function) -> f64 {
         ((f.calls - IGNORED_CALLS).max(0.0) + f.overlap) / (self.calls.max(MIN_SHARE_CALLS) + f.overlap_base)
     }
 
-    /// Calls that all routers have out, as far as this one neither sees them nor could hear of them. Where routers tell one
-    /// another, a moment without word is short, and what answers told in it would count for half a minute after.
+    /// Calls of all routers in flight that this router neither sees nor could learn of by gossip; 0 with gossip: gaps in
+    /// it are short, and overlaps learnt in a gap would count for half a minute afterwards.
     fn unseen_calls(&self) -> f64 {
         if self.gossip_enabled() {
             return 0.0;
@@ -448,9 +455,10 @@
         (1.0 - self.trust()) * out.max(MIN_OVERLAP_BASE * self.totals.up)
     }
 
-    /// Takes in how many calls of all routers for its function a call met. They are a part of all that are out, which is
-    /// as many calls as this router would see in minutes: a share of two or three of its own is chance, and each router
-    /// that is wrong by itself begins a load that nobody else uses. What awaits a load piles up, and tells of the load.
+    /// Learns how many calls of the same function, from all routers, a call met at its worker. They are a sample of all
+    /// calls in flight, which are as many as this router sees in minutes. A share estimated from two or three own calls
+    /// would be chance, and each router with a wrong estimate would begin a load that no other uses. Calls that awaited
+    /// a load do not count: they accumulate because of the load.
     pub(crate) fn learn_overlap(
         &mut self,
         id: &RequestId,
@@ -468,8 +476,8 @@
         f.places.entry(n.clone()).and_modify(|p| (p.overlap, p.overlap_at) = (met, now));
     }
 
-    /// Calls for the function at one of so many places, of routers that this one does not hear: as it met them there
-    /// while a copy lay idle at the most, else their fair part; none where no answer told of any.
+    /// Estimated calls of the function, from routers without gossip, at one of `places` workers: as last reported by an
+    /// answer there within the keep-alive, else an equal part of all; 0 if no answer reported any.
     pub(crate) fn overlap(&self, f: &Function, p: &Placement, places: usize) -> f64 {
         if f.overlap_base == 0.0 || self.gossip.reliable {
             0.0
@@ -480,10 +488,10 @@
         }
     }
 
-    /// Takes in the time of an answer, over its aim.
+    /// Learns from the time of an answer divided by its latency aim.
     pub(crate) fn learn_slowness(&mut self, n: &WorkerId, ratio: f64) {
         if let Some(w) = self.workers.get_mut(n) {
-            // One seldom asked is believed by its last answer.
+            // The longer ago the last sample, the greater the weight of this one.
             let weight =
                 AVERAGE_WEIGHT.max(1.0 - (-((self.now - w.slowness_at) as f64) / SLOWNESS_MEMORY_US).exp());
             w.slowness += (ratio - w.slowness) * weight;
@@ -491,7 +499,7 @@
         }
     }
 
-    /// Takes in what a call took that found its copy and a lane, of one that has warmed up.
+    /// Learns the concurrency limit from a call that found a copy and a free lane at a worker that is fully warm.
     pub(crate) fn learn_concurrency_limit(
         &mut self,
         n: &WorkerId,
@@ -504,30 +512,31 @@
         }
     }
 
-    /// What one of size 1 is seen to serve. Cold ones serve their part of it: counted as warm, they would starve
-    /// each other. The best of times counts for minutes: a fleet that is sent little serves little, and what its
-    /// cold ones may be sent must not follow that down. Chance makes peaks, the more the fewer answers this router
-    /// sees: only what is sure to be no chance is remembered.
+    /// Learns the rate that a worker of size 1 serves. Cold workers count with their warm part: counted in full, they
+    /// would lower the estimate and so starve each other. The highest rate counts for minutes: with little traffic
+    /// little is served, and the limit for cold workers must not follow that down. Random peaks are the higher, the
+    /// fewer answers this router sees, so only what is above chance is remembered.
     pub(crate) fn learn_capacity(&mut self, passed: f64, fade: f64) {
         self.mean_warm = self.totals.warm + (self.mean_warm - self.totals.warm) * fade;
-        // The scatter of what is counted over a fading second: twice that over the time in which it is believed.
+        // The standard deviation of a count with exponential decay over a second: twice that over the time in
+        // which the estimate rises.
         let chance = (self.done_rate / 2.0).sqrt();
         let rate = (self.done_rate - chance).max(0.0) / self.mean_warm.max(1e-9);
         let time = if rate > self.capacity { CAPACITY_RISE_US } else { CAPACITY_FALL_US };
         self.capacity += (rate - self.capacity) * (1.0 - (-passed / time).exp());
     }
 
-    /// Answers a second for each size that was warm, both over the last second: those that all began anew a
-    /// moment ago did not serve what is remembered of that time.
+    /// Answers a second per warm size, both over the last second: after a restart of all workers, the remembered
+    /// capacity would not describe the present ones.
     pub(crate) fn warm_rate(&self) -> f64 {
         self.done_rate / self.mean_warm.max(1e-9)
     }
 
-    /// Requests within one window that this router may send to a starting worker: its part of what all routers may,
-    /// by what it serves itself of what a warm one does.
+    /// Mean number of requests within one window that this router may send to a starting worker: its part of the limit
+    /// for all routers, estimated from this router's share of what a warm worker serves.
     pub(crate) fn cold_part(&self, w: &Worker) -> f64 {
         let (s, now) = (&self.settings, self.now);
-        // An earlier life of this router, which it knows nothing of, may have sent its part just before it ended.
+        // An earlier process of this router, of which it has no record, may have sent its part just before it ended.
         if w.cold_since < self.started_at && now - self.started_at < s.fall_window {
             return 0.0;
         }
@@ -540,7 +549,7 @@
         (self.totals.size / self.totals.up.max(1.0)).max(1e-9)
     }
 
-    /// Sums over the workers that are up, made anew at most once a tick.
+    /// Recomputes the sums over the workers that are up; at most once a tick, and when the list changes.
     pub(crate) fn sum_up(&mut self) {
         let up = || self.workers.values().filter(|w| w.up);
         self.totals = Totals {
@@ -558,7 +567,7 @@
         self.totals.running = self.workers.values().filter(|w| w.up).map(|w| self.running(w).max(0.0)).sum();
     }
 
-    /// A call that came then counts for the ration of orders.
+    /// Counts a call with this arrival time for the load budget.
     pub(crate) fn count_call(&mut self, arrived: Micros) {
         let window = self.settings.load_budget.map_or(0, |b| b.period);
         while self.arrivals.front().is_some_and(|t| *t <= self.now - window) {
@@ -568,7 +577,7 @@
         self.arrivals.insert(at, arrived);
     }
 
-    /// Takes new settings up. Classes and tenants go by index: what was told by the old ones is let go.
+    /// Applies new settings. Classes and tenants are indexes, so all that refers to the old ones is cleared.
     pub(crate) fn apply_settings(&mut self, settings: Settings) {
         if settings.tenants != self.settings.tenants {
             self.tenant_rates = vec![0.0; settings.tenants.len()];
@@ -579,7 +588,7 @@
         self.settings = settings;
     }
 
-    /// Takes other terms of the same classes and tenants; what is open is held to the stricter of old and new.
+    /// Applies other terms of the same classes and tenants; open requests get the stricter of old and new.
     pub(crate) fn apply_terms(&mut self, settings: Settings) {
         self.tenant_rates.resize(settings.tenants.len(), 0.0);
         for r in self.requests.values_mut() {
@@ -591,7 +600,7 @@
         self.settings = settings;
     }
 
-    /// All that is believed loaded, for a router that takes this one's place.
+    /// All functions assumed to be loaded, for a router that replaces this one.
     pub(crate) fn loaded(&self) -> Vec<LoadedFunction> {
         let places =
             self.functions.iter().flat_map(|(id, f)| f.places.iter().map(move |(n, p)| (id, f, n, p)));
@@ -607,7 +616,7 @@
         loaded.collect()
     }
 
-    /// Calls and orders since then, for a router that takes this one's place: all of them, or its own.
+    /// Calls and orders since this time, for a router that replaces this one: all of them, or only the own ones.
     pub(crate) fn tallies(&self, since: Micros, own: bool) -> Vec<Tally> {
         let mut all: BTreeMap<Micros, Tally> = BTreeMap::new();
         let slot = |t: &Micros| t - t.rem_euclid(Tally::LENGTH_US);
@@ -629,7 +638,7 @@
         all.into_values().filter(|t| t.calls > 0 || t.orders > 0).collect()
     }
 
-    /// The request that arrives next has had these attempts.
+    /// Sets the attempts that the next request to arrive had at another router.
     pub(crate) fn set_past_attempts(&mut self, past: Vec<PastAttempt>) {
         let past = past.into_iter();
         self.past_attempts = past
@@ -643,14 +652,14 @@
             .collect();
     }
 
-    /// Believes what another router believed, as far as this one has not learnt better, and counts what it
-    /// took and ordered as its own: calls as early as they may have been, orders as late.
+    /// Takes over the state of another router where this one knows no better, and counts its calls and orders as own
+    /// ones. Calls get the earliest and orders the latest time of their tally, so that the budget is never exceeded.
     pub(crate) fn inherit(&mut self, legacy: HandoverState) {
         let HandoverState { loaded, tallies, served, sends, sender_keeps_running } = legacy;
         let served =
             if served.is_finite() && self.totals.size > 0.0 { served / self.totals.size } else { 0.0 };
         self.capacity = self.capacity.max(served);
-        // What an earlier process sent is told: nothing is unknown of it.
+        // The sends of the earlier process are known now.
         self.started_at = 0;
         for (n, times) in sends {
             let (now, window) = (self.now, self.settings.fall_window);
@@ -685,7 +694,7 @@
         }
     }
 
-    /// Takes in a list, or changes of one.
+    /// Applies a worker list, or changes of it.
     pub(crate) fn list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
         if kind != ListKind::Delta {
             self.workers.values_mut().for_each(|w| (w.listed, w.up) = (false, false));
@@ -705,7 +714,7 @@
             self.worker_set_version += u64::from(size != w.size);
             (w.size, w.tie_break) = (size, -hash(&e.worker.0, &self.seed.to_string()).ln() / size);
             if e.ready_at > w.started || e.condition == Condition::Gone {
-                // A new process holds nothing and has no record.
+                // A new process has no loaded copies and no failures.
                 w.reset_record();
                 w.cold_sends.retain(|t| *t >= e.ready_at);
                 (w.started, w.cold_since) = (w.started.max(e.ready_at), w.started.max(e.ready_at));
@@ -713,14 +722,15 @@
             }
         }
         self.sum_up();
-        // Those that are gone keep their place in the orders, as they mostly come back; not for ever.
+        // Workers that are gone keep their rank, as most return, until they outnumber those that are up.
         if self.workers.len() as f64 > 2.0 * self.totals.up {
             self.workers.retain(|_, w| w.up || w.out_of_service || w.in_flight > 0);
         }
         self.index_host_keys();
     }
 
-    /// Out, a worker gets nothing new. Back in, it may be another process that holds nothing and is cold.
+    /// Takes a worker out of service, so that it gets no new work, or returns it. It may return as a new process, which
+    /// is cold and has no loaded copies.
     pub(crate) fn set_out_of_service(&mut self, n: &WorkerId, out: bool) {
         let w = self.workers.entry(n.clone()).or_default();
         w.up = w.listed && !out;
@@ -735,7 +745,7 @@
         self.sum_up();
     }
 
-    /// Drops a request that is answered and has nothing out.
+    /// Removes a request that is answered and has no attempt in progress.
     pub(crate) fn forget(&mut self, id: &RequestId) {
         let over = |r: &Request| r.answered && r.attempts.iter().all(|t| t.ended.is_some());
         if self.requests.get(id).is_some_and(over) {
@@ -743,7 +753,7 @@
         }
     }
 
-    /// The share of its capacity that a worker is sure to have: all of it, unless it started lately.
+    /// The share of its capacity that a worker certainly has: below 1 only if it started recently.
     pub(crate) fn warmth(&self, w: &Worker) -> f64 {
         let (s, age) = (&self.settings, self.now - w.cold_since);
         if w.cold_since <= 0 || age >= s.cold_for + s.fall_window {
@@ -755,7 +765,7 @@
 }
 
 impl Function {
-    /// Halves the counts; false when nothing is left to remember.
+    /// Halves the counts; false when the function can be removed.
     pub(crate) fn halve(&mut self, now: Micros, forget: Micros) -> bool {
         (self.calls, self.overlap, self.overlap_base) =
             (self.calls / 2.0, self.overlap / 2.0, self.overlap_base / 2.0);
@@ -767,7 +777,7 @@
         !self.places.is_empty() || now - self.last_call < forget
     }
 
-    /// Takes another router's word, given then, unless it is known better here.
+    /// Applies a status that another router reported at `at`, unless this router knows better.
     pub(crate) fn apply_gossip(
         &mut self,
         n: &WorkerId,
@@ -779,7 +789,7 @@
         p.announced_at = now;
         match status {
             CopyStatus::Gone => (p.warm_until, p.copies, p.announced_at) = (0, 0, 0),
-            // What was missed here later is missing.
+            // A miss observed here later takes precedence.
             _ if p.missed_until - keep / 4 >= at => {}
             _ => {
                 let copies = if let CopyStatus::Copies(n) = status { u32::from(n) } else { 1 };
@@ -788,12 +798,12 @@
         }
     }
 
-    /// Loaded, or being loaded, on some worker.
+    /// Whether it is loaded, or being loaded, on some worker.
     pub(crate) fn is_loaded_anywhere(&self, now: Micros) -> bool {
         self.places.values().any(|p| p.warm_until > now || p.loading.is_some())
     }
 
-    /// The worker's copies are gone.
+    /// Records that the worker has no copies any more.
     pub(crate) fn drop_copies(&mut self, worker: &WorkerId) {
         if let Some(p) = self.places.get_mut(worker) {
             (p.warm_until, p.copies, p.loading) = (0, 0, None);
@@ -801,7 +811,7 @@
     }
 }
 
-/// What is believed of the function on the worker.
+/// The state of the function on the worker, created if absent.
 pub(crate) fn placement<'a>(
     all: &'a mut BTreeMap<FunctionId, Function>,
     f: &FunctionId,
@@ -810,7 +820,7 @@
     all.entry(f.clone()).or_default().places.entry(n.clone()).or_default()
 }
 
-/// A running mean that takes its first value as it is.
+/// Running mean that starts with its first value.
 pub(crate) fn learn(mean: f64, value: f64, weight: f64) -> f64 {
     if mean == 0.0 {
         value
@@ -819,7 +829,7 @@
     }
 }
 
-/// Workers by weighted rendezvous with a key: the same order wherever it is computed.
+/// Workers in the order of weighted rendezvous hashing with a key, the same at every router.
 pub(crate) fn in_order<'a>(key: &str, workers: impl Iterator<Item = (&'a WorkerId, f64)>) -> Vec<WorkerId> {
     let mut scored: Vec<_> = workers.map(|(n, size)| (-hash(key, &n.0).ln() / size, n.clone())).collect();
     scored.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
