--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,10 +1,10 @@
-//! The engine: a [`Router`] with the promises that every front and every host adapter relies on.
+//! The engine: a [`Router`] with the guarantees that front ends and host adapters rely on.
 //!
-//! It alone owns open requests, attempts, orders, timers and the promise of one final answer. It does no
-//! I/O and knows no wire: time is passed in, and what is to be done comes out as [`Command`]s.
+//! It owns open requests, attempts, orders and timers, and guarantees one final answer for each request. It does no
+//! I/O and knows no protocol: time is passed in, and [`Command`]s come out.
 //!
-//! No attempt begins for a request that was answered, that its client has left, that has an attempt out or whose
-//! time is up, whatever the module says: `Engine::begin` is the only way to [`Command::Send`].
+//! No attempt begins for a request that is answered or past its due time, whose client has left, or that has an
+//! attempt in progress, whatever the module decides: only `Engine::start_attempt` issues [`Command::Send`].
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,17 +12,18 @@
 use crate::interface::*;
 use crate::state::Router;
 
-/// From the end of its client's side of the connection on, attempts of a request may begin for this long. A client
-/// that closes ends its side just as one that only sends no more, and what begins more than 100 ms after a client
-/// has gone is work for nobody; half of that is left to the loop and to the connection to the host.
+/// Time after its client half-closed the connection in which attempts of a request may begin. A half-close does not
+/// show whether the client is gone or only sends no more. An attempt begun more than 100 ms after a client has gone
+/// is wasted work; half of that time is left for the event loop and the connection to the host.
 pub const HALF_CLOSE_GRACE_US: Micros = 50_000;
 
-/// Timers that are kept before those of what has ended are looked for.
+/// Minimum number of timers above which those of ended requests and orders are pruned.
 const MIN_PRUNE_TIMERS: usize = 256;
 
-/// What decides: events in, actions out. It is the [`Router`] but in tests; the engine's promises hold for any.
+/// The decision logic, which turns events into actions. It is the [`Router`], except in tests; the guarantees of the
+/// engine hold for any implementation.
 pub trait Module {
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the resulting actions.
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 }
 
@@ -32,54 +33,54 @@
     }
 }
 
-/// An open request, numbered by the engine: ids that clients choose need not be unique.
+/// Id of an open request, assigned by the engine, as ids chosen by clients need not be unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// One attempt of a request.
+/// Id of one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The request.
     pub ticket: Ticket,
-    /// Which of its attempts, counted from 0.
+    /// Number of the attempt, from 0.
     pub number: u32,
 }
 
-/// An order to load.
+/// Id of a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderId(pub u64);
 
-/// A request as a front hands it in.
+/// A request as a front end passes it to the engine.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// What it calls.
+    /// The function that it calls.
     pub function: FunctionId,
-    /// When its final answer is due at the latest.
+    /// Latest time of its final answer.
     pub due: Micros,
     /// Requests that one copy of the function runs at once.
     pub lanes: u32,
-    /// A client's repeat of a try that failed.
+    /// Whether it is a client's retry of a failed request.
     pub repeat: bool,
-    /// Work expected, as time on a standard core; 0 where it is not told.
+    /// Expected work, as time on a standard core; 0 if unknown.
     pub hint: Micros,
-    /// When its client ended its side of the connection, if it has; see [`Engine::client_half_closed`].
+    /// When its client half-closed the connection, if it did; see [`Engine::client_half_closed`].
     pub half_closed: Option<Micros>,
 }
 
-/// How an attempt ended, as its host adapter saw it.
+/// How an attempt ended, as reported by the host adapter.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The outcome; [`Outcome::never_ran`] only with proof.
+    /// The outcome; one of [`Outcome::never_ran`] needs proof.
     pub outcome: Outcome,
-    /// What the answer told of the copy.
+    /// What the answer reported about the copy.
     pub found: Option<Found>,
-    /// Requests for the same function that the host held.
+    /// Requests for the same function that the host held when this one arrived.
     pub overlap: Option<u32>,
-    /// What the answer told of the host's load.
+    /// The host's load report.
     pub report: Option<LoadReport>,
 }
 
@@ -94,68 +95,68 @@
 pub enum Verdict {
     /// Served by this attempt.
     Served(AttemptId),
-    /// Turned away: trying again is harmless.
+    /// Refused: a retry is harmless.
     Refused {
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry; 0 for no advice.
         retry_after: Micros,
     },
-    /// Failed while there was time: no promise.
+    /// Failed before its due time; it may have run.
     Failed,
-    /// Failed because its time ran out: no promise.
+    /// Timed out; it may have run.
     TimedOut,
 }
 
-/// What the adapters are to do, in this order.
+/// What the adapters must do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send an attempt.
     Send {
         /// The attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// The host.
         host: WorkerId,
-        /// When it is over at the latest.
+        /// Latest time of its end.
         until: Micros,
-        /// Not to be sent after this: then [`Engine::attempt_ended`] follows with [`Outcome::NotSent`].
+        /// Latest time to send it; after that, [`Engine::attempt_ended`] must follow with [`Outcome::NotSent`].
         leave_by: Micros,
     },
-    /// Give an attempt up. [`Engine::attempt_ended`] must still follow, once nothing of it can run unseen.
+    /// Cancel an attempt. [`Engine::attempt_ended`] must still follow, once no part of it can run unobserved.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Take an attempt back if nothing of it has left yet: then [`Engine::attempt_ended`] follows at once with
-    /// [`Outcome::NotSent`]. Else it goes on.
+    /// Withdraw an attempt if no part of it has been sent: then [`Engine::attempt_ended`] must follow at once with
+    /// [`Outcome::NotSent`]. Otherwise it continues.
     Withdraw {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Order copies to be held.
+    /// Order copies of a function to be loaded.
     Load {
         /// The order.
         order: OrderId,
-        /// Where.
+        /// The host.
         host: WorkerId,
-        /// Of which function.
+        /// The function.
         function: FunctionId,
-        /// How many.
+        /// Number of copies.
         copies: u32,
     },
     /// Have idle copies unloaded.
     Unload {
-        /// Where.
+        /// The host.
         host: WorkerId,
-        /// Of which function.
+        /// The function.
         function: FunctionId,
     },
-    /// Ask a host whether it is well.
+    /// Check the health of a host.
     Probe {
-        /// Which.
+        /// The host.
         host: WorkerId,
     },
-    /// Tell all other activators this.
+    /// Send a gossip datagram to all other activators.
     Broadcast {
-        /// What.
+        /// The datagram.
         data: Vec<u8>,
     },
     /// The final answer of a request: exactly one for each, unless its client left first.
@@ -165,7 +166,7 @@
         /// The answer.
         verdict: Verdict,
     },
-    /// A line for the operator.
+    /// Write a log line.
     Log {
         /// The line.
         text: String,
@@ -177,7 +178,7 @@
     id: RequestId,
     due: Micros,
     answered: bool,
-    /// No attempt begins after this.
+    /// Latest time at which an attempt may begin.
     last_attempt_at: Micros,
     attempts: Vec<Attempt>,
 }
@@ -194,7 +195,7 @@
 struct Attempt {
     host: WorkerId,
     sent: Micros,
-    /// Its adapter was told to give it up, for this reason.
+    /// It has been cancelled, for this reason.
     cancelled: Option<Outcome>,
     ended: bool,
 }
@@ -214,7 +215,7 @@
     Wake,
 }
 
-/// See the module's page.
+/// See the [module documentation](self).
 pub struct Engine<M = Router> {
     module: M,
     order_timeout: Micros,
@@ -223,13 +224,13 @@
     open: BTreeMap<Ticket, OpenRequest>,
     orders: BTreeMap<OrderId, Order>,
     timers: BinaryHeap<Reverse<(Micros, Timer)>>,
-    /// Timers of what has ended are looked for when there are more than this.
+    /// Number of timers at which those of ended requests and orders are pruned.
     prune_above: usize,
     scratch: Vec<Action>,
 }
 
 impl<M: Module> Engine<M> {
-    /// An engine round this module. An order not answered within `order_timeout` has ended.
+    /// Creates an engine around this module. A load order times out after `order_timeout`.
     pub fn new(module: M, order_timeout: Micros) -> Self {
         Self {
             module,
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Requests that are owed an answer or have an attempt out.
+    /// Number of requests that have no answer yet or an attempt in progress.
     pub fn open(&self) -> usize {
         self.open.len()
     }
@@ -254,23 +255,23 @@
         &self.module
     }
 
-    /// Timers that are kept, those of requests and orders that have ended among them: at most twice as many as were
-    /// live when these were last looked for, or a few hundred.
+    /// Number of timers, including those of ended requests and orders: at most twice as many as were live at the last
+    /// pruning, or a few hundred.
     pub fn timers(&self) -> usize {
         self.timers.len()
     }
 
-    /// When [`Engine::tick`] is wanted next.
+    /// Next time at which [`Engine::tick`] must be called.
     pub fn next_tick(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes a request. One final answer follows, now or later.
+    /// Accepts a request. Exactly one final answer follows, now or later.
     pub fn request(&mut self, now: Micros, new: NewRequest, out: &mut Vec<Command>) -> Ticket {
         self.request_with_past_attempts(now, new, Vec::new(), out)
     }
 
-    /// Takes a request that is best served at these spots; see [`Event::PreferredLocations`]. No spot changes nothing.
+    /// Accepts a request with preferred locations; see [`Event::PreferredLocations`]. An empty list has no effect.
     pub fn request_with_preferences(
         &mut self,
         now: Micros,
@@ -282,7 +283,7 @@
         self.request(now, new, out)
     }
 
-    /// The request that is taken next is best served at these spots; see [`Event::PreferredLocations`]. No spot changes nothing.
+    /// Sets the preferred locations of the next request; see [`Event::PreferredLocations`]. An empty list has no effect.
     pub fn prefer_locations(&mut self, now: Micros, advice: Vec<PreferredLocation>, out: &mut Vec<Command>) {
         if !advice.is_empty() {
             self.advance(now);
@@ -290,8 +291,8 @@
         }
     }
 
-    /// Takes a request that had attempts in a process that is gone, all of which have ended. They count as this
-    /// engine's own: for the number that it may have, and for where and whether it may be repeated or refused.
+    /// Accepts a request that had attempts in a process that has ended; the attempts have ended too. They count as this
+    /// engine's own for the maximum number of attempts, and for where and whether it may be retried or refused.
     pub fn request_with_past_attempts(
         &mut self,
         now: Micros,
@@ -320,7 +321,7 @@
         ticket
     }
 
-    /// Nobody waits for the request any more: no answer is owed, and none will be given.
+    /// The client of the request has left: no answer will be given.
     pub fn client_left(&mut self, now: Micros, ticket: Ticket, out: &mut Vec<Command>) {
         self.advance(now);
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
@@ -332,8 +333,8 @@
         self.forget(ticket);
     }
 
-    /// The request's client ended its side of the connection at `since`, and may have gone or wait for what is out.
-    /// An attempt that is out goes on; none begins later than [`HALF_CLOSE_GRACE_US`] after that.
+    /// The client half-closed the connection at `since`, and may be gone or wait for its answer. An attempt in progress
+    /// continues; none begins later than [`HALF_CLOSE_GRACE_US`] after that.
     pub fn client_half_closed(&mut self, now: Micros, ticket: Ticket, since: Micros, out: &mut Vec<Command>) {
         self.advance(now);
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
@@ -349,7 +350,7 @@
         }
     }
 
-    /// An attempt has ended: once each; later word of it is ignored.
+    /// An attempt has ended. Only the first report of its end counts.
     pub fn attempt_ended(&mut self, now: Micros, id: AttemptId, end: AttemptEnd, out: &mut Vec<Command>) {
         self.advance(now);
         let Some(open) = self.open.get_mut(&id.ticket) else { return };
@@ -358,7 +359,7 @@
         let mut outcome = end.outcome;
         outcome = match (outcome, attempt.cancelled) {
             (Outcome::Cancelled, Some(reason)) => reason,
-            // Taken back before it left, at the module's own wish: it means to send the request elsewhere.
+            // Cancelled by the module before it was sent: the module will send the request elsewhere.
             (Outcome::NotSent, Some(reason)) if !open.answered => reason,
             _ => outcome,
         };
@@ -383,7 +384,7 @@
         self.forget(id.ticket);
     }
 
-    /// An order has ended: once each; later word of it is ignored.
+    /// A load order has ended. Only the first report of its end counts.
     pub fn order_ended(
         &mut self,
         now: Micros,
@@ -397,7 +398,7 @@
         self.deliver(Event::LoadEnded { worker: host, function, outcome, copies }, out);
     }
 
-    /// News of the host list.
+    /// Applies the host list, or changes of it.
     pub fn update_hosts(
         &mut self,
         now: Micros,
@@ -409,13 +410,13 @@
         self.deliver(Event::List { kind, entries }, out);
     }
 
-    /// What another activator told, by its number.
+    /// A gossip datagram of the activator with this index has arrived.
     pub fn gossip_received(&mut self, now: Micros, from: u32, data: Vec<u8>, out: &mut Vec<Command>) {
         self.advance(now);
         self.deliver(Event::GossipReceived { from, data }, out);
     }
 
-    /// An operator takes a host out, whatever the list says, or puts it back.
+    /// An operator takes a host out of service, whatever the list says, or returns it.
     pub fn set_out_of_service(
         &mut self,
         now: Micros,
@@ -427,7 +428,7 @@
         self.deliver(Event::OutOfService { worker, out }, commands);
     }
 
-    /// The settings have changed; they must have been checked. What is open goes on as it began.
+    /// Applies new settings, which must have been checked. Open requests keep the settings that they began with.
     pub fn update_settings(
         &mut self,
         now: Micros,
@@ -440,20 +441,20 @@
         self.deliver(Event::Settings(Box::new(settings)), out);
     }
 
-    /// Takes other terms of the same classes and tenants, by the same indexes. What is open is held to the stricter of
-    /// those it came under and these.
+    /// Applies other terms of the same classes and tenants, with the same indexes. Open requests get the stricter of the
+    /// terms they arrived under and these.
     pub fn update_terms(&mut self, now: Micros, settings: Settings, out: &mut Vec<Command>) {
         self.advance(now);
         self.deliver(Event::ClassTerms(Box::new(settings)), out);
     }
 
-    /// What the process knew whose place this one takes.
-    pub fn inherit(&mut self, now: Micros, legacy: HandoverState, out: &mut Vec<Command>) {
+    /// Takes over the state of the process that this one replaces.
+    pub fn inherit(&mut self, now: Micros, state: HandoverState, out: &mut Vec<Command>) {
         self.advance(now);
-        self.deliver(Event::Handover(legacy), out);
+        self.deliver(Event::Handover(state), out);
     }
 
-    /// Time has passed.
+    /// Fires the timers that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.advance(now);
         let mut woken = false;
@@ -480,7 +481,7 @@
         self.now = now.max(self.now);
     }
 
-    /// Has [`Engine::tick`] come to this then.
+    /// Sets a timer.
     fn arm(&mut self, at: Micros, timer: Timer) {
         if self.timers.len() >= self.prune_above {
             self.prune_timers();
@@ -488,7 +489,8 @@
         self.timers.push(Reverse((at, timer)));
     }
 
-    /// Drops the timers of what has ended. As it is done when their number has doubled, it costs each timer little.
+    /// Drops the timers of ended requests and orders. As this runs only when the number of timers has doubled, its
+    /// amortized cost per timer is constant.
     fn prune_timers(&mut self) {
         let (open, orders) = (&self.open, &self.orders);
         let waits = |ticket: &Ticket| open.get(ticket).is_some_and(|o| !o.answered);
@@ -510,10 +512,10 @@
         self.last_id
     }
 
-    /// Its time is up: attempts are given up, and whatever the module says of that, an answer goes out now.
+    /// The request has timed out: cancels its attempts and answers now, whatever the module decides.
     fn request_timed_out(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
-        // What never had an attempt out is the module's to refuse or fail.
+        // With no attempt in progress, the module decides whether to refuse or fail it.
         if open.attempts.iter().all(|a| a.ended) {
             self.deliver(Event::Woken, out);
         }
@@ -522,7 +524,7 @@
         self.forget(ticket);
     }
 
-    /// The promise: past its time a request is answered, whatever else happens.
+    /// Answers a request that is past its due time. This guarantees an answer whatever else happens.
     fn answer_if_due(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered && o.due <= self.now) else {
             return;
@@ -533,8 +535,8 @@
         self.deliver(Event::ClientLeft { request }, out);
     }
 
-    /// No attempt of it begins from now on: the module decides whether it ends at once, and what has not begun to
-    /// leave for a host is taken back.
+    /// Allows no further attempt of the request: the module decides whether it ends at once, and an attempt of which
+    /// nothing has been sent is withdrawn.
     fn stop_attempts(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get(&ticket).filter(|o| !o.answered) else { return };
         let request = open.id.clone();
@@ -555,7 +557,7 @@
         }
     }
 
-    /// Has the adapter give up what is out for the request.
+    /// Cancels the attempts of the request that are in progress.
     fn cancel_attempts(&mut self, ticket: Ticket, reason: Outcome, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
         for (number, a) in open.attempts.iter_mut().enumerate() {
@@ -573,7 +575,7 @@
         }
     }
 
-    /// Hands an event to the module and carries out what it decides.
+    /// Passes an event to the module and carries out its actions.
     fn deliver(&mut self, event: Event, out: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.scratch);
         self.module.handle(self.now, event, &mut actions);
@@ -594,7 +596,7 @@
             Action::Fail { request } => self.answer(&request, Verdict::Failed, out),
             Action::Cancel { request, attempt } => {
                 let id = AttemptId { ticket: ticket(&request), number: attempt };
-                // What is called off so that it is asked anew would be lost where it may not be asked anew.
+                // The module cancels in order to retry. Where no retry may begin, the request would be lost.
                 let open =
                     self.open.get_mut(&id.ticket).filter(|o| o.answered || self.now <= o.last_attempt_at);
                 let Some(a) = open.and_then(|o| o.attempts.get_mut(attempt as usize)) else { return };
@@ -612,12 +614,12 @@
             Action::Broadcast { data } => out.push(Command::Broadcast { data }),
             Action::Wake { at } => self.arm(at, Timer::Wake),
             Action::Log { text } => out.push(Command::Log { text }),
-            // Lists are pushed to every embedder of the engine.
+            // Every embedder of the engine pushes the host list.
             Action::Subscribe => {}
         }
     }
 
-    /// Begins an attempt that the module wants, or tells it that it was never sent where none may begin.
+    /// Starts an attempt that the module requests, or reports it as not sent where none may begin.
     fn start_attempt(
         &mut self,
         ticket: Ticket,
@@ -656,7 +658,7 @@
         let ticket = ticket(request);
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
         open.answered = true;
-        // A failure at the very end is the clock's doing.
+        // A failure at or after the due time counts as a time-out.
         let verdict =
             if verdict == Verdict::Failed && open.due <= self.now { Verdict::TimedOut } else { verdict };
         out.push(Command::Answer { ticket, verdict });
@@ -666,44 +668,44 @@
 }
 
 impl Engine {
-    /// Whether this activator tells others anything, and heeds what they tell.
+    /// Whether this activator sends and uses gossip.
     pub fn gossip_enabled(&self) -> bool {
         self.module.gossip_enabled()
     }
 
-    /// What a process needs that takes this one's place.
+    /// State for a process that replaces this one.
     pub fn handover_state(&self) -> HandoverState {
         self.module.handover_state()
     }
 
-    /// What was taken and ordered since then, for such a process.
+    /// Own calls and orders since this time that count for the load budget, for such a process.
     pub fn tallies(&self, since: Micros) -> Vec<Tally> {
         self.module.tallies(since)
     }
 
-    /// Whether the ration has room for an order of a process beside this one. If so, it is counted.
+    /// Grants an order of the peer process if the load budget allows it, and counts it then.
     pub fn grant_order(&mut self, now: Micros) -> bool {
         self.advance(now);
         self.module.grant_order(self.now)
     }
 
-    /// The process beside this one decides this share of the calls, and is due as much of the ration of orders.
+    /// Sets the share of the calls that the peer process decides, which is also its share of the load budget.
     pub fn set_peer_share(&mut self, share: f64) {
         self.module.set_peer_share(share);
     }
 
-    /// The process beside this one is gone: what it took and ordered counts as this one's own from now on.
+    /// The peer process has ended: its calls and orders count as this one's own from now on.
     pub fn peer_gone(&mut self) {
         self.module.peer_gone();
     }
 
-    /// Whether the host is not known to have all of its capacity yet.
+    /// Whether the host is known but may not have its full capacity yet.
     pub fn is_cold(&self, host: &WorkerId) -> bool {
         self.module.is_cold(host)
     }
 }
 
-/// The ticket that a request's id was made from.
+/// The ticket from which the id of a request was made.
 fn ticket(id: &RequestId) -> Ticket {
     Ticket(u64::from_str_radix(&id.0, 16).unwrap_or(0))
 }
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,6 +1,6 @@
-//! Names made numbers, the same on every machine: for orders and keys that routers agree on without a word.
+//! Hashing of names, the same on every machine, for ranks and keys on which routers agree without communication.
 
-/// A number in (0, 1) from two names, the same on every machine (FNV-1a, then a mixing step).
+/// Hashes two names to a number in (0, 1): FNV-1a, then a mixing step.
 pub(crate) fn hash(a: &str, b: &str) -> f64 {
     let mut h: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in a.bytes().chain([0]).chain(b.bytes()) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
-//! What goes into a [`Router`](crate::Router) and what comes out: plain data, no decisions.
+//! Events that a [`Router`](crate::Router) takes and actions that it returns: plain data, no decisions.
 //!
-//! All times are microseconds on the embedder's clock, which has any origin and never runs backwards.
+//! All times are microseconds on the embedder's monotonic clock, whose origin is arbitrary.
 
 use std::fmt;
 use std::sync::Arc;
@@ -21,28 +21,29 @@
     };
 }
 id!(
-    /// A worker; the same word at every router.
+    /// Id of a worker, the same at every router.
     WorkerId
 );
 id!(
-    /// One try of a client; never used again.
+    /// Id of one request of a client; never reused.
     RequestId
 );
 id!(
-    /// A function (or model) that requests call.
+    /// Id of a function (or model) that requests call.
     FunctionId
 );
 
 /// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May be repeated and refused at will.
+    /// May run any number of times.
     Safe,
-    /// Workers of one scope drop repeats for `window` after the first attempt that may have run.
+    /// May be repeated within `window` after the first attempt that may have run, at the workers of one scope, which
+    /// drop repeats.
     Keyed {
-        /// Which workers drop each other's repeats.
+        /// Workers that drop each other's repeats.
         scope: Scope,
-        /// For how long they do.
+        /// How long they do.
         window: Micros,
     },
     /// Must never run twice.
@@ -50,7 +51,8 @@
 }
 
 impl Effect {
-    /// What breaks neither: unsafe before keyed before safe; of two keyed, the narrower scope and the shorter window.
+    /// The effect that satisfies both: unsafe before keyed before safe; of two keyed, the narrower scope and the shorter
+    /// window.
     pub fn stricter(self, other: Self) -> Self {
         match (self, other) {
             (Self::Unsafe, _) | (_, Self::Unsafe) => Self::Unsafe,
@@ -65,7 +67,7 @@
 /// Workers that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// All of them.
+    /// All workers.
     All,
     /// Those in one zone.
     Zone,
@@ -76,21 +78,21 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// Answers within this time earn full worth.
+    /// Latency aim: answers within this time earn the full worth.
     pub aim: Micros,
-    /// A client's whole patience.
+    /// Time after which a client gives up.
     pub give_up: Micros,
-    /// What a request is worth.
+    /// Worth of a request relative to other classes.
     pub worth: f64,
     /// Share of the worth that a late answer still earns.
     pub late_worth: f64,
-    /// Whether it may run twice.
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// Attempts that one request of it may have, where they are fewer than [`Settings::max_attempts`].
+    /// Maximum attempts of one request, if fewer than [`Settings::max_attempts`].
     pub attempts: Option<u32>,
 }
 
-/// A tenant's share of the service.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Requests a second, over all routers, that are worth their full class worth.
@@ -100,9 +102,9 @@
 /// At most `free + share * requests` load orders within any `period`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadBudget {
-    /// Orders that need no requests.
+    /// Orders allowed without any requests.
     pub free: f64,
-    /// Further orders for each request taken within the period.
+    /// Further orders for each request counted within the period.
     pub share: f64,
     /// Length of the window.
     pub period: Micros,
@@ -114,21 +116,21 @@
     #[default]
     /// Loads it while the request waits there.
     Loads,
-    /// Answers [`Outcome::Miss`]; only [`Action::Load`] brings the function in.
+    /// Answers [`Outcome::Miss`]; only [`Action::Load`] loads the function.
     Misses,
 }
 
-/// How news of the worker list reaches the router.
+/// How the router gets changes of the worker list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
     #[default]
-    /// Changes arrive by themselves.
+    /// Changes are pushed to it.
     Pushed,
     /// Only after [`Action::Subscribe`].
     OnRequest,
 }
 
-/// Facts about a deployment, told at the start and whenever they change.
+/// Settings of a deployment, given at the start and whenever they change.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Routers that share the traffic, this one included.
@@ -141,38 +143,38 @@
     pub over_share_worth: f64,
     /// This router's zone; entries of the worker list use the same numbers.
     pub zone: u32,
-    /// How the worker list is learnt.
+    /// How the router gets the worker list.
     pub discovery: Discovery,
-    /// What cold workers do.
+    /// What workers do with a request for a function that they have not loaded.
     pub when_cold: WhenCold,
-    /// An idle copy stays loaded at least this long.
+    /// Keep-alive: an idle copy stays loaded at least this long.
     pub keep: Micros,
     /// Whether `Load` orders may be given.
     pub orders: bool,
-    /// Limit on load orders, where there is one.
+    /// Limit on load orders; `None` for no limit.
     pub load_budget: Option<LoadBudget>,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Attempts that one request may have.
+    /// Maximum attempts of one request.
     pub max_attempts: u32,
-    /// Longest wait that a refused client honours.
+    /// Maximum wait that a refused client honours.
     pub max_retry_after: Micros,
     /// A starting worker has at least this share of its capacity.
     pub cold_from: f64,
-    /// And all of it after this time.
+    /// Time after which it has its full capacity.
     pub cold_for: Micros,
-    /// A cold worker falls over when sent more than this multiple of its capacity...
+    /// A starting worker fails when it is sent more than this multiple of its capacity for [`Settings::fall_window`].
     pub fall_multiple: f64,
-    /// ... for this long.
+    /// See [`Settings::fall_multiple`].
     pub fall_window: Micros,
-    /// This router's number among them, from 0.
+    /// Index of this router among all, from 0.
     pub router_index: u32,
-    /// Bytes at most that one router may tell the others at once; 0: it may not.
+    /// Maximum size of a gossip datagram; 0: no gossip.
     pub max_gossip_bytes: usize,
 }
 
 impl Settings {
-    /// Whether the settings make sense.
+    /// Checks that the settings are valid.
     pub fn check(&self) -> Result<(), SettingsError> {
         let bad = |wrong: bool, what| if wrong { Err(SettingsError(what)) } else { Ok(()) };
         bad(self.classes.is_empty(), "no classes")?;
@@ -197,7 +199,7 @@
     }
 }
 
-/// Why [`Router::new`](crate::Router::new) turned settings down.
+/// Why [`Router::new`](crate::Router::new) rejected the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub &'static str);
 
@@ -213,7 +215,7 @@
 pub enum Condition {
     /// In service.
     Up,
-    /// Finishes what it holds.
+    /// Takes no new work and finishes what it holds.
     Draining,
     /// Removed.
     Gone,
@@ -230,9 +232,9 @@
     pub cell: i64,
     /// Its state.
     pub condition: Condition,
-    /// Its size, to set against other workers' sizes.
+    /// Its size relative to other workers.
     pub size: f64,
-    /// When it last started; 0 for long ago.
+    /// When it last started; 0 if long ago.
     pub ready_at: Micros,
 }
 
@@ -249,78 +251,77 @@
     Failed,
 }
 
-/// A function believed loaded on a worker, as one router tells its successor.
+/// A function assumed to be loaded on a worker, as a router hands it over to its successor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadedFunction {
-    /// Where.
+    /// The worker.
     pub worker: WorkerId,
-    /// Which function.
+    /// The function.
     pub function: FunctionId,
     /// Requests that one copy runs at once.
     pub lanes: u32,
-    /// Copies.
+    /// Number of copies.
     pub copies: u32,
-    /// Believed loaded until then.
+    /// Assumed to be loaded until this time.
     pub until: Micros,
-    /// Calls of the function lately.
+    /// Recent calls of the function.
     pub calls: f64,
 }
 
-/// What counts for the ration of orders in one short stretch of time.
+/// Calls and orders that count for the load budget in one short interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// When the stretch began; it lasts [`Tally::LENGTH_US`].
+    /// Start of the interval, which lasts [`Tally::LENGTH_US`].
     pub at: Micros,
-    /// Calls that widen the ration.
+    /// Calls, which add to the budget.
     pub calls: u32,
-    /// Orders given.
+    /// Orders, which use it.
     pub orders: u32,
 }
 
 impl Tally {
-    /// How long a stretch is.
+    /// Length of an interval.
     pub const LENGTH_US: Micros = 100_000;
 }
 
-/// What a router tells the one that takes its place.
+/// State that a router hands over to the one that replaces it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
-    /// What it believes loaded.
+    /// Functions assumed to be loaded.
     pub loaded: Vec<LoadedFunction>,
-    /// What it took and ordered lately: the ration counts both routers as one.
+    /// Recent calls and orders: the load budget counts both routers as one.
     pub tallies: Vec<Tally>,
-    /// Answers a second that it would be given if all workers were warm, as far as it saw: starting workers get
-    /// a share of them.
+    /// Estimated answers a second if all workers were warm; the limit for starting workers is a share of them.
     pub served: f64,
-    /// When it sent attempts to starting workers lately: what these can stand counts both routers as one.
+    /// Times of recent attempts at starting workers, whose limit counts both routers as one.
     pub sends: Vec<(WorkerId, Vec<Micros>)>,
-    /// It goes on beside this one: what it told is not told on as this one's own.
+    /// The sending router keeps running beside the receiver, which must not report the received tallies as its own.
     pub sender_keeps_running: bool,
 }
 
-/// An attempt that a request had at a router that is gone. It has ended.
+/// An ended attempt that a request had at a router that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PastAttempt {
-    /// Where.
+    /// The worker.
     pub worker: WorkerId,
     /// When it was sent.
     pub sent: Micros,
-    /// How it ended; [`Outcome::never_ran`] only with proof.
+    /// How it ended; an outcome of [`Outcome::never_ran`] needs proof.
     pub outcome: Outcome,
 }
 
 /// How an attempt, a load order or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Served, or the copies stand.
+    /// Served, or the copies are loaded.
     Done,
     /// The worker answered with an error; it may have run.
     Error,
-    /// Turned away unseen; never ran.
+    /// Rejected before it was processed; never ran.
     Full,
-    /// No answer in time; may have run.
+    /// Timed out; may have run.
     TimedOut,
-    /// No connection; never ran.
+    /// The connection could not be opened; never ran.
     ConnectFailed,
     /// The connection broke; may have run.
     Reset,
@@ -328,7 +329,7 @@
     Cancelled,
     /// Never sent.
     NotSent,
-    /// Never sent, as this process has no connection to spare: that says nothing of the worker.
+    /// Never sent, as this process has no connection left; says nothing about the worker.
     NoConnection,
     /// The function is not loaded there, or its load failed; never ran.
     Miss,
@@ -341,50 +342,50 @@
     }
 }
 
-/// What an answer tells of the copy that served it.
+/// What an answer reports about the copy that served it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// A copy stood loaded.
+    /// A copy was loaded.
     Warm,
     /// The request began a load.
     BeganLoad,
-    /// It waited for a load begun before.
+    /// It waited for a load that was already in progress.
     AwaitedLoad,
     /// The load failed.
     LoadFailed,
 }
 
-/// What a worker reports of its load: late, rounded, and for all routers together.
+/// A worker's report of its load from all routers together; it is late and rounded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
     /// Requests that it holds.
     pub in_flight: f64,
-    /// Of these, such as wait there and take no core; 0 where that is not told.
+    /// Of these, requests that wait there and use no core; 0 if not reported.
     pub waiting: f64,
 }
 
 impl LoadReport {
-    /// More requests than any worker holds: a report above that is noise.
+    /// A report above this is corrupt: no worker holds as many requests.
     const MAX_REQUESTS: f64 = 1e6;
 
-    /// A report of these figures; `None` where one is none.
+    /// Creates a report; `None` if a figure is negative, not a number or above the maximum.
     pub fn new(in_flight: f64, waiting: f64) -> Option<Self> {
         let figures = [in_flight, waiting].iter().all(|n| (0.0..=Self::MAX_REQUESTS).contains(n));
         figures.then_some(Self { in_flight, waiting: waiting.min(in_flight) })
     }
 }
 
-/// What the router is told.
+/// Input of the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the worker list.
+    /// The worker list, or changes of it.
     List {
         /// What it holds.
         kind: ListKind,
         /// Its entries.
         entries: Vec<ListEntry>,
     },
-    /// A request has come in and must be given one final answer.
+    /// A request has arrived; it must get exactly one final answer.
     Arrival {
         /// Its id.
         request: RequestId,
@@ -392,23 +393,23 @@
         class: usize,
         /// Index of its tenant.
         tenant: Option<usize>,
-        /// What it calls.
+        /// The function that it calls.
         function: FunctionId,
-        /// When its client gives this try up.
+        /// When its client gives up.
         due: Micros,
         /// Requests that one copy of the function runs at once.
         lanes: u32,
-        /// A repeat by the client of a try that failed, where clients mark them.
+        /// A client's retry of a failed request, where clients mark them.
         repeat: bool,
-        /// Work expected, as time on a standard core; 0 where it is not told.
+        /// Expected work, as time on a standard core; 0 if unknown.
         hint: Micros,
     },
-    /// The client has left: nothing is owed any more.
+    /// The client has left; no answer is needed.
     ClientLeft {
         /// The request.
         request: RequestId,
     },
-    /// No further attempt of the request may begin: its client may have gone. What is out goes on.
+    /// No further attempt of the request may begin, as its client may have gone. An attempt in progress continues.
     NoFurtherAttempt {
         /// The request.
         request: RequestId,
@@ -419,22 +420,22 @@
         request: RequestId,
         /// Which of its attempts, counted from 0.
         attempt: u32,
-        /// Where it was sent.
+        /// The worker that it was sent to.
         worker: WorkerId,
         /// How it ended.
         outcome: Outcome,
-        /// The request is finished, by this or earlier.
+        /// Whether the request is finished, by this attempt or before.
         finished: bool,
         /// Time since it was sent.
         duration: Micros,
-        /// What it tells of the copy.
+        /// What the answer reports about the copy.
         found: Option<Found>,
-        /// Requests for the same function that the worker held when this one came.
+        /// Requests for the same function that the worker held when this one arrived.
         overlap: Option<u32>,
-        /// What the worker last reported of its load.
+        /// The last load report of the worker.
         report: Option<LoadReport>,
     },
-    /// A streamed answer has begun: its attempt now belongs to the client.
+    /// A streamed answer has begun; its attempt is neither cancelled nor retried any more.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -447,87 +448,88 @@
         function: FunctionId,
         /// How it ended.
         outcome: Outcome,
-        /// Copies that stand loaded.
+        /// Number of loaded copies.
         copies: u32,
     },
-    /// An operator takes a worker out of service, whatever the list says, or puts it back.
+    /// An operator takes a worker out of service, whatever the list says, or returns it.
     OutOfService {
         /// The worker.
         worker: WorkerId,
-        /// Out, or back in.
+        /// Whether it is out of service.
         out: bool,
     },
     /// The settings have changed. Requests that were open before keep their class and tenant.
     Settings(Box<Settings>),
-    /// Other terms of the same classes and tenants, by the same indexes. What is open is held to the stricter of those
-    /// it came under and these, from now on.
+    /// Other terms of the same classes and tenants, with the same indexes. From now on, an open request gets the stricter
+    /// of the terms it arrived under and these.
     ClassTerms(Box<Settings>),
-    /// What another router told.
+    /// A gossip datagram of another router.
     GossipReceived {
-        /// Its number.
+        /// Index of the sender.
         from: u32,
-        /// What it told.
+        /// The datagram.
         data: Vec<u8>,
     },
-    /// What the router knew whose place this one takes.
+    /// State of the router that this one replaces.
     Handover(HandoverState),
-    /// The next [`Event::Arrival`] has had these attempts elsewhere: they count as this router's own.
+    /// Attempts that the request of the next [`Event::Arrival`] had at another router; they count as this router's own.
     PastAttempts(Vec<PastAttempt>),
-    /// The next [`Event::Arrival`] is best served at these spots, best first; [`MAX_PREFERRED_LOCATIONS`] of them at most are
-    /// heeded, and nothing else is changed by it: what may be used, and how much of it, stays this router's own affair.
+    /// Preferred locations for the request of the next [`Event::Arrival`], best first; at most
+    /// [`MAX_PREFERRED_LOCATIONS`] are used. They only order the workers that the router could choose anyway: they change
+    /// neither which workers may be used nor how much.
     PreferredLocations(Vec<PreferredLocation>),
-    /// Time has passed; asked for by [`Action::Wake`].
+    /// The time requested by [`Action::Wake`] has come.
     Woken,
 }
 
-/// Spots of an advice that are heeded.
+/// Maximum number of preferred locations of a request that are used.
 pub const MAX_PREFERRED_LOCATIONS: usize = 3;
 
-/// Workers that an advice names.
+/// A preferred location of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PreferredLocation {
-    /// Those of a zone.
+    /// The workers of a zone.
     Zone(u32),
-    /// Those of a cell.
+    /// The workers of a cell.
     Cell(i64),
-    /// This one.
+    /// One worker.
     Worker(WorkerId),
 }
 
 impl PreferredLocation {
-    /// The first of the spots at which this worker stands; past all of them for one that is not advised.
-    pub(crate) fn rank(spots: &[PreferredLocation], worker: &WorkerId, zone: u32, cell: i64) -> usize {
-        let stands = |spot: &PreferredLocation| match spot {
+    /// Index of the first location that includes this worker; [`MAX_PREFERRED_LOCATIONS`] if none does.
+    pub(crate) fn rank(locations: &[PreferredLocation], worker: &WorkerId, zone: u32, cell: i64) -> usize {
+        let includes = |location: &PreferredLocation| match location {
             PreferredLocation::Zone(z) => *z == zone,
             PreferredLocation::Cell(c) => *c == cell,
             PreferredLocation::Worker(w) => w == worker,
         };
-        spots.iter().take(MAX_PREFERRED_LOCATIONS).position(stands).unwrap_or(MAX_PREFERRED_LOCATIONS)
+        locations.iter().take(MAX_PREFERRED_LOCATIONS).position(includes).unwrap_or(MAX_PREFERRED_LOCATIONS)
     }
 }
 
-/// What the router wants done, at once and in this order.
+/// Output of the router, to be carried out at once and in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The worker.
         worker: WorkerId,
-        /// Time-out; `None`: until the client gives up.
+        /// Time-out; `None`: when the client gives up.
         timeout: Option<Micros>,
-        /// Not to be sent after this, where earlier attempts bound it: a repeat that waits for a connection may wait too long.
+        /// Latest time to send it, where earlier attempts limit that: a retry that waits for a connection could be late.
         leave_by: Option<Micros>,
     },
-    /// Final answer: turned away, a repeat does no harm.
+    /// Final answer: refused; a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
         /// How long the client should stay away.
         retry_after: Micros,
     },
-    /// Final answer: failed, no promise.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
@@ -536,31 +538,31 @@
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt, counted from 0.
         attempt: u32,
     },
-    /// Hold at least `copies` loaded copies of the function; renews their idle time.
+    /// Order at least `copies` loaded copies of the function; restarts their idle time.
     Load {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// Copies wanted.
+        /// Number of copies.
         copies: u32,
     },
-    /// Tell all other routers this; it may be lost.
+    /// Send a gossip datagram to all other routers; it may be lost.
     Broadcast {
-        /// What.
+        /// The datagram.
         data: Vec<u8>,
     },
-    /// Ask for list changes from now on.
+    /// Subscribe to changes of the worker list.
     Subscribe,
     /// Deliver [`Event::Woken`] at this time.
     Wake {
-        /// When.
+        /// The time.
         at: Micros,
     },
-    /// A line for the operator.
+    /// Write a log line.
     Log {
         /// The line.
         text: String,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! Decisions of an activator that routes calls of form scripts to script hosts.
+//! Decision logic of an activator that routes calls of form scripts to script hosts.
 //!
-//! The types are in [`interface`], the decisions in [`rules`], and [`engine`] keeps the promises round them.
+//! The types are in [`interface`], the decisions in [`rules`], and [`engine`] enforces the guarantees around them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -654,8 +654,8 @@
 
     /// Takes over the state of another router where this one knows no better, and counts its calls and orders as own
     /// ones. Calls get the earliest and orders the latest time of their tally, so that the budget is never exceeded.
-    pub(crate) fn inherit(&mut self, legacy: HandoverState) {
-        let HandoverState { loaded, tallies, served, sends, sender_keeps_running } = legacy;
+    pub(crate) fn inherit(&mut self, state: HandoverState) {
+        let HandoverState { loaded, tallies, served, sends, sender_keeps_running } = state;
         let served =
             if served.is_finite() && self.totals.size > 0.0 { served / self.totals.size } else { 0.0 };
         self.capacity = self.capacity.max(served);
