--- a/src/bound.rs
+++ b/src/bound.rs
@@ -1,28 +1,30 @@
-//! How many calls a worker is given to run at once: an estimate that follows the answers, for workers whose
-//! cores nobody tells. It knows no router and no worker.
+//! Adaptive limit on the calls that a worker runs at once, for workers whose number of cores is unknown. It does not
+//! depend on the router or the workers.
 //!
-//! What runs shares the cores. Up to their number a call takes its own work; beyond, all take longer together
-//! and none is done sooner, so that at overload everything is late. How many cores there are is told nowhere,
-//! and sizes on the list have no unit. But a call's hint is its work on a standard core, so time over hint says
-//! how far the cores are shared, on any machine and at any scale, and needs no best case to be remembered: an
-//! estimate that only grows worse while it is obeyed would never come back.
+//! Running calls share the cores. Up to the number of cores, a call takes as long as its own work; beyond it, all calls
+//! take longer and none ends sooner, so that under overload every call is late. The number of cores is not reported, and
+//! sizes on the list have no unit. But the hint of a call is its work on a standard core, so its duration divided by the
+//! hint, its stretch, shows how far the cores are shared, on any machine and at any scale. No best case has to be
+//! remembered: an estimate that could only get worse while it is applied would never recover.
 
-/// Time over work at which the bound stays as it is: a standard core is yardstick 1 and cores have 0.6 to 1.1 of
-/// it, so an idle one takes about 1.3 times the work (measured 1.2 to 1.5 at half load, 5 to 10 at overload).
+/// Stretch (duration divided by work) at which the limit stays constant. Cores have 0.6 to 1.1 of the speed of a
+/// standard core, so an idle core has a stretch of about 1.3; it is 1.2 to 1.5 at half load and 5 to 10 under overload.
 const TARGET_STRETCH: f64 = 1.8;
-/// A bound changes by this share, for one more unit of time over work, in the time that what runs takes.
+/// Relative change of the limit per unit of stretch, in the time in which the running calls end once.
 const GAIN: f64 = 0.2;
-/// One answer moves the bound by no more than such an excess would.
+/// Maximum difference from the target stretch that one answer counts with.
 const MAX_EXCESS: f64 = 2.0;
-/// Never less than this on a worker of mean size: a worker has some cores, and what is not asked is not learnt.
+/// Minimum limit for a worker of mean size: a worker has some cores, and without calls nothing can be learnt.
 const MIN_LIMIT: f64 = 4.0;
-/// Never more than this, nor than so many times what runs: from there it takes too long to come down.
+/// The limit is at most the greater of this and [`MAX_RUNNING_MULTIPLE`] times the running calls: from a higher value it
+/// would take too long to come down.
 const MAX_LIMIT: f64 = 32.0;
+/// See [`MAX_LIMIT`].
 const MAX_RUNNING_MULTIPLE: f64 = 8.0;
-/// Calls at least over which time and work are averaged: hints are rough and work is uneven.
+/// Minimum number of calls over which duration and work are averaged: hints are rough and work is uneven.
 const MIN_AVERAGED_CALLS: f64 = 60.0;
 
-/// See the module's page.
+/// See the module documentation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
@@ -37,13 +39,13 @@
 }
 
 impl ConcurrencyLimit {
-    /// Calls that one worker of mean size is to run at the most.
+    /// Maximum number of calls that a worker of mean size runs at once.
     pub(crate) fn get(&self) -> f64 {
         self.limit
     }
 
-    /// A call that found a copy and room in it took this long for this work, both in the same unit, while
-    /// `running` ran on each of `workers` alike.
+    /// Learns from a call that found a copy with a free lane: its duration and its work, in the same unit, and the mean
+    /// number of calls running on each of `workers`.
     pub(crate) fn learn(&mut self, took: f64, work: f64, running: f64, workers: f64) {
         if !(work > 0.0 && took >= 0.0 && running.is_finite() && workers.is_finite()) {
             return;
--- a/src/bound/tests.rs
+++ b/src/bound/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Answers of a fleet whose workers share `cores` among what runs, as much as the bound and the demand allow.
+/// Feeds the limit with answers of a fleet whose running calls, as many as limit and demand allow, share `cores`.
 fn run(limit: &mut ConcurrencyLimit, cores: f64, demand: f64, answers: usize) -> f64 {
     let mut rng = fastrand::Rng::with_seed(3);
     for _ in 0..answers {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn at_overload_somewhat_more_than_the_cores_run_whatever_their_number() {
+fn under_overload_the_limit_settles_slightly_above_the_number_of_cores() {
     for cores in [4.0, 5.0, 10.0, 20.0] {
         let settled = run(&mut ConcurrencyLimit::default(), cores, 400.0, 20_000);
         assert!((1.1..2.2).contains(&(settled / cores)), "{settled} for {cores} cores");
@@ -23,22 +23,22 @@
 }
 
 #[test]
-fn it_never_keeps_away_what_an_easy_fleet_would_serve() {
+fn limit_does_not_restrict_a_fleet_that_is_not_overloaded() {
     let mut limit = ConcurrencyLimit::default();
     assert!(run(&mut limit, 30.0, 25.0, 20_000) >= 32.0);
-    // Once slow, for whatever reason, and then well: back within some rounds, from the least there is.
+    // After a slow phase, the limit recovers from its minimum within some rounds of calls.
     run(&mut limit, 1.0, 400.0, 20_000);
     assert!(limit.get() < 2.0 * MIN_LIMIT, "{}", limit.get());
     assert!(run(&mut limit, 30.0, 25.0, 10_000) > 25.0, "{}", limit.get());
 }
 
 #[test]
-fn it_grows_with_what_runs_beyond_any_fixed_number() {
+fn limit_grows_with_the_running_calls_beyond_its_fixed_maximum() {
     assert!(run(&mut ConcurrencyLimit::default(), 500.0, 300.0, 200_000) > 300.0);
 }
 
 #[test]
-fn figures_that_are_none_change_nothing() {
+fn invalid_figures_do_not_change_the_limit() {
     let mut limit = ConcurrencyLimit::default();
     run(&mut limit, 5.0, 400.0, 5_000);
     let before = limit.get();
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,13 +1,14 @@
-//! What activators of a large fleet tell one another: where copies stand, and what they have out there.
+//! Gossip among the activators of a large fleet: where functions are loaded, and calls in progress.
 //!
-//! Each activator of a hundred sees next to nothing of a host by itself: two activators in a hundred know that a copy
-//! stands, and none knows that the others have sixty calls out at its host. So each tells now and then, in one datagram
-//! to all, what it has out by place and what it has learnt. A datagram replaces all that its sender had out
-//! before. One that is lost, late or doubled does no more harm than a belief that ages out; one that cannot be read
-//! is dropped whole. Nothing here is trusted for a rule: each activator alone keeps them all.
+//! In a fleet of a hundred activators, each sees very little of a host by itself: two in a hundred know that a copy is
+//! loaded, and none knows that the others have sixty calls in progress at the host. So each periodically sends one
+//! datagram to all others with its calls in progress by place (function and host) and what it has learnt. A datagram
+//! replaces all calls of its sender's earlier ones. A lost, late or duplicated datagram only leaves information that
+//! expires; one that cannot be decoded is dropped as a whole. Limits and guarantees never depend on gossip: each
+//! activator keeps them by itself.
 //!
-//! This is the codec, the table of what was heard, and the composer of what is told. None of them knows a router:
-//! `src/gossip_exchange.rs` feeds and asks them, and what is done about it is decided in `src/rules.rs`.
+//! This file has the codec, the table of received information, and the composer of datagrams. They do not depend on the
+//! router: `src/gossip_exchange.rs` connects them to it, and `src/rules.rs` decides what to do with the information.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -15,52 +16,53 @@
 use crate::hash::hash;
 use crate::interface::{FunctionId, Micros, WorkerId};
 
-/// Between two datagrams of one router, for each router of the fleet: what a router hears is 200 a second at
-/// the most, and what the fleet pays for them does not grow with the square of its size.
+/// Interval between two datagrams of one router, per router of the fleet: each router receives at most 200 datagrams a
+/// second, and the cost for the fleet does not grow with the square of its size.
 const PERIOD_PER_ROUTER_US: Micros = 5_000;
-/// No router tells more often.
+/// Minimum interval between two datagrams of one router.
 const MIN_PERIOD_US: Micros = 200_000;
-/// What a router has out is believed for so many periods after its word.
+/// Calls in progress of a router expire this many periods after its last datagram.
 const MAX_AGE_PERIODS: Micros = 3;
-/// Share of the others that must have been heard of for what is told to be taken for the whole.
+/// Share of the other routers that must have been heard from for gossip to count as reliable.
 const MIN_HEARD_SHARE: f64 = 0.5;
-/// Heard of within this: a router with a call every few seconds has little to tell.
+/// Time after which a silent router no longer counts as heard from; a router with a call every few seconds sends
+/// little.
 const PEER_TIMEOUT_US: Micros = 4_000_000;
-/// Places that are kept for functions that were not called here yet.
+/// Maximum number of stored places of functions that have not been called here yet.
 const MAX_UNCALLED_PLACES: usize = 8_192;
-/// News that wait for the next datagram.
+/// Maximum number of news entries queued for the next datagrams.
 const MAX_QUEUED_NEWS: usize = 256;
-/// One in so many lines of a datagram is kept for news, as long as there are any.
+/// One in this many entries of a datagram is reserved for queued news.
 const NEWS_RESERVE_DIVISOR: usize = 4;
-/// Others are told anew that a copy stands after this part of the time that it may lie idle.
+/// A loaded copy is announced again after the keep-alive divided by this.
 pub(crate) const ANNOUNCE_AGAIN_DIVISOR: Micros = 3;
-/// The first byte of every datagram: the form and its version.
+/// First byte of each datagram: the format and its version.
 const FORMAT: u8 = 0x57;
 const HEADER_BYTES: usize = 3;
 const ENTRY_BYTES: usize = 5;
-/// Functions are told by this many bits of their hash...
+/// Bits of the hash that identifies a function.
 const FUNCTION_BITS: u32 = 20;
-/// ... where this one is none: the line is of the host.
+/// Reserved function key: the entry concerns the host.
 pub(crate) const NO_FUNCTION: u32 = (1 << FUNCTION_BITS) - 1;
-/// The most calls that a line tells.
+/// Maximum number of calls that an entry can report.
 const MAX_ENTRY_CALLS: u8 = 10;
 
-/// What a line says.
+/// Status of a function at a host, or of the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CopyStatus {
-    /// A copy stands there, with so many calls of the sender's out.
+    /// A copy is loaded, with this many calls of the sender in progress.
     Serving(u8),
-    /// A load was ordered.
+    /// A load has been ordered.
     Loading,
-    /// No copy stands there.
+    /// No copy is loaded.
     Gone,
-    /// So many copies stand, 2 to 4.
+    /// This many copies are loaded, 2 to 4.
     Copies(u8),
     /// The host had no room for a load.
     NoRoom,
 }
 
-/// A host, a function and what is said of them.
+/// Entry of a datagram: the status of a function at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Entry {
     pub(crate) host: u16,
@@ -68,15 +70,15 @@
     pub(crate) status: CopyStatus,
 }
 
-/// What stands for a function and for a host.
+/// Keys of a function and a host.
 pub(crate) type PlaceKey = (u32, u16);
 
-/// What stands for a host's id in a line.
+/// Key of a host.
 pub(crate) fn host_key(n: &WorkerId) -> u16 {
     (hash("host", &n.0) * 65_536.0) as u16
 }
 
-/// What stands for a function's.
+/// Key of a function.
 pub(crate) fn function_key(f: &FunctionId) -> u32 {
     ((hash("function", &f.0) * f64::from(NO_FUNCTION)) as u32).min(NO_FUNCTION - 1)
 }
@@ -85,7 +87,7 @@
     bytes.iter().fold(0x9d, |sum: u8, b| (sum.rotate_left(3) ^ b).wrapping_add(7))
 }
 
-/// A datagram. Lines beyond `most` bytes are left out.
+/// Encodes a datagram; entries beyond `max_bytes` are omitted.
 pub(crate) fn encode(sequence: u8, entries: &[Entry], max_bytes: usize) -> Vec<u8> {
     let mut bytes = vec![FORMAT, sequence, 0];
     for l in entries.iter().take(max_bytes.saturating_sub(HEADER_BYTES) / ENTRY_BYTES) {
@@ -103,7 +105,7 @@
     bytes
 }
 
-/// What a datagram says and its number; `None` for noise.
+/// Decodes a datagram to its sequence number and entries; `None` if it is invalid.
 pub(crate) fn decode(bytes: &[u8]) -> Option<(u8, Vec<Entry>)> {
     let (head, body) = bytes.split_at_checked(HEADER_BYTES)?;
     let mut unchecked = bytes.to_vec();
@@ -127,7 +129,7 @@
     Some((head[1], body.chunks_exact(ENTRY_BYTES).map(entry).collect::<Option<_>>()?))
 }
 
-/// One router of the others.
+/// Another router. `held` has its calls in progress: host, function and number.
 #[derive(Default)]
 struct Peer {
     at: Micros,
@@ -135,22 +137,22 @@
     held: Vec<(u16, u32, u32)>,
 }
 
-/// What was heard of the others.
+/// Information received from the other routers.
 #[derive(Default)]
 pub(crate) struct PeerTable {
     peers: BTreeMap<u32, Peer>,
     at_host: BTreeMap<u16, u32>,
     at_place: BTreeMap<PlaceKey, u32>,
-    /// Copies of functions by when they were told, for those that are called here later.
+    /// Time of the last report and copies of functions that have not been called here yet.
     uncalled: BTreeMap<PlaceKey, (Micros, u8)>,
-    /// Enough of them were heard of lately.
+    /// Enough of the routers were heard from recently, and gossip is needed here; see [`PeerTable::expire`].
     pub(crate) reliable: bool,
-    /// ... without a break since then.
+    /// Since when `reliable` holds without a break.
     since: Micros,
 }
 
 impl PeerTable {
-    /// Takes a datagram; what it says, unless it is noise or older than one that was taken.
+    /// Accepts a datagram and returns its entries, unless it is invalid or older than the last one accepted.
     pub(crate) fn accept(
         &mut self,
         now: Micros,
@@ -161,7 +163,7 @@
         let (sequence, entries) = decode(bytes)?;
         let peer = self.peers.entry(from).or_default();
         let newer = (1..128).contains(&sequence.wrapping_sub(peer.sequence));
-        // One that has started anew counts from anywhere.
+        // A restarted router begins with any sequence number.
         if !newer && peer.at > 0 && now - peer.at < MAX_AGE_PERIODS * period {
             return None;
         }
@@ -177,7 +179,7 @@
         Some(entries)
     }
 
-    /// What the router had out counts no more.
+    /// Removes the calls in progress of the router.
     fn clear_calls(&mut self, from: u32) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
         for (host, function, n) in peer.held.drain(..) {
@@ -186,7 +188,8 @@
         }
     }
 
-    /// Forgets what is too old. What is left is heeded where hosts are seldom seen, and enough of the routers are heard.
+    /// Removes expired information. Gossip is used where this router sees too little of the hosts by itself and enough
+    /// of the other routers are heard from.
     pub(crate) fn expire(
         &mut self,
         now: Micros,
@@ -207,28 +210,28 @@
         self.reliable = reliable;
     }
 
-    /// They were heard for as long as it takes until every copy that calls find has been told of.
+    /// Whether gossip has been reliable for long enough that every copy in use has been announced.
     pub(crate) fn is_complete(&self, now: Micros, keep: Micros) -> bool {
         self.reliable && now - self.since > keep / ANNOUNCE_AGAIN_DIVISOR
     }
 
-    /// How much of it there is.
+    /// Number of entries in all tables.
     pub(crate) fn entries(&self) -> usize {
         let held: usize = self.peers.values().map(|p| 1 + p.held.len()).sum();
         held + self.at_host.len() + self.at_place.len() + self.uncalled.len()
     }
 
-    /// Calls of the others at the host.
+    /// Calls of the other routers in progress at the host.
     pub(crate) fn at_host(&self, host: u16) -> f64 {
         f64::from(self.at_host.get(&host).copied().unwrap_or(0))
     }
 
-    /// Calls of the others for the function at the host.
+    /// Calls of the other routers in progress for the function at the host.
     pub(crate) fn at_place(&self, function: u32, host: u16) -> f64 {
         f64::from(self.at_place.get(&(function, host)).copied().unwrap_or(0))
     }
 
-    /// Takes out where a function stands that is called here from now on: hosts, when it was told, and copies.
+    /// Removes and returns the places of a function that is now called here: hosts, times of the report, copies.
     pub(crate) fn take_known(&mut self, function: u32) -> Vec<(u16, Micros, u8)> {
         let range = (function, 0)..=(function, u16::MAX);
         let found: Vec<_> = self.uncalled.range(range).map(|(k, v)| (k.1, v.0, v.1)).collect();
@@ -238,7 +241,7 @@
         found
     }
 
-    /// Keeps where a function stands that was not called here yet.
+    /// Stores the place of a function that has not been called here yet.
     pub(crate) fn remember(&mut self, now: Micros, place: PlaceKey, status: CopyStatus) {
         match status {
             CopyStatus::Gone => drop(self.uncalled.remove(&place)),
@@ -261,47 +264,47 @@
     }
 }
 
-/// Bytes of the shortest datagram that says anything.
+/// Size of a datagram with one entry.
 pub(crate) const MIN_DATAGRAM_BYTES: usize = HEADER_BYTES + ENTRY_BYTES;
 
-/// Time between two datagrams of one router in a fleet of so many.
+/// Interval between two datagrams of one router in a fleet of this size.
 pub(crate) fn period(routers: u32) -> Micros {
     (PERIOD_PER_ROUTER_US * Micros::from(routers)).max(MIN_PERIOD_US)
 }
 
-/// What a router tells, and when.
+/// Decides when a router sends a datagram, and composes it.
 #[derive(Default)]
 pub(crate) struct Composer {
     next: Micros,
     sequence: u8,
     news: BTreeMap<PlaceKey, CopyStatus>,
-    /// What was told last, of what is out and of news: where there is more to say than one datagram holds, the next
-    /// one goes on behind it, so that each place gets its turn.
-    turns: (PlaceKey, PlaceKey),
+    /// Last places sent, of calls in progress and of news. Where one datagram cannot hold all entries, the next one
+    /// continues after these, so that all places are sent in turn.
+    last_sent: (PlaceKey, PlaceKey),
 }
 
-/// All entries, from the first one behind this place round to it.
-fn from<T>(map: &BTreeMap<PlaceKey, T>, after: PlaceKey) -> impl Iterator<Item = (&PlaceKey, &T)> {
+/// All entries in cyclic order, beginning after this place.
+fn entries_after<T>(map: &BTreeMap<PlaceKey, T>, after: PlaceKey) -> impl Iterator<Item = (&PlaceKey, &T)> {
     map.range((Bound::Excluded(after), Bound::Unbounded)).chain(map.range(..=after))
 }
 
 impl Composer {
-    /// Something that the others may not know of this place: the last word of it counts.
-    pub(crate) fn note(&mut self, place: PlaceKey, status: CopyStatus) {
+    /// Queues news of a place for the other routers; it replaces queued news of the same place.
+    pub(crate) fn queue(&mut self, place: PlaceKey, status: CopyStatus) {
         if self.news.len() < MAX_QUEUED_NEWS || self.news.contains_key(&place) {
             self.news.insert(place, status);
         }
     }
 
-    /// News that wait.
+    /// Number of queued news entries.
     pub(crate) fn entries(&self) -> usize {
         self.news.len()
     }
 
-    /// Whether it is time to tell.
+    /// Whether a datagram is due.
     pub(crate) fn due(&mut self, now: Micros, period: Micros, rng: &mut fastrand::Rng) -> bool {
         if self.next == 0 {
-            // Not all at one moment, though all may have started at one.
+            // A random phase, as all routers may have started at the same time.
             self.next = now + (rng.f64() * period as f64) as Micros;
             self.sequence = rng.u8(..);
         }
@@ -312,8 +315,8 @@
         due
     }
 
-    /// A datagram of at most so many bytes: what is out, then news. `due` is asked of each news whether nobody has
-    /// told it lately, and knows from then on that it was told. `None`: there is nothing to tell.
+    /// Composes a datagram of at most `max_bytes`: calls in progress, then news. `due` returns whether news has not been
+    /// announced recently, and records it as announced. Returns `None` if there is nothing to send.
     pub(crate) fn compose(
         &mut self,
         held: &BTreeMap<PlaceKey, u8>,
@@ -322,20 +325,22 @@
     ) -> Option<Vec<u8>> {
         let entry = |&(function, host): &PlaceKey, status| Entry { host, function, status };
         let spare = max_bytes.saturating_sub(HEADER_BYTES) / ENTRY_BYTES;
-        // What is out must not keep news from being told at all.
+        // Calls in progress must not take the entries reserved for news.
         let of_held = spare - self.news.len().min(spare / NEWS_RESERVE_DIVISOR);
         let mut entries = Vec::new();
-        for (place, n) in from(held, self.turns.0).take(of_held) {
+        for (place, n) in entries_after(held, self.last_sent.0).take(of_held) {
             entries.push(entry(place, CopyStatus::Serving(*n)));
-            self.turns.0 = *place;
+            self.last_sent.0 = *place;
         }
         while entries.len() < spare {
-            let Some((place, status)) = from(&self.news, self.turns.1).next().map(|(p, w)| (*p, *w)) else {
+            let Some((place, status)) =
+                entries_after(&self.news, self.last_sent.1).next().map(|(p, w)| (*p, *w))
+            else {
                 break;
             };
             self.news.remove(&place);
-            self.turns.1 = place;
-            // What is out there tells that a copy stands, and so does what another told since.
+            self.last_sent.1 = place;
+            // Calls in progress there imply a loaded copy, and so does a recent announcement of another router.
             let due = due(&place, status) && !held.contains_key(&place);
             if due || status != CopyStatus::Serving(0) {
                 entries.push(entry(&place, status));
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -7,8 +7,8 @@
 }
 
 #[test]
-fn what_is_told_is_read_and_noise_is_not() {
-    let words = [
+fn datagrams_are_decoded_and_corrupt_ones_are_rejected() {
+    let statuses = [
         CopyStatus::Serving(0),
         CopyStatus::Serving(10),
         CopyStatus::Loading,
@@ -16,14 +16,14 @@
         CopyStatus::Copies(2),
         CopyStatus::Copies(4),
     ];
-    let mut entries: Vec<_> = words.into_iter().map(|w| entry(0xabcd, NO_FUNCTION - 1, w)).collect();
+    let mut entries: Vec<_> = statuses.into_iter().map(|w| entry(0xabcd, NO_FUNCTION - 1, w)).collect();
     entries.push(entry(7, NO_FUNCTION, CopyStatus::NoRoom));
     let bytes = encode(9, &entries, 256);
     assert_eq!(decode(&bytes), Some((9, entries)));
     let many = vec![entry(1, 2, CopyStatus::Serving(99)); 99];
     let bytes = encode(0, &many, 256);
     assert!(bytes.len() <= 256 && decode(&bytes).is_some_and(|(_, l)| l.len() == 50));
-    // Each changed byte and each shorter length is noticed.
+    // Each changed byte and each shorter length is detected.
     for i in 0..bytes.len() {
         let mut other = bytes.clone();
         other[i] ^= 0x20;
@@ -33,92 +33,92 @@
     let mut rng = fastrand::Rng::with_seed(3);
     let noise = |rng: &mut fastrand::Rng| (0..rng.usize(..258)).map(|_| rng.u8(..)).collect::<Vec<_>>();
     let read = (0..20_000).filter(|_| decode(&noise(&mut rng)).is_some()).count();
-    assert!(read <= 3, "{read} of 20,000 passed for status");
+    assert!(read <= 3, "{read} of 20,000 were accepted");
 }
 
 #[test]
-fn what_is_out_is_summed_replaced_and_expires() {
+fn calls_in_progress_are_summed_replaced_and_expire() {
     let (period, keep) = (500_000, 5_000_000);
-    let mut heard = PeerTable::default();
-    let told = |sequence, n| {
+    let mut table = PeerTable::default();
+    let datagram = |sequence, n| {
         encode(sequence, &[entry(1, 5, CopyStatus::Serving(n)), entry(2, 6, CopyStatus::Gone)], 256)
     };
-    assert!(heard.accept(1, period, 3, &told(255, 4)).is_some());
-    assert!(heard.accept(2, period, 4, &told(7, 2)).is_some());
-    assert_eq!((heard.at_host(1), heard.at_place(5, 1), heard.at_host(2)), (6.0, 6.0, 0.0));
-    // A doubled one and one that was overtaken change nothing; the next replaces what was out.
+    assert!(table.accept(1, period, 3, &datagram(255, 4)).is_some());
+    assert!(table.accept(2, period, 4, &datagram(7, 2)).is_some());
+    assert_eq!((table.at_host(1), table.at_place(5, 1), table.at_host(2)), (6.0, 6.0, 0.0));
+    // A duplicate and an overtaken datagram change nothing; the next one replaces the calls in progress.
     assert!(
-        heard.accept(3, period, 3, &told(255, 9)).is_none()
-            && heard.accept(3, period, 3, &told(250, 9)).is_none()
+        table.accept(3, period, 3, &datagram(255, 9)).is_none()
+            && table.accept(3, period, 3, &datagram(250, 9)).is_none()
     );
-    assert!(heard.accept(4, period, 3, &told(0, 1)).is_some());
-    assert_eq!((heard.at_host(1), heard.at_place(5, 1)), (3.0, 3.0));
-    // One that starts anew is heard once its old word is no longer believed.
-    assert!(heard.accept(5 + MAX_AGE_PERIODS * period, period, 3, &told(200, 5)).is_some());
-    heard.expire(5 + MAX_AGE_PERIODS * period, (period, keep), 4, true);
-    assert_eq!((heard.at_host(1), heard.reliable), (5.0, true), "the other's is too old");
-    heard.expire(PEER_TIMEOUT_US * 3, (period, keep), 4, true);
+    assert!(table.accept(4, period, 3, &datagram(0, 1)).is_some());
+    assert_eq!((table.at_host(1), table.at_place(5, 1)), (3.0, 3.0));
+    // A restarted router is accepted once its old datagram has expired.
+    assert!(table.accept(5 + MAX_AGE_PERIODS * period, period, 3, &datagram(200, 5)).is_some());
+    table.expire(5 + MAX_AGE_PERIODS * period, (period, keep), 4, true);
+    assert_eq!((table.at_host(1), table.reliable), (5.0, true), "the other's is too old");
+    table.expire(PEER_TIMEOUT_US * 3, (period, keep), 4, true);
     assert!(
-        !heard.reliable && heard.peers.is_empty() && heard.at_host.is_empty() && heard.at_place.is_empty()
+        !table.reliable && table.peers.is_empty() && table.at_host.is_empty() && table.at_place.is_empty()
     );
 }
 
 #[test]
-fn what_is_kept_of_uncalled_functions_is_bounded_and_expires() {
-    let mut heard = PeerTable::default();
+fn places_of_uncalled_functions_are_bounded_and_expire() {
+    let mut table = PeerTable::default();
     for f in 0..2 * MAX_UNCALLED_PLACES as u32 {
-        heard.remember(1, (f, 0), CopyStatus::Serving(0));
+        table.remember(1, (f, 0), CopyStatus::Serving(0));
     }
-    assert_eq!(heard.uncalled.len(), MAX_UNCALLED_PLACES);
-    heard.remember(2, (0, 0), CopyStatus::Copies(3));
-    assert_eq!(heard.uncalled[&(0, 0)], (2, 3), "a known place is kept up to date");
-    heard.remember(3, (0, 0), CopyStatus::Gone);
-    assert_eq!(heard.uncalled.len(), MAX_UNCALLED_PLACES - 1);
-    heard.expire(6_000_000, (500_000, 5_000_000), 4, true);
-    assert!(heard.uncalled.is_empty());
+    assert_eq!(table.uncalled.len(), MAX_UNCALLED_PLACES);
+    table.remember(2, (0, 0), CopyStatus::Copies(3));
+    assert_eq!(table.uncalled[&(0, 0)], (2, 3), "a known place is kept up to date");
+    table.remember(3, (0, 0), CopyStatus::Gone);
+    assert_eq!(table.uncalled.len(), MAX_UNCALLED_PLACES - 1);
+    table.expire(6_000_000, (500_000, 5_000_000), 4, true);
+    assert!(table.uncalled.is_empty());
 }
 
-/// Found by reading: what is out was told from the lowest key up and news from the highest down, both cut at one
-/// datagram, so that with more to say the same places were told of each time, and the others never.
+/// Guards against places that are never sent: calls in progress were sent from the lowest key up and news from the
+/// highest down, both cut at one datagram, so that with more entries each datagram had the same places.
 #[test]
-fn where_there_is_more_to_say_each_place_gets_its_turn() {
+fn all_places_are_sent_in_turn_when_one_datagram_is_too_small() {
     let mut composer = Composer::default();
     let held: BTreeMap<PlaceKey, u8> = (0..120).map(|f| ((f, 1), 3)).collect();
-    let mut told = std::collections::BTreeMap::new();
+    let mut sent = std::collections::BTreeMap::new();
     for round in 0..8 {
         (0..60).for_each(|f| {
-            composer.note((f, 2), if f % 2 == 0 { CopyStatus::Loading } else { CopyStatus::Gone })
+            composer.queue((f, 2), if f % 2 == 0 { CopyStatus::Loading } else { CopyStatus::Gone })
         });
-        let bytes = composer.compose(&held, 256, |_, _| true).expect("something to tell");
+        let bytes = composer.compose(&held, 256, |_, _| true).expect("entries to send");
         let (sequence, entries) = decode(&bytes).expect("it can be read");
         assert_eq!((sequence, entries.len()), (round + 1, 50));
-        entries.iter().for_each(|l| *told.entry((l.host, l.function)).or_insert(0) += 1);
+        entries.iter().for_each(|l| *sent.entry((l.host, l.function)).or_insert(0) += 1);
     }
-    assert_eq!(told.len(), 180, "every place");
-    assert!(told.values().all(|n| (1..=4).contains(n)), "about as often: {told:?}");
+    assert_eq!(sent.len(), 180, "every place");
+    assert!(sent.values().all(|n| (1..=4).contains(n)), "about as often: {sent:?}");
 }
 
 #[test]
-fn news_are_bounded_the_last_word_counts_and_what_is_known_is_not_told() {
+fn queued_news_is_bounded_replaced_and_omitted_if_already_announced() {
     let mut composer = Composer::default();
-    (0..2 * MAX_QUEUED_NEWS as u32).for_each(|f| composer.note((f, 0), CopyStatus::Loading));
+    (0..2 * MAX_QUEUED_NEWS as u32).for_each(|f| composer.queue((f, 0), CopyStatus::Loading));
     assert_eq!(composer.entries(), MAX_QUEUED_NEWS);
-    composer.note((3, 0), CopyStatus::Gone);
-    let bytes = composer.compose(&BTreeMap::new(), 256, |_, _| false).expect("loads are told in any case");
+    composer.queue((3, 0), CopyStatus::Gone);
+    let bytes = composer.compose(&BTreeMap::new(), 256, |_, _| false).expect("loads are always sent");
     let (_, entries) = decode(&bytes).unwrap();
     assert!(
         entries.contains(&entry(0, 3, CopyStatus::Gone))
             && !entries.contains(&entry(0, 3, CopyStatus::Loading))
     );
     let mut composer = Composer::default();
-    (0..4).for_each(|f| composer.note((f, 0), CopyStatus::Serving(0)));
+    (0..4).for_each(|f| composer.queue((f, 0), CopyStatus::Serving(0)));
     let bytes =
         composer.compose(&BTreeMap::new(), 256, |place, _| place.0 == 2).expect("one that is not known");
     assert_eq!(decode(&bytes).unwrap().1, vec![entry(0, 2, CopyStatus::Serving(0))]);
 }
 
 #[test]
-fn keys_tell_a_fleet_apart() {
+fn almost_all_host_keys_of_a_fleet_are_distinct() {
     let hosts: std::collections::BTreeSet<_> =
         (0..100).map(|i| host_key(&format!("s-{i:08x}").as_str().into())).collect();
     assert!(hosts.len() >= 99, "{} keys", hosts.len());
--- a/src/gossip_exchange.rs
+++ b/src/gossip_exchange.rs
@@ -1,5 +1,5 @@
-//! What one router feeds to gossip and asks of it: its own calls that are out, its news, and what others told
-//! of places that it knows. The codec and its tables are in `src/gossip.rs`; no decisions.
+//! Connects a router to gossip: sends its calls in progress and news, and applies what other routers report.
+//! The codec and its tables are in `src/gossip.rs`; there are no decisions here.
 
 use std::collections::BTreeMap;
 
@@ -10,48 +10,48 @@
 use crate::interface::*;
 use crate::state::{Core, Router};
 
-/// A worker that had no room for a load is thought to have none for so long: copies at work give room up within about
-/// that, and a list tells of a drain in half of it.
+/// Time in which a worker that had no room for a load gets no load orders: copies in use free room within about that
+/// time, and the list shows a drain within half of it.
 const NO_ROOM_US: Micros = 1_000_000;
 
 impl Router {
-    /// Whether this router tells others anything, and hears what they tell.
+    /// Whether this router sends and uses gossip.
     pub fn gossip_enabled(&self) -> bool {
         self.0.gossip_enabled()
     }
 }
 
 impl Core {
-    /// Whether routers of this fleet tell one another at all. Each does, whatever it sees itself: others may see less.
+    /// Whether the routers of this fleet use gossip. Each sends it however much it sees itself, as others may see less.
     pub(crate) fn gossip_enabled(&self) -> bool {
         self.settings.max_gossip_bytes > MIN_DATAGRAM_BYTES && self.settings.routers > 1
     }
 
-    /// Whether this router hears of a host by its own calls less often than others tell of it: only then is what is told
-    /// newer than what is seen, and worth being heeded.
+    /// Whether this router gets answers of a host less often than gossip about it. Only then is gossip newer than its own
+    /// observations, and used.
     pub(crate) fn sees_little(&self) -> bool {
         let period = period(self.settings.routers) as f64 / 1e6;
         self.settings.routers > 1 && self.done_rate * period < self.totals.up
     }
 
-    /// Something that the others may not know of this place.
+    /// Queues news of a function at a worker for the other routers.
     pub(crate) fn queue_news(&mut self, n: &WorkerId, f: &FunctionId, status: CopyStatus) {
         if self.gossip_enabled() {
-            self.composer.note((function_key(f), host_key(n)), status);
+            self.composer.queue((function_key(f), host_key(n)), status);
         }
     }
 
-    /// The worker has no room for a load: nothing is ordered there for a while, as an order at once would be turned away as
-    /// well. Where routers tell one another, none orders there: each of hundreds would find out by itself.
+    /// Records that the worker has no room for a load. Nothing is ordered there for [`NO_ROOM_US`], as the order would be
+    /// rejected too. Gossip spares hundreds of other routers from finding that out by orders of their own.
     pub(crate) fn mark_no_room(&mut self, n: &WorkerId) {
         let until = self.now + NO_ROOM_US;
         self.workers.entry(n.clone()).and_modify(|w| w.no_loads_until = until);
         if self.gossip_enabled() {
-            self.composer.note((NO_FUNCTION, host_key(n)), CopyStatus::NoRoom);
+            self.composer.queue((NO_FUNCTION, host_key(n)), CopyStatus::NoRoom);
         }
     }
 
-    /// Takes what another router told.
+    /// Applies a gossip datagram of another router.
     pub(crate) fn receive_gossip(&mut self, from: u32, bytes: &[u8]) {
         if !self.gossip_enabled() || from >= self.settings.routers || from == self.settings.router_index {
             return;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A function that is called here for the first time: what was heard of it counts.
+    /// Registers a function called here for the first time, and applies what gossip reported of it before.
     pub(crate) fn register_function(&mut self, id: &FunctionId) {
         let key = function_key(id);
         if !self.gossip_enabled() || self.function_keys.get(&key).is_some_and(|known| known == id) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Hosts by what stands for them. Two that share a key are told apart by nobody: neither is heard of.
+    /// Rebuilds the index of hosts by key. Hosts with the same key cannot be told apart and are left out.
     pub(crate) fn index_host_keys(&mut self) {
         self.host_keys.clear();
         let mut duplicates = Vec::new();
@@ -100,10 +100,10 @@
         duplicates.iter().for_each(|key| drop(self.host_keys.remove(key)));
     }
 
-    /// Forgets what is old and tells what is due.
+    /// Removes expired gossip, and sends a datagram if one is due.
     pub(crate) fn send_gossip(&mut self, out: &mut Vec<Action>) {
         if !self.gossip_enabled() {
-            // They may have been told until settings changed.
+            // Gossip may have been enabled until the settings changed.
             return self.gossip.reliable = false;
         }
         let (now, period) = (self.now, period(self.settings.routers));
@@ -124,7 +124,7 @@
             }
         }
         let (function_keys, host_keys, keep) = (&self.function_keys, &self.host_keys, self.settings.keep);
-        // Hundreds find a copy within one period: what one of them has told, the others leave out.
+        // Hundreds of routers find a copy within one period: what one has announced, the others omit.
         let due = |&(function, host): &PlaceKey, status| {
             let f = function_keys.get(&function).and_then(|f| functions.get_mut(f));
             let p = f.zip(host_keys.get(&host)).and_then(|(f, n)| f.places.get_mut(n));
--- a/src/succession.rs
+++ b/src/succession.rs
@@ -1,9 +1,9 @@
-//! Which functions follow which: the counting of the paper's hit_candidate_path, on order-one paths.
+//! Counts which functions follow which: hit_candidate_path of the paper, on order-one paths.
 //!
-//! Each call counts each function that follows it within the window, once, for the same tenant. So a call of `g`
-//! counts for every call of another function since the last call of `g`: those before it have `g` counted already. No
-//! call needs a set of its followers, and a call costs one step for each function that was called since the last
-//! call of its own, however many calls these had.
+//! For each call, each function that follows it within the window counts once, if the tenant is the same. So a call of
+//! `g` counts for every call of another function since the last call of `g`; for earlier ones, `g` is already counted. No
+//! call needs a set of its followers, and a call of a function costs one step for each other function called since
+//! the function's last call, however many calls these had.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,23 +12,24 @@
 /// The calls of one tenant within the window.
 #[derive(Default)]
 struct TenantCalls {
-    /// By function, numbers of its calls, oldest first.
+    /// Numbers of the calls of each function, oldest first.
     calls: BTreeMap<FunctionId, VecDeque<u64>>,
-    /// By the number of its last call, each of these functions.
+    /// These functions by the number of their last call.
     latest: BTreeMap<u64, FunctionId>,
 }
 
-/// The calls of the window.
+/// The calls within the window.
 #[derive(Default)]
 pub(crate) struct Succession {
     number: u64,
-    /// Oldest first: what bounds everything here is the number of calls in the window.
+    /// Oldest first. All tables are bounded by the number of calls in the window.
     window: VecDeque<(Micros, Option<usize>, FunctionId)>,
     tenants: BTreeMap<Option<usize>, TenantCalls>,
 }
 
 impl Succession {
-    /// Takes a call: `followed` is told, for each other function, how many of its calls this is the first to follow.
+    /// Counts a call. `followed` is called for each other function, with the number of its calls that this is the first
+    /// call of its function to follow.
     pub(crate) fn call(
         &mut self,
         now: Micros,
@@ -52,13 +53,13 @@
         self.window.push_back((now, tenant, id.clone()));
     }
 
-    /// How much is remembered.
+    /// Number of entries in all tables.
     pub(crate) fn entries(&self) -> usize {
         let of = |l: &TenantCalls| l.latest.len() + l.calls.values().map(|c| 1 + c.len()).sum::<usize>();
         self.window.len() + self.tenants.values().map(of).sum::<usize>()
     }
 
-    /// Forgets all: tenants go by other numbers.
+    /// Clears all calls, as the indexes of tenants change.
     pub(crate) fn clear(&mut self) {
         self.window.clear();
         self.tenants.clear();
--- a/src/succession/tests.rs
+++ b/src/succession/tests.rs
@@ -5,7 +5,7 @@
 
 const WINDOW: Micros = 1_000_000;
 
-/// The counting as it was: every call of the window with a set of its followers.
+/// Reference implementation: every call of the window has a set of its followers.
 #[derive(Default)]
 struct Naive(Vec<(Micros, Option<usize>, FunctionId, BTreeSet<FunctionId>)>);
 
@@ -41,16 +41,16 @@
     format!("f{n}").as_str().into()
 }
 
-/// The same counts as before, on streams of any density, skew and number of tenants.
+/// Random streams of calls vary in rate, skew and number of tenants.
 #[test]
-fn the_counts_are_those_of_the_naive_way() {
+fn counts_equal_those_of_the_reference_implementation() {
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (functions, tenants, gap) = (rng.usize(1..30), rng.usize(1..4), rng.i64(1..300_000));
         let (mut fast, mut naive, mut now) = (Succession::default(), Naive::default(), 0);
         for n in 0..1500 {
             now += if rng.u8(..) == 0 { 2 * WINDOW } else { rng.i64(0..gap) };
-            // Squared, so that some are called far more often.
+            // Squared, so that some functions are called far more often.
             let id = function((rng.f64().powi(2) * functions as f64) as usize);
             let tenant = Some(rng.usize(0..tenants)).filter(|t| *t > 0);
             assert_eq!(
@@ -62,9 +62,9 @@
     }
 }
 
-/// The work of a call does not grow with the rate.
+/// Guards against a cost per call that grows with the rate of calls.
 #[test]
-fn ten_and_a_thousand_times_the_rate_cost_the_same_a_call() {
+fn cost_per_call_is_the_same_at_ten_and_a_thousand_times_the_rate() {
     let steps = |gap: Micros| {
         let (mut s, mut rng) = (Succession::default(), fastrand::Rng::with_seed(7));
         let calls = 20_000;
@@ -77,9 +77,8 @@
     assert!((fast / slow - 1.0).abs() < 0.1 && (fastest / slow - 1.0).abs() < 0.1, "{slow} {fast} {fastest}");
 }
 
-/// Nothing is kept beyond the window.
 #[test]
-fn what_is_kept_is_the_window() {
+fn calls_outside_the_window_are_removed() {
     let mut s = Succession::default();
     for n in 0..1000 {
         counted(&mut s, n * 10_000, &function(n as usize), Some(n as usize % 3));
