--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -134,7 +134,7 @@
 struct Peer {
     at: Micros,
     sequence: u8,
-    held: Vec<(u16, u32, u32)>,
+    calls: Vec<(u16, u32, u32)>,
 }
 
 /// Information received from the other routers.
@@ -148,7 +148,7 @@
     /// Enough of the routers were heard from recently, and gossip is needed here; see [`PeerTable::expire`].
     pub(crate) reliable: bool,
     /// Since when `reliable` holds without a break.
-    since: Micros,
+    reliable_since: Micros,
 }
 
 impl PeerTable {
@@ -174,7 +174,7 @@
             let n = u32::from(n);
             *self.at_host.entry(l.host).or_default() += n;
             *self.at_place.entry((l.function, l.host)).or_default() += n;
-            self.peers.entry(from).or_default().held.push((l.host, l.function, n));
+            self.peers.entry(from).or_default().calls.push((l.host, l.function, n));
         }
         Some(entries)
     }
@@ -182,7 +182,7 @@
     /// Removes the calls in progress of the router.
     fn clear_calls(&mut self, from: u32) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        for (host, function, n) in peer.held.drain(..) {
+        for (host, function, n) in peer.calls.drain(..) {
             subtract(&mut self.at_host, host, n);
             subtract(&mut self.at_place, (function, host), n);
         }
@@ -197,28 +197,28 @@
         routers: u32,
         sees_little: bool,
     ) {
-        let old = |p: &Peer| !p.held.is_empty() && now - p.at > MAX_AGE_PERIODS * period;
-        let old: Vec<_> = self.peers.iter().filter(|(_, p)| old(p)).map(|(n, _)| *n).collect();
-        old.into_iter().for_each(|n| self.clear_calls(n));
+        let expired = |p: &Peer| !p.calls.is_empty() && now - p.at > MAX_AGE_PERIODS * period;
+        let expired: Vec<_> = self.peers.iter().filter(|(_, p)| expired(p)).map(|(n, _)| *n).collect();
+        expired.into_iter().for_each(|n| self.clear_calls(n));
         self.peers.retain(|_, p| now - p.at <= PEER_TIMEOUT_US);
         self.uncalled.retain(|_, (at, _)| now - *at < keep);
         let enough = self.peers.len() as f64 >= MIN_HEARD_SHARE * f64::from(routers.saturating_sub(1));
         let reliable = sees_little && enough && routers > 1;
         if reliable && !self.reliable {
-            self.since = now;
+            self.reliable_since = now;
         }
         self.reliable = reliable;
     }
 
     /// Whether gossip has been reliable for long enough that every copy in use has been announced.
     pub(crate) fn is_complete(&self, now: Micros, keep: Micros) -> bool {
-        self.reliable && now - self.since > keep / ANNOUNCE_AGAIN_DIVISOR
+        self.reliable && now - self.reliable_since > keep / ANNOUNCE_AGAIN_DIVISOR
     }
 
     /// Number of entries in all tables.
     pub(crate) fn entries(&self) -> usize {
-        let held: usize = self.peers.values().map(|p| 1 + p.held.len()).sum();
-        held + self.at_host.len() + self.at_place.len() + self.uncalled.len()
+        let calls: usize = self.peers.values().map(|p| 1 + p.calls.len()).sum();
+        calls + self.at_host.len() + self.at_place.len() + self.uncalled.len()
     }
 
     /// Calls of the other routers in progress at the host.
@@ -319,20 +319,20 @@
     /// announced recently, and records it as announced. Returns `None` if there is nothing to send.
     pub(crate) fn compose(
         &mut self,
-        held: &BTreeMap<PlaceKey, u8>,
+        calls: &BTreeMap<PlaceKey, u8>,
         max_bytes: usize,
         mut due: impl FnMut(&PlaceKey, CopyStatus) -> bool,
     ) -> Option<Vec<u8>> {
         let entry = |&(function, host): &PlaceKey, status| Entry { host, function, status };
-        let spare = max_bytes.saturating_sub(HEADER_BYTES) / ENTRY_BYTES;
+        let capacity = max_bytes.saturating_sub(HEADER_BYTES) / ENTRY_BYTES;
         // Calls in progress must not take the entries reserved for news.
-        let of_held = spare - self.news.len().min(spare / NEWS_RESERVE_DIVISOR);
+        let call_entries = capacity - self.news.len().min(capacity / NEWS_RESERVE_DIVISOR);
         let mut entries = Vec::new();
-        for (place, n) in entries_after(held, self.last_sent.0).take(of_held) {
+        for (place, n) in entries_after(calls, self.last_sent.0).take(call_entries) {
             entries.push(entry(place, CopyStatus::Serving(*n)));
             self.last_sent.0 = *place;
         }
-        while entries.len() < spare {
+        while entries.len() < capacity {
             let Some((place, status)) =
                 entries_after(&self.news, self.last_sent.1).next().map(|(p, w)| (*p, *w))
             else {
@@ -341,7 +341,7 @@
             self.news.remove(&place);
             self.last_sent.1 = place;
             // Calls in progress there imply a loaded copy, and so does a recent announcement of another router.
-            let due = due(&place, status) && !held.contains_key(&place);
+            let due = due(&place, status) && !calls.contains_key(&place);
             if due || status != CopyStatus::Serving(0) {
                 entries.push(entry(&place, status));
             }
--- a/src/gossip_exchange.rs
+++ b/src/gossip_exchange.rs
@@ -35,19 +35,19 @@
     }
 
     /// Queues news of a function at a worker for the other routers.
-    pub(crate) fn queue_news(&mut self, n: &WorkerId, f: &FunctionId, status: CopyStatus) {
+    pub(crate) fn queue_news(&mut self, worker: &WorkerId, function: &FunctionId, status: CopyStatus) {
         if self.gossip_enabled() {
-            self.composer.queue((function_key(f), host_key(n)), status);
+            self.composer.queue((function_key(function), host_key(worker)), status);
         }
     }
 
     /// Records that the worker has no room for a load. Nothing is ordered there for [`NO_ROOM_US`], as the order would be
     /// rejected too. Gossip spares hundreds of other routers from finding that out by orders of their own.
-    pub(crate) fn mark_no_room(&mut self, n: &WorkerId) {
+    pub(crate) fn mark_no_room(&mut self, worker: &WorkerId) {
         let until = self.now + NO_ROOM_US;
-        self.workers.entry(n.clone()).and_modify(|w| w.no_loads_until = until);
+        self.workers.entry(worker.clone()).and_modify(|w| w.no_loads_until = until);
         if self.gossip_enabled() {
-            self.composer.queue((NO_FUNCTION, host_key(n)), CopyStatus::NoRoom);
+            self.composer.queue((NO_FUNCTION, host_key(worker)), CopyStatus::NoRoom);
         }
     }
 
@@ -120,14 +120,16 @@
                 let n = held.entry((function_key(&r.function), host_key(&t.worker))).or_default();
                 *n = n.saturating_add(1);
                 let f = functions.get_mut(&r.function);
-                f.and_then(|f| f.places.get_mut(&t.worker)).into_iter().for_each(|p| p.announced_at = now);
+                f.and_then(|f| f.placements.get_mut(&t.worker))
+                    .into_iter()
+                    .for_each(|p| p.announced_at = now);
             }
         }
         let (function_keys, host_keys, keep) = (&self.function_keys, &self.host_keys, self.settings.keep);
         // Hundreds of routers find a copy within one period: what one has announced, the others omit.
         let due = |&(function, host): &PlaceKey, status| {
             let f = function_keys.get(&function).and_then(|f| functions.get_mut(f));
-            let p = f.zip(host_keys.get(&host)).and_then(|(f, n)| f.places.get_mut(n));
+            let p = f.zip(host_keys.get(&host)).and_then(|(f, n)| f.placements.get_mut(n));
             let Some(p) = p else { return true };
             let due = now - p.announced_at > keep / ANNOUNCE_AGAIN_DIVISOR;
             p.announced_at =
--- a/src/repeats.rs
+++ b/src/repeats.rs
@@ -26,14 +26,14 @@
     }
 
     /// Whether the request may have another attempt at any worker.
-    pub(crate) fn may_repeat(&self, r: &Request) -> bool {
+    pub(crate) fn may_retry(&self, r: &Request) -> bool {
         let never_ran = r.attempts.iter().all(|t| t.ended.is_some_and(Outcome::never_ran));
         never_ran || r.terms.effect != Effect::Unsafe
     }
 
     /// Whether the request may be sent to this worker: keyed requests stay with workers that drop repeats
     /// of their earlier attempts.
-    pub(crate) fn may_repeat_on(&self, r: &Request, n: &WorkerId, w: &Worker) -> bool {
+    pub(crate) fn may_retry_on(&self, r: &Request, n: &WorkerId, w: &Worker) -> bool {
         let Effect::Keyed { scope, window } = r.terms.effect else { return true };
         let ran = |t: &&Attempt| !t.ended.is_some_and(Outcome::never_ran);
         r.attempts.iter().filter(ran).all(|t| {
@@ -50,10 +50,10 @@
 
     /// Whether an attempt at this worker may be cancelled for a retry: a keyed one only while another
     /// healthy worker drops its repeats, as the request could only fail otherwise.
-    pub(crate) fn may_leave(&self, r: &Request, n: &WorkerId) -> bool {
+    pub(crate) fn may_cancel_for_retry(&self, r: &Request, n: &WorkerId) -> bool {
         let retries_left = (r.attempts.len() as u32) < r.max_attempts.min(self.settings.max_attempts);
         let takes_over = |(m, w): (&WorkerId, &Worker)| {
-            m != n && w.up && w.ill_until <= self.now && self.may_repeat_on(r, m, w)
+            m != n && w.up && w.unhealthy_until <= self.now && self.may_retry_on(r, m, w)
         };
         match r.terms.effect {
             Effect::Safe => true,
@@ -64,7 +64,7 @@
 }
 
 /// Latest time at which a retry of a keyed request may be sent, by its earlier attempts that may have run.
-pub(crate) fn repeat_by(request: &Request) -> Option<Micros> {
+pub(crate) fn retry_deadline(request: &Request) -> Option<Micros> {
     let Effect::Keyed { window, .. } = request.terms.effect else { return None };
     let may_have_run = request.attempts.iter().filter(|t| !t.ended.is_some_and(Outcome::never_ran));
     may_have_run.map(|t| t.sent + window - window / ARRIVAL_MARGIN_DIVISOR).min()
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -7,7 +7,7 @@
 use crate::gossip::{CopyStatus, ANNOUNCE_AGAIN_DIVISOR};
 use crate::hash::hash;
 use crate::interface::*;
-use crate::repeats::repeat_by;
+use crate::repeats::retry_deadline;
 use crate::state::*;
 
 // ---------------------------------------------------------------------------------------------- constants
@@ -42,8 +42,8 @@
 const SPREAD_FACTOR: f64 = 4.0;
 /// Loads that differ by less than this many requests, for mean size, count as equal: that is noise.
 const LOAD_STEP: f64 = 0.25;
-/// The same for the square roots of loads known by gossip: the root of a sampled count has the same
-/// scatter whatever the count.
+/// The same for the square roots of loads known by gossip. These are sampled counts, and the root of a
+/// sampled count has the same standard deviation whatever the count.
 const ROOT_LOAD_STEP: f64 = 0.7;
 /// A worker is silent when attempts on loaded copies are older than this multiple of the usual duration
 /// and than [`MIN_SILENCE_US`].
@@ -54,16 +54,19 @@
 const MIN_LOST_SHARE: f64 = 0.5;
 /// A worker has almost stopped when at least this many of its attempts, and more than half, are overdue.
 const MIN_STUCK_ATTEMPTS: u32 = 3;
-/// Above this share of stuck and ill workers, the cause is overload and none is rested for being stuck.
+/// Above this share of stuck and unhealthy workers, the cause is overload, and no stuck worker is rested.
 const MAX_STUCK_SHARE: f64 = 0.34;
-/// First rest of an unhealthy worker; each failed trial doubles it, up to [`MAX_REST_US`].
+/// Rest of an unhealthy worker, in which it gets no requests. A trial follows, and each failed trial doubles
+/// the rest, up to [`MAX_REST_US`].
 const MIN_REST_US: Micros = 1_000_000;
+/// See [`MIN_REST_US`].
 const MAX_REST_US: Micros = 8_000_000;
 /// A worker that rejected a class and tenant though it has room gets no such requests for this time.
 const REJECTION_MEMORY_US: Micros = 15_000_000;
-/// A worker is unhealthy when more than this share of its recent attempts failed...
+/// A worker is unhealthy when more than this share of its recent attempts and more than [`MIN_FAILURES`] of
+/// them failed.
 const MAX_FAILURE_SHARE: f64 = 0.3;
-/// ... and at least this many did.
+/// See [`MAX_FAILURE_SHARE`]; a router that sends the worker few requests needs fewer failures.
 const MIN_FAILURES: f64 = 2.0;
 /// Requests per window that all routers together may always send to a starting worker: without any, it
 /// neither warms up nor shows that it is healthy.
@@ -86,9 +89,10 @@
 const MAX_FLEET_SLOWNESS: f64 = 0.6;
 /// A worker is a slow outlier above this multiple of the mean slowness of the others.
 const OUTLIER_MULTIPLE: f64 = 3.0;
-/// A request that finds no room is held for at most this share of its latency aim, then refused...
+/// A request that finds no room is held for at most this share of its latency aim and at most
+/// [`MAX_CLIENT_TIME_SHARE`] of the time until its client gives up, then refused.
 const MAX_HOLD_SHARE: f64 = 0.3;
-/// ... and for at most this share of the time until its client gives up, which leaves time for a retry.
+/// See [`MAX_HOLD_SHARE`]; an early refusal leaves the client time for a retry.
 const MAX_CLIENT_TIME_SHARE: f64 = 0.4;
 
 // ------------------------------------------------------------------------------------------------- events
@@ -120,14 +124,14 @@
         }
         match event {
             Event::List { kind: ListKind::Failed, .. } => self.subscribe_at = self.now + MIN_REST_US,
-            Event::List { kind, entries } => self.list(kind, entries),
+            Event::List { kind, entries } => self.apply_list(kind, entries),
             Event::Arrival { request, class, tenant, function, due, lanes, repeat, hint } => {
                 let (attempts, preferred) =
                     (std::mem::take(&mut self.past_attempts), std::mem::take(&mut self.preferred));
                 if class >= self.settings.classes.len() || self.requests.contains_key(&request) {
                     return;
                 }
-                let counted = self.count(&function, tenant, lanes);
+                let counted = self.record_call(&function, tenant, lanes);
                 let fresh = Request {
                     class,
                     terms: self.settings.classes[class],
@@ -146,7 +150,7 @@
                     hint,
                     preferred,
                 };
-                self.mean_worth = learn(self.mean_worth, fresh.worth, AVERAGE_WEIGHT);
+                self.mean_worth = running_mean(self.mean_worth, fresh.worth, AVERAGE_WEIGHT);
                 self.requests.insert(request.clone(), fresh);
                 // A new request does not overtake held requests that are worth more.
                 match self.requests.get_mut(&request) {
@@ -188,7 +192,7 @@
             } => {
                 self.learn_overlap(&request, &worker, found, overlap);
                 let seen = (outcome, finished, duration, found, report);
-                self.answer(&request, attempt, &worker, seen, out);
+                self.attempt_ended(&request, attempt, &worker, seen, out);
             }
             Event::StreamStarted { request } => {
                 self.requests.entry(request).and_modify(|r| r.streaming = true);
@@ -216,6 +220,8 @@
         }
     }
 
+    /// Periodic work: decays the running means, sends gossip, rests silent workers, renews copies and
+    /// dispatches held requests.
     fn tick(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let ticks = (now - self.last_tick) as f64 / TICK_US as f64;
@@ -232,7 +238,7 @@
             w.tried *= slower;
             w.failed *= slower;
         }
-        for p in self.functions.values_mut().flat_map(|f| f.places.values_mut()) {
+        for p in self.functions.values_mut().flat_map(|f| f.placements.values_mut()) {
             p.mean_in_flight += (p.in_flight as f64 - p.mean_in_flight) * (1.0 - fade);
         }
         if now - self.last_halving >= HALVING_PERIOD_US && self.calls >= MIN_CALLS_TO_HALVE {
@@ -241,8 +247,8 @@
             self.functions.retain(|_, f| f.halve(now, 4 * HALVING_PERIOD_US));
         }
         self.send_gossip(out);
-        self.find_silent(out);
-        self.renew(out);
+        self.rest_silent_workers(out);
+        self.renew_copies(out);
         // Held requests by worth, newest first among equals: the oldest are the likeliest to time out.
         let held = self.requests.iter().filter(|(_, r)| r.held);
         let mut held: Vec<_> = held.map(|(id, r)| (r.worth, r.arrived, id.clone())).collect();
@@ -268,7 +274,7 @@
 
 impl Core {
     /// The load per size above which a worker is crowded.
-    fn crowding(&self) -> f64 {
+    fn crowding_threshold(&self) -> f64 {
         let mean = self.totals.load / self.totals.up.max(1.0);
         (CROWDED_MULTIPLE * mean).max(MIN_CROWDED_LOAD) / self.mean_size()
     }
@@ -287,16 +293,17 @@
 
     /// Number of workers that a function may be loaded on: two, and more as its calls need lanes. Calls
     /// that find no room there wait, as further copies elsewhere would evict functions that others need.
-    fn reach(&self, f: &Function) -> usize {
+    fn max_candidates(&self, f: &Function) -> usize {
         let running = self.share(f) * self.totals.in_flight * self.settings.routers as f64;
         2 + self.spread(f).max((running / f.lanes.max(1) as f64) as usize)
     }
 
+    /// Chooses where to send a request now, and orders copies of its function where they are needed.
     fn route(&mut self, id: &RequestId, out: &mut Vec<Action>) -> Route {
         let function = self.requests[id].function.clone();
         self.rank(&function);
         if self.now - self.totals.at >= TICK_US {
-            self.sum_up();
+            self.update_totals();
         }
         let mut rng = self.rng.fork();
         let (Some(r), Some(f)) = (self.requests.get(id), self.functions.get(&function)) else {
@@ -308,9 +315,9 @@
         if self.slowness > MAX_FLEET_SLOWNESS && r.admission_draw > part.max(self.trust()) {
             return Route::Busy;
         }
-        let panic = self.panicking();
-        let usable = |n: &WorkerId, w: &Worker| self.usable(&n.0, w, r, panic) && self.may_repeat_on(r, n, w);
-        let limit = self.crowding();
+        let panic = self.is_panicking();
+        let usable = |n: &WorkerId, w: &Worker| self.usable(&n.0, w, r, panic) && self.may_retry_on(r, n, w);
+        let limit = self.crowding_threshold();
         let others = (self.settings.routers - 1) as f64 * self.trust();
         let lanes = f.lanes.max(1) as f64;
         let use_gossip = self.gossip.reliable;
@@ -328,16 +335,18 @@
         let widened = if full_count > 0 && self.trust() < 0.5 { 1 << (full_count + 1).min(9) } else { 0 };
         let spread = self.spread(f).max(widened);
         let candidates = self.ranked(f).filter(|(n, w)| usable(n, w));
-        let candidates: Vec<_> = candidates.take(self.reach(f).max(spread)).collect();
-        let missing = |n| f.places.get(n).is_some_and(|p| p.missed_until > self.now || p.loading.is_some());
+        let candidates: Vec<_> = candidates.take(self.max_candidates(f).max(spread)).collect();
+        let missing =
+            |n| f.placements.get(n).is_some_and(|p| p.missed_until > self.now || p.loading.is_some());
         let presumed_loaded = candidates.iter().take(spread).map(|(n, _)| *n).filter(|n| !missing(n));
         let presumed_loaded: BTreeSet<_> = presumed_loaded.collect();
         let unknown = Placement::default();
-        let known = f.places.iter().filter(|(n, _)| !presumed_loaded.contains(n));
-        let places = known.chain(presumed_loaded.iter().map(|n| (*n, f.places.get(n).unwrap_or(&unknown))));
+        let known = f.placements.iter().filter(|(n, _)| !presumed_loaded.contains(n));
+        let places =
+            known.chain(presumed_loaded.iter().map(|n| (*n, f.placements.get(n).unwrap_or(&unknown))));
         // The usual path: the least loaded worker with a loaded copy and room, a random one by size among
         // about equal ones. Preferred locations take precedence over load, unless the worker is slow.
-        let advised = |n: &WorkerId, w: &Worker| match w.slowness < MAX_WORKER_SLOWNESS {
+        let location_rank = |n: &WorkerId, w: &Worker| match w.slowness < MAX_WORKER_SLOWNESS {
             true => PreferredLocation::rank(&r.preferred, n, w.zone, w.cell),
             false => MAX_PREFERRED_LOCATIONS,
         };
@@ -358,12 +367,12 @@
                     // Gossip is up to a period old: with finer steps, all routers would choose the worker
                     // that was least loaded at that time.
                     let apart = score.max(MIN_CROWDED_LOAD).sqrt() / ROOT_LOAD_STEP
-                        + if w.held(self.now) { 0.0 } else { 1.0 };
+                        + if w.is_connected(self.now) { 0.0 } else { 1.0 };
                     (apart.round(), w.tie_break)
                 } else {
                     ((score / LOAD_STEP).round(), -rng.f64().max(1e-9).ln() / w.size)
                 };
-                let at = advised(n, w);
+                let at = location_rank(n, w);
                 if best.as_ref().is_none_or(|(a, least, t, _)| (at, level, tie) < (*a, *least, *t)) {
                     best = Some((at, level, tie, n.clone()));
                 }
@@ -376,14 +385,15 @@
         }
         // A worker that returned to service has no copies, so no call would go there: functions that belong
         // there are ordered ahead of calls.
-        let lacks_copy = |n| f.places.get(n).is_none_or(|p| p.warm_until <= self.now && p.loading.is_none());
+        let lacks_copy =
+            |n| f.placements.get(n).is_none_or(|p| p.warm_until <= self.now && p.loading.is_none());
         let restored = |n, w: &Worker| {
             w.restored_at > 0 && self.now - w.restored_at < RESTORE_PERIOD_US && f.known && lacks_copy(n)
         };
         let restored = candidates.iter().find(|(n, w)| restored(*n, w)).map(|(n, _)| (*n).clone());
         if let Some((.., n)) = best {
             if let Some(restored) = restored {
-                self.order(&restored, &function, 1, true, out);
+                self.order_copies(&restored, &function, 1, true, out);
             }
             return Route::Send(n);
         }
@@ -394,20 +404,20 @@
             w.slowness > MAX_WORKER_SLOWNESS.max(OUTLIER_MULTIPLE * others_mean(w))
                 && others_mean(w) < MAX_WORKER_SLOWNESS
         };
-        let accepts = |w: &Worker| !outlier(w) && (use_gossip || w.loads(self.now));
-        let home = candidates
+        let accepts = |w: &Worker| !outlier(w) && (use_gossip || w.accepts_loads(self.now));
+        let target = candidates
             .iter()
             .find(|(_, w)| accepts(w))
             .or(candidates.first())
             .filter(|(_, w)| self.admits(w));
         // With gossip, all routers know the loads and pass over the same crowded workers.
-        let has_room = |w: &Worker| self.admits(w) && pressure(w) < limit && w.loads(self.now);
-        let near = self.ranked(f).find(|(n, w)| use_gossip && usable(n, w) && has_room(w));
-        let home = near.or(home.copied()).map(|(n, _)| n.clone());
+        let has_room = |w: &Worker| self.admits(w) && pressure(w) < limit && w.accepts_loads(self.now);
+        let nearest = self.ranked(f).find(|(n, w)| use_gossip && usable(n, w) && has_room(w));
+        let target = nearest.or(target.copied()).map(|(n, _)| n.clone());
         let free = |n, w: &Worker| lacks_copy(n) && has_room(w);
         let overflow = candidates.iter().find(|(n, w)| free(*n, w)).map(|(n, _)| (*n).clone());
         if let Some((_, n)) = waiting {
-            let p = f.places.get(&n).unwrap_or(&unknown);
+            let p = f.placements.get(&n).unwrap_or(&unknown);
             let warm = p.warm_until > self.now || presumed_loaded.contains(&n);
             // Waiting for a lane or a load must leave enough time to answer within the latency aim.
             let queue = self.workers.get(&n).map_or(0.0, |w| queue(p, w));
@@ -418,9 +428,9 @@
             // this one is crowded.
             if warm && has_room {
                 let copies = p.copies.max(1) + 1;
-                self.order(&n, &function, copies, true, out);
+                self.order_copies(&n, &function, copies, true, out);
             } else if let Some(h) = overflow.filter(|_| warm) {
-                self.order(&h, &function, 1, true, out);
+                self.order_copies(&h, &function, 1, true, out);
             }
             if !warm && self.settings.when_cold == WhenCold::Misses {
                 return Route::AwaitLoad;
@@ -429,11 +439,12 @@
         }
         // A load that this router ordered may be at a worker without room just now. Ordering more elsewhere
         // would use up the load budget.
-        if use_gossip && f.places.iter().any(|(n, p)| p.ordered && self.workers.get(n).is_some_and(|w| w.up))
+        if use_gossip
+            && f.placements.iter().any(|(n, p)| p.ordered && self.workers.get(n).is_some_and(|w| w.up))
         {
             return Route::AwaitLoad;
         }
-        let Some(h) = home else { return Route::Busy };
+        let Some(h) = target else { return Route::Busy };
         let missed =
             r.attempts.iter().any(|t| (use_gossip || t.worker == h) && t.ended == Some(Outcome::Miss));
         // When gossip is complete and reports no copy, no worker has one. A call sent to find that out
@@ -441,8 +452,8 @@
         let nowhere = f.known && self.gossip.is_complete(self.now, self.settings.keep);
         if self.settings.when_cold == WhenCold::Misses && (missed || nowhere) {
             // After a miss, one copy is ordered, and the request is sent again once it is loaded.
-            self.order(&h, &function, 1, false, out);
-            let ordered = self.functions[&function].places.get(&h).is_some_and(|p| p.ordered);
+            self.order_copies(&h, &function, 1, false, out);
+            let ordered = self.functions[&function].placements.get(&h).is_some_and(|p| p.ordered);
             if ordered || !use_gossip {
                 return Route::AwaitLoad;
             }
@@ -460,7 +471,7 @@
     /// Counts a call and its predecessors: Accessed_Num and hit_candidate_path of the paper's Algorithm 2,
     /// on order-one paths. Returns whether the call counts for the load budget: calls of functions that no
     /// worker is known to have do not, as clients may invent hundreds of names.
-    fn count(&mut self, id: &FunctionId, tenant: Option<usize>, lanes: u32) -> bool {
+    fn record_call(&mut self, id: &FunctionId, tenant: Option<usize>, lanes: u32) -> bool {
         let now = self.now;
         if let Some(rate) = tenant.and_then(|t| self.tenant_rates.get_mut(t)) {
             *rate += TICK_WEIGHT * 1e6 / TICK_US as f64;
@@ -478,7 +489,7 @@
         (f.last_call, f.lanes, f.call_count) = (now, lanes, f.call_count + 1);
         let known = f.known;
         if known {
-            self.count_call(now);
+            self.count_for_budget(now);
         }
         known
     }
@@ -495,11 +506,11 @@
             likely.filter(|(s, _)| self.functions.get(*s).is_some_and(|s| !s.is_loaded_anywhere(self.now)));
         let Some(next) = cold.max_by(|a, b| a.1.total_cmp(b.1)).map(|(s, _)| s.clone()) else { return };
         self.rank(&next);
-        let panic = self.panicking();
-        let fit = |w: &Worker| w.up && !w.on_trial && (panic || w.ill_until <= self.now);
-        let home = self.ranked(&self.functions[&next]).find(|(_, w)| fit(w)).map(|(n, _)| n.clone());
-        if let Some(h) = home {
-            self.order(&h, &next, 1, true, out);
+        let panic = self.is_panicking();
+        let usable = |w: &Worker| w.up && !w.on_trial && (panic || w.unhealthy_until <= self.now);
+        let target = self.ranked(&self.functions[&next]).find(|(_, w)| usable(w)).map(|(n, _)| n.clone());
+        if let Some(h) = target {
+            self.order_copies(&h, &next, 1, true, out);
         }
     }
 
@@ -507,7 +518,7 @@
     /// keep-alive, as from timers, would find each copy just unloaded. A router sees only its part of the
     /// calls: where all routers together should have sent several, either others keep the copy in use or
     /// the calls have stopped.
-    fn renew(&mut self, out: &mut Vec<Action>) {
+    fn renew_copies(&mut self, out: &mut Vec<Action>) {
         let (now, pace) = (self.now, (self.settings.keep as f64 * RENEWAL_MULTIPLE) as Micros);
         let soon =
             |p: &Placement| (now + 1..now + RENEWAL_LEAD_US).contains(&p.warm_until) && p.in_flight == 0;
@@ -516,25 +527,35 @@
             |f: &Function| f.call_count > 1 && now - f.last_call < pace && f.calls * due < MAX_MISSED_CALLS;
         let wanted = self.functions.iter().filter(|(_, f)| comes(f));
         let newest =
-            wanted.filter_map(|(id, f)| Some((id, f.places.iter().max_by_key(|(_, p)| p.warm_until)?)));
+            wanted.filter_map(|(id, f)| Some((id, f.placements.iter().max_by_key(|(_, p)| p.warm_until)?)));
         let due = newest.filter(|(_, (_, p))| soon(p)).map(|(id, (n, _))| (n.clone(), id.clone()));
         for (n, id) in due.collect::<Vec<_>>() {
-            if self.workers.get(&n).is_some_and(|w| w.ill_until <= now) {
-                self.order(&n, &id, 1, true, out);
+            if self.workers.get(&n).is_some_and(|w| w.unhealthy_until <= now) {
+                self.order_copies(&n, &id, 1, true, out);
             }
         }
     }
 
     /// Orders copies if the settings, the worker and the load budget allow it. `ahead` marks a preload: an
     /// order that no request waits for.
-    fn order(&mut self, n: &WorkerId, id: &FunctionId, copies: u32, ahead: bool, out: &mut Vec<Action>) {
+    fn order_copies(
+        &mut self,
+        worker: &WorkerId,
+        function: &FunctionId,
+        copies: u32,
+        ahead: bool,
+        out: &mut Vec<Action>,
+    ) {
         let now = self.now;
         let crowded = ahead && self.preloads.len() >= MAX_PRELOADS;
-        if !self.settings.orders || crowded || !self.workers.get(n).is_some_and(|w| w.up && w.loads(now)) {
+        if !self.settings.orders
+            || crowded
+            || !self.workers.get(worker).is_some_and(|w| w.up && w.accepts_loads(now))
+        {
             return;
         }
-        let Some(f) = self.functions.get_mut(id) else { return };
-        let p = f.places.entry(n.clone()).or_default();
+        let Some(f) = self.functions.get_mut(function) else { return };
+        let p = f.placements.entry(worker.clone()).or_default();
         if p.ordered {
             return;
         }
@@ -548,17 +569,26 @@
         p.ordered = true;
         p.loading = p.loading.or((p.warm_until <= now).then_some(now));
         if ahead {
-            self.preloads.insert((n.clone(), id.clone()));
+            self.preloads.insert((worker.clone(), function.clone()));
         }
-        out.push(Action::Load { worker: n.clone(), function: id.clone(), copies: copies.min(16) });
-        self.queue_news(n, id, CopyStatus::Loading);
+        out.push(Action::Load { worker: worker.clone(), function: function.clone(), copies: copies.min(16) });
+        self.queue_news(worker, function, CopyStatus::Loading);
     }
 
-    fn load_ended(&mut self, n: &WorkerId, id: &FunctionId, result: (Outcome, u32), out: &mut Vec<Action>) {
+    /// Records the result of a load order and dispatches the held requests for the function.
+    fn load_ended(
+        &mut self,
+        worker: &WorkerId,
+        function: &FunctionId,
+        result: (Outcome, u32),
+        out: &mut Vec<Action>,
+    ) {
         let (end, copies) = result;
-        self.preloads.remove(&(n.clone(), id.clone()));
+        self.preloads.remove(&(worker.clone(), function.clone()));
         let (now, keep) = (self.now, self.settings.keep);
-        let Some(p) = self.functions.get_mut(id).and_then(|f| f.places.get_mut(n)) else { return };
+        let Some(p) = self.functions.get_mut(function).and_then(|f| f.placements.get_mut(worker)) else {
+            return;
+        };
         // The worker restarted since the order was sent, so nothing of the load is left.
         let lost = end == Outcome::Reset && p.loading.is_none() && p.warm_until == 0;
         (p.ordered, p.loading) = (false, None);
@@ -571,19 +601,22 @@
         p.warm_until = if copies > 0 { now + keep } else { 0 };
         let status = [CopyStatus::Gone, CopyStatus::Serving(0), CopyStatus::Copies(copies.min(4) as u8)]
             [copies.min(2) as usize];
-        self.queue_news(n, id, status);
-        let Some(p) = self.functions.get_mut(id).and_then(|f| f.places.get_mut(n)) else { return };
+        self.queue_news(worker, function, status);
+        let Some(p) = self.functions.get_mut(function).and_then(|f| f.placements.get_mut(worker)) else {
+            return;
+        };
         match end {
             // The worker carries out an order that it has received, even if the connection breaks: calls
             // wait there for the load.
             Outcome::Reset if !lost => (p.warm_until, p.copies) = (now + keep / 2, 1),
-            Outcome::ConnectFailed => self.failed(n, end, out),
+            Outcome::ConnectFailed => self.record_failure(worker, end, out),
             // All its memory is in use, or it drains and the list does not show it yet. Ordering there
             // again at once would use up the load budget of every router in a large fleet.
-            Outcome::Full if copies == 0 => self.mark_no_room(n),
+            Outcome::Full if copies == 0 => self.mark_no_room(worker),
             _ => {}
         }
-        let held = self.requests.iter().filter(|(_, r)| r.held && r.function == *id).map(|(q, _)| q.clone());
+        let held =
+            self.requests.iter().filter(|(_, r)| r.held && r.function == *function).map(|(q, _)| q.clone());
         for q in held.collect::<Vec<_>>() {
             self.dispatch(&q, out);
         }
@@ -593,15 +626,16 @@
 // ----------------------------------------------------------------------------------- attempts and answers
 
 impl Core {
+    /// Sends the next attempt of a request, holds the request, or ends it.
     fn dispatch(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(id) else { return };
         if r.answered || r.streaming || r.attempts.iter().any(|t| t.ended.is_none()) {
             return;
         }
         // Held requests are checked once a tick; answer while the client certainly still waits.
-        let most = r.max_attempts.min(self.settings.max_attempts);
-        if r.attempts.len() as u32 >= most || self.now + 2 * TICK_US >= r.due || !self.may_repeat(r) {
-            return self.give_up(id, out);
+        let max_attempts = r.max_attempts.min(self.settings.max_attempts);
+        if r.attempts.len() as u32 >= max_attempts || self.now + 2 * TICK_US >= r.due || !self.may_retry(r) {
+            return self.finish_unserved(id, out);
         }
         let route = self.route(id, out);
         let now = self.now;
@@ -613,7 +647,7 @@
                 let aim = r.terms.aim as f64;
                 let patience = (MAX_HOLD_SHARE * aim).min(MAX_CLIENT_TIME_SHARE * (r.due - r.arrived) as f64);
                 if (now - r.arrived) as f64 > patience && self.may_refuse(id) {
-                    self.give_up(id, out);
+                    self.finish_unserved(id, out);
                 }
             }
             Route::Send(n) => {
@@ -631,7 +665,7 @@
                     w.cold_sends.push_back(now);
                     w.cold_sends.retain(|t| now - t <= self.settings.fall_window);
                 }
-                let leave_by = repeat_by(r);
+                let leave_by = retry_deadline(r);
                 r.attempts.push(Attempt { worker: n.clone(), sent: now, warm, lane_free, ended: None });
                 // Only the client's time-out applies: retrying what waits for a load or a lane adds to both
                 // queues.
@@ -646,13 +680,13 @@
         let Some(r) = self.requests.get_mut(id).filter(|r| !r.answered) else { return };
         r.max_attempts = r.attempts.len() as u32;
         if r.attempts.iter().all(|t| t.ended.is_some()) {
-            self.give_up(id, out);
+            self.finish_unserved(id, out);
         }
     }
 
     /// Gives the final answer when no further attempt is possible: a refusal if a retry is harmless, else a
     /// failure.
-    fn give_up(&mut self, id: &RequestId, out: &mut Vec<Action>) {
+    fn finish_unserved(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let harmless = self.may_refuse(id);
         let Some(r) = self.requests.get_mut(id).filter(|r| !r.answered) else { return };
         (r.answered, r.held) = (true, false);
@@ -667,18 +701,20 @@
         self.forget(id);
     }
 
-    fn answer(
+    /// Learns from the end of an attempt, then retries or ends its request.
+    fn attempt_ended(
         &mut self,
         id: &RequestId,
         attempt: u32,
-        n: &WorkerId,
-        (outcome, finished, duration, found, report): Seen,
+        worker: &WorkerId,
+        (outcome, finished, duration, found, report): AttemptResult,
         out: &mut Vec<Action>,
     ) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(id) else { return };
         r.answered |= finished;
-        let Some(t) = r.attempts.get_mut(attempt as usize).filter(|t| t.ended.is_none() && t.worker == *n)
+        let Some(t) =
+            r.attempts.get_mut(attempt as usize).filter(|t| t.ended.is_none() && t.worker == *worker)
         else {
             return;
         };
@@ -694,12 +730,12 @@
             f.known
         });
         if counts {
-            self.count_call(arrived);
+            self.count_for_budget(arrived);
         }
-        if let Some(w) = self.workers.get_mut(n) {
+        if let Some(w) = self.workers.get_mut(worker) {
             w.in_flight = w.in_flight.saturating_sub(1);
             w.awaiting = w.awaiting.saturating_sub(u32::from(!warm));
-            report.into_iter().for_each(|r| w.learn_others(now, r));
+            report.into_iter().for_each(|r| w.learn_other_load(now, r));
             w.tried += if outcome == Outcome::NoConnection { 0.0 } else { 1.0 };
             use Outcome::*;
             if !matches!(outcome, TimedOut | ConnectFailed | Cancelled | NotSent | NoConnection) {
@@ -708,9 +744,9 @@
         }
         // An answer from an earlier process of the worker says nothing about the one that has started
         // since.
-        let earlier = self.workers.get(n).is_some_and(|w| w.started > sent);
+        let earlier = self.workers.get(worker).is_some_and(|w| w.started > sent);
         let (keep, mut news) = (self.settings.keep, None);
-        if let Some(p) = self.functions.get_mut(&function).and_then(|f| f.places.get_mut(n)) {
+        if let Some(p) = self.functions.get_mut(&function).and_then(|f| f.placements.get_mut(worker)) {
             p.in_flight = p.in_flight.saturating_sub(1);
             match outcome {
                 _ if earlier => {}
@@ -728,28 +764,28 @@
                 _ => p.loading = p.loading.filter(|since| *since > sent),
             }
         }
-        news.into_iter().for_each(|status| self.queue_news(n, &function, status));
+        news.into_iter().for_each(|status| self.queue_news(worker, &function, status));
         match outcome {
             Outcome::Done => {
                 let loaded = found.map_or(warm, |f| f == Found::Warm);
                 self.done_rate += TICK_WEIGHT * 1e6 / TICK_US as f64;
-                if let Some(w) = self.workers.get_mut(n) {
+                if let Some(w) = self.workers.get_mut(worker) {
                     (w.on_trial, w.rest) = (false, 0);
                 }
                 let of_aim = |time: Micros| (time as f64 / aim.max(1) as f64).min(2.0);
                 // Where answers do not report what they found, most come from copies that were already
                 // loaded.
                 if loaded || found.is_none() {
-                    self.slowness = learn(self.slowness, of_aim(now - arrived), AVERAGE_WEIGHT);
+                    self.slowness = running_mean(self.slowness, of_aim(now - arrived), AVERAGE_WEIGHT);
                 }
                 if loaded {
-                    self.usual_duration = learn(self.usual_duration, duration as f64, AVERAGE_WEIGHT);
-                    self.learn_concurrency_limit(n, (duration, hint), lane_free);
-                    self.learn_slowness(n, of_aim(duration));
+                    self.usual_duration = running_mean(self.usual_duration, duration as f64, AVERAGE_WEIGHT);
+                    self.learn_concurrency_limit(worker, (duration, hint), lane_free);
+                    self.learn_slowness(worker, of_aim(duration));
                 }
             }
             Outcome::Full | Outcome::NoConnection => {
-                if let Some(w) = self.workers.get_mut(n) {
+                if let Some(w) = self.workers.get_mut(worker) {
                     w.rejections.retain(|rejection| rejection.2 > now);
                     // A full queue rejects at once; a slow rejection concerns this class and tenant.
                     if duration > TICK_US && outcome == Outcome::Full {
@@ -760,10 +796,10 @@
                 }
             }
             // Orders a copy there for the next call; this request may find another copy meanwhile.
-            Outcome::Miss => self.order(n, &function, 1, true, out),
+            Outcome::Miss => self.order_copies(worker, &function, 1, true, out),
             Outcome::NotSent | Outcome::Cancelled => {}
             // Two workers do not know the function: no worker does, and the client invented the name.
-            Outcome::Error if !known && errors > 1 => return self.give_up(id, out),
+            Outcome::Error if !known && errors > 1 => return self.finish_unserved(id, out),
             // An error for an unknown function does not count against the worker, where this router sees
             // enough other answers of it to judge.
             Outcome::Error if !known && self.trust() > 0.5 => {}
@@ -772,20 +808,20 @@
             Outcome::TimedOut if self.sees_little() && duration < self.overdue_age() => {}
             _ if earlier => {}
             // A time-out counts against the worker only if it has sent nothing since the attempt was sent.
-            Outcome::TimedOut if !warm || self.workers.get(n).is_none_or(|w| w.last_heard > sent) => {}
-            _ => self.failed(n, outcome, out),
+            Outcome::TimedOut if !warm || self.workers.get(worker).is_none_or(|w| w.last_heard > sent) => {}
+            _ => self.record_failure(worker, outcome, out),
         }
         if warm && duration > self.overdue_age() && matches!(outcome, Outcome::Done | Outcome::TimedOut) {
             self.lost_share +=
                 (f64::from(u8::from(outcome != Outcome::Done)) - self.lost_share) * 2.0 * AVERAGE_WEIGHT;
         }
         match outcome {
-            Outcome::Full if duration <= TICK_US => self.learn_slowness(n, 2.0),
+            Outcome::Full if duration <= TICK_US => self.learn_slowness(worker, 2.0),
             // The answer would have taken at least this long; an early client time-out says no more.
             Outcome::TimedOut => {
                 let least = (duration as f64 / aim.max(1) as f64).min(2.0);
-                if self.workers.get(n).is_some_and(|w| w.slowness < least) {
-                    self.learn_slowness(n, least);
+                if self.workers.get(worker).is_some_and(|w| w.slowness < least) {
+                    self.learn_slowness(worker, least);
                 }
             }
             _ => {}
@@ -793,10 +829,10 @@
         let r = &self.requests[id];
         if r.answered {
             self.forget(id);
-        } else if self.may_repeat(r) && outcome != Outcome::NotSent {
+        } else if self.may_retry(r) && outcome != Outcome::NotSent {
             self.dispatch(id, out);
         } else if r.attempts.iter().all(|t| t.ended.is_some()) {
-            self.give_up(id, out);
+            self.finish_unserved(id, out);
         }
     }
 }
@@ -824,40 +860,40 @@
         let fails = |t: &Attempt| ended(t).map_or(0, |e| if e == Outcome::Reset { 1 } else { 2 });
         let failed_here = r.attempts.iter().filter(here).map(fails).sum::<u32>() >= 2;
         let safe = r.terms.effect == Effect::Safe;
-        let well = panic || (w.ill_until <= self.now && (!w.on_trial || (safe && w.in_flight == 0)));
+        let well = panic || (w.unhealthy_until <= self.now && (!w.on_trial || (safe && w.in_flight == 0)));
         let rejected = w.rejections.iter().any(|s| (s.0, s.1) == (r.class, r.tenant) && s.2 > self.now);
-        w.up && well && !rejected && self.cold_room(name, w) && !failed_here
+        w.up && well && !rejected && self.has_cold_capacity(name, w) && !failed_here
     }
 
     /// Whether a starting worker may get one more request: it gets at most its share of what a warm worker
     /// is observed to serve.
-    fn cold_room(&self, name: &str, w: &Worker) -> bool {
+    fn has_cold_capacity(&self, name: &str, w: &Worker) -> bool {
         let s = &self.settings;
         if self.warmth(w) >= 1.0 {
             return true;
         }
-        let budget = self.cold_part(w).max(MIN_COLD_REQUESTS / s.routers as f64);
+        let budget = self.cold_share(w).max(MIN_COLD_REQUESTS / s.routers as f64);
         // The fraction of a request is admitted at random, drawn again each half window. Hundreds of
         // routers whose share is far below one then keep the limit together, and none is excluded for good.
-        let slot = 2 * self.now / s.fall_window.max(1);
-        let lot = hash(name, &format!("{}/{slot}", self.seed)) < budget.fract() / 2.0;
+        let half_window = 2 * self.now / s.fall_window.max(1);
+        let extra = hash(name, &format!("{}/{half_window}", self.seed)) < budget.fract() / 2.0;
         let sent = w.cold_sends.iter().filter(|t| self.now - **t < s.fall_window).count();
-        sent < budget as usize + usize::from(lot)
+        sent < budget as usize + usize::from(extra)
     }
 
     /// Whether most of the fleet looks unhealthy: then this router's view is wrong rather than every
     /// worker.
-    fn panicking(&self) -> bool {
-        self.totals.ill * 2.0 > self.totals.up
+    fn is_panicking(&self) -> bool {
+        self.totals.unhealthy * 2.0 > self.totals.up
     }
 
     /// Counts a failure of a worker. A failed connect rests it at once, other failures rest it by their
     /// share of its attempts. A broken connection is one failure, however many attempts end with it:
     /// resting the worker for each would starve the fleet.
-    fn failed(&mut self, n: &WorkerId, outcome: Outcome, out: &mut Vec<Action>) {
+    fn record_failure(&mut self, worker: &WorkerId, outcome: Outcome, out: &mut Vec<Action>) {
         // A router that sends the worker few requests cannot wait for a second failure.
         let trust = self.trust();
-        let Some(w) = self.workers.get_mut(n) else { return };
+        let Some(w) = self.workers.get_mut(worker) else { return };
         let broken = outcome == Outcome::ConnectFailed;
         if outcome == Outcome::Reset && self.now - std::mem::replace(&mut w.last_reset, self.now) < TICK_US {
             return;
@@ -869,18 +905,19 @@
         }
         let often = w.failed > MIN_FAILURES * trust && w.failed > MAX_FAILURE_SHARE * w.tried;
         if (broken || often || w.on_trial) && outcome != Outcome::Full {
-            self.rest(n, out);
+            self.rest_worker(worker, out);
         }
     }
 
-    fn rest(&mut self, n: &WorkerId, out: &mut Vec<Action>) {
+    /// Sends the worker no requests for a while; it then gets one safe request at a time as a trial.
+    fn rest_worker(&mut self, worker: &WorkerId, out: &mut Vec<Action>) {
         let now = self.now;
         let first = if self.trust() > 0.5 { MIN_REST_US } else { MAX_REST_US };
-        let Some(w) = self.workers.get_mut(n).filter(|w| w.ill_until <= now) else { return };
+        let Some(w) = self.workers.get_mut(worker).filter(|w| w.unhealthy_until <= now) else { return };
         w.rest = (w.rest * 2).clamp(first, MAX_REST_US);
-        (w.ill_until, w.on_trial) = (now + w.rest, true);
+        (w.unhealthy_until, w.on_trial) = (now + w.rest, true);
         (w.failed, w.tried) = (0.0, 0.0);
-        out.push(Action::Log { text: format!("worker {} rests for {} ms", n.0, w.rest / 1000) });
+        out.push(Action::Log { text: format!("worker {} rests for {} ms", worker.0, w.rest / 1000) });
     }
 
     /// Age from which an attempt on a loaded copy is overdue.
@@ -890,40 +927,43 @@
 
     /// Rests workers that accept requests without answering: attempts on loaded copies are overdue, and the
     /// worker has sent nothing since.
-    fn find_silent(&mut self, out: &mut Vec<Action>) {
-        let old = self.overdue_age();
-        let (mut waiting, mut aged): (BTreeMap<&WorkerId, u32>, BTreeMap<&WorkerId, u32>) =
+    fn rest_silent_workers(&mut self, out: &mut Vec<Action>) {
+        let overdue_age = self.overdue_age();
+        let (mut unanswered, mut overdue): (BTreeMap<&WorkerId, u32>, BTreeMap<&WorkerId, u32>) =
             Default::default();
         for r in self.requests.values() {
             for t in r.attempts.iter().filter(|t| t.ended.is_none() && t.warm) {
                 let age = self.now - t.sent;
-                if age > old {
-                    *aged.entry(&t.worker).or_default() += 1;
+                if age > overdue_age {
+                    *overdue.entry(&t.worker).or_default() += 1;
                 }
-                if age > old && self.workers.get(&t.worker).is_some_and(|w| w.last_heard <= t.sent) {
-                    *waiting.entry(&t.worker).or_default() += 1 + u32::from(age > 2 * old);
+                if age > overdue_age && self.workers.get(&t.worker).is_some_and(|w| w.last_heard <= t.sent) {
+                    *unanswered.entry(&t.worker).or_default() += 1 + u32::from(age > 2 * overdue_age);
                 }
             }
         }
         let enough = if self.trust() > 0.5 { 2 } else { 1 };
         let mut silent: BTreeSet<_> =
-            waiting.into_iter().filter(|(_, k)| *k > enough).map(|(n, _)| n.clone()).collect();
+            unanswered.into_iter().filter(|(_, k)| *k > enough).map(|(n, _)| n.clone()).collect();
         // A worker that answers now and then, while most of its attempts are overdue, has almost stopped.
-        let stuck = aged.into_iter().filter(|(n, k)| {
-            let w = self.workers.get(*n).filter(|w| w.up && w.ill_until <= self.now);
+        let stuck = overdue.into_iter().filter(|(n, k)| {
+            let w = self.workers.get(*n).filter(|w| w.up && w.unhealthy_until <= self.now);
             w.is_some_and(|w| *k >= MIN_STUCK_ATTEMPTS && *k * 2 > w.in_flight)
         });
         let stuck: Vec<_> = stuck.map(|(n, _)| n.clone()).collect();
-        if stuck.len() as f64 + self.totals.ill <= MAX_STUCK_SHARE * self.totals.up {
+        if stuck.len() as f64 + self.totals.unhealthy <= MAX_STUCK_SHARE * self.totals.up {
             silent.extend(stuck);
         }
         // Where overdue attempts mostly get no answer at all, a safe request is retried while there is
         // time.
-        let lost =
+        let retry_lost =
             self.lost_share > MIN_LOST_SHARE && self.slowness < MAX_FLEET_SLOWNESS && self.settings.cancel;
-        for (id, r) in self.requests.iter().filter(|(_, r)| lost && !r.answered && !r.streaming) {
+        for (id, r) in self.requests.iter().filter(|(_, r)| retry_lost && !r.answered && !r.streaming) {
             let safe = r.terms.effect == Effect::Safe;
-            let k = r.attempts.iter().position(|t| t.ended.is_none() && t.warm && self.now - t.sent > old);
+            let k = r
+                .attempts
+                .iter()
+                .position(|t| t.ended.is_none() && t.warm && self.now - t.sent > overdue_age);
             if let (true, Some(k)) =
                 (safe && r.attempts.iter().all(|t| t.ended != Some(Outcome::Cancelled)), k)
             {
@@ -931,8 +971,8 @@
             }
         }
         for n in silent {
-            self.rest(&n, out);
-            if !self.settings.cancel || self.panicking() {
+            self.rest_worker(&n, out);
+            if !self.settings.cancel || self.is_panicking() {
                 continue;
             }
             // Requests that may be repeated are cancelled there, and sent elsewhere once that is confirmed.
@@ -940,8 +980,8 @@
                 for (k, t) in
                     r.attempts.iter().enumerate().filter(|(_, t)| t.ended.is_none() && t.worker == n)
                 {
-                    let grown_old = !r.answered && !r.streaming && self.now - t.sent > old;
-                    if grown_old && self.may_leave(r, &n) {
+                    let is_overdue = !r.answered && !r.streaming && self.now - t.sent > overdue_age;
+                    if is_overdue && self.may_cancel_for_retry(r, &n) {
                         out.push(Action::Cancel { request: id.clone(), attempt: k as u32 });
                     }
                 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -70,11 +70,12 @@
     pub(crate) in_flight: f64,
     pub(crate) load: f64,
     pub(crate) running: f64,
-    pub(crate) ill: f64,
+    pub(crate) unhealthy: f64,
     /// Sum of the slowness of the workers.
     pub(crate) slowness: f64,
 }
 
+/// A function that was called here.
 #[derive(Default)]
 pub(crate) struct Function {
     /// Key of the function in gossip.
@@ -90,7 +91,7 @@
     pub(crate) known: bool,
     pub(crate) successors: BTreeMap<FunctionId, f64>,
     pub(crate) lanes: u32,
-    pub(crate) places: BTreeMap<WorkerId, Placement>,
+    pub(crate) placements: BTreeMap<WorkerId, Placement>,
     /// Workers in rendezvous order, as of `ranked_version` of the worker set.
     pub(crate) ranked: Vec<WorkerId>,
     pub(crate) ranked_version: u64,
@@ -98,7 +99,7 @@
 
 /// Requests of the other routers at a worker: running means of its load reports without the own requests.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Others {
+pub(crate) struct OtherLoad {
     /// When the last report came; 0: never.
     pub(crate) at: Micros,
     pub(crate) holding: f64,
@@ -106,6 +107,7 @@
     pub(crate) running: f64,
 }
 
+/// A worker as this router knows it.
 #[derive(Default)]
 pub(crate) struct Worker {
     /// Key of the worker in gossip.
@@ -132,7 +134,7 @@
     pub(crate) mean_in_flight: f64,
     pub(crate) mean_awaiting: f64,
     /// Requests of the other routers there, from its load reports.
-    pub(crate) others: Others,
+    pub(crate) other_load: OtherLoad,
     pub(crate) last_heard: Micros,
     /// When a connection to it last worked; 0: never.
     pub(crate) last_answer: Micros,
@@ -141,7 +143,7 @@
     /// When a connection to it last broke: all attempts that end with one connection are one failure.
     pub(crate) last_reset: Micros,
     pub(crate) rest: Micros,
-    pub(crate) ill_until: Micros,
+    pub(crate) unhealthy_until: Micros,
     pub(crate) on_trial: bool,
     pub(crate) full_until: Micros,
     /// No load is ordered there until this time.
@@ -155,8 +157,9 @@
 }
 
 /// Outcome of an attempt, whether its request is finished, its duration, and the reports of the answer.
-pub(crate) type Seen = (Outcome, bool, Micros, Option<Found>, Option<LoadReport>);
+pub(crate) type AttemptResult = (Outcome, bool, Micros, Option<Found>, Option<LoadReport>);
 
+/// One attempt of a request.
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
     pub(crate) sent: Micros,
@@ -166,6 +169,7 @@
     pub(crate) ended: Option<Outcome>,
 }
 
+/// An open request.
 pub(crate) struct Request {
     /// Index of its class; `usize::MAX` once the settings have changed.
     pub(crate) class: usize,
@@ -333,7 +337,7 @@
     /// Number of entries in all tables. Each table is bounded or expires, so the number does not grow for ever.
     pub fn entries(&self) -> usize {
         let c = &self.0;
-        let of = |f: &Function| 1 + f.successors.len() + f.places.len() + f.ranked.len();
+        let of = |f: &Function| 1 + f.successors.len() + f.placements.len() + f.ranked.len();
         c.functions.values().map(of).sum::<usize>()
             + c.workers.values().map(|w| 1 + w.rejections.len() + w.cold_sends.len()).sum::<usize>()
             + c.requests.values().map(|r| 1 + r.attempts.len()).sum::<usize>()
@@ -357,32 +361,32 @@
 
 impl Worker {
     /// Whether a connection to it is probably open; a new one costs both sides.
-    pub(crate) fn held(&self, now: Micros) -> bool {
+    pub(crate) fn is_connected(&self, now: Micros) -> bool {
         self.in_flight > 0
             || (self.last_answer > self.last_reset && now - self.last_answer < CONNECTION_REUSE_US)
     }
 
     /// Whether it probably accepts load orders.
-    pub(crate) fn loads(&self, now: Micros) -> bool {
+    pub(crate) fn accepts_loads(&self, now: Micros) -> bool {
         self.no_loads_until <= now
     }
 
     /// Learns from a load report. A report is late and includes the own requests, whose number is known as of now: only
     /// the mean over several reports shows the requests of the other routers.
-    pub(crate) fn learn_others(&mut self, now: Micros, report: LoadReport) {
+    pub(crate) fn learn_other_load(&mut self, now: Micros, report: LoadReport) {
         let holding = report.in_flight - f64::from(self.in_flight);
         let running = report.in_flight - report.waiting - f64::from(self.in_flight - self.awaiting);
-        let weight = if self.others.at == 0 { 1.0 } else { AVERAGE_WEIGHT };
+        let weight = if self.other_load.at == 0 { 1.0 } else { AVERAGE_WEIGHT };
         let mean = |before: f64, now: f64| before + (now - before) * weight;
-        let Others { holding: held, running: ran, .. } = self.others;
-        self.others = Others { at: now, holding: mean(held, holding), running: mean(ran, running) };
+        let OtherLoad { holding: held, running: ran, .. } = self.other_load;
+        self.other_load = OtherLoad { at: now, holding: mean(held, holding), running: mean(ran, running) };
     }
 
     /// Clears what was learnt of an earlier process of the worker.
     pub(crate) fn reset_record(&mut self) {
-        (self.failed, self.tried, self.rest, self.ill_until, self.full_until) = (0.0, 0.0, 0, 0, 0);
+        (self.failed, self.tried, self.rest, self.unhealthy_until, self.full_until) = (0.0, 0.0, 0, 0, 0);
         self.no_loads_until = 0;
-        (self.on_trial, self.others, self.slowness) = (false, Others::default(), 0.0);
+        (self.on_trial, self.other_load, self.slowness) = (false, OtherLoad::default(), 0.0);
         self.rejections.clear();
     }
 }
@@ -410,7 +414,7 @@
         if self.gossip.reliable {
             return own + self.gossip.at_host(w.key);
         }
-        if let Some(others) = self.others(w) {
+        if let Some(others) = self.other_load(w) {
             return own + others.holding.max(0.0);
         }
         let others = (self.settings.routers - 1) as f64;
@@ -420,17 +424,18 @@
 
     /// Estimated number of requests that use the worker's cores: without those that await a load or wait in a queue.
     pub(crate) fn running(&self, w: &Worker) -> f64 {
-        match self.others(w) {
+        match self.other_load(w) {
             Some(others) => f64::from(w.in_flight - w.awaiting) + others.running.max(0.0),
             None => self.load(w) - w.awaiting as f64 - (self.settings.routers - 1) as f64 * w.mean_awaiting,
         }
     }
 
     /// Requests of the other routers there by fresh load reports; `None` if there are no other routers.
-    fn others(&self, w: &Worker) -> Option<Others> {
-        let fresh =
-            self.settings.routers > 1 && w.others.at > 0 && self.now - w.others.at < MAX_REPORT_AGE_US;
-        fresh.then_some(w.others)
+    fn other_load(&self, w: &Worker) -> Option<OtherLoad> {
+        let fresh = self.settings.routers > 1
+            && w.other_load.at > 0
+            && self.now - w.other_load.at < MAX_REPORT_AGE_US;
+        fresh.then_some(w.other_load)
     }
 
     /// How far, from 0 to 1, the own requests show what the other routers do: near 0 with few requests per worker.
@@ -462,7 +467,7 @@
     pub(crate) fn learn_overlap(
         &mut self,
         id: &RequestId,
-        n: &WorkerId,
+        worker: &WorkerId,
         found: Option<Found>,
         overlap: Option<u32>,
     ) {
@@ -473,7 +478,7 @@
         let met = if part > 0.0 { (1.0 - self.trust()) * f64::from(met.min(MAX_OVERLAP)) } else { 0.0 };
         let Some(f) = self.functions.get_mut(&r.function) else { return };
         (f.overlap, f.overlap_base) = (f.overlap + met, f.overlap_base + part);
-        f.places.entry(n.clone()).and_modify(|p| (p.overlap, p.overlap_at) = (met, now));
+        f.placements.entry(worker.clone()).and_modify(|p| (p.overlap, p.overlap_at) = (met, now));
     }
 
     /// Estimated calls of the function, from routers without gossip, at one of `places` workers: as last reported by an
@@ -489,8 +494,8 @@
     }
 
     /// Learns from the time of an answer divided by its latency aim.
-    pub(crate) fn learn_slowness(&mut self, n: &WorkerId, ratio: f64) {
-        if let Some(w) = self.workers.get_mut(n) {
+    pub(crate) fn learn_slowness(&mut self, worker: &WorkerId, ratio: f64) {
+        if let Some(w) = self.workers.get_mut(worker) {
             // The longer ago the last sample, the greater the weight of this one.
             let weight =
                 AVERAGE_WEIGHT.max(1.0 - (-((self.now - w.slowness_at) as f64) / SLOWNESS_MEMORY_US).exp());
@@ -502,11 +507,11 @@
     /// Learns the concurrency limit from a call that found a copy and a free lane at a worker that is fully warm.
     pub(crate) fn learn_concurrency_limit(
         &mut self,
-        n: &WorkerId,
+        worker: &WorkerId,
         (took, work): (Micros, Micros),
         lane_free: bool,
     ) {
-        if lane_free && self.workers.get(n).is_some_and(|w| self.warmth(w) >= 1.0) {
+        if lane_free && self.workers.get(worker).is_some_and(|w| self.warmth(w) >= 1.0) {
             let up = self.totals.up.max(1.0);
             self.concurrency_limit.learn(took as f64, work as f64, self.totals.running / up, up);
         }
@@ -534,7 +539,7 @@
 
     /// Mean number of requests within one window that this router may send to a starting worker: its part of the limit
     /// for all routers, estimated from this router's share of what a warm worker serves.
-    pub(crate) fn cold_part(&self, w: &Worker) -> f64 {
+    pub(crate) fn cold_share(&self, w: &Worker) -> f64 {
         let (s, now) = (&self.settings, self.now);
         // An earlier process of this router, of which it has no record, may have sent its part just before it ended.
         if w.cold_since < self.started_at && now - self.started_at < s.fall_window {
@@ -550,7 +555,7 @@
     }
 
     /// Recomputes the sums over the workers that are up; at most once a tick, and when the list changes.
-    pub(crate) fn sum_up(&mut self) {
+    pub(crate) fn update_totals(&mut self) {
         let up = || self.workers.values().filter(|w| w.up);
         self.totals = Totals {
             at: self.now,
@@ -558,7 +563,7 @@
             size: up().map(|w| w.size).sum(),
             warm: up().map(|w| w.size * self.warmth(w)).sum(),
             in_flight: up().map(|w| w.mean_in_flight).sum(),
-            ill: up().filter(|w| w.ill_until > self.now || w.on_trial).count() as f64,
+            unhealthy: up().filter(|w| w.unhealthy_until > self.now || w.on_trial).count() as f64,
             slowness: up().map(|w| w.slowness).sum(),
             load: 0.0,
             running: 0.0,
@@ -568,7 +573,7 @@
     }
 
     /// Counts a call with this arrival time for the load budget.
-    pub(crate) fn count_call(&mut self, arrived: Micros) {
+    pub(crate) fn count_for_budget(&mut self, arrived: Micros) {
         let window = self.settings.load_budget.map_or(0, |b| b.period);
         while self.arrivals.front().is_some_and(|t| *t <= self.now - window) {
             self.arrivals.pop_front();
@@ -603,7 +608,7 @@
     /// All functions assumed to be loaded, for a router that replaces this one.
     pub(crate) fn loaded(&self) -> Vec<LoadedFunction> {
         let places =
-            self.functions.iter().flat_map(|(id, f)| f.places.iter().map(move |(n, p)| (id, f, n, p)));
+            self.functions.iter().flat_map(|(id, f)| f.placements.iter().map(move |(n, p)| (id, f, n, p)));
         let warm = places.filter(|(.., p)| p.warm_until > self.now);
         let loaded = warm.map(|(id, f, n, p)| LoadedFunction {
             worker: n.clone(),
@@ -684,18 +689,18 @@
         }
         for l in loaded.into_iter().filter(|l| l.until > self.now && l.calls.is_finite()) {
             let f = self.functions.entry(l.function).or_default();
-            if f.places.is_empty() {
+            if f.placements.is_empty() {
                 self.calls += l.calls.max(0.0);
                 (f.calls, f.lanes, f.known) = (f.calls + l.calls.max(0.0), l.lanes.max(1), true);
                 (f.last_call, f.call_count) = (self.now, f.call_count.max(2));
             }
-            let p = f.places.entry(l.worker).or_default();
+            let p = f.placements.entry(l.worker).or_default();
             (p.warm_until, p.copies) = (p.warm_until.max(l.until), p.copies.max(l.copies));
         }
     }
 
     /// Applies a worker list, or changes of it.
-    pub(crate) fn list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
+    pub(crate) fn apply_list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
         if kind != ListKind::Delta {
             self.workers.values_mut().for_each(|w| (w.listed, w.up) = (false, false));
         }
@@ -721,7 +726,7 @@
                 self.functions.values_mut().for_each(|f| f.drop_copies(&e.worker));
             }
         }
-        self.sum_up();
+        self.update_totals();
         // Workers that are gone keep their rank, as most return, until they outnumber those that are up.
         if self.workers.len() as f64 > 2.0 * self.totals.up {
             self.workers.retain(|_, w| w.up || w.out_of_service || w.in_flight > 0);
@@ -731,18 +736,18 @@
 
     /// Takes a worker out of service, so that it gets no new work, or returns it. It may return as a new process, which
     /// is cold and has no loaded copies.
-    pub(crate) fn set_out_of_service(&mut self, n: &WorkerId, out: bool) {
-        let w = self.workers.entry(n.clone()).or_default();
+    pub(crate) fn set_out_of_service(&mut self, worker: &WorkerId, out: bool) {
+        let w = self.workers.entry(worker.clone()).or_default();
         w.up = w.listed && !out;
         if std::mem::replace(&mut w.out_of_service, out) && !out {
             w.reset_record();
             (w.restored_at, w.cold_since) = (self.now, self.now);
             for f in self.functions.values_mut() {
-                f.drop_copies(n);
-                f.places.entry(n.clone()).and_modify(|p| p.missed_until = 0);
+                f.drop_copies(worker);
+                f.placements.entry(worker.clone()).and_modify(|p| p.missed_until = 0);
             }
         }
-        self.sum_up();
+        self.update_totals();
     }
 
     /// Removes a request that is answered and has no attempt in progress.
@@ -773,8 +778,8 @@
             *n /= 2.0;
             *n >= 0.25
         });
-        self.places.retain(|_, p| p.warm_until > now || p.loading.is_some() || p.in_flight > 0);
-        !self.places.is_empty() || now - self.last_call < forget
+        self.placements.retain(|_, p| p.warm_until > now || p.loading.is_some() || p.in_flight > 0);
+        !self.placements.is_empty() || now - self.last_call < forget
     }
 
     /// Applies a status that another router reported at `at`, unless this router knows better.
@@ -785,7 +790,7 @@
         keep: Micros,
         status: CopyStatus,
     ) {
-        let p = self.places.entry(n.clone()).or_default();
+        let p = self.placements.entry(n.clone()).or_default();
         p.announced_at = now;
         match status {
             CopyStatus::Gone => (p.warm_until, p.copies, p.announced_at) = (0, 0, 0),
@@ -800,12 +805,12 @@
 
     /// Whether it is loaded, or being loaded, on some worker.
     pub(crate) fn is_loaded_anywhere(&self, now: Micros) -> bool {
-        self.places.values().any(|p| p.warm_until > now || p.loading.is_some())
+        self.placements.values().any(|p| p.warm_until > now || p.loading.is_some())
     }
 
     /// Records that the worker has no copies any more.
     pub(crate) fn drop_copies(&mut self, worker: &WorkerId) {
-        if let Some(p) = self.places.get_mut(worker) {
+        if let Some(p) = self.placements.get_mut(worker) {
             (p.warm_until, p.copies, p.loading) = (0, 0, None);
         }
     }
@@ -815,13 +820,13 @@
 pub(crate) fn placement<'a>(
     all: &'a mut BTreeMap<FunctionId, Function>,
     f: &FunctionId,
-    n: &WorkerId,
+    worker: &WorkerId,
 ) -> &'a mut Placement {
-    all.entry(f.clone()).or_default().places.entry(n.clone()).or_default()
+    all.entry(f.clone()).or_default().placements.entry(worker.clone()).or_default()
 }
 
 /// Running mean that starts with its first value.
-pub(crate) fn learn(mean: f64, value: f64, weight: f64) -> f64 {
+pub(crate) fn running_mean(mean: f64, value: f64, weight: f64) -> f64 {
     if mean == 0.0 {
         value
     } else {
