--- a/src/rules.rs
+++ b/src/rules.rs
@@ -235,8 +235,8 @@
             w.mean_in_flight += (w.in_flight as f64 - w.mean_in_flight) * (1.0 - fade);
             w.mean_awaiting += (w.awaiting as f64 - w.mean_awaiting) * (1.0 - fade);
             w.slowness *= slowest;
-            w.tried *= slower;
-            w.failed *= slower;
+            w.recent_attempts *= slower;
+            w.recent_failures *= slower;
         }
         for p in self.functions.values_mut().flat_map(|f| f.placements.values_mut()) {
             p.mean_in_flight += (p.in_flight as f64 - p.mean_in_flight) * (1.0 - fade);
@@ -302,7 +302,7 @@
     fn route(&mut self, id: &RequestId, out: &mut Vec<Action>) -> Route {
         let function = self.requests[id].function.clone();
         self.rank(&function);
-        if self.now - self.totals.at >= TICK_US {
+        if self.now - self.totals.updated_at >= TICK_US {
             self.update_totals();
         }
         let mut rng = self.rng.fork();
@@ -736,7 +736,7 @@
             w.in_flight = w.in_flight.saturating_sub(1);
             w.awaiting = w.awaiting.saturating_sub(u32::from(!warm));
             report.into_iter().for_each(|r| w.learn_other_load(now, r));
-            w.tried += if outcome == Outcome::NoConnection { 0.0 } else { 1.0 };
+            w.recent_attempts += if outcome == Outcome::NoConnection { 0.0 } else { 1.0 };
             use Outcome::*;
             if !matches!(outcome, TimedOut | ConnectFailed | Cancelled | NotSent | NoConnection) {
                 (w.last_heard, w.last_answer) = (now, now);
@@ -770,7 +770,7 @@
                 let loaded = found.map_or(warm, |f| f == Found::Warm);
                 self.done_rate += TICK_WEIGHT * 1e6 / TICK_US as f64;
                 if let Some(w) = self.workers.get_mut(worker) {
-                    (w.on_trial, w.rest) = (false, 0);
+                    (w.on_trial, w.rest_time) = (false, 0);
                 }
                 let of_aim = |time: Micros| (time as f64 / aim.max(1) as f64).min(2.0);
                 // Where answers do not report what they found, most come from copies that were already
@@ -898,12 +898,13 @@
         if outcome == Outcome::Reset && self.now - std::mem::replace(&mut w.last_reset, self.now) < TICK_US {
             return;
         }
-        w.failed += 1.0;
+        w.recent_failures += 1.0;
         if broken {
             // It may be restarting long before the list shows it: cold until it has had time to warm up.
             w.cold_since = self.now;
         }
-        let often = w.failed > MIN_FAILURES * trust && w.failed > MAX_FAILURE_SHARE * w.tried;
+        let often = w.recent_failures > MIN_FAILURES * trust
+            && w.recent_failures > MAX_FAILURE_SHARE * w.recent_attempts;
         if (broken || often || w.on_trial) && outcome != Outcome::Full {
             self.rest_worker(worker, out);
         }
@@ -914,10 +915,10 @@
         let now = self.now;
         let first = if self.trust() > 0.5 { MIN_REST_US } else { MAX_REST_US };
         let Some(w) = self.workers.get_mut(worker).filter(|w| w.unhealthy_until <= now) else { return };
-        w.rest = (w.rest * 2).clamp(first, MAX_REST_US);
-        (w.unhealthy_until, w.on_trial) = (now + w.rest, true);
-        (w.failed, w.tried) = (0.0, 0.0);
-        out.push(Action::Log { text: format!("worker {} rests for {} ms", worker.0, w.rest / 1000) });
+        w.rest_time = (w.rest_time * 2).clamp(first, MAX_REST_US);
+        (w.unhealthy_until, w.on_trial) = (now + w.rest_time, true);
+        (w.recent_failures, w.recent_attempts) = (0.0, 0.0);
+        out.push(Action::Log { text: format!("worker {} rests for {} ms", worker.0, w.rest_time / 1000) });
     }
 
     /// Age from which an attempt on a loaded copy is overdue.
--- a/src/state.rs
+++ b/src/state.rs
@@ -61,7 +61,7 @@
 /// Sums over the workers that are up.
 #[derive(Default)]
 pub(crate) struct Totals {
-    pub(crate) at: Micros,
+    pub(crate) updated_at: Micros,
     pub(crate) up: f64,
     pub(crate) size: f64,
     /// Sum of sizes, each times the share of its capacity that the worker certainly has.
@@ -80,15 +80,18 @@
 pub(crate) struct Function {
     /// Key of the function in gossip.
     pub(crate) key: u32,
+    /// Calls at this router, halved periodically.
     pub(crate) calls: f64,
     /// Sum of the overlapping calls of all routers that answers reported.
     pub(crate) overlap: f64,
     /// Sum of all calls in progress that these were a part of.
     pub(crate) overlap_base: f64,
     pub(crate) last_call: Micros,
+    /// Calls at this router, never halved.
     pub(crate) call_count: u64,
     /// Some worker has it in its store: it answered a call or reported a miss, not an error.
     pub(crate) known: bool,
+    /// How many calls of this function each other function followed.
     pub(crate) successors: BTreeMap<FunctionId, f64>,
     pub(crate) lanes: u32,
     pub(crate) placements: BTreeMap<WorkerId, Placement>,
@@ -138,21 +141,26 @@
     pub(crate) last_heard: Micros,
     /// When a connection to it last worked; 0: never.
     pub(crate) last_answer: Micros,
-    pub(crate) tried: f64,
-    pub(crate) failed: f64,
+    /// Attempts and failures, decaying within some seconds.
+    pub(crate) recent_attempts: f64,
+    pub(crate) recent_failures: f64,
     /// When a connection to it last broke: all attempts that end with one connection are one failure.
     pub(crate) last_reset: Micros,
-    pub(crate) rest: Micros,
+    /// Length of the last rest; 0 after a successful answer.
+    pub(crate) rest_time: Micros,
     pub(crate) unhealthy_until: Micros,
     pub(crate) on_trial: bool,
+    /// It gets no requests until this time, as its queue was full or no connection was left.
     pub(crate) full_until: Micros,
     /// No load is ordered there until this time.
     pub(crate) no_loads_until: Micros,
     /// Classes and tenants that it rejects, and until when no such request is sent there.
     pub(crate) rejections: Vec<(usize, Option<usize>, Micros)>,
+    /// Times of recent attempts, which limit those at a starting worker.
     pub(crate) cold_sends: VecDeque<Micros>,
     /// Running mean of the duration of its answers from loaded copies, divided by their latency aim.
     pub(crate) slowness: f64,
+    /// When `slowness` was last updated by an answer.
     pub(crate) slowness_at: Micros,
 }
 
@@ -163,6 +171,7 @@
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
     pub(crate) sent: Micros,
+    /// It was sent to a copy assumed to be loaded.
     pub(crate) warm: bool,
     /// A lane of a loaded copy was free when it was sent, as far as this router knows.
     pub(crate) lane_free: bool,
@@ -214,11 +223,15 @@
     pub(crate) functions: BTreeMap<FunctionId, Function>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) recent_calls: Succession,
+    /// Arrival times of the calls that count for the load budget, in order.
     pub(crate) arrivals: VecDeque<Micros>,
     /// Calls of all functions, halved together with the counts of the functions.
     pub(crate) calls: f64,
+    /// Times of the load orders within the period of the budget.
     pub(crate) orders: VecDeque<Micros>,
+    /// Preload orders in progress.
     pub(crate) preloads: BTreeSet<(WorkerId, FunctionId)>,
+    /// Calls a second of each tenant, decaying within about a second.
     pub(crate) tenant_rates: Vec<f64>,
     pub(crate) last_halving: Micros,
     pub(crate) last_tick: Micros,
@@ -235,6 +248,7 @@
     pub(crate) mean_worth: f64,
     /// Share of overdue attempts that never got an answer.
     pub(crate) lost_share: f64,
+    /// Answers a second, decaying within about a second.
     pub(crate) done_rate: f64,
     /// Maximum number of calls that a worker of mean size runs at once.
     pub(crate) concurrency_limit: ConcurrencyLimit,
@@ -242,6 +256,7 @@
     pub(crate) capacity: f64,
     /// Mean warm size over the same time as `done_rate`.
     pub(crate) mean_warm: f64,
+    /// Highest worth of a held request.
     pub(crate) max_held_worth: f64,
     /// Attempts that the next request to arrive had at another router.
     pub(crate) past_attempts: Vec<Attempt>,
@@ -282,14 +297,14 @@
     orders.retain(|t| *t >= now - budget.period);
     let gone = arrivals.partition_point(|t| *t <= now - budget.period);
     let taken = (arrivals.len() - gone) as f64;
-    let ration = budget.free + budget.share * taken;
-    let spare = ration - orders.len() as f64;
+    let allowed = budget.free + budget.share * taken;
+    let spare = allowed - orders.len() as f64;
     if peer.share <= 0.0 {
         return (spare, spare);
     }
     let theirs = peer.orders.iter().filter(|t| **t >= now - budget.period).count() as f64;
     let own = (orders.len() as f64 - theirs).max(0.0);
-    let left = |share: f64, had: f64| ((share * ration).max(1.0) - had).clamp(0.0, MAX_ORDERS_LEFT_TO_PEER);
+    let left = |share: f64, had: f64| ((share * allowed).max(1.0) - had).clamp(0.0, MAX_ORDERS_LEFT_TO_PEER);
     (spare - left(peer.share, theirs), spare - left(1.0 - peer.share, own))
 }
 
@@ -384,7 +399,8 @@
 
     /// Clears what was learnt of an earlier process of the worker.
     pub(crate) fn reset_record(&mut self) {
-        (self.failed, self.tried, self.rest, self.unhealthy_until, self.full_until) = (0.0, 0.0, 0, 0, 0);
+        (self.recent_failures, self.recent_attempts, self.rest_time, self.unhealthy_until, self.full_until) =
+            (0.0, 0.0, 0, 0, 0);
         self.no_loads_until = 0;
         (self.on_trial, self.other_load, self.slowness) = (false, OtherLoad::default(), 0.0);
         self.rejections.clear();
@@ -558,7 +574,7 @@
     pub(crate) fn update_totals(&mut self) {
         let up = || self.workers.values().filter(|w| w.up);
         self.totals = Totals {
-            at: self.now,
+            updated_at: self.now,
             up: up().count() as f64,
             size: up().map(|w| w.size).sum(),
             warm: up().map(|w| w.size * self.warmth(w)).sum(),
