--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,10 +1,10 @@
-//! The engine: a [`Router`] with the promises that every front and every host adapter relies on.
+//! The engine: a [`Router`] with the guarantees that front ends and host adapters rely on.
 //!
-//! It alone owns open requests, attempts, orders, timers and the promise of one final answer. It does no
-//! I/O and knows no wire: time is passed in, and what is to be done comes out as [`Command`]s.
+//! It owns open requests, attempts, orders and timers, and guarantees one final answer for each request. It does no
+//! I/O and knows no protocol: time is passed in, and [`Command`]s come out.
 //!
-//! No attempt begins for a request that was answered, that its client has left, that has an attempt out or whose
-//! time is up, whatever the module says: `Engine::begin` is the only way to [`Command::Send`].
+//! No attempt begins for a request that is answered or past its due time, whose client has left, or that has an
+//! attempt in progress, whatever the module decides: only `Engine::start_attempt` issues [`Command::Send`].
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,17 +12,18 @@
 use crate::interface::*;
 use crate::state::Router;
 
-/// From the end of its client's side of the connection on, attempts of a request may begin for this long. A client
-/// that closes ends its side just as one that only sends no more, and what begins more than 100 ms after a client
-/// has gone is work for nobody; half of that is left to the loop and to the connection to the host.
-pub const HALF_CLOSE_GRACE: Micros = 50_000;
+/// Time after its client half-closed the connection in which attempts of a request may begin. A half-close does not
+/// show whether the client is gone or only sends no more. An attempt begun more than 100 ms after a client has gone
+/// is wasted work; half of that time is left for the event loop and the connection to the host.
+pub const HALF_CLOSE_GRACE_US: Micros = 50_000;
 
-/// Timers that are kept before those of what has ended are looked for.
-const FEW_TIMERS: usize = 256;
+/// Minimum number of timers above which those of ended requests and orders are pruned.
+const MIN_PRUNE_TIMERS: usize = 256;
 
-/// What decides: events in, actions out. It is the [`Router`] but in tests; the engine's promises hold for any.
+/// The decision logic, which turns events into actions. It is the [`Router`], except in tests; the guarantees of the
+/// engine hold for any implementation.
 pub trait Module {
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the resulting actions.
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 }
 
@@ -32,60 +33,60 @@
     }
 }
 
-/// An open request, numbered by the engine: ids that clients choose need not be unique.
+/// Id of an open request, assigned by the engine, as ids chosen by clients need not be unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// One attempt of a request.
+/// Id of one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The request.
     pub ticket: Ticket,
-    /// Which of its attempts, counted from 0.
+    /// Number of the attempt, from 0.
     pub number: u32,
 }
 
-/// An order to load.
+/// Id of a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderId(pub u64);
 
-/// A request as a front hands it in.
+/// A request as a front end passes it to the engine.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// What it calls.
+    /// The function that it calls.
     pub function: FunctionId,
-    /// When its final answer is due at the latest.
+    /// Latest time of its final answer.
     pub due: Micros,
     /// Requests that one copy of the function runs at once.
     pub lanes: u32,
-    /// A client's repeat of a try that failed.
+    /// Whether it is a client's retry of a failed request.
     pub repeat: bool,
-    /// Work expected, as time on a standard core; 0 where it is not told.
+    /// Expected work, as time on a standard core; 0 if unknown.
     pub hint: Micros,
-    /// When its client ended its side of the connection, if it has; see [`Engine::client_half_closed`].
+    /// When its client half-closed the connection, if it did; see [`Engine::client_half_closed`].
     pub half_closed: Option<Micros>,
 }
 
-/// How an attempt ended, as its host adapter saw it.
+/// How an attempt ended, as reported by the host adapter.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The outcome; [`Outcome::never_ran`] only with proof.
+    /// The outcome; one of [`Outcome::never_ran`] needs proof.
     pub outcome: Outcome,
-    /// What the answer told of the copy.
+    /// What the answer reported about the copy.
     pub found: Option<Found>,
-    /// Requests for the same function that the host held.
-    pub crowd: Option<u32>,
-    /// What the answer told of the host's load.
+    /// Requests for the same function that the host held when this one arrived.
+    pub overlap: Option<u32>,
+    /// The host's load report.
     pub report: Option<LoadReport>,
 }
 
 impl From<Outcome> for AttemptEnd {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, found: None, crowd: None, report: None }
+        Self { outcome, found: None, overlap: None, report: None }
     }
 }
 
@@ -94,68 +95,68 @@
 pub enum Verdict {
     /// Served by this attempt.
     Served(AttemptId),
-    /// Turned away: trying again is harmless.
+    /// Refused: a retry is harmless.
     Refused {
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry; 0 for no advice.
         retry_after: Micros,
     },
-    /// Failed while there was time: no promise.
+    /// Failed before its due time; it may have run.
     Failed,
-    /// Failed because its time ran out: no promise.
+    /// Timed out; it may have run.
     TimedOut,
 }
 
-/// What the adapters are to do, in this order.
+/// What the adapters must do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send an attempt.
     Send {
         /// The attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// The host.
         host: WorkerId,
-        /// When it is over at the latest.
+        /// Latest time of its end.
         until: Micros,
-        /// Not to be sent after this: then [`Engine::attempt_ended`] follows with [`Outcome::NotSent`].
+        /// Latest time to send it; after that, [`Engine::attempt_ended`] must follow with [`Outcome::NotSent`].
         leave_by: Micros,
     },
-    /// Give an attempt up. [`Engine::attempt_ended`] must still follow, once nothing of it can run unseen.
+    /// Cancel an attempt. [`Engine::attempt_ended`] must still follow, once no part of it can run unobserved.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Take an attempt back if nothing of it has left yet: then [`Engine::attempt_ended`] follows at once with
-    /// [`Outcome::NotSent`]. Else it goes on.
+    /// Withdraw an attempt if no part of it has been sent: then [`Engine::attempt_ended`] must follow at once with
+    /// [`Outcome::NotSent`]. Otherwise it continues.
     Withdraw {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Order copies to be held.
+    /// Order copies of a function to be loaded.
     Load {
         /// The order.
         order: OrderId,
-        /// Where.
+        /// The host.
         host: WorkerId,
-        /// Of which function.
+        /// The function.
         function: FunctionId,
-        /// How many.
+        /// Number of copies.
         copies: u32,
     },
     /// Have idle copies unloaded.
     Unload {
-        /// Where.
+        /// The host.
         host: WorkerId,
-        /// Of which function.
+        /// The function.
         function: FunctionId,
     },
-    /// Ask a host whether it is well.
+    /// Check the health of a host.
     Probe {
-        /// Which.
+        /// The host.
         host: WorkerId,
     },
-    /// Tell all other activators this.
-    Tell {
-        /// What.
+    /// Send a gossip datagram to all other activators.
+    Broadcast {
+        /// The datagram.
         data: Vec<u8>,
     },
     /// The final answer of a request: exactly one for each, unless its client left first.
@@ -165,7 +166,7 @@
         /// The answer.
         verdict: Verdict,
     },
-    /// A line for the operator.
+    /// Write a log line.
     Log {
         /// The line.
         text: String,
@@ -173,20 +174,20 @@
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     id: RequestId,
     due: Micros,
     answered: bool,
-    /// No attempt begins after this.
-    last_begin: Micros,
+    /// Latest time at which an attempt may begin.
+    last_attempt_at: Micros,
     attempts: Vec<Attempt>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Whether an attempt may begin now.
-    fn may_begin(&self, now: Micros) -> bool {
+    fn may_start(&self, now: Micros) -> bool {
         let nothing_out = self.attempts.iter().all(|a| a.ended);
-        !self.answered && nothing_out && now < self.due && now <= self.last_begin
+        !self.answered && nothing_out && now < self.due && now <= self.last_attempt_at
     }
 }
 
@@ -194,8 +195,8 @@
 struct Attempt {
     host: WorkerId,
     sent: Micros,
-    /// Its adapter was told to give it up, for this reason.
-    called_off: Option<Outcome>,
+    /// It has been cancelled, for this reason.
+    cancelled: Option<Outcome>,
     ended: bool,
 }
 
@@ -207,44 +208,44 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    Due(Ticket),
-    LastBegin(Ticket),
+    RequestDue(Ticket),
+    LastAttempt(Ticket),
     Attempt(AttemptId),
     Order(OrderId),
     Wake,
 }
 
-/// See the module's page.
+/// See the [module documentation](self).
 pub struct Engine<M = Router> {
     module: M,
     order_timeout: Micros,
     now: Micros,
-    next: u64,
-    open: BTreeMap<Ticket, Open>,
+    last_id: u64,
+    open: BTreeMap<Ticket, OpenRequest>,
     orders: BTreeMap<OrderId, Order>,
     timers: BinaryHeap<Reverse<(Micros, Timer)>>,
-    /// Timers of what has ended are looked for when there are more than this.
+    /// Number of timers at which those of ended requests and orders are pruned.
     prune_above: usize,
     scratch: Vec<Action>,
 }
 
 impl<M: Module> Engine<M> {
-    /// An engine round this module. An order not answered within `order_timeout` has ended.
+    /// Creates an engine around this module. A load order times out after `order_timeout`.
     pub fn new(module: M, order_timeout: Micros) -> Self {
         Self {
             module,
             order_timeout,
             now: 0,
-            next: 0,
+            last_id: 0,
             open: BTreeMap::new(),
             orders: BTreeMap::new(),
             timers: BinaryHeap::new(),
-            prune_above: FEW_TIMERS,
+            prune_above: MIN_PRUNE_TIMERS,
             scratch: Vec::new(),
         }
     }
 
-    /// Requests that are owed an answer or have an attempt out.
+    /// Number of requests that have no answer yet or an attempt in progress.
     pub fn open(&self) -> usize {
         self.open.len()
     }
@@ -254,45 +255,45 @@
         &self.module
     }
 
-    /// Timers that are kept, those of requests and orders that have ended among them: at most twice as many as were
-    /// live when these were last looked for, or a few hundred.
+    /// Number of timers, including those of ended requests and orders: at most twice as many as were live at the last
+    /// pruning, or a few hundred.
     pub fn timers(&self) -> usize {
         self.timers.len()
     }
 
-    /// When [`Engine::tick`] is wanted next.
+    /// Next time at which [`Engine::tick`] must be called.
     pub fn next_tick(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes a request. One final answer follows, now or later.
+    /// Accepts a request. Exactly one final answer follows, now or later.
     pub fn request(&mut self, now: Micros, new: NewRequest, out: &mut Vec<Command>) -> Ticket {
-        self.request_again(now, new, Vec::new(), out)
+        self.request_with_past_attempts(now, new, Vec::new(), out)
     }
 
-    /// Takes a request that is best served at these spots; see [`Event::Advised`]. No spot changes nothing.
-    pub fn request_advised(
+    /// Accepts a request with preferred locations; see [`Event::PreferredLocations`]. An empty list has no effect.
+    pub fn request_with_preferences(
         &mut self,
         now: Micros,
         new: NewRequest,
-        advice: Vec<Spot>,
+        advice: Vec<PreferredLocation>,
         out: &mut Vec<Command>,
     ) -> Ticket {
-        self.advise(now, advice, out);
+        self.prefer_locations(now, advice, out);
         self.request(now, new, out)
     }
 
-    /// The request that is taken next is best served at these spots; see [`Event::Advised`]. No spot changes nothing.
-    pub fn advise(&mut self, now: Micros, advice: Vec<Spot>, out: &mut Vec<Command>) {
+    /// Sets the preferred locations of the next request; see [`Event::PreferredLocations`]. An empty list has no effect.
+    pub fn prefer_locations(&mut self, now: Micros, advice: Vec<PreferredLocation>, out: &mut Vec<Command>) {
         if !advice.is_empty() {
             self.advance(now);
-            self.tell(Event::Advised(advice), out);
+            self.deliver(Event::PreferredLocations(advice), out);
         }
     }
 
-    /// Takes a request that had attempts in a process that is gone, all of which have ended. They count as this
-    /// engine's own: for the number that it may have, and for where and whether it may be repeated or refused.
-    pub fn request_again(
+    /// Accepts a request that had attempts in a process that has ended; the attempts have ended too. They count as this
+    /// engine's own for the maximum number of attempts, and for where and whether it may be retried or refused.
+    pub fn request_with_past_attempts(
         &mut self,
         now: Micros,
         new: NewRequest,
@@ -300,65 +301,65 @@
         out: &mut Vec<Command>,
     ) -> Ticket {
         self.advance(now);
-        let ticket = Ticket(self.fresh());
+        let ticket = Ticket(self.next_id());
         let id: RequestId = format!("{:016x}", ticket.0).as_str().into();
         let ended =
-            |p: &PastAttempt| Attempt { host: p.worker.clone(), sent: p.sent, called_off: None, ended: true };
+            |p: &PastAttempt| Attempt { host: p.worker.clone(), sent: p.sent, cancelled: None, ended: true };
         let attempts = past.iter().map(ended).collect();
-        let last_begin = new.half_closed.map_or(Micros::MAX, |since| since + HALF_CLOSE_GRACE);
-        let open = Open { id: id.clone(), due: new.due, answered: false, last_begin, attempts };
+        let last_attempt_at = new.half_closed.map_or(Micros::MAX, |since| since + HALF_CLOSE_GRACE_US);
+        let open = OpenRequest { id: id.clone(), due: new.due, answered: false, last_attempt_at, attempts };
         self.open.insert(ticket, open);
-        self.arm(new.due, Timer::Due(ticket));
+        self.arm(new.due, Timer::RequestDue(ticket));
         if new.half_closed.is_some() {
-            self.arm(last_begin, Timer::LastBegin(ticket));
+            self.arm(last_attempt_at, Timer::LastAttempt(ticket));
         }
         if !past.is_empty() {
-            self.tell(Event::Attempted(past), out);
+            self.deliver(Event::PastAttempts(past), out);
         }
         let NewRequest { class, tenant, function, due, lanes, repeat, hint, half_closed: _ } = new;
-        self.tell(Event::Arrival { request: id, class, tenant, function, due, lanes, repeat, hint }, out);
+        self.deliver(Event::Arrival { request: id, class, tenant, function, due, lanes, repeat, hint }, out);
         ticket
     }
 
-    /// Nobody waits for the request any more: no answer is owed, and none will be given.
+    /// The client of the request has left: no answer will be given.
     pub fn client_left(&mut self, now: Micros, ticket: Ticket, out: &mut Vec<Command>) {
         self.advance(now);
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
         open.answered = true;
         let request = open.id.clone();
-        self.tell(Event::ClientLeft { request }, out);
+        self.deliver(Event::ClientLeft { request }, out);
         // The module may lack the right to cancel; work that nobody waits for still stops.
-        self.call_off(ticket, Outcome::Cancelled, out);
+        self.cancel_attempts(ticket, Outcome::Cancelled, out);
         self.forget(ticket);
     }
 
-    /// The request's client ended its side of the connection at `since`, and may have gone or wait for what is out.
-    /// An attempt that is out goes on; none begins later than [`HALF_CLOSE_GRACE`] after that.
+    /// The client half-closed the connection at `since`, and may be gone or wait for its answer. An attempt in progress
+    /// continues; none begins later than [`HALF_CLOSE_GRACE_US`] after that.
     pub fn client_half_closed(&mut self, now: Micros, ticket: Ticket, since: Micros, out: &mut Vec<Command>) {
         self.advance(now);
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
-        let last_begin = since + HALF_CLOSE_GRACE;
-        if last_begin >= open.last_begin {
+        let last_attempt_at = since + HALF_CLOSE_GRACE_US;
+        if last_attempt_at >= open.last_attempt_at {
             return;
         }
-        open.last_begin = last_begin;
-        if last_begin < self.now {
-            self.begin_no_more(ticket, out);
+        open.last_attempt_at = last_attempt_at;
+        if last_attempt_at < self.now {
+            self.stop_attempts(ticket, out);
         } else {
-            self.arm(last_begin, Timer::LastBegin(ticket));
+            self.arm(last_attempt_at, Timer::LastAttempt(ticket));
         }
     }
 
-    /// An attempt has ended: once each; later word of it is ignored.
+    /// An attempt has ended. Only the first report of its end counts.
     pub fn attempt_ended(&mut self, now: Micros, id: AttemptId, end: AttemptEnd, out: &mut Vec<Command>) {
         self.advance(now);
         let Some(open) = self.open.get_mut(&id.ticket) else { return };
         let Some(attempt) = open.attempts.get_mut(id.number as usize).filter(|a| !a.ended) else { return };
         attempt.ended = true;
         let mut outcome = end.outcome;
-        outcome = match (outcome, attempt.called_off) {
+        outcome = match (outcome, attempt.cancelled) {
             (Outcome::Cancelled, Some(reason)) => reason,
-            // Taken back before it left, at the module's own wish: it means to send the request elsewhere.
+            // Cancelled by the module before it was sent: the module will send the request elsewhere.
             (Outcome::NotSent, Some(reason)) if !open.answered => reason,
             _ => outcome,
         };
@@ -372,18 +373,18 @@
             finished: open.answered,
             duration: self.now - attempt.sent,
             found: end.found,
-            crowd: end.crowd,
+            overlap: end.overlap,
             report: end.report,
         };
         if served {
             out.push(Command::Answer { ticket: id.ticket, verdict: Verdict::Served(id) });
         }
-        self.tell(event, out);
-        self.settle_due(id.ticket, out);
+        self.deliver(event, out);
+        self.answer_if_due(id.ticket, out);
         self.forget(id.ticket);
     }
 
-    /// An order has ended: once each; later word of it is ignored.
+    /// A load order has ended. Only the first report of its end counts.
     pub fn order_ended(
         &mut self,
         now: Micros,
@@ -394,29 +395,41 @@
     ) {
         self.advance(now);
         let Some(Order { host, function }) = self.orders.remove(&order) else { return };
-        self.tell(Event::LoadEnded { worker: host, function, outcome, copies }, out);
+        self.deliver(Event::LoadEnded { worker: host, function, outcome, copies }, out);
     }
 
-    /// News of the host list.
-    pub fn hosts(&mut self, now: Micros, kind: ListKind, entries: Vec<ListEntry>, out: &mut Vec<Command>) {
+    /// Applies the host list, or changes of it.
+    pub fn update_hosts(
+        &mut self,
+        now: Micros,
+        kind: ListKind,
+        entries: Vec<ListEntry>,
+        out: &mut Vec<Command>,
+    ) {
         self.advance(now);
-        self.tell(Event::List { kind, entries }, out);
+        self.deliver(Event::List { kind, entries }, out);
     }
 
-    /// What another activator told, by its number.
-    pub fn heard(&mut self, now: Micros, from: u32, data: Vec<u8>, out: &mut Vec<Command>) {
+    /// A gossip datagram of the activator with this index has arrived.
+    pub fn gossip_received(&mut self, now: Micros, from: u32, data: Vec<u8>, out: &mut Vec<Command>) {
         self.advance(now);
-        self.tell(Event::Heard { from, data }, out);
+        self.deliver(Event::GossipReceived { from, data }, out);
     }
 
-    /// An operator takes a host out, whatever the list says, or puts it back.
-    pub fn bar(&mut self, now: Micros, worker: WorkerId, out: bool, commands: &mut Vec<Command>) {
+    /// An operator takes a host out of service, whatever the list says, or returns it.
+    pub fn set_out_of_service(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        out: bool,
+        commands: &mut Vec<Command>,
+    ) {
         self.advance(now);
-        self.tell(Event::Barred { worker, out }, commands);
+        self.deliver(Event::OutOfService { worker, out }, commands);
     }
 
-    /// The settings have changed; they must have been checked. What is open goes on as it began.
-    pub fn settings(
+    /// Applies new settings, which must have been checked. Open requests keep the settings that they began with.
+    pub fn update_settings(
         &mut self,
         now: Micros,
         settings: Settings,
@@ -425,23 +438,23 @@
     ) {
         self.advance(now);
         self.order_timeout = order_timeout;
-        self.tell(Event::Settings(Box::new(settings)), out);
+        self.deliver(Event::Settings(Box::new(settings)), out);
     }
 
-    /// Takes other terms of the same classes and tenants, by the same indexes. What is open is held to the stricter of
-    /// those it came under and these.
-    pub fn terms(&mut self, now: Micros, settings: Settings, out: &mut Vec<Command>) {
+    /// Applies other terms of the same classes and tenants, with the same indexes. Open requests get the stricter of the
+    /// terms they arrived under and these.
+    pub fn update_terms(&mut self, now: Micros, settings: Settings, out: &mut Vec<Command>) {
         self.advance(now);
-        self.tell(Event::Terms(Box::new(settings)), out);
+        self.deliver(Event::ClassTerms(Box::new(settings)), out);
     }
 
-    /// What the process knew whose place this one takes.
-    pub fn inherit(&mut self, now: Micros, legacy: Legacy, out: &mut Vec<Command>) {
+    /// Takes over the state of the process that this one replaces.
+    pub fn inherit(&mut self, now: Micros, state: HandoverState, out: &mut Vec<Command>) {
         self.advance(now);
-        self.tell(Event::Inherited(legacy), out);
+        self.deliver(Event::Handover(state), out);
     }
 
-    /// Time has passed.
+    /// Fires the timers that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.advance(now);
         let mut woken = false;
@@ -451,14 +464,14 @@
             }
             self.timers.pop();
             match timer {
-                Timer::Due(ticket) => self.over(ticket, out),
-                Timer::LastBegin(ticket) => self.begin_no_more(ticket, out),
-                Timer::Attempt(id) => self.attempt_over(id, out),
+                Timer::RequestDue(ticket) => self.request_timed_out(ticket, out),
+                Timer::LastAttempt(ticket) => self.stop_attempts(ticket, out),
+                Timer::Attempt(id) => self.attempt_timed_out(id, out),
                 Timer::Order(order) => self.order_ended(now, order, Outcome::TimedOut, 0, out),
                 Timer::Wake if woken => {}
                 Timer::Wake => {
                     woken = true;
-                    self.tell(Event::Woken, out);
+                    self.deliver(Event::Woken, out);
                 }
             }
         }
@@ -468,7 +481,7 @@
         self.now = now.max(self.now);
     }
 
-    /// Has [`Engine::tick`] come to this then.
+    /// Sets a timer.
     fn arm(&mut self, at: Micros, timer: Timer) {
         if self.timers.len() >= self.prune_above {
             self.prune_timers();
@@ -476,7 +489,8 @@
         self.timers.push(Reverse((at, timer)));
     }
 
-    /// Drops the timers of what has ended. As it is done when their number has doubled, it costs each timer little.
+    /// Drops the timers of ended requests and orders. As this runs only when the number of timers has doubled, its
+    /// amortized cost per timer is constant.
     fn prune_timers(&mut self) {
         let (open, orders) = (&self.open, &self.orders);
         let waits = |ticket: &Ticket| open.get(ticket).is_some_and(|o| !o.answered);
@@ -485,96 +499,96 @@
             attempt.is_some_and(|a| !a.ended)
         };
         self.timers.retain(|Reverse((_, timer))| match timer {
-            Timer::Due(ticket) | Timer::LastBegin(ticket) => waits(ticket),
+            Timer::RequestDue(ticket) | Timer::LastAttempt(ticket) => waits(ticket),
             Timer::Attempt(id) => is_out(id),
             Timer::Order(order) => orders.contains_key(order),
             Timer::Wake => true,
         });
-        self.prune_above = FEW_TIMERS.max(2 * self.timers.len());
+        self.prune_above = MIN_PRUNE_TIMERS.max(2 * self.timers.len());
     }
 
-    fn fresh(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// Its time is up: attempts are given up, and whatever the module says of that, an answer goes out now.
-    fn over(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
+    /// The request has timed out: cancels its attempts and answers now, whatever the module decides.
+    fn request_timed_out(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
-        // What never had an attempt out is the module's to refuse or fail.
+        // With no attempt in progress, the module decides whether to refuse or fail it.
         if open.attempts.iter().all(|a| a.ended) {
-            self.tell(Event::Woken, out);
+            self.deliver(Event::Woken, out);
         }
-        self.call_off(ticket, Outcome::TimedOut, out);
-        self.settle_due(ticket, out);
+        self.cancel_attempts(ticket, Outcome::TimedOut, out);
+        self.answer_if_due(ticket, out);
         self.forget(ticket);
     }
 
-    /// The promise: past its time a request is answered, whatever else happens.
-    fn settle_due(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
+    /// Answers a request that is past its due time. This guarantees an answer whatever else happens.
+    fn answer_if_due(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered && o.due <= self.now) else {
             return;
         };
         open.answered = true;
         out.push(Command::Answer { ticket, verdict: Verdict::TimedOut });
         let request = open.id.clone();
-        self.tell(Event::ClientLeft { request }, out);
+        self.deliver(Event::ClientLeft { request }, out);
     }
 
-    /// No attempt of it begins from now on: the module decides whether it ends at once, and what has not begun to
-    /// leave for a host is taken back.
-    fn begin_no_more(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
+    /// Allows no further attempt of the request: the module decides whether it ends at once, and an attempt of which
+    /// nothing has been sent is withdrawn.
+    fn stop_attempts(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get(&ticket).filter(|o| !o.answered) else { return };
         let request = open.id.clone();
-        let is_out = |a: &Attempt| !a.ended && a.called_off.is_none();
+        let is_out = |a: &Attempt| !a.ended && a.cancelled.is_none();
         let last = open.attempts.iter().rposition(is_out);
-        self.tell(Event::NoFurtherAttempt { request }, out);
+        self.deliver(Event::NoFurtherAttempt { request }, out);
         if let Some(number) = last {
             out.push(Command::Withdraw { attempt: AttemptId { ticket, number: number as u32 } });
         }
     }
 
-    fn attempt_over(&mut self, id: AttemptId, out: &mut Vec<Command>) {
+    fn attempt_timed_out(&mut self, id: AttemptId, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&id.ticket) else { return };
         let Some(a) = open.attempts.get_mut(id.number as usize) else { return };
-        if !a.ended && a.called_off.is_none() {
-            a.called_off = Some(Outcome::TimedOut);
+        if !a.ended && a.cancelled.is_none() {
+            a.cancelled = Some(Outcome::TimedOut);
             out.push(Command::Cancel { attempt: id });
         }
     }
 
-    /// Has the adapter give up what is out for the request.
-    fn call_off(&mut self, ticket: Ticket, reason: Outcome, out: &mut Vec<Command>) {
+    /// Cancels the attempts of the request that are in progress.
+    fn cancel_attempts(&mut self, ticket: Ticket, reason: Outcome, out: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
         for (number, a) in open.attempts.iter_mut().enumerate() {
-            if !a.ended && a.called_off.is_none() {
-                a.called_off = Some(reason);
+            if !a.ended && a.cancelled.is_none() {
+                a.cancelled = Some(reason);
                 out.push(Command::Cancel { attempt: AttemptId { ticket, number: number as u32 } });
             }
         }
     }
 
     fn forget(&mut self, ticket: Ticket) {
-        let done = |o: &Open| o.answered && o.attempts.iter().all(|a| a.ended);
+        let done = |o: &OpenRequest| o.answered && o.attempts.iter().all(|a| a.ended);
         if self.open.get(&ticket).is_some_and(done) {
             self.open.remove(&ticket);
         }
     }
 
-    /// Hands an event to the module and carries out what it decides.
-    fn tell(&mut self, event: Event, out: &mut Vec<Command>) {
+    /// Passes an event to the module and carries out its actions.
+    fn deliver(&mut self, event: Event, out: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.scratch);
         self.module.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action, out);
+            self.carry_out(action, out);
         }
         self.scratch = actions;
     }
 
-    fn act(&mut self, action: Action, out: &mut Vec<Command>) {
+    fn carry_out(&mut self, action: Action, out: &mut Vec<Command>) {
         match action {
             Action::Send { request, worker, timeout, leave_by } => {
-                self.begin(ticket(&request), worker, (timeout, leave_by), out);
+                self.start_attempt(ticket(&request), worker, (timeout, leave_by), out);
             }
             Action::Refuse { request, retry_after } => {
                 self.answer(&request, Verdict::Refused { retry_after }, out)
@@ -582,30 +596,31 @@
             Action::Fail { request } => self.answer(&request, Verdict::Failed, out),
             Action::Cancel { request, attempt } => {
                 let id = AttemptId { ticket: ticket(&request), number: attempt };
-                // What is called off so that it is asked anew would be lost where it may not be asked anew.
-                let open = self.open.get_mut(&id.ticket).filter(|o| o.answered || self.now <= o.last_begin);
+                // The module cancels in order to retry. Where no retry may begin, the request would be lost.
+                let open =
+                    self.open.get_mut(&id.ticket).filter(|o| o.answered || self.now <= o.last_attempt_at);
                 let Some(a) = open.and_then(|o| o.attempts.get_mut(attempt as usize)) else { return };
-                if !a.ended && a.called_off.is_none() {
-                    a.called_off = Some(Outcome::Cancelled);
+                if !a.ended && a.cancelled.is_none() {
+                    a.cancelled = Some(Outcome::Cancelled);
                     out.push(Command::Cancel { attempt: id });
                 }
             }
             Action::Load { worker, function, copies } => {
-                let order = OrderId(self.fresh());
+                let order = OrderId(self.next_id());
                 self.orders.insert(order, Order { host: worker.clone(), function: function.clone() });
                 self.arm(self.now + self.order_timeout, Timer::Order(order));
                 out.push(Command::Load { order, host: worker, function, copies });
             }
-            Action::Tell { data } => out.push(Command::Tell { data }),
+            Action::Broadcast { data } => out.push(Command::Broadcast { data }),
             Action::Wake { at } => self.arm(at, Timer::Wake),
             Action::Log { text } => out.push(Command::Log { text }),
-            // Lists are pushed to every embedder of the engine.
+            // Every embedder of the engine pushes the host list.
             Action::Subscribe => {}
         }
     }
 
-    /// Begins an attempt that the module wants, or tells it that it was never sent where none may begin.
-    fn begin(
+    /// Starts an attempt that the module requests, or reports it as not sent where none may begin.
+    fn start_attempt(
         &mut self,
         ticket: Ticket,
         host: WorkerId,
@@ -613,10 +628,10 @@
         out: &mut Vec<Command>,
     ) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
-        let (begins, now) = (open.may_begin(self.now), self.now);
+        let (starts, now) = (open.may_start(self.now), self.now);
         let attempt = AttemptId { ticket, number: open.attempts.len() as u32 };
-        open.attempts.push(Attempt { host: host.clone(), sent: now, called_off: None, ended: !begins });
-        if !begins {
+        open.attempts.push(Attempt { host: host.clone(), sent: now, cancelled: None, ended: !starts });
+        if !starts {
             let event = Event::Answer {
                 request: open.id.clone(),
                 attempt: attempt.number,
@@ -625,10 +640,10 @@
                 finished: open.answered,
                 duration: 0,
                 found: None,
-                crowd: None,
+                overlap: None,
                 report: None,
             };
-            return self.tell(event, out);
+            return self.deliver(event, out);
         }
         let due = open.due;
         let until = timeout.map_or(due, |t| due.min(now + t));
@@ -643,54 +658,54 @@
         let ticket = ticket(request);
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
         open.answered = true;
-        // A failure at the very end is the clock's doing.
+        // A failure at or after the due time counts as a time-out.
         let verdict =
             if verdict == Verdict::Failed && open.due <= self.now { Verdict::TimedOut } else { verdict };
         out.push(Command::Answer { ticket, verdict });
-        self.call_off(ticket, Outcome::Cancelled, out);
+        self.cancel_attempts(ticket, Outcome::Cancelled, out);
         self.forget(ticket);
     }
 }
 
 impl Engine {
-    /// Whether this activator tells others anything, and heeds what they tell.
-    pub fn tells(&self) -> bool {
-        self.module.tells()
+    /// Whether this activator sends and uses gossip.
+    pub fn gossip_enabled(&self) -> bool {
+        self.module.gossip_enabled()
     }
 
-    /// What a process needs that takes this one's place.
-    pub fn legacy(&self) -> Legacy {
-        self.module.legacy()
+    /// State for a process that replaces this one.
+    pub fn handover_state(&self) -> HandoverState {
+        self.module.handover_state()
     }
 
-    /// What was taken and ordered since then, for such a process.
+    /// Own calls and orders since this time that count for the load budget, for such a process.
     pub fn tallies(&self, since: Micros) -> Vec<Tally> {
         self.module.tallies(since)
     }
 
-    /// Whether the ration has room for an order of a process beside this one. If so, it is counted.
+    /// Grants an order of the peer process if the load budget allows it, and counts it then.
     pub fn grant_order(&mut self, now: Micros) -> bool {
         self.advance(now);
         self.module.grant_order(self.now)
     }
 
-    /// The process beside this one decides this share of the calls, and is due as much of the ration of orders.
-    pub fn set_beside(&mut self, share: f64) {
-        self.module.set_beside(share);
+    /// Sets the share of the calls that the peer process decides, which is also its share of the load budget.
+    pub fn set_peer_share(&mut self, share: f64) {
+        self.module.set_peer_share(share);
     }
 
-    /// The process beside this one is gone: what it took and ordered counts as this one's own from now on.
-    pub fn alone(&mut self) {
-        self.module.alone();
+    /// The peer process has ended: its calls and orders count as this one's own from now on.
+    pub fn peer_gone(&mut self) {
+        self.module.peer_gone();
     }
 
-    /// Whether the host is not known to have all of its capacity yet.
+    /// Whether the host is known but may not have its full capacity yet.
     pub fn is_cold(&self, host: &WorkerId) -> bool {
         self.module.is_cold(host)
     }
 }
 
-/// The ticket that a request's id was made from.
+/// The ticket from which the id of a request was made.
 fn ticket(id: &RequestId) -> Ticket {
     Ticket(u64::from_str_radix(&id.0, 16).unwrap_or(0))
 }
--- a/src/gossip_exchange.rs
+++ b/src/gossip_exchange.rs
@@ -1,136 +1,142 @@
-//! What one router feeds to gossip and asks of it: its own calls that are out, its news, and what others told
-//! of places that it knows. The codec and its tables are in `src/gossip.rs`; no decisions.
+//! Connects a router to gossip: sends its calls in progress and news, and applies what other routers report.
+//! The codec and its tables are in `src/gossip.rs`; there are no decisions here.
 
 use std::collections::BTreeMap;
 
-use crate::gossip::{function_key, host_key, period, Place, Word, LEAST, NO_FUNCTION, TELL_AGAIN};
+use crate::gossip::{
+    function_key, host_key, period, CopyStatus, PlaceKey, ANNOUNCE_AGAIN_DIVISOR, MIN_DATAGRAM_BYTES,
+    NO_FUNCTION,
+};
 use crate::interface::*;
 use crate::state::{Core, Router};
 
-/// A worker that had no room for a load is thought to have none for so long: copies at work give room up within about
-/// that, and a list tells of a drain in half of it.
-const LADEN: Micros = 1_000_000;
+/// Time in which a worker that had no room for a load gets no load orders: copies in use free room within about that
+/// time, and the list shows a drain within half of it.
+const NO_ROOM_US: Micros = 1_000_000;
 
 impl Router {
-    /// Whether this router tells others anything, and hears what they tell.
-    pub fn tells(&self) -> bool {
-        self.0.tells()
+    /// Whether this router sends and uses gossip.
+    pub fn gossip_enabled(&self) -> bool {
+        self.0.gossip_enabled()
     }
 }
 
 impl Core {
-    /// Whether routers of this fleet tell one another at all. Each does, whatever it sees itself: others may see less.
-    pub(crate) fn tells(&self) -> bool {
-        self.settings.tell > LEAST && self.settings.routers > 1
+    /// Whether the routers of this fleet use gossip. Each sends it however much it sees itself, as others may see less.
+    pub(crate) fn gossip_enabled(&self) -> bool {
+        self.settings.max_gossip_bytes > MIN_DATAGRAM_BYTES && self.settings.routers > 1
     }
 
-    /// Whether this router hears of a host by its own calls less often than others tell of it: only then is what is told
-    /// newer than what is seen, and worth being heeded.
-    pub(crate) fn seldom(&self) -> bool {
+    /// Whether this router gets answers of a host less often than gossip about it. Only then is gossip newer than its own
+    /// observations, and used.
+    pub(crate) fn sees_little(&self) -> bool {
         let period = period(self.settings.routers) as f64 / 1e6;
         self.settings.routers > 1 && self.done_rate * period < self.totals.up
     }
 
-    /// Something that the others may not know of this place.
-    pub(crate) fn note(&mut self, n: &WorkerId, f: &FunctionId, word: Word) {
-        if self.tells() {
-            self.composer.note((function_key(f), host_key(n)), word);
+    /// Queues news of a function at a worker for the other routers.
+    pub(crate) fn queue_news(&mut self, worker: &WorkerId, function: &FunctionId, status: CopyStatus) {
+        if self.gossip_enabled() {
+            self.composer.queue((function_key(function), host_key(worker)), status);
         }
     }
 
-    /// The worker has no room for a load: nothing is ordered there for a while, as an order at once would be turned away as
-    /// well. Where routers tell one another, none orders there: each of hundreds would find out by itself.
-    pub(crate) fn laden(&mut self, n: &WorkerId) {
-        let until = self.now + LADEN;
-        self.workers.entry(n.clone()).and_modify(|w| w.laden_until = until);
-        if self.tells() {
-            self.composer.note((NO_FUNCTION, host_key(n)), Word::Laden);
+    /// Records that the worker has no room for a load. Nothing is ordered there for [`NO_ROOM_US`], as the order would be
+    /// rejected too. Gossip spares hundreds of other routers from finding that out by orders of their own.
+    pub(crate) fn mark_no_room(&mut self, worker: &WorkerId) {
+        let until = self.now + NO_ROOM_US;
+        self.workers.entry(worker.clone()).and_modify(|w| w.no_loads_until = until);
+        if self.gossip_enabled() {
+            self.composer.queue((NO_FUNCTION, host_key(worker)), CopyStatus::NoRoom);
         }
     }
 
-    /// Takes what another router told.
-    pub(crate) fn hear(&mut self, from: u32, bytes: &[u8]) {
-        if !self.tells() || from >= self.settings.routers || from == self.settings.me {
+    /// Applies a gossip datagram of another router.
+    pub(crate) fn receive_gossip(&mut self, from: u32, bytes: &[u8]) {
+        if !self.gossip_enabled() || from >= self.settings.routers || from == self.settings.router_index {
             return;
         }
         let (now, keep) = (self.now, self.settings.keep);
-        let lines = self.heard.take(now, period(self.settings.routers), from, bytes).unwrap_or_default();
-        for l in lines {
+        let entries = self.gossip.accept(now, period(self.settings.routers), from, bytes).unwrap_or_default();
+        for l in entries {
             let Some(n) = self.host_keys.get(&l.host) else { continue };
-            if l.word == Word::Laden {
-                self.workers.entry(n.clone()).and_modify(|w| w.laden_until = now + LADEN);
+            if l.status == CopyStatus::NoRoom {
+                self.workers.entry(n.clone()).and_modify(|w| w.no_loads_until = now + NO_ROOM_US);
             } else if let Some(f) = self.function_keys.get(&l.function) {
                 let f = self.functions.get_mut(f);
-                f.into_iter().for_each(|f| f.told(n, (now, now), keep, l.word));
+                f.into_iter().for_each(|f| f.apply_gossip(n, (now, now), keep, l.status));
             } else {
-                self.heard.keep(now, (l.function, l.host), l.word);
+                self.gossip.remember(now, (l.function, l.host), l.status);
             }
         }
     }
 
-    /// A function that is called here for the first time: what was heard of it counts.
-    pub(crate) fn meet(&mut self, id: &FunctionId) {
+    /// Registers a function called here for the first time, and applies what gossip reported of it before.
+    pub(crate) fn register_function(&mut self, id: &FunctionId) {
         let key = function_key(id);
-        if !self.tells() || self.function_keys.get(&key).is_some_and(|known| known == id) {
+        if !self.gossip_enabled() || self.function_keys.get(&key).is_some_and(|known| known == id) {
             return;
         }
         self.function_keys.insert(key, id.clone());
         let (now, keep) = (self.now, self.settings.keep);
         let f = self.functions.entry(id.clone()).or_default();
         f.key = key;
-        for (host, at, copies) in self.heard.known(key) {
+        for (host, at, copies) in self.gossip.take_known(key) {
             if let Some(n) = self.host_keys.get(&host) {
-                f.told(n, (now, at), keep, Word::Copies(copies));
+                f.apply_gossip(n, (now, at), keep, CopyStatus::Copies(copies));
             }
         }
     }
 
-    /// Hosts by what stands for them. Two that share a key are told apart by nobody: neither is heard of.
-    pub(crate) fn key_hosts(&mut self) {
+    /// Rebuilds the index of hosts by key. Hosts with the same key cannot be told apart and are left out.
+    pub(crate) fn index_host_keys(&mut self) {
         self.host_keys.clear();
-        let mut twice = Vec::new();
+        let mut duplicates = Vec::new();
         for n in self.workers.keys() {
             if self.host_keys.insert(host_key(n), n.clone()).is_some() {
-                twice.push(host_key(n));
+                duplicates.push(host_key(n));
             }
         }
-        twice.iter().for_each(|key| drop(self.host_keys.remove(key)));
+        duplicates.iter().for_each(|key| drop(self.host_keys.remove(key)));
     }
 
-    /// Forgets what is old and tells what is due.
-    pub(crate) fn tell(&mut self, out: &mut Vec<Action>) {
-        if !self.tells() {
-            // They may have been told until settings changed.
-            return self.heard.well = false;
+    /// Removes expired gossip, and sends a datagram if one is due.
+    pub(crate) fn send_gossip(&mut self, out: &mut Vec<Action>) {
+        if !self.gossip_enabled() {
+            // Gossip may have been enabled until the settings changed.
+            return self.gossip.reliable = false;
         }
         let (now, period) = (self.now, period(self.settings.routers));
-        let seldom = self.seldom();
-        self.heard.expire(now, (period, self.settings.keep), self.settings.routers, seldom);
+        let sees_little = self.sees_little();
+        self.gossip.expire(now, (period, self.settings.keep), self.settings.routers, sees_little);
         if !self.composer.due(now, period, &mut self.rng) {
             return;
         }
         let functions = &mut self.functions;
         self.function_keys.retain(|_, f| functions.contains_key(f));
-        let mut held: BTreeMap<Place, u8> = BTreeMap::new();
+        let mut held: BTreeMap<PlaceKey, u8> = BTreeMap::new();
         for r in self.requests.values() {
-            for t in r.tries.iter().filter(|t| t.ended.is_none()) {
+            for t in r.attempts.iter().filter(|t| t.ended.is_none()) {
                 let n = held.entry((function_key(&r.function), host_key(&t.worker))).or_default();
                 *n = n.saturating_add(1);
                 let f = functions.get_mut(&r.function);
-                f.and_then(|f| f.places.get_mut(&t.worker)).into_iter().for_each(|p| p.told_at = now);
+                f.and_then(|f| f.placements.get_mut(&t.worker))
+                    .into_iter()
+                    .for_each(|p| p.announced_at = now);
             }
         }
         let (function_keys, host_keys, keep) = (&self.function_keys, &self.host_keys, self.settings.keep);
-        // Hundreds find a copy within one period: what one of them has told, the others leave out.
-        let due = |&(function, host): &Place, word| {
+        // Hundreds of routers find a copy within one period: what one has announced, the others omit.
+        let due = |&(function, host): &PlaceKey, status| {
             let f = function_keys.get(&function).and_then(|f| functions.get_mut(f));
-            let p = f.zip(host_keys.get(&host)).and_then(|(f, n)| f.places.get_mut(n));
+            let p = f.zip(host_keys.get(&host)).and_then(|(f, n)| f.placements.get_mut(n));
             let Some(p) = p else { return true };
-            let due = now - p.told_at > keep / TELL_AGAIN;
-            p.told_at = if word == Word::Gone { 0 } else { p.told_at.max(if due { now } else { 0 }) };
+            let due = now - p.announced_at > keep / ANNOUNCE_AGAIN_DIVISOR;
+            p.announced_at =
+                if status == CopyStatus::Gone { 0 } else { p.announced_at.max(if due { now } else { 0 }) };
             due
         };
-        let data = self.composer.compose(&held, self.settings.tell, due);
-        out.extend(data.map(|data| Action::Tell { data }));
+        let data = self.composer.compose(&held, self.settings.max_gossip_bytes, due);
+        out.extend(data.map(|data| Action::Broadcast { data }));
     }
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,103 +1,112 @@
-//! Most decisions of the library; which repeats are allowed is in `src/repeats.rs`. The types are in
-//! `src/interface.rs`; ARCHITECTURE.md tells where each rule comes from. Reading order: constants, events,
-//! routing, chain preloading, attempts and answers, health and guards.
+//! Routing, load orders, health checks and admission; `src/repeats.rs` decides which retries are allowed.
+//! The types are in `src/interface.rs`, and ARCHITECTURE.md names the source of each rule. Reading order:
+//! constants, events, routing, chain preloading, attempts and answers, health and guards.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::gossip::{Word, TELL_AGAIN};
+use crate::gossip::{CopyStatus, ANNOUNCE_AGAIN_DIVISOR};
 use crate::hash::hash;
 use crate::interface::*;
-use crate::repeats::repeat_by;
+use crate::repeats::retry_deadline;
 use crate::state::*;
 
 // ---------------------------------------------------------------------------------------------- constants
 
-/// Counts halve this often, so that popularity which moves on is forgotten within some tens of seconds.
-const HALVING: Micros = 10_000_000;
-/// ... but not before this many calls: a router that sees few tells little from fewer.
-const ENOUGH_CALLS: f64 = 200.0;
-/// A call counts as a successor when it comes within this time, once per call and tenant.
-const FOLLOWS: Micros = 1_000_000;
-/// Calls of a function before its successor counts are believed.
-const MIN_CALLS: f64 = 4.0;
-/// A successor is preloaded when it follows more than this share of the calls.
-const THRESHOLD: f64 = 0.5;
-/// Preloads under way at once: enough for the chains of a moment, too few to crowd the store.
+/// Interval at which call counts are halved, so that past popularity fades within some tens of seconds.
+const HALVING_PERIOD_US: Micros = 10_000_000;
+/// Calls that must be counted before counts are halved: a router with little traffic needs its old counts.
+const MIN_CALLS_TO_HALVE: f64 = 200.0;
+/// A call counts as a successor of an earlier call of the same tenant within this time, once per call.
+const SUCCESSION_WINDOW_US: Micros = 1_000_000;
+/// Calls of a function that are needed before its successor counts are used.
+const MIN_PREDECESSOR_CALLS: f64 = 4.0;
+/// A successor is preloaded when it follows more than this share of the calls of a function.
+const PRELOAD_THRESHOLD: f64 = 0.5;
+/// Preload orders in progress at once. The limit keeps preloads from overloading the function store.
 const MAX_PRELOADS: usize = 4;
-/// Load orders that preloads leave in the budget for requests that wait.
+/// Load orders that preloads must leave in the budget for waiting requests.
 const RESERVED_ORDERS: f64 = 2.0;
-/// Between looks at held requests, silent workers and copies about to be unloaded.
-const TICK: Micros = 20_000;
-/// ... and at a router that sees little and holds nothing: hundreds of idle ticks a second are all its work.
-const IDLE_TICK: Micros = 100_000;
-/// Weight of one tick in the averages of requests in flight: a memory of about a second.
-const SMOOTHING: f64 = 0.02;
-/// A worker is crowded above this multiple of the mean load for its size, as in bounded-load hashing.
-const CROWDED: f64 = 1.5;
-/// ... but never below this many requests for mean size: their number is not what makes it slow.
-const UNCROWDED: f64 = 4.0;
-/// Workers over which a function's calls are spread, over those that they alone would keep at the fleet's
-/// mean load: chance then overlaps little parts of functions rather than whole ones.
-const SPREAD: f64 = 4.0;
-/// Loads are told apart in steps of this many requests for mean size: finer ones are chance.
-const LEVEL: f64 = 0.25;
-/// Sums that were told are samples of what came and went: their roots scatter so, whatever their size.
-const SCATTER: f64 = 0.7;
-/// A worker is silent when attempts on loaded copies are older than this multiple of the usual answer...
+/// Interval of checks for held requests, silent workers and copies that are about to be unloaded.
+const TICK_US: Micros = 20_000;
+/// The same at a router with little traffic and no held requests: hundreds of idle ticks a second would be
+/// all its work.
+const IDLE_TICK_US: Micros = 100_000;
+/// Weight of one tick in the running means of requests in flight: a time constant of about one second.
+const TICK_WEIGHT: f64 = 0.02;
+/// A worker is crowded above this multiple of the mean load per size, as in bounded-load hashing.
+const CROWDED_MULTIPLE: f64 = 1.5;
+/// A worker of mean size with no more requests than this is never crowded: so few do not slow it down.
+const MIN_CROWDED_LOAD: f64 = 4.0;
+/// A function's calls are spread over this multiple of the workers that they would keep at the mean load.
+/// Functions that share a worker by chance then share small parts of their load rather than all of it.
+const SPREAD_FACTOR: f64 = 4.0;
+/// Loads that differ by less than this many requests, for mean size, count as equal: that is noise.
+const LOAD_STEP: f64 = 0.25;
+/// The same for the square roots of loads known by gossip. These are sampled counts, and the root of a
+/// sampled count has the same standard deviation whatever the count.
+const ROOT_LOAD_STEP: f64 = 0.7;
+/// A worker is silent when attempts on loaded copies are older than this multiple of the usual duration
+/// and than [`MIN_SILENCE_US`].
 const SILENT_MULTIPLE: f64 = 5.0;
-/// ... and than this, since short calls scatter more.
-const SILENT_LEAST: Micros = 600_000;
-/// Share of lost ones among the old above which it pays to ask anew.
-const LOST: f64 = 0.5;
-/// So many that grew old, if they are most of what it holds, tell that a worker has all but stopped...
-const STUCK: u32 = 3;
-/// ... as long as it is no more than this share of the workers: else it is the load.
-const STUCK_SHARE: f64 = 0.34;
-/// First rest of a worker that looks ill; doubles up to the longest while trials fail.
-const FIRST_REST: Micros = 1_000_000;
-/// Longest rest.
-const LONGEST_REST: Micros = 8_000_000;
-/// A worker that turned one class of one tenant away, though it has room, is spared these for so long.
-const SHUT_FOR: Micros = 15_000_000;
-/// A worker that fails more than this share of its recent attempts is ill.
-const ILL_SHARE: f64 = 0.3;
-/// Recent failures needed to say so.
-const ILL_FAILURES: f64 = 2.0;
-/// Never nothing from all of us together: what is not asked can neither warm up nor be told well.
-const LEAST_COLD: f64 = 2.0;
-/// For so long one that was put back is given copies of functions ahead of their calls.
-const RETURNING: Micros = 5_000_000;
-/// A copy is renewed when it has less than this to live: time for an order and for its load.
-const RENEW_BEFORE: Micros = 1_500_000;
-/// Functions not called for this multiple of the keep-alive are let go.
-const RENEW_FOR: f64 = 2.5;
-/// So many calls of all routers were due while a copy lay idle: as none came, they have ceased.
-const CEASED: f64 = 3.0;
-/// A tenant is over its share above this multiple of it: traffic is bursty and seen in part.
-const OVER: f64 = 1.1;
-/// A worker whose answers take more than this share of their aim is passed over for others: work varies.
-const PRESSURE: f64 = 0.3;
-/// When the fleet's answers take more than this share of their aim, a part of the requests is refused.
-const SHED: f64 = 0.6;
-/// A worker is alone in being slow above this multiple of the others' mean.
-const ALONE: f64 = 3.0;
-/// A request that finds no room is held for this share of its aim, then refused while that is early.
-const HOLD_SHARE: f64 = 0.3;
-/// ... and for this share of the client's own time at most: a client told late has no time to try again.
-const EARLY: f64 = 0.4;
+/// Attempts younger than this are never overdue: the durations of short calls vary more.
+const MIN_SILENCE_US: Micros = 600_000;
+/// Share of overdue attempts that never get an answer, above which safe requests are cancelled and retried.
+const MIN_LOST_SHARE: f64 = 0.5;
+/// A worker has almost stopped when at least this many of its attempts, and more than half, are overdue.
+const MIN_STUCK_ATTEMPTS: u32 = 3;
+/// Above this share of stuck and unhealthy workers, the cause is overload, and no stuck worker is rested.
+const MAX_STUCK_SHARE: f64 = 0.34;
+/// Rest of an unhealthy worker, in which it gets no requests. A trial follows, and each failed trial doubles
+/// the rest, up to [`MAX_REST_US`].
+const MIN_REST_US: Micros = 1_000_000;
+/// See [`MIN_REST_US`].
+const MAX_REST_US: Micros = 8_000_000;
+/// A worker that rejected a class and tenant though it has room gets no such requests for this time.
+const REJECTION_MEMORY_US: Micros = 15_000_000;
+/// A worker is unhealthy when more than this share of its recent attempts and more than [`MIN_FAILURES`] of
+/// them failed.
+const MAX_FAILURE_SHARE: f64 = 0.3;
+/// See [`MAX_FAILURE_SHARE`]; a router that sends the worker few requests needs fewer failures.
+const MIN_FAILURES: f64 = 2.0;
+/// Requests per window that all routers together may always send to a starting worker: without any, it
+/// neither warms up nor shows that it is healthy.
+const MIN_COLD_REQUESTS: f64 = 2.0;
+/// Time after a worker returns to service in which copies are ordered on it ahead of calls.
+const RESTORE_PERIOD_US: Micros = 5_000_000;
+/// A copy is renewed when it would be unloaded within this time, which covers an order and its load.
+const RENEWAL_LEAD_US: Micros = 1_500_000;
+/// Copies of functions not called for this multiple of the keep-alive are no longer renewed.
+const RENEWAL_MULTIPLE: f64 = 2.5;
+/// When a copy stays idle although all routers together should have sent it this many calls, the calls
+/// have stopped.
+const MAX_MISSED_CALLS: f64 = 3.0;
+/// A tenant exceeds its quota above this multiple of it: traffic is bursty, and a router sees only a part.
+const QUOTA_TOLERANCE: f64 = 1.1;
+/// Slowness, as answer time over latency aim, above which a worker may be passed over. It is well below 1,
+/// as the work of calls varies.
+const MAX_WORKER_SLOWNESS: f64 = 0.3;
+/// Slowness of the whole fleet above which a part of the requests is held, then refused.
+const MAX_FLEET_SLOWNESS: f64 = 0.6;
+/// A worker is a slow outlier above this multiple of the mean slowness of the others.
+const OUTLIER_MULTIPLE: f64 = 3.0;
+/// A request that finds no room is held for at most this share of its latency aim and at most
+/// [`MAX_CLIENT_TIME_SHARE`] of the time until its client gives up, then refused.
+const MAX_HOLD_SHARE: f64 = 0.3;
+/// See [`MAX_HOLD_SHARE`]; an early refusal leaves the client time for a retry.
+const MAX_CLIENT_TIME_SHARE: f64 = 0.4;
 
 // ------------------------------------------------------------------------------------------------- events
 
 impl Router {
-    /// A router that knows nothing yet. The same seed and events always give the same actions.
+    /// Creates a router without any state. The same seed and events always give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let tenant_rates = vec![0.0; settings.tenants.len()];
         let rng = fastrand::Rng::with_seed(seed);
-        Ok(Self(Core { settings, rng, lot: seed, tenant_rates, ..Core::default() }))
+        Ok(Self(Core { settings, rng, seed, tenant_rates, ..Core::default() }))
     }
 
-    /// Takes one event and appends what is to be done about it. Late, repeated or unknown ids do no harm.
+    /// Handles one event and appends the resulting actions. Late, repeated and unknown ids are ignored.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.0.handle(now, event, out);
     }
@@ -106,46 +115,47 @@
 impl Core {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now.max(self.now);
-        if self.ticked == 0 {
-            (self.born, self.ticked, self.halved) = (self.now, self.now, self.now);
+        if self.last_tick == 0 {
+            (self.started_at, self.last_tick, self.last_halving) = (self.now, self.now, self.now);
         }
         if self.settings.discovery == Discovery::OnRequest && self.now >= self.subscribe_at {
             self.subscribe_at = Micros::MAX;
             out.push(Action::Subscribe);
         }
         match event {
-            Event::List { kind: ListKind::Failed, .. } => self.subscribe_at = self.now + FIRST_REST,
-            Event::List { kind, entries } => self.list(kind, entries),
+            Event::List { kind: ListKind::Failed, .. } => self.subscribe_at = self.now + MIN_REST_US,
+            Event::List { kind, entries } => self.apply_list(kind, entries),
             Event::Arrival { request, class, tenant, function, due, lanes, repeat, hint } => {
-                let (tries, advice) = (std::mem::take(&mut self.past), std::mem::take(&mut self.advice));
+                let (attempts, preferred) =
+                    (std::mem::take(&mut self.past_attempts), std::mem::take(&mut self.preferred));
                 if class >= self.settings.classes.len() || self.requests.contains_key(&request) {
                     return;
                 }
-                let counted = self.count(&function, tenant, lanes);
+                let counted = self.record_call(&function, tenant, lanes);
                 let fresh = Request {
                     class,
                     terms: self.settings.classes[class],
-                    attempts: self.settings.classes[class].attempts.unwrap_or(self.settings.max_attempts),
+                    max_attempts: self.settings.classes[class].attempts.unwrap_or(self.settings.max_attempts),
                     tenant,
                     arrived: self.now,
                     worth: self.worth(class, tenant, repeat),
                     function: function.clone(),
                     due,
-                    tries,
+                    attempts,
                     answered: false,
                     held: false,
                     counted,
                     streaming: false,
-                    lot: 1.0 - self.rng.f64(),
+                    admission_draw: 1.0 - self.rng.f64(),
                     hint,
-                    advice,
+                    preferred,
                 };
-                self.mean_worth = learn(self.mean_worth, fresh.worth, LEARN);
+                self.mean_worth = running_mean(self.mean_worth, fresh.worth, AVERAGE_WEIGHT);
                 self.requests.insert(request.clone(), fresh);
-                // What is worth less than some that wait does not overtake them.
+                // A new request does not overtake held requests that are worth more.
                 match self.requests.get_mut(&request) {
-                    Some(r) if r.worth < self.held_worth && self.now + 2 * TICK < due => {
-                        (r.held, self.holding) = (true, true);
+                    Some(r) if r.worth < self.max_held_worth && self.now + 2 * TICK_US < due => {
+                        (r.held, self.any_held) = (true, true);
                     }
                     _ => self.dispatch(&request, out),
                 }
@@ -158,8 +168,9 @@
                         let at = self.arrivals.partition_point(|t| *t < r.arrived);
                         self.arrivals.remove(at);
                     }
-                    // Who leaves mostly tries again at once, and must not take room twice.
-                    for (k, _) in r.tries.iter().enumerate().filter(|(_, t)| t.ended.is_none()) {
+                    // A client that leaves mostly retries at once; cancelling keeps it from using room
+                    // twice.
+                    for (k, _) in r.attempts.iter().enumerate().filter(|(_, t)| t.ended.is_none()) {
                         if self.settings.cancel && !r.streaming {
                             out.push(Action::Cancel { request: request.clone(), attempt: k as u32 });
                         }
@@ -168,10 +179,20 @@
                 self.forget(&request);
             }
             Event::NoFurtherAttempt { request } => self.limit_attempts(&request, out),
-            Event::Answer { request, attempt, worker, outcome, finished, duration, found, report, crowd } => {
-                self.learn_crowd(&request, &worker, found, crowd);
+            Event::Answer {
+                request,
+                attempt,
+                worker,
+                outcome,
+                finished,
+                duration,
+                found,
+                report,
+                overlap,
+            } => {
+                self.learn_overlap(&request, &worker, found, overlap);
                 let seen = (outcome, finished, duration, found, report);
-                self.answer(&request, attempt, &worker, seen, out);
+                self.attempt_ended(&request, attempt, &worker, seen, out);
             }
             Event::StreamStarted { request } => {
                 self.requests.entry(request).and_modify(|r| r.streaming = true);
@@ -179,59 +200,61 @@
             Event::LoadEnded { worker, function, outcome, copies } => {
                 self.load_ended(&worker, &function, (outcome, copies), out)
             }
-            Event::Barred { worker, out } => self.bar(&worker, out),
-            Event::Settings(settings) => self.retune(*settings),
-            Event::Terms(settings) => self.rebind(*settings),
-            Event::Heard { from, data } => self.hear(from, &data),
-            Event::Inherited(legacy) => self.inherit(legacy),
-            Event::Attempted(past) => self.attempted(past),
-            Event::Advised(advice) => self.advice = advice,
+            Event::OutOfService { worker, out } => self.set_out_of_service(&worker, out),
+            Event::Settings(settings) => self.apply_settings(*settings),
+            Event::ClassTerms(settings) => self.apply_terms(*settings),
+            Event::GossipReceived { from, data } => self.receive_gossip(from, &data),
+            Event::Handover(state) => self.inherit(state),
+            Event::PastAttempts(past) => self.set_past_attempts(past),
+            Event::PreferredLocations(preferred) => self.preferred = preferred,
             Event::Woken => {}
         }
         if self.wake_at <= self.now {
             self.tick(out);
         }
-        let busy = self.holding || self.trust() > 0.5;
-        let at = self.now + if busy { TICK } else { IDLE_TICK };
+        let busy = self.any_held || self.trust() > 0.5;
+        let at = self.now + if busy { TICK_US } else { IDLE_TICK_US };
         if self.wake_at <= self.now || at < self.wake_at {
             self.wake_at = at;
             out.push(Action::Wake { at });
         }
     }
 
+    /// Periodic work: decays the running means, sends gossip, rests silent workers, renews copies and
+    /// dispatches held requests.
     fn tick(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        let ticks = (now - self.ticked) as f64 / TICK as f64;
-        self.ticked = now;
-        let fade = (1.0 - SMOOTHING).powf(ticks);
+        let ticks = (now - self.last_tick) as f64 / TICK_US as f64;
+        self.last_tick = now;
+        let fade = (1.0 - TICK_WEIGHT).powf(ticks);
         let (slower, slowest) = (fade.powf(0.25), fade.powf(0.1));
         self.done_rate *= fade;
-        self.learn_capacity(ticks * TICK as f64, fade);
+        self.learn_capacity(ticks * TICK_US as f64, fade);
         self.tenant_rates.iter_mut().for_each(|r| *r *= fade);
         for w in self.workers.values_mut() {
             w.mean_in_flight += (w.in_flight as f64 - w.mean_in_flight) * (1.0 - fade);
             w.mean_awaiting += (w.awaiting as f64 - w.mean_awaiting) * (1.0 - fade);
-            w.slow *= slowest;
-            w.tried *= slower;
-            w.failed *= slower;
+            w.slowness *= slowest;
+            w.recent_attempts *= slower;
+            w.recent_failures *= slower;
         }
-        for p in self.functions.values_mut().flat_map(|f| f.places.values_mut()) {
+        for p in self.functions.values_mut().flat_map(|f| f.placements.values_mut()) {
             p.mean_in_flight += (p.in_flight as f64 - p.mean_in_flight) * (1.0 - fade);
         }
-        if now - self.halved >= HALVING && self.calls >= ENOUGH_CALLS {
-            self.halved = now;
+        if now - self.last_halving >= HALVING_PERIOD_US && self.calls >= MIN_CALLS_TO_HALVE {
+            self.last_halving = now;
             self.calls /= 2.0;
-            self.functions.retain(|_, f| f.halve(now, 4 * HALVING));
+            self.functions.retain(|_, f| f.halve(now, 4 * HALVING_PERIOD_US));
         }
-        self.tell(out);
-        self.find_silent(out);
-        self.renew(out);
-        // Held requests by worth; of equals the newest, so that a queue does not serve only the dead.
+        self.send_gossip(out);
+        self.rest_silent_workers(out);
+        self.renew_copies(out);
+        // Held requests by worth, newest first among equals: the oldest are the likeliest to time out.
         let held = self.requests.iter().filter(|(_, r)| r.held);
         let mut held: Vec<_> = held.map(|(id, r)| (r.worth, r.arrived, id.clone())).collect();
         held.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)).then_with(|| a.2.cmp(&b.2)));
-        self.held_worth = held.first().map_or(0.0, |h| h.0);
-        self.holding = false;
+        self.max_held_worth = held.first().map_or(0.0, |h| h.0);
+        self.any_held = false;
         for (_, _, id) in held {
             self.dispatch(&id, out);
         }
@@ -240,10 +263,10 @@
 
 // ------------------------------------------------------------------------------------------------ routing
 
-/// Where a request may go now.
+/// Outcome of routing a request.
 enum Route {
     Send(WorkerId),
-    /// A load is under way: wait for it here.
+    /// A load is in progress: the router holds the request until it ends.
     AwaitLoad,
     /// No worker has room.
     Busy,
@@ -251,94 +274,105 @@
 
 impl Core {
     /// The load per size above which a worker is crowded.
-    fn crowding(&self) -> f64 {
+    fn crowding_threshold(&self) -> f64 {
         let mean = self.totals.load / self.totals.up.max(1.0);
-        (CROWDED * mean).max(UNCROWDED) / self.mean_size()
+        (CROWDED_MULTIPLE * mean).max(MIN_CROWDED_LOAD) / self.mean_size()
     }
 
-    /// Workers, first in order, that a function's calls are spread over by its share, where our own calls do
-    /// not tell where copies stand: the others use them too, so they are presumed loaded.
+    /// Number of workers, from the first in rendezvous order, that a function's calls are spread over by
+    /// its share of the calls. Used where this router's own calls do not show where copies are loaded: the
+    /// other routers use the same workers, so these are presumed loaded.
     pub(crate) fn spread(&self, f: &Function) -> usize {
-        let n = SPREAD * self.share(f) * self.totals.up * (1.0 - self.trust());
-        if n < 2.0 || self.heard.well {
+        let n = SPREAD_FACTOR * self.share(f) * self.totals.up * (1.0 - self.trust());
+        if n < 2.0 || self.gossip.reliable {
             0
         } else {
             n as usize
         }
     }
 
-    /// Workers that a function may be loaded on: two, and more as its calls need lanes. A function that finds
-    /// no room at these waits: loading it on ever more workers pushes out what others need.
-    fn reach(&self, f: &Function) -> usize {
+    /// Number of workers that a function may be loaded on: two, and more as its calls need lanes. Calls
+    /// that find no room there wait, as further copies elsewhere would evict functions that others need.
+    fn max_candidates(&self, f: &Function) -> usize {
         let running = self.share(f) * self.totals.in_flight * self.settings.routers as f64;
         2 + self.spread(f).max((running / f.lanes.max(1) as f64) as usize)
     }
 
+    /// Chooses where to send a request now, and orders copies of its function where they are needed.
     fn route(&mut self, id: &RequestId, out: &mut Vec<Action>) -> Route {
         let function = self.requests[id].function.clone();
         self.rank(&function);
-        if self.now - self.totals.at >= TICK {
-            self.sum_up();
+        if self.now - self.totals.updated_at >= TICK_US {
+            self.update_totals();
         }
         let mut rng = self.rng.fork();
         let (Some(r), Some(f)) = (self.requests.get(id), self.functions.get(&function)) else {
             return Route::Busy;
         };
-        // A slow fleet is sent less, by lot and by worth, where single workers are seldom seen.
-        let part = (SHED / self.slow).powf(self.mean_worth / r.worth);
-        if self.slow > SHED && r.lot > part.max(self.trust()) {
+        // Where this router sees too little of single workers, it sends a slow fleet only a random part of
+        // the requests, chosen by worth.
+        let part = (MAX_FLEET_SLOWNESS / self.slowness).powf(self.mean_worth / r.worth);
+        if self.slowness > MAX_FLEET_SLOWNESS && r.admission_draw > part.max(self.trust()) {
             return Route::Busy;
         }
-        let panic = self.panicking();
-        let usable = |n: &WorkerId, w: &Worker| self.usable(&n.0, w, r, panic) && self.may_repeat_on(r, n, w);
-        let limit = self.crowding();
+        let panic = self.is_panicking();
+        let usable = |n: &WorkerId, w: &Worker| self.usable(&n.0, w, r, panic) && self.may_retry_on(r, n, w);
+        let limit = self.crowding_threshold();
         let others = (self.settings.routers - 1) as f64 * self.trust();
         let lanes = f.lanes.max(1) as f64;
-        let told = self.heard.well;
-        let queue = |p: &Place, w: &Worker| {
-            let theirs = if told { self.heard.at_place(f.key, w.key) } else { others * p.mean_in_flight };
+        let use_gossip = self.gossip.reliable;
+        let queue = |p: &Placement, w: &Worker| {
+            let theirs =
+                if use_gossip { self.gossip.at_place(f.key, w.key) } else { others * p.mean_in_flight };
             (p.in_flight as f64 + theirs) / (lanes * p.copies.max(1) as f64)
         };
-        // Told of all that is out, a starting worker is held to the part of its size that it has.
-        let pressure = |w: &Worker| self.load(w) / w.size / if told { self.warmth(w) } else { 1.0 };
-        // Where a worker was full, twice as many may hold it: a router that knows little finds them so.
-        let fulls = r.tries.iter().filter(|t| t.ended == Some(Outcome::Full)).count();
-        let wider = if fulls > 0 && self.trust() < 0.5 { 1 << (fulls + 1).min(9) } else { 0 };
-        let spread = self.spread(f).max(wider);
-        let fit = self.ranked(f).filter(|(n, w)| usable(n, w));
-        let fit: Vec<_> = fit.take(self.reach(f).max(spread)).collect();
-        let missing = |n| f.places.get(n).is_some_and(|p| p.missed_until > self.now || p.loading.is_some());
-        let presumed = fit.iter().take(spread).map(|(n, _)| *n).filter(|n| !missing(n));
-        let presumed: BTreeSet<_> = presumed.collect();
-        let nothing = Place::default();
-        let known = f.places.iter().filter(|(n, _)| !presumed.contains(n));
-        let places = known.chain(presumed.iter().map(|n| (*n, f.places.get(n).unwrap_or(&nothing))));
-        // The ordinary path: warm with room, least loaded; of those about equal one at random, by size.
-        // Where a prefix lies goes before load, as long as answers there are not slow.
-        let advised = |n: &WorkerId, w: &Worker| match w.slow < PRESSURE {
-            true => Spot::rank(&r.advice, n, w.zone, w.cell),
-            false => MOST_ADVISED,
+        // With gossip the whole load is known, so a starting worker counts with its current part of its
+        // size.
+        let pressure = |w: &Worker| self.load(w) / w.size / if use_gossip { self.warmth(w) } else { 1.0 };
+        // Each worker that was full doubles the number of candidates: a router with little traffic finds
+        // copies that way.
+        let full_count = r.attempts.iter().filter(|t| t.ended == Some(Outcome::Full)).count();
+        let widened = if full_count > 0 && self.trust() < 0.5 { 1 << (full_count + 1).min(9) } else { 0 };
+        let spread = self.spread(f).max(widened);
+        let candidates = self.ranked(f).filter(|(n, w)| usable(n, w));
+        let candidates: Vec<_> = candidates.take(self.max_candidates(f).max(spread)).collect();
+        let missing =
+            |n| f.placements.get(n).is_some_and(|p| p.missed_until > self.now || p.loading.is_some());
+        let presumed_loaded = candidates.iter().take(spread).map(|(n, _)| *n).filter(|n| !missing(n));
+        let presumed_loaded: BTreeSet<_> = presumed_loaded.collect();
+        let unknown = Placement::default();
+        let known = f.placements.iter().filter(|(n, _)| !presumed_loaded.contains(n));
+        let places =
+            known.chain(presumed_loaded.iter().map(|n| (*n, f.placements.get(n).unwrap_or(&unknown))));
+        // The usual path: the least loaded worker with a loaded copy and room, a random one by size among
+        // about equal ones. Preferred locations take precedence over load, unless the worker is slow.
+        let location_rank = |n: &WorkerId, w: &Worker| match w.slowness < MAX_WORKER_SLOWNESS {
+            true => PreferredLocation::rank(&r.preferred, n, w.zone, w.cell),
+            false => MAX_PREFERRED_LOCATIONS,
         };
         let mut best: Option<(usize, f64, f64, WorkerId)> = None;
         let mut waiting: Option<(f64, WorkerId)> = None;
         for (n, p) in places {
             let Some(w) = self.workers.get(n).filter(|w| usable(n, w) && self.admits(w)) else { continue };
-            let warm = p.warm_until > self.now || presumed.contains(n);
+            let warm = p.warm_until > self.now || presumed_loaded.contains(n);
             if !warm && p.loading.is_none() {
                 continue;
             }
             let (per_size, queue) = (pressure(w), queue(p, w));
             if warm && queue < 1.0 && per_size < limit {
-                let height = per_size * self.mean_size() + w.slow / PRESSURE + self.crowd(f, p, spread);
-                let (level, tie) = if told {
-                    // What was told is old by up to a period: all would turn to the least loaded one of then.
-                    let apart =
-                        height.max(UNCROWDED).sqrt() / SCATTER + if w.held(self.now) { 0.0 } else { 1.0 };
-                    (apart.round(), w.draw)
+                let score = per_size * self.mean_size()
+                    + w.slowness / MAX_WORKER_SLOWNESS
+                    + self.overlap(f, p, spread);
+                let (level, tie) = if use_gossip {
+                    // Gossip is up to a period old: with finer steps, all routers would choose the worker
+                    // that was least loaded at that time.
+                    let apart = score.max(MIN_CROWDED_LOAD).sqrt() / ROOT_LOAD_STEP
+                        + if w.is_connected(self.now) { 0.0 } else { 1.0 };
+                    (apart.round(), w.tie_break)
                 } else {
-                    ((height / LEVEL).round(), -rng.f64().max(1e-9).ln() / w.size)
+                    ((score / LOAD_STEP).round(), -rng.f64().max(1e-9).ln() / w.size)
                 };
-                let at = advised(n, w);
+                let at = location_rank(n, w);
                 if best.as_ref().is_none_or(|(a, least, t, _)| (at, level, tie) < (*a, *least, *t)) {
                     best = Some((at, level, tie, n.clone()));
                 }
@@ -349,61 +383,78 @@
                 }
             }
         }
-        // One put back holds nothing, so no call would find it: functions that are to be there go ahead.
-        let lacks = |n| f.places.get(n).is_none_or(|p| p.warm_until <= self.now && p.loading.is_none());
-        let back = |n, w: &Worker| w.back > 0 && self.now - w.back < RETURNING && f.known && lacks(n);
-        let back = fit.iter().find(|(n, w)| back(*n, w)).map(|(n, _)| (*n).clone());
+        // A worker that returned to service has no copies, so no call would go there: functions that belong
+        // there are ordered ahead of calls.
+        let lacks_copy =
+            |n| f.placements.get(n).is_none_or(|p| p.warm_until <= self.now && p.loading.is_none());
+        let restored = |n, w: &Worker| {
+            w.restored_at > 0 && self.now - w.restored_at < RESTORE_PERIOD_US && f.known && lacks_copy(n)
+        };
+        let restored = candidates.iter().find(|(n, w)| restored(*n, w)).map(|(n, _)| (*n).clone());
         if let Some((.., n)) = best {
-            if let Some(back) = back {
-                self.order(&back, &function, 1, true, out);
+            if let Some(restored) = restored {
+                self.order_copies(&restored, &function, 1, true, out);
             }
             return Route::Send(n);
         }
-        // One alone in being slow is passed over. Where all are, ever more copies only push out others.
-        let rest = |w: &Worker| (self.totals.slow - w.slow).max(0.0) / (self.totals.up - 1.0).max(1.0);
-        let alone = |w: &Worker| w.slow > PRESSURE.max(ALONE * rest(w)) && rest(w) < PRESSURE;
-        let takes = |w: &Worker| !alone(w) && (told || w.loads(self.now));
-        let home = fit.iter().find(|(_, w)| takes(w)).or(fit.first()).filter(|(_, w)| self.admits(w));
-        // Told of the loads, all pass over the same crowded ones.
-        let roomy = |w: &Worker| self.admits(w) && pressure(w) < limit && w.loads(self.now);
-        let near = self.ranked(f).find(|(n, w)| told && usable(n, w) && roomy(w));
-        let home = near.or(home.copied()).map(|(n, _)| n.clone());
-        let free = |n, w: &Worker| lacks(n) && roomy(w);
-        let spill = fit.iter().find(|(n, w)| free(*n, w)).map(|(n, _)| (*n).clone());
+        // A slow outlier is passed over. Where all workers are slow, more copies would only evict others.
+        let others_mean =
+            |w: &Worker| (self.totals.slowness - w.slowness).max(0.0) / (self.totals.up - 1.0).max(1.0);
+        let outlier = |w: &Worker| {
+            w.slowness > MAX_WORKER_SLOWNESS.max(OUTLIER_MULTIPLE * others_mean(w))
+                && others_mean(w) < MAX_WORKER_SLOWNESS
+        };
+        let accepts = |w: &Worker| !outlier(w) && (use_gossip || w.accepts_loads(self.now));
+        let target = candidates
+            .iter()
+            .find(|(_, w)| accepts(w))
+            .or(candidates.first())
+            .filter(|(_, w)| self.admits(w));
+        // With gossip, all routers know the loads and pass over the same crowded workers.
+        let has_room = |w: &Worker| self.admits(w) && pressure(w) < limit && w.accepts_loads(self.now);
+        let nearest = self.ranked(f).find(|(n, w)| use_gossip && usable(n, w) && has_room(w));
+        let target = nearest.or(target.copied()).map(|(n, _)| n.clone());
+        let free = |n, w: &Worker| lacks_copy(n) && has_room(w);
+        let overflow = candidates.iter().find(|(n, w)| free(*n, w)).map(|(n, _)| (*n).clone());
         if let Some((_, n)) = waiting {
-            let p = f.places.get(&n).unwrap_or(&nothing);
-            let warm = p.warm_until > self.now || presumed.contains(&n);
-            // Waiting for a lane, or for a load, must leave time to be served within the aim.
+            let p = f.placements.get(&n).unwrap_or(&unknown);
+            let warm = p.warm_until > self.now || presumed_loaded.contains(&n);
+            // Waiting for a lane or a load must leave enough time to answer within the latency aim.
             let queue = self.workers.get(&n).map_or(0.0, |w| queue(p, w));
             let aim = r.terms.aim as f64;
-            let full = queue > 1.0 + HOLD_SHARE * aim / self.usual.max(1.0) && p.in_flight > 0;
-            let roomy = self.workers.get(&n).is_some_and(|w| pressure(w) < limit);
-            // Lanes run out: one more copy there, or at the next worker in order when this one is crowded.
-            if warm && roomy {
+            let full = queue > 1.0 + MAX_HOLD_SHARE * aim / self.usual_duration.max(1.0) && p.in_flight > 0;
+            let has_room = self.workers.get(&n).is_some_and(|w| pressure(w) < limit);
+            // All lanes are busy: order one more copy there, or on the next worker in rendezvous order when
+            // this one is crowded.
+            if warm && has_room {
                 let copies = p.copies.max(1) + 1;
-                self.order(&n, &function, copies, true, out);
-            } else if let Some(h) = spill.filter(|_| warm) {
-                self.order(&h, &function, 1, true, out);
+                self.order_copies(&n, &function, copies, true, out);
+            } else if let Some(h) = overflow.filter(|_| warm) {
+                self.order_copies(&h, &function, 1, true, out);
             }
             if !warm && self.settings.when_cold == WhenCold::Misses {
                 return Route::AwaitLoad;
             }
             return if full { Route::Busy } else { Route::Send(n) };
         }
-        // Its own load may be where there is no room just now: ever more loads elsewhere spend the ration.
-        if told && f.places.iter().any(|(n, p)| p.ordered && self.workers.get(n).is_some_and(|w| w.up)) {
+        // A load that this router ordered may be at a worker without room just now. Ordering more elsewhere
+        // would use up the load budget.
+        if use_gossip
+            && f.placements.iter().any(|(n, p)| p.ordered && self.workers.get(n).is_some_and(|w| w.up))
+        {
             return Route::AwaitLoad;
         }
-        let Some(h) = home else { return Route::Busy };
-        let missed = r.tries.iter().any(|t| (told || t.worker == h) && t.ended == Some(Outcome::Miss));
-        // Where all were heard for long enough and none told of a copy, none stands: a call that finds that
-        // out takes of what a cold worker bears, and opens a connection.
-        let nowhere = f.known && self.heard.whole(self.now, self.settings.keep);
+        let Some(h) = target else { return Route::Busy };
+        let missed =
+            r.attempts.iter().any(|t| (use_gossip || t.worker == h) && t.ended == Some(Outcome::Miss));
+        // When gossip is complete and reports no copy, no worker has one. A call sent to find that out
+        // would use a cold worker's limited capacity and open a connection.
+        let nowhere = f.known && self.gossip.is_complete(self.now, self.settings.keep);
         if self.settings.when_cold == WhenCold::Misses && (missed || nowhere) {
-            // After a miss one instance is ordered and the request sent again when it stands.
-            self.order(&h, &function, 1, false, out);
-            let ordered = self.functions[&function].places.get(&h).is_some_and(|p| p.ordered);
-            if ordered || !told {
+            // After a miss, one copy is ordered, and the request is sent again once it is loaded.
+            self.order_copies(&h, &function, 1, false, out);
+            let ordered = self.functions[&function].placements.get(&h).is_some_and(|p| p.ordered);
+            if ordered || !use_gossip {
                 return Route::AwaitLoad;
             }
             if missed {
@@ -417,79 +468,99 @@
 // --------------------------------------------------------------------------------------- chain preloading
 
 impl Core {
-    /// Accessed_Num and hit_candidate_path of the paper's Algorithm 2, on order-one paths.
-    /// Whether it counts for the ration of orders: clients may call hundreds of functions that they made up.
-    fn count(&mut self, id: &FunctionId, tenant: Option<usize>, lanes: u32) -> bool {
+    /// Counts a call and its predecessors: Accessed_Num and hit_candidate_path of the paper's Algorithm 2,
+    /// on order-one paths. Returns whether the call counts for the load budget: calls of functions that no
+    /// worker is known to have do not, as clients may invent hundreds of names.
+    fn record_call(&mut self, id: &FunctionId, tenant: Option<usize>, lanes: u32) -> bool {
         let now = self.now;
         if let Some(rate) = tenant.and_then(|t| self.tenant_rates.get_mut(t)) {
-            *rate += SMOOTHING * 1e6 / TICK as f64;
+            *rate += TICK_WEIGHT * 1e6 / TICK_US as f64;
         }
         let functions = &mut self.functions;
-        self.recent.call(now, (id, tenant), FOLLOWS, |before, calls| {
+        self.recent_calls.call(now, (id, tenant), SUCCESSION_WINDOW_US, |before, calls| {
             if let Some(f) = functions.get_mut(before) {
                 *f.successors.entry(id.clone()).or_default() += f64::from(calls);
             }
         });
-        self.meet(id);
+        self.register_function(id);
         let f = self.functions.entry(id.clone()).or_default();
         f.calls += 1.0;
         self.calls += 1.0;
-        (f.last_call, f.lanes, f.seen) = (now, lanes, f.seen + 1);
+        (f.last_call, f.lanes, f.call_count) = (now, lanes, f.call_count + 1);
         let known = f.known;
         if known {
-            self.grant(now);
+            self.count_for_budget(now);
         }
         known
     }
 
-    /// Algorithm 2: the likeliest successor not believed warm, if its ratio beats the threshold.
+    /// Algorithm 2: orders the most likely successor that is not loaded, if its share is above the
+    /// threshold.
     fn preload_successor(&mut self, id: &FunctionId, out: &mut Vec<Action>) {
         let Some(f) = self.functions.get(id) else { return };
-        let likely = f.successors.iter().filter(|(_, n)| f.calls >= MIN_CALLS && **n / f.calls > THRESHOLD);
-        let cold = likely.filter(|(s, _)| self.functions.get(*s).is_some_and(|s| !s.anywhere(self.now)));
+        let likely = f
+            .successors
+            .iter()
+            .filter(|(_, n)| f.calls >= MIN_PREDECESSOR_CALLS && **n / f.calls > PRELOAD_THRESHOLD);
+        let cold =
+            likely.filter(|(s, _)| self.functions.get(*s).is_some_and(|s| !s.is_loaded_anywhere(self.now)));
         let Some(next) = cold.max_by(|a, b| a.1.total_cmp(b.1)).map(|(s, _)| s.clone()) else { return };
         self.rank(&next);
-        let panic = self.panicking();
-        let fit = |w: &Worker| w.up && !w.on_trial && (panic || w.ill_until <= self.now);
-        let home = self.ranked(&self.functions[&next]).find(|(_, w)| fit(w)).map(|(n, _)| n.clone());
-        if let Some(h) = home {
-            self.order(&h, &next, 1, true, out);
+        let panic = self.is_panicking();
+        let usable = |w: &Worker| w.up && !w.on_trial && (panic || w.unhealthy_until <= self.now);
+        let target = self.ranked(&self.functions[&next]).find(|(_, w)| usable(w)).map(|(n, _)| n.clone());
+        if let Some(h) = target {
+            self.order_copies(&h, &next, 1, true, out);
         }
     }
 
-    /// Copies about to be unloaded though calls still come are renewed: what is called at the pace of the
-    /// keep-alive, as by timers, would find each copy just gone. Each router sees its part of the calls:
-    /// where all should have come often, the others have them, or nobody has.
-    fn renew(&mut self, out: &mut Vec<Action>) {
-        let (now, pace) = (self.now, (self.settings.keep as f64 * RENEW_FOR) as Micros);
-        let soon = |p: &Place| (now + 1..now + RENEW_BEFORE).contains(&p.warm_until) && p.in_flight == 0;
-        let due = self.settings.routers as f64 * self.settings.keep as f64 / (2 * HALVING) as f64;
-        let comes = |f: &Function| f.seen > 1 && now - f.last_call < pace && f.calls * due < CEASED;
+    /// Renews copies that are about to be unloaded while calls still come: calls at the interval of the
+    /// keep-alive, as from timers, would find each copy just unloaded. A router sees only its part of the
+    /// calls: where all routers together should have sent several, either others keep the copy in use or
+    /// the calls have stopped.
+    fn renew_copies(&mut self, out: &mut Vec<Action>) {
+        let (now, pace) = (self.now, (self.settings.keep as f64 * RENEWAL_MULTIPLE) as Micros);
+        let soon =
+            |p: &Placement| (now + 1..now + RENEWAL_LEAD_US).contains(&p.warm_until) && p.in_flight == 0;
+        let due = self.settings.routers as f64 * self.settings.keep as f64 / (2 * HALVING_PERIOD_US) as f64;
+        let comes =
+            |f: &Function| f.call_count > 1 && now - f.last_call < pace && f.calls * due < MAX_MISSED_CALLS;
         let wanted = self.functions.iter().filter(|(_, f)| comes(f));
         let newest =
-            wanted.filter_map(|(id, f)| Some((id, f.places.iter().max_by_key(|(_, p)| p.warm_until)?)));
+            wanted.filter_map(|(id, f)| Some((id, f.placements.iter().max_by_key(|(_, p)| p.warm_until)?)));
         let due = newest.filter(|(_, (_, p))| soon(p)).map(|(id, (n, _))| (n.clone(), id.clone()));
         for (n, id) in due.collect::<Vec<_>>() {
-            if self.workers.get(&n).is_some_and(|w| w.ill_until <= now) {
-                self.order(&n, &id, 1, true, out);
+            if self.workers.get(&n).is_some_and(|w| w.unhealthy_until <= now) {
+                self.order_copies(&n, &id, 1, true, out);
             }
         }
     }
 
-    /// Orders copies, if the rules and the budget allow.
-    fn order(&mut self, n: &WorkerId, id: &FunctionId, copies: u32, ahead: bool, out: &mut Vec<Action>) {
+    /// Orders copies if the settings, the worker and the load budget allow it. `ahead` marks a preload: an
+    /// order that no request waits for.
+    fn order_copies(
+        &mut self,
+        worker: &WorkerId,
+        function: &FunctionId,
+        copies: u32,
+        ahead: bool,
+        out: &mut Vec<Action>,
+    ) {
         let now = self.now;
         let crowded = ahead && self.preloads.len() >= MAX_PRELOADS;
-        if !self.settings.orders || crowded || !self.workers.get(n).is_some_and(|w| w.up && w.loads(now)) {
+        if !self.settings.orders
+            || crowded
+            || !self.workers.get(worker).is_some_and(|w| w.up && w.accepts_loads(now))
+        {
             return;
         }
-        let Some(f) = self.functions.get_mut(id) else { return };
-        let p = f.places.entry(n.clone()).or_default();
+        let Some(f) = self.functions.get_mut(function) else { return };
+        let p = f.placements.entry(worker.clone()).or_default();
         if p.ordered {
             return;
         }
         if let Some(b) = self.settings.load_budget {
-            let spare = spare_orders(&b, now, &self.arrivals, &mut self.orders, &self.beside).0;
+            let spare = spare_orders(&b, now, &self.arrivals, &mut self.orders, &self.peer).0;
             if spare < if ahead { 1.0 + RESERVED_ORDERS } else { 1.0 } {
                 return;
             }
@@ -498,40 +569,54 @@
         p.ordered = true;
         p.loading = p.loading.or((p.warm_until <= now).then_some(now));
         if ahead {
-            self.preloads.insert((n.clone(), id.clone()));
+            self.preloads.insert((worker.clone(), function.clone()));
         }
-        out.push(Action::Load { worker: n.clone(), function: id.clone(), copies: copies.min(16) });
-        self.note(n, id, Word::Loading);
+        out.push(Action::Load { worker: worker.clone(), function: function.clone(), copies: copies.min(16) });
+        self.queue_news(worker, function, CopyStatus::Loading);
     }
 
-    fn load_ended(&mut self, n: &WorkerId, id: &FunctionId, told: (Outcome, u32), out: &mut Vec<Action>) {
-        let (end, copies) = told;
-        self.preloads.remove(&(n.clone(), id.clone()));
+    /// Records the result of a load order and dispatches the held requests for the function.
+    fn load_ended(
+        &mut self,
+        worker: &WorkerId,
+        function: &FunctionId,
+        result: (Outcome, u32),
+        out: &mut Vec<Action>,
+    ) {
+        let (end, copies) = result;
+        self.preloads.remove(&(worker.clone(), function.clone()));
         let (now, keep) = (self.now, self.settings.keep);
-        let Some(p) = self.functions.get_mut(id).and_then(|f| f.places.get_mut(n)) else { return };
-        // An order that ends with the process that had it left nothing behind.
+        let Some(p) = self.functions.get_mut(function).and_then(|f| f.placements.get_mut(worker)) else {
+            return;
+        };
+        // The worker restarted since the order was sent, so nothing of the load is left.
         let lost = end == Outcome::Reset && p.loading.is_none() && p.warm_until == 0;
         (p.ordered, p.loading) = (false, None);
         if end == Outcome::NotSent {
-            // It tells nothing of the worker; to try again at once would be to ask for ever.
+            // This says nothing about the worker. Ordering again at once could loop without end.
             self.orders.pop_back();
             return;
         }
         p.copies = copies;
         p.warm_until = if copies > 0 { now + keep } else { 0 };
-        let word = [Word::Gone, Word::Holds(0), Word::Copies(copies.min(4) as u8)][copies.min(2) as usize];
-        self.note(n, id, word);
-        let Some(p) = self.functions.get_mut(id).and_then(|f| f.places.get_mut(n)) else { return };
+        let status = [CopyStatus::Gone, CopyStatus::Serving(0), CopyStatus::Copies(copies.min(4) as u8)]
+            [copies.min(2) as usize];
+        self.queue_news(worker, function, status);
+        let Some(p) = self.functions.get_mut(function).and_then(|f| f.placements.get_mut(worker)) else {
+            return;
+        };
         match end {
-            // An order that has come whole stands, also when its connection ends: calls wait for its load.
+            // The worker carries out an order that it has received, even if the connection breaks: calls
+            // wait there for the load.
             Outcome::Reset if !lost => (p.warm_until, p.copies) = (now + keep / 2, 1),
-            Outcome::ConnectFailed => self.failed(n, end, out),
-            // Its memory is all at work, or it drains and the list does not tell yet: to order there again at
-            // once would spend the ration, at every router of a large fleet.
-            Outcome::Full if copies == 0 => self.laden(n),
+            Outcome::ConnectFailed => self.record_failure(worker, end, out),
+            // All its memory is in use, or it drains and the list does not show it yet. Ordering there
+            // again at once would use up the load budget of every router in a large fleet.
+            Outcome::Full if copies == 0 => self.mark_no_room(worker),
             _ => {}
         }
-        let held = self.requests.iter().filter(|(_, r)| r.held && r.function == *id).map(|(q, _)| q.clone());
+        let held =
+            self.requests.iter().filter(|(_, r)| r.held && r.function == *function).map(|(q, _)| q.clone());
         for q in held.collect::<Vec<_>>() {
             self.dispatch(&q, out);
         }
@@ -541,35 +626,36 @@
 // ----------------------------------------------------------------------------------- attempts and answers
 
 impl Core {
+    /// Sends the next attempt of a request, holds the request, or ends it.
     fn dispatch(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(id) else { return };
-        if r.answered || r.streaming || r.tries.iter().any(|t| t.ended.is_none()) {
+        if r.answered || r.streaming || r.attempts.iter().any(|t| t.ended.is_none()) {
             return;
         }
-        // Held requests are looked at once a tick; answer while the client surely still waits.
-        let most = r.attempts.min(self.settings.max_attempts);
-        if r.tries.len() as u32 >= most || self.now + 2 * TICK >= r.due || !self.may_repeat(r) {
-            return self.give_up(id, out);
+        // Held requests are checked once a tick; answer while the client certainly still waits.
+        let max_attempts = r.max_attempts.min(self.settings.max_attempts);
+        if r.attempts.len() as u32 >= max_attempts || self.now + 2 * TICK_US >= r.due || !self.may_retry(r) {
+            return self.finish_unserved(id, out);
         }
         let route = self.route(id, out);
         let now = self.now;
         let Some(r) = self.requests.get_mut(id) else { return };
         match route {
-            Route::AwaitLoad => (r.held, self.holding) = (true, true),
+            Route::AwaitLoad => (r.held, self.any_held) = (true, true),
             Route::Busy => {
-                (r.held, self.holding) = (true, true);
+                (r.held, self.any_held) = (true, true);
                 let aim = r.terms.aim as f64;
-                let patience = (HOLD_SHARE * aim).min(EARLY * (r.due - r.arrived) as f64);
+                let patience = (MAX_HOLD_SHARE * aim).min(MAX_CLIENT_TIME_SHARE * (r.due - r.arrived) as f64);
                 if (now - r.arrived) as f64 > patience && self.may_refuse(id) {
-                    self.give_up(id, out);
+                    self.finish_unserved(id, out);
                 }
             }
             Route::Send(n) => {
                 r.held = false;
                 let lanes = self.functions.get(&r.function).map_or(1, |f| f.lanes.max(1));
-                let place = place(&mut self.functions, &r.function, &n);
+                let place = placement(&mut self.functions, &r.function, &n);
                 let warm = place.warm_until > now;
-                let clear = warm && place.in_flight < lanes * place.copies.max(1);
+                let lane_free = warm && place.in_flight < lanes * place.copies.max(1);
                 if !warm && self.settings.when_cold == WhenCold::Loads {
                     place.loading = place.loading.or(Some(now));
                 }
@@ -579,30 +665,34 @@
                     w.cold_sends.push_back(now);
                     w.cold_sends.retain(|t| now - t <= self.settings.fall_window);
                 }
-                let leave_by = repeat_by(r);
-                r.tries.push(Try { worker: n.clone(), sent: now, warm, clear, ended: None });
-                // No time-out but the client's: beginning anew what waits for a load or a lane adds to both.
+                let leave_by = retry_deadline(r);
+                r.attempts.push(Attempt { worker: n.clone(), sent: now, warm, lane_free, ended: None });
+                // Only the client's time-out applies: retrying what waits for a load or a lane adds to both
+                // queues.
                 out.push(Action::Send { request: id.clone(), worker: n, timeout: None, leave_by });
             }
         }
     }
 
-    /// The request has had its last attempt: it ends with what is out, or now.
+    /// Allows no further attempt: the request ends with its attempt in progress, or at once if there is
+    /// none.
     fn limit_attempts(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(id).filter(|r| !r.answered) else { return };
-        r.attempts = r.tries.len() as u32;
-        if r.tries.iter().all(|t| t.ended.is_some()) {
-            self.give_up(id, out);
+        r.max_attempts = r.attempts.len() as u32;
+        if r.attempts.iter().all(|t| t.ended.is_some()) {
+            self.finish_unserved(id, out);
         }
     }
 
-    /// The final answer when nothing more can be tried: a refusal where that is true, else a failure.
-    fn give_up(&mut self, id: &RequestId, out: &mut Vec<Action>) {
+    /// Gives the final answer when no further attempt is possible: a refusal if a retry is harmless, else a
+    /// failure.
+    fn finish_unserved(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let harmless = self.may_refuse(id);
         let Some(r) = self.requests.get_mut(id).filter(|r| !r.answered) else { return };
         (r.answered, r.held) = (true, false);
         out.push(if harmless {
-            // A repeat mostly comes too late for the aim: the later, the less it takes from others.
+            // A client's retry mostly misses the latency aim: the later it comes, the less it takes from
+            // others.
             let retry_after = self.settings.max_retry_after;
             Action::Refuse { request: id.clone(), retry_after }
         } else {
@@ -611,25 +701,27 @@
         self.forget(id);
     }
 
-    fn answer(
+    /// Learns from the end of an attempt, then retries or ends its request.
+    fn attempt_ended(
         &mut self,
         id: &RequestId,
         attempt: u32,
-        n: &WorkerId,
-        (outcome, finished, duration, found, report): Seen,
+        worker: &WorkerId,
+        (outcome, finished, duration, found, report): AttemptResult,
         out: &mut Vec<Action>,
     ) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(id) else { return };
         r.answered |= finished;
-        let Some(t) = r.tries.get_mut(attempt as usize).filter(|t| t.ended.is_none() && t.worker == *n)
+        let Some(t) =
+            r.attempts.get_mut(attempt as usize).filter(|t| t.ended.is_none() && t.worker == *worker)
         else {
             return;
         };
         t.ended = Some(outcome);
         let (warm, function, sent, arrived) = (t.warm, r.function.clone(), t.sent, r.arrived);
-        let (class, tenant, aim, hint, clear) = (r.class, r.tenant, r.terms.aim, r.hint, t.clear);
-        let errors = r.tries.iter().filter(|t| t.ended == Some(Outcome::Error)).count();
+        let (class, tenant, aim, hint, lane_free) = (r.class, r.tenant, r.terms.aim, r.hint, t.lane_free);
+        let errors = r.attempts.iter().filter(|t| t.ended == Some(Outcome::Error)).count();
         let knows = matches!(outcome, Outcome::Done | Outcome::Miss);
         let counts = knows && !r.counted;
         r.counted |= knows;
@@ -638,31 +730,33 @@
             f.known
         });
         if counts {
-            self.grant(arrived);
+            self.count_for_budget(arrived);
         }
-        if let Some(w) = self.workers.get_mut(n) {
+        if let Some(w) = self.workers.get_mut(worker) {
             w.in_flight = w.in_flight.saturating_sub(1);
             w.awaiting = w.awaiting.saturating_sub(u32::from(!warm));
-            report.into_iter().for_each(|r| w.learn_others(now, r));
-            w.tried += if outcome == Outcome::NoConnection { 0.0 } else { 1.0 };
+            report.into_iter().for_each(|r| w.learn_other_load(now, r));
+            w.recent_attempts += if outcome == Outcome::NoConnection { 0.0 } else { 1.0 };
             use Outcome::*;
             if !matches!(outcome, TimedOut | ConnectFailed | Cancelled | NotSent | NoConnection) {
-                (w.heard, w.spoke) = (now, now);
+                (w.last_heard, w.last_answer) = (now, now);
             }
         }
-        // What an earlier process of the worker says tells nothing of the one that has started since.
-        let earlier = self.workers.get(n).is_some_and(|w| w.started > sent);
+        // An answer from an earlier process of the worker says nothing about the one that has started
+        // since.
+        let earlier = self.workers.get(worker).is_some_and(|w| w.started > sent);
         let (keep, mut news) = (self.settings.keep, None);
-        if let Some(p) = self.functions.get_mut(&function).and_then(|f| f.places.get_mut(n)) {
+        if let Some(p) = self.functions.get_mut(&function).and_then(|f| f.placements.get_mut(worker)) {
             p.in_flight = p.in_flight.saturating_sub(1);
             match outcome {
                 _ if earlier => {}
                 Outcome::Done => {
                     (p.warm_until, p.loading, p.copies) = (now + keep, None, p.copies.max(1));
-                    news = (now - p.told_at > keep / TELL_AGAIN).then_some(Word::Holds(0));
+                    news = (now - p.announced_at > keep / ANNOUNCE_AGAIN_DIVISOR)
+                        .then_some(CopyStatus::Serving(0));
                 }
                 Outcome::Miss => {
-                    news = (p.warm_until > now).then_some(Word::Gone);
+                    news = (p.warm_until > now).then_some(CopyStatus::Gone);
                     (p.warm_until, p.copies, p.missed_until) = (0, 0, now + keep / 4);
                     p.loading = p.loading.filter(|_| p.ordered);
                 }
@@ -670,60 +764,64 @@
                 _ => p.loading = p.loading.filter(|since| *since > sent),
             }
         }
-        news.into_iter().for_each(|word| self.note(n, &function, word));
+        news.into_iter().for_each(|status| self.queue_news(worker, &function, status));
         match outcome {
             Outcome::Done => {
                 let loaded = found.map_or(warm, |f| f == Found::Warm);
-                self.done_rate += SMOOTHING * 1e6 / TICK as f64;
-                if let Some(w) = self.workers.get_mut(n) {
-                    (w.on_trial, w.rest) = (false, 0);
+                self.done_rate += TICK_WEIGHT * 1e6 / TICK_US as f64;
+                if let Some(w) = self.workers.get_mut(worker) {
+                    (w.on_trial, w.rest_time) = (false, 0);
                 }
                 let of_aim = |time: Micros| (time as f64 / aim.max(1) as f64).min(2.0);
-                // Where answers do not tell what they found, most come from copies that others had loaded.
+                // Where answers do not report what they found, most come from copies that were already
+                // loaded.
                 if loaded || found.is_none() {
-                    self.slow = learn(self.slow, of_aim(now - arrived), LEARN);
+                    self.slowness = running_mean(self.slowness, of_aim(now - arrived), AVERAGE_WEIGHT);
                 }
                 if loaded {
-                    self.usual = learn(self.usual, duration as f64, LEARN);
-                    self.learn_bound(n, (duration, hint), clear);
-                    self.learn_slow(n, of_aim(duration));
+                    self.usual_duration = running_mean(self.usual_duration, duration as f64, AVERAGE_WEIGHT);
+                    self.learn_concurrency_limit(worker, (duration, hint), lane_free);
+                    self.learn_slowness(worker, of_aim(duration));
                 }
             }
             Outcome::Full | Outcome::NoConnection => {
-                if let Some(w) = self.workers.get_mut(n) {
-                    w.shut.retain(|shut| shut.2 > now);
-                    // A full queue says so at once; one that takes its time turns away this kind of request.
-                    if duration > TICK && outcome == Outcome::Full {
-                        w.shut.push((class, tenant, now + SHUT_FOR));
+                if let Some(w) = self.workers.get_mut(worker) {
+                    w.rejections.retain(|rejection| rejection.2 > now);
+                    // A full queue rejects at once; a slow rejection concerns this class and tenant.
+                    if duration > TICK_US && outcome == Outcome::Full {
+                        w.rejections.push((class, tenant, now + REJECTION_MEMORY_US));
                     } else {
-                        w.full_until = now + 5 * TICK;
+                        w.full_until = now + 5 * TICK_US;
                     }
                 }
             }
-            // One copy there for the next call; this one may find another meanwhile.
-            Outcome::Miss => self.order(n, &function, 1, true, out),
+            // Orders a copy there for the next call; this request may find another copy meanwhile.
+            Outcome::Miss => self.order_copies(worker, &function, 1, true, out),
             Outcome::NotSent | Outcome::Cancelled => {}
-            // Two that do not know the function: no worker does, and a client made it up.
-            Outcome::Error if !known && errors > 1 => return self.give_up(id, out),
-            // Nor does it say anything of the worker, where others are seen often enough to tell.
+            // Two workers do not know the function: no worker does, and the client invented the name.
+            Outcome::Error if !known && errors > 1 => return self.finish_unserved(id, out),
+            // An error for an unknown function does not count against the worker, where this router sees
+            // enough other answers of it to judge.
             Outcome::Error if !known && self.trust() > 0.5 => {}
-            // A client that gave up early tells nothing; seen seldom, a worker would rest for that alone.
-            Outcome::TimedOut if self.seldom() && duration < self.old() => {}
+            // An early client time-out says nothing about the worker. A router with little traffic would
+            // rest the worker for this one alone.
+            Outcome::TimedOut if self.sees_little() && duration < self.overdue_age() => {}
             _ if earlier => {}
-            // A time-out speaks against the worker only when it has been silent since.
-            Outcome::TimedOut if !warm || self.workers.get(n).is_none_or(|w| w.heard > sent) => {}
-            _ => self.failed(n, outcome, out),
+            // A time-out counts against the worker only if it has sent nothing since the attempt was sent.
+            Outcome::TimedOut if !warm || self.workers.get(worker).is_none_or(|w| w.last_heard > sent) => {}
+            _ => self.record_failure(worker, outcome, out),
         }
-        if warm && duration > self.old() && matches!(outcome, Outcome::Done | Outcome::TimedOut) {
-            self.lost += (f64::from(u8::from(outcome != Outcome::Done)) - self.lost) * 2.0 * LEARN;
+        if warm && duration > self.overdue_age() && matches!(outcome, Outcome::Done | Outcome::TimedOut) {
+            self.lost_share +=
+                (f64::from(u8::from(outcome != Outcome::Done)) - self.lost_share) * 2.0 * AVERAGE_WEIGHT;
         }
         match outcome {
-            Outcome::Full if duration <= TICK => self.learn_slow(n, 2.0),
-            // It took this long at least. A client that gives up early says no more of the worker.
+            Outcome::Full if duration <= TICK_US => self.learn_slowness(worker, 2.0),
+            // The answer would have taken at least this long; an early client time-out says no more.
             Outcome::TimedOut => {
                 let least = (duration as f64 / aim.max(1) as f64).min(2.0);
-                if self.workers.get(n).is_some_and(|w| w.slow < least) {
-                    self.learn_slow(n, least);
+                if self.workers.get(worker).is_some_and(|w| w.slowness < least) {
+                    self.learn_slowness(worker, least);
                 }
             }
             _ => {}
@@ -731,10 +829,10 @@
         let r = &self.requests[id];
         if r.answered {
             self.forget(id);
-        } else if self.may_repeat(r) && outcome != Outcome::NotSent {
+        } else if self.may_retry(r) && outcome != Outcome::NotSent {
             self.dispatch(id, out);
-        } else if r.tries.iter().all(|t| t.ended.is_some()) {
-            self.give_up(id, out);
+        } else if r.attempts.iter().all(|t| t.ended.is_some()) {
+            self.finish_unserved(id, out);
         }
     }
 }
@@ -742,132 +840,149 @@
 // -------------------------------------------------------------------------------------- health and guards
 
 impl Core {
-    /// Whether the worker has room for one more of ours, by what runs there alone: an estimate of its speed
-    /// that only answers refresh would, once wrong, keep them away. What awaits a load takes no core.
+    /// Whether the worker has room for one more request, by the requests running there alone: an estimate
+    /// of its speed that only answers update would, once wrong, keep away the requests that could correct
+    /// it. Requests that await a load use no core.
     fn admits(&self, w: &Worker) -> bool {
-        let room = self.running(w) < self.bound.get() * w.size / self.mean_size();
-        // What many tell is old by a period: a bound on that would turn them all away at once, and back.
-        (room || self.heard.well) && w.full_until <= self.now
+        let room = self.running(w) < self.concurrency_limit.get() * w.size / self.mean_size();
+        // Gossip is up to a period old: a limit on it would make all routers leave the worker at the same
+        // time, and return at the same time.
+        (room || self.gossip.reliable) && w.full_until <= self.now
     }
 
     /// Whether the worker may be sent this request now.
     fn usable(&self, name: &str, w: &Worker, r: &Request, panic: bool) -> bool {
-        let here = |t: &&Try| self.workers.get(&t.worker).is_some_and(|x| std::ptr::eq(x, w));
-        let ended =
-            |t: &Try| t.ended.filter(|e| !matches!(e, Outcome::Miss | Outcome::Full | Outcome::NoConnection));
-        // A connection that broke does not speak against its worker; two do.
-        let fails = |t: &Try| ended(t).map_or(0, |e| if e == Outcome::Reset { 1 } else { 2 });
-        let failed_here = r.tries.iter().filter(here).map(fails).sum::<u32>() >= 2;
+        let here = |t: &&Attempt| self.workers.get(&t.worker).is_some_and(|x| std::ptr::eq(x, w));
+        let ended = |t: &Attempt| {
+            t.ended.filter(|e| !matches!(e, Outcome::Miss | Outcome::Full | Outcome::NoConnection))
+        };
+        // One broken connection does not count against its worker; two do.
+        let fails = |t: &Attempt| ended(t).map_or(0, |e| if e == Outcome::Reset { 1 } else { 2 });
+        let failed_here = r.attempts.iter().filter(here).map(fails).sum::<u32>() >= 2;
         let safe = r.terms.effect == Effect::Safe;
-        let well = panic || (w.ill_until <= self.now && (!w.on_trial || (safe && w.in_flight == 0)));
-        let shut = w.shut.iter().any(|s| (s.0, s.1) == (r.class, r.tenant) && s.2 > self.now);
-        w.up && well && !shut && self.cold_room(name, w) && !failed_here
+        let well = panic || (w.unhealthy_until <= self.now && (!w.on_trial || (safe && w.in_flight == 0)));
+        let rejected = w.rejections.iter().any(|s| (s.0, s.1) == (r.class, r.tenant) && s.2 > self.now);
+        w.up && well && !rejected && self.has_cold_capacity(name, w) && !failed_here
     }
 
-    /// A starting worker is sent no more than its share of what a warm one is seen to serve.
-    fn cold_room(&self, name: &str, w: &Worker) -> bool {
+    /// Whether a starting worker may get one more request: it gets at most its share of what a warm worker
+    /// is observed to serve.
+    fn has_cold_capacity(&self, name: &str, w: &Worker) -> bool {
         let s = &self.settings;
         if self.warmth(w) >= 1.0 {
             return true;
         }
-        let budget = self.cold_part(w).max(LEAST_COLD / s.routers as f64);
-        // A part of a request is admitted by lot, drawn anew each half window, so that hundreds of routers
-        // whose share is far below one keep the limit together and none is shut out for ever.
-        let slot = 2 * self.now / s.fall_window.max(1);
-        let lot = hash(name, &format!("{}/{slot}", self.lot)) < budget.fract() / 2.0;
+        let budget = self.cold_share(w).max(MIN_COLD_REQUESTS / s.routers as f64);
+        // The fraction of a request is admitted at random, drawn again each half window. Hundreds of
+        // routers whose share is far below one then keep the limit together, and none is excluded for good.
+        let half_window = 2 * self.now / s.fall_window.max(1);
+        let extra = hash(name, &format!("{}/{half_window}", self.seed)) < budget.fract() / 2.0;
         let sent = w.cold_sends.iter().filter(|t| self.now - **t < s.fall_window).count();
-        sent < budget as usize + usize::from(lot)
+        sent < budget as usize + usize::from(extra)
     }
 
-    /// With most of the fleet looking ill, the view is wrong rather than every worker.
-    fn panicking(&self) -> bool {
-        self.totals.ill * 2.0 > self.totals.up
+    /// Whether most of the fleet looks unhealthy: then this router's view is wrong rather than every
+    /// worker.
+    fn is_panicking(&self) -> bool {
+        self.totals.unhealthy * 2.0 > self.totals.up
     }
 
-    /// A failure of a worker: one that takes no connection at once, all else by its share. A connection that
-    /// breaks is one failure, however many attempts end with it: resting for each starves the fleet.
-    fn failed(&mut self, n: &WorkerId, outcome: Outcome, out: &mut Vec<Action>) {
-        // A router that sees a worker seldom cannot wait for a second failure.
+    /// Counts a failure of a worker. A failed connect rests it at once, other failures rest it by their
+    /// share of its attempts. A broken connection is one failure, however many attempts end with it:
+    /// resting the worker for each would starve the fleet.
+    fn record_failure(&mut self, worker: &WorkerId, outcome: Outcome, out: &mut Vec<Action>) {
+        // A router that sends the worker few requests cannot wait for a second failure.
         let trust = self.trust();
-        let Some(w) = self.workers.get_mut(n) else { return };
+        let Some(w) = self.workers.get_mut(worker) else { return };
         let broken = outcome == Outcome::ConnectFailed;
-        if outcome == Outcome::Reset && self.now - std::mem::replace(&mut w.broken_at, self.now) < TICK {
+        if outcome == Outcome::Reset && self.now - std::mem::replace(&mut w.last_reset, self.now) < TICK_US {
             return;
         }
-        w.failed += 1.0;
+        w.recent_failures += 1.0;
         if broken {
-            // It may be starting anew, long before the list tells: cold until it has had the time to warm up.
+            // It may be restarting long before the list shows it: cold until it has had time to warm up.
             w.cold_since = self.now;
         }
-        let often = w.failed > ILL_FAILURES * trust && w.failed > ILL_SHARE * w.tried;
+        let often = w.recent_failures > MIN_FAILURES * trust
+            && w.recent_failures > MAX_FAILURE_SHARE * w.recent_attempts;
         if (broken || often || w.on_trial) && outcome != Outcome::Full {
-            self.rest(n, out);
+            self.rest_worker(worker, out);
         }
     }
 
-    fn rest(&mut self, n: &WorkerId, out: &mut Vec<Action>) {
+    /// Sends the worker no requests for a while; it then gets one safe request at a time as a trial.
+    fn rest_worker(&mut self, worker: &WorkerId, out: &mut Vec<Action>) {
         let now = self.now;
-        let first = if self.trust() > 0.5 { FIRST_REST } else { LONGEST_REST };
-        let Some(w) = self.workers.get_mut(n).filter(|w| w.ill_until <= now) else { return };
-        w.rest = (w.rest * 2).clamp(first, LONGEST_REST);
-        (w.ill_until, w.on_trial) = (now + w.rest, true);
-        (w.failed, w.tried) = (0.0, 0.0);
-        out.push(Action::Log { text: format!("worker {} rests for {} ms", n.0, w.rest / 1000) });
+        let first = if self.trust() > 0.5 { MIN_REST_US } else { MAX_REST_US };
+        let Some(w) = self.workers.get_mut(worker).filter(|w| w.unhealthy_until <= now) else { return };
+        w.rest_time = (w.rest_time * 2).clamp(first, MAX_REST_US);
+        (w.unhealthy_until, w.on_trial) = (now + w.rest_time, true);
+        (w.recent_failures, w.recent_attempts) = (0.0, 0.0);
+        out.push(Action::Log { text: format!("worker {} rests for {} ms", worker.0, w.rest_time / 1000) });
     }
 
-    /// Age from which an attempt on a loaded copy is old.
-    fn old(&self) -> Micros {
-        ((self.usual * SILENT_MULTIPLE) as Micros).max(SILENT_LEAST)
+    /// Age from which an attempt on a loaded copy is overdue.
+    fn overdue_age(&self) -> Micros {
+        ((self.usual_duration * SILENT_MULTIPLE) as Micros).max(MIN_SILENCE_US)
     }
 
-    /// Workers that take requests and answer none: attempts on loaded copies grow old and nothing is heard.
-    fn find_silent(&mut self, out: &mut Vec<Action>) {
-        let old = self.old();
-        let (mut waiting, mut aged): (BTreeMap<&WorkerId, u32>, BTreeMap<&WorkerId, u32>) =
+    /// Rests workers that accept requests without answering: attempts on loaded copies are overdue, and the
+    /// worker has sent nothing since.
+    fn rest_silent_workers(&mut self, out: &mut Vec<Action>) {
+        let overdue_age = self.overdue_age();
+        let (mut unanswered, mut overdue): (BTreeMap<&WorkerId, u32>, BTreeMap<&WorkerId, u32>) =
             Default::default();
         for r in self.requests.values() {
-            for t in r.tries.iter().filter(|t| t.ended.is_none() && t.warm) {
+            for t in r.attempts.iter().filter(|t| t.ended.is_none() && t.warm) {
                 let age = self.now - t.sent;
-                if age > old {
-                    *aged.entry(&t.worker).or_default() += 1;
+                if age > overdue_age {
+                    *overdue.entry(&t.worker).or_default() += 1;
                 }
-                if age > old && self.workers.get(&t.worker).is_some_and(|w| w.heard <= t.sent) {
-                    *waiting.entry(&t.worker).or_default() += 1 + u32::from(age > 2 * old);
+                if age > overdue_age && self.workers.get(&t.worker).is_some_and(|w| w.last_heard <= t.sent) {
+                    *unanswered.entry(&t.worker).or_default() += 1 + u32::from(age > 2 * overdue_age);
                 }
             }
         }
         let enough = if self.trust() > 0.5 { 2 } else { 1 };
         let mut silent: BTreeSet<_> =
-            waiting.into_iter().filter(|(_, k)| *k > enough).map(|(n, _)| n.clone()).collect();
-        // One that answers now and then while most of what it holds grows old has all but stopped.
-        let stuck = aged.into_iter().filter(|(n, k)| {
-            let w = self.workers.get(*n).filter(|w| w.up && w.ill_until <= self.now);
-            w.is_some_and(|w| *k >= STUCK && *k * 2 > w.in_flight)
+            unanswered.into_iter().filter(|(_, k)| *k > enough).map(|(n, _)| n.clone()).collect();
+        // A worker that answers now and then, while most of its attempts are overdue, has almost stopped.
+        let stuck = overdue.into_iter().filter(|(n, k)| {
+            let w = self.workers.get(*n).filter(|w| w.up && w.unhealthy_until <= self.now);
+            w.is_some_and(|w| *k >= MIN_STUCK_ATTEMPTS && *k * 2 > w.in_flight)
         });
         let stuck: Vec<_> = stuck.map(|(n, _)| n.clone()).collect();
-        if stuck.len() as f64 + self.totals.ill <= STUCK_SHARE * self.totals.up {
+        if stuck.len() as f64 + self.totals.unhealthy <= MAX_STUCK_SHARE * self.totals.up {
             silent.extend(stuck);
         }
-        // Where the old are mostly lost, not slow, a read is asked for anew while there is time.
-        let lost = self.lost > LOST && self.slow < SHED && self.settings.cancel;
-        for (id, r) in self.requests.iter().filter(|(_, r)| lost && !r.answered && !r.streaming) {
+        // Where overdue attempts mostly get no answer at all, a safe request is retried while there is
+        // time.
+        let retry_lost =
+            self.lost_share > MIN_LOST_SHARE && self.slowness < MAX_FLEET_SLOWNESS && self.settings.cancel;
+        for (id, r) in self.requests.iter().filter(|(_, r)| retry_lost && !r.answered && !r.streaming) {
             let safe = r.terms.effect == Effect::Safe;
-            let k = r.tries.iter().position(|t| t.ended.is_none() && t.warm && self.now - t.sent > old);
-            if let (true, Some(k)) = (safe && r.tries.iter().all(|t| t.ended != Some(Outcome::Cancelled)), k)
+            let k = r
+                .attempts
+                .iter()
+                .position(|t| t.ended.is_none() && t.warm && self.now - t.sent > overdue_age);
+            if let (true, Some(k)) =
+                (safe && r.attempts.iter().all(|t| t.ended != Some(Outcome::Cancelled)), k)
             {
                 out.push(Action::Cancel { request: id.clone(), attempt: k as u32 });
             }
         }
         for n in silent {
-            self.rest(&n, out);
-            if !self.settings.cancel || self.panicking() {
+            self.rest_worker(&n, out);
+            if !self.settings.cancel || self.is_panicking() {
                 continue;
             }
-            // What may be repeated is called off there, and goes elsewhere when that is confirmed.
+            // Requests that may be repeated are cancelled there, and sent elsewhere once that is confirmed.
             for (id, r) in &self.requests {
-                for (k, t) in r.tries.iter().enumerate().filter(|(_, t)| t.ended.is_none() && t.worker == n) {
-                    let grown_old = !r.answered && !r.streaming && self.now - t.sent > old;
-                    if grown_old && self.may_leave(r, &n) {
+                for (k, t) in
+                    r.attempts.iter().enumerate().filter(|(_, t)| t.ended.is_none() && t.worker == n)
+                {
+                    let is_overdue = !r.answered && !r.streaming && self.now - t.sent > overdue_age;
+                    if is_overdue && self.may_cancel_for_retry(r, &n) {
                         out.push(Action::Cancel { request: id.clone(), attempt: k as u32 });
                     }
                 }
@@ -875,12 +990,12 @@
         }
     }
 
-    /// What an answer is likely to earn: less beyond the tenant's share, as far as this router can tell, and
-    /// less for a client's repeat, whose aim has mostly passed.
+    /// Expected worth of an answer: less when the tenant exceeds its quota, as far as this router can see,
+    /// and less for a client's retry, whose latency aim has mostly passed.
     fn worth(&self, class: usize, tenant: Option<usize>, repeat: bool) -> f64 {
         let c = &self.settings.classes[class];
         let over = tenant.is_some_and(|t| match (self.settings.tenants.get(t), self.tenant_rates.get(t)) {
-            (Some(told), Some(rate)) => rate * self.settings.routers as f64 > told.quota * OVER,
+            (Some(t), Some(rate)) => rate * self.settings.routers as f64 > t.quota * QUOTA_TOLERANCE,
             _ => false,
         });
         c.worth
