--- a/crates/accord/src/change.rs
+++ b/crates/accord/src/change.rs
@@ -7,9 +7,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::{Arriving, Document, Key, Value, MOST_BYTES, MOST_ENTRIES};
+use crate::document::{Document, DocumentBuilder, Key, Value, MAX_DOCUMENT_BYTES, MAX_DOCUMENT_ENTRIES};
+use crate::incremental::{Budget, CoverageChecks, DocumentWithFloor, FloorExtraction, Reclaimer};
 use crate::schema;
-use crate::work::{Budget, Covers, Flooring, Grave, Whole};
 
 /// A change of the document in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,36 +28,36 @@
     /// A key or value that the schema refuses.
     Schema(schema::SchemaError),
     /// A key is set and dropped at once.
-    Both(Key),
+    SetAndDropped(Key),
     /// The document would be over its bounds.
-    Large {
-        /// Entries it would have, of at most [`MOST_ENTRIES`].
+    TooLarge {
+        /// Entries it would have, of at most [`MAX_DOCUMENT_ENTRIES`].
         entries: usize,
-        /// Bytes it would have, of at most [`MOST_BYTES`].
+        /// Bytes it would have, of at most [`MAX_DOCUMENT_BYTES`].
         bytes: usize,
     },
     /// It would be stricter on this hard key than the floor: one that is cut off would contradict it.
     /// The floor (`floor/KEY`) is to be changed first, by a version of its own.
-    Undercuts(Key),
+    StricterThanFloor(Key),
     /// It changes nothing.
-    Nothing,
+    NoEffect,
 }
 
 impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ChangeError::Schema(error) => write!(f, "{error}"),
-            ChangeError::Both(key) => write!(f, "{key}: set and dropped at once"),
-            ChangeError::Large { entries, bytes } => write!(
+            ChangeError::SetAndDropped(key) => write!(f, "{key}: set and dropped at once"),
+            ChangeError::TooLarge { entries, bytes } => write!(
                 f,
-                "document of {entries} entries and {bytes} bytes: at most {MOST_ENTRIES} and {MOST_BYTES} are allowed"
+                "document of {entries} entries and {bytes} bytes: at most {MAX_DOCUMENT_ENTRIES} and {MAX_DOCUMENT_BYTES} are allowed"
             ),
-            ChangeError::Undercuts(key) => write!(
+            ChangeError::StricterThanFloor(key) => write!(
                 f,
                 "{key}: stricter than the floor, which one that is cut off acts on; change floor/{key} first, \
-                 by a version of its own"
+                 proposal_id a version of its own"
             ),
-            ChangeError::Nothing => f.write_str("the change changes nothing"),
+            ChangeError::NoEffect => f.write_str("the change changes nothing"),
         }
     }
 }
@@ -70,8 +70,8 @@
     /// # Errors
     /// See [`ChangeError`]; nothing is taken over then.
     pub fn apply(&self, base: &Document) -> Result<Document, ChangeError> {
-        let base = Whole::at_once(Arc::new(base.clone()));
-        let mut making = Making::new(self.clone(), base);
+        let base = DocumentWithFloor::new(Arc::new(base.clone()));
+        let mut making = ChangeBuild::new(self.clone(), base);
         loop {
             if let Poll::Ready(made) = making.step(&mut Budget::endless()) {
                 return made.map(|made| Document::clone(&made.document));
@@ -92,47 +92,47 @@
     }
 }
 
-/// How far a [`Making`] is.
+/// How far a [`ChangeBuild`] is.
 #[derive(Debug)]
 enum Stage {
     /// Keys are taken out and set: of the change what is left.
-    Taking(Change, Arriving),
+    Applying(Change, DocumentBuilder),
     /// What is set is hashed.
-    Sealing(Arriving),
+    Hashing(DocumentBuilder),
     /// Its floor is taken out of it.
-    Flooring(Flooring),
+    ExtractingFloor(FloorExtraction),
     /// It is looked at beside the floor before it and its own.
-    Covering(Whole, Covers),
+    CheckingCoverage(DocumentWithFloor, CoverageChecks),
     /// It was made, or refused.
     Done,
 }
 
 /// A change on its way to be a document, by steps.
 #[derive(Debug)]
-pub(crate) struct Making {
-    base: Whole,
+pub(crate) struct ChangeBuild {
+    base: DocumentWithFloor,
     stage: Stage,
 }
 
-impl Making {
-    pub fn new(change: Change, base: Whole) -> Making {
-        let made = Arriving::onto(&base.document);
-        Making { base, stage: Stage::Taking(change, made) }
+impl ChangeBuild {
+    pub fn new(change: Change, base: DocumentWithFloor) -> ChangeBuild {
+        let made = DocumentBuilder::onto(&base.document);
+        ChangeBuild { base, stage: Stage::Applying(change, made) }
     }
 
     /// Goes on for as long as the budget lasts. To be asked no more once it is ready.
-    pub fn step(&mut self, budget: &mut Budget) -> Poll<Result<Whole, ChangeError>> {
+    pub fn step(&mut self, budget: &mut Budget) -> Poll<Result<DocumentWithFloor, ChangeError>> {
         loop {
             match &mut self.stage {
-                Stage::Taking(change, made) => {
+                Stage::Applying(change, made) => {
                     while !budget.is_spent() {
                         if let Some(key) = change.drop.pop_first() {
                             if change.set.contains_key(&key) {
-                                return Poll::Ready(Err(ChangeError::Both(key)));
+                                return Poll::Ready(Err(ChangeError::SetAndDropped(key)));
                             }
                             made.remove(&key, budget);
                         } else if let Some((key, value)) = change.set.pop_first() {
-                            if let Err(error) = schema::check(&key, &value) {
+                            if let Err(error) = schema::check_entry(&key, &value) {
                                 return Poll::Ready(Err(ChangeError::Schema(error)));
                             }
                             made.set(key, value, budget);
@@ -145,27 +145,27 @@
                     }
                     if !made.fits() {
                         let (entries, bytes) = made.size();
-                        return Poll::Ready(Err(ChangeError::Large { entries, bytes }));
+                        return Poll::Ready(Err(ChangeError::TooLarge { entries, bytes }));
                     }
-                    self.stage = Stage::Sealing(std::mem::take(made));
+                    self.stage = Stage::Hashing(std::mem::take(made));
                 }
-                Stage::Sealing(made) => {
+                Stage::Hashing(made) => {
                     let Some(made) = made.seal(budget) else { return Poll::Pending };
                     let same = made == *self.base.document;
-                    self.stage = Stage::Flooring(Flooring::new(Arc::new(made)));
+                    self.stage = Stage::ExtractingFloor(FloorExtraction::new(Arc::new(made)));
                     if same {
-                        return Poll::Ready(Err(ChangeError::Nothing));
+                        return Poll::Ready(Err(ChangeError::NoEffect));
                     }
                 }
-                Stage::Flooring(flooring) => {
+                Stage::ExtractingFloor(flooring) => {
                     let Poll::Ready(made) = flooring.step(budget) else { return Poll::Pending };
                     let covers = covers(&self.base, &made);
-                    self.stage = Stage::Covering(made, covers);
+                    self.stage = Stage::CheckingCoverage(made, covers);
                 }
-                Stage::Covering(made, covers) => {
+                Stage::CheckingCoverage(made, covers) => {
                     let Poll::Ready(open) = covers.step(budget) else { return Poll::Pending };
                     if let Some(key) = open {
-                        return Poll::Ready(Err(ChangeError::Undercuts(key)));
+                        return Poll::Ready(Err(ChangeError::StricterThanFloor(key)));
                     }
                     let made = made.clone();
                     self.stage = Stage::Done;
@@ -177,20 +177,20 @@
     }
 
     /// What is left of it is freed by steps.
-    pub fn leave(self, grave: &mut Grave) {
-        grave.document(self.base.document);
-        grave.document(self.base.floor);
+    pub fn release(self, reclaimer: &mut Reclaimer) {
+        reclaimer.release_document(self.base.document);
+        reclaimer.release_document(self.base.floor);
         match self.stage {
-            Stage::Taking(change, made) => {
-                grave.change(change);
-                grave.remains(made);
+            Stage::Applying(change, made) => {
+                reclaimer.release_change(change);
+                reclaimer.release_partial(made);
             }
-            Stage::Sealing(made) => grave.remains(made),
-            Stage::Flooring(flooring) => flooring.leave(grave),
-            Stage::Covering(made, covers) => {
-                grave.document(made.document);
-                grave.document(made.floor);
-                covers.leave(grave);
+            Stage::Hashing(made) => reclaimer.release_partial(made),
+            Stage::ExtractingFloor(flooring) => flooring.release(reclaimer),
+            Stage::CheckingCoverage(made, covers) => {
+                reclaimer.release_document(made.document);
+                reclaimer.release_document(made.floor);
+                covers.release(reclaimer);
             }
             Stage::Done => {}
         }
@@ -198,57 +198,57 @@
 }
 
 /// Both floors, as one that was cut off before this version is still on the old one.
-fn covers(base: &Whole, made: &Whole) -> Covers {
-    Covers::new([(&made.document, &base.floor), (&made.document, &made.floor)])
+fn covers(base: &DocumentWithFloor, made: &DocumentWithFloor) -> CoverageChecks {
+    CoverageChecks::new([(&made.document, &base.floor), (&made.document, &made.floor)])
 }
 
 /// Whether a version that another made may follow on one that is in force, by steps. What the document says was checked
 /// as it came in, or was made.
 #[derive(Debug)]
-pub(crate) enum Judging {
+pub(crate) enum ProposalCheck {
     /// Whether it undercuts a floor.
-    Terms(Whole, Whole, Covers),
+    Terms(DocumentWithFloor, DocumentWithFloor, CoverageChecks),
     /// Whether its floor is stricter than the one before on a hard key: such a version is only begun once every member
     /// of the roster has said that its own file's floor is as strict.
-    Floor(Covers),
+    Floor(CoverageChecks),
 }
 
-impl Judging {
-    pub fn new(base: Whole, newer: Whole) -> Judging {
+impl ProposalCheck {
+    pub fn new(base: DocumentWithFloor, newer: DocumentWithFloor) -> ProposalCheck {
         let covers = covers(&base, &newer);
-        Judging::Terms(base, newer, covers)
+        ProposalCheck::Terms(base, newer, covers)
     }
 
     /// Whether it tightens the floor, or why it may not be.
     pub fn step(&mut self, budget: &mut Budget) -> Poll<Result<bool, ChangeError>> {
         loop {
             match self {
-                Judging::Terms(base, newer, covers) => {
+                ProposalCheck::Terms(base, newer, covers) => {
                     if base.document == newer.document {
-                        return Poll::Ready(Err(ChangeError::Nothing));
+                        return Poll::Ready(Err(ChangeError::NoEffect));
                     }
                     let Poll::Ready(open) = covers.step(budget) else { return Poll::Pending };
                     if let Some(key) = open {
-                        return Poll::Ready(Err(ChangeError::Undercuts(key)));
+                        return Poll::Ready(Err(ChangeError::StricterThanFloor(key)));
                     }
-                    *self = Judging::Floor(Covers::new([(&newer.floor, &base.floor)]));
+                    *self = ProposalCheck::Floor(CoverageChecks::new([(&newer.floor, &base.floor)]));
                 }
-                Judging::Floor(covers) => return covers.step(budget).map(|open| Ok(open.is_some())),
+                ProposalCheck::Floor(covers) => return covers.step(budget).map(|open| Ok(open.is_some())),
             }
         }
     }
 
     /// What is left of it is freed by steps.
-    pub fn leave(self, grave: &mut Grave) {
+    pub fn release(self, reclaimer: &mut Reclaimer) {
         match self {
-            Judging::Terms(base, newer, covers) => {
+            ProposalCheck::Terms(base, newer, covers) => {
                 for whole in [base, newer] {
-                    grave.document(whole.document);
-                    grave.document(whole.floor);
+                    reclaimer.release_document(whole.document);
+                    reclaimer.release_document(whole.floor);
                 }
-                covers.leave(grave);
+                covers.release(reclaimer);
             }
-            Judging::Floor(covers) => covers.leave(grave),
+            ProposalCheck::Floor(covers) => covers.release(reclaimer),
         }
     }
 }
--- a/crates/accord/src/document.rs
+++ b/crates/accord/src/document.rs
@@ -9,18 +9,18 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::work::Budget;
+use crate::incremental::Budget;
 
 /// Most entries of a document. A list of 100,000 fits twice; beyond that a whole transfer takes minutes at the usual pace.
-pub const MOST_ENTRIES: usize = 200_000;
+pub const MAX_DOCUMENT_ENTRIES: usize = 200_000;
 /// Most bytes of a document's keys and values together: what each activator may have to hold a few times over.
-pub const MOST_BYTES: usize = 16 << 20;
-/// Most bytes of a [`Value::Word`].
-pub const MOST_WORD: usize = 256;
+pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
+/// Most bytes of a [`Value::Text`].
+pub const MAX_TEXT_BYTES: usize = 256;
 /// Most bytes of one word of a key.
-const MOST_KEY_WORD: usize = 64;
+const MAX_KEY_SEGMENT_BYTES: usize = 64;
 /// Buckets of a document: about 100 entries each at 100,000, and 16 kB to hash for the root.
-const BUCKETS: usize = 512;
+const BUCKET_COUNT: usize = 512;
 
 /// A key: a path of 2 to 4 words of 1 to 64 bytes, `/` between them.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -43,8 +43,11 @@
             return Err(KeyError(format!("key {:?}: {words} words, 2 to 4 are allowed", shown())));
         }
         for word in path.split('/') {
-            if word.is_empty() || word.len() > MOST_KEY_WORD {
-                return Err(KeyError(format!("key {:?}: a word has 1 to {MOST_KEY_WORD} bytes", shown())));
+            if word.is_empty() || word.len() > MAX_KEY_SEGMENT_BYTES {
+                return Err(KeyError(format!(
+                    "key {:?}: a word has 1 to {MAX_KEY_SEGMENT_BYTES} bytes",
+                    shown()
+                )));
             }
             if word.chars().any(|c| c.is_control() || c.is_whitespace()) {
                 return Err(KeyError(format!(
@@ -62,7 +65,7 @@
     }
 
     /// The words of the path.
-    pub fn words(&self) -> impl Iterator<Item = &str> {
+    pub fn segments(&self) -> impl Iterator<Item = &str> {
         self.0.split('/')
     }
 
@@ -72,7 +75,7 @@
     }
 
     /// The key of which this is the floor, if its first word is `floor`.
-    pub fn floored(&self) -> Option<Key> {
+    pub fn floor_target(&self) -> Option<Key> {
         self.0.strip_prefix("floor/").and_then(|rest| Key::new(rest).ok())
     }
 
@@ -82,7 +85,7 @@
         for byte in self.0.bytes() {
             hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
-        ((hash >> 32) ^ hash) as usize % BUCKETS
+        ((hash >> 32) ^ hash) as usize % BUCKET_COUNT
     }
 }
 
@@ -134,7 +137,7 @@
     /// A whole number; the unit is in the key's name.
     Int(i64),
     /// A word of at most 256 bytes.
-    Word(String),
+    Text(String),
 }
 
 impl fmt::Display for Value {
@@ -142,7 +145,7 @@
         match self {
             Value::Flag(flag) => write!(f, "{flag}"),
             Value::Int(int) => write!(f, "{int}"),
-            Value::Word(word) => f.write_str(word),
+            Value::Text(word) => f.write_str(word),
         }
     }
 }
@@ -206,7 +209,7 @@
             let mut empty = Bucket::default();
             empty.seal();
             let empty = Arc::new(empty);
-            let buckets = vec![empty; BUCKETS];
+            let buckets = vec![empty; BUCKET_COUNT];
             let mut empty = Document { buckets, entries: 0, bytes: 0, root: None };
             empty.root = Some(empty.digest());
             empty
@@ -231,7 +234,7 @@
         self.entries == 0
     }
 
-    /// Bytes of keys and values together, as [`MOST_BYTES`] bounds them.
+    /// Bytes of keys and values together, as [`MAX_DOCUMENT_BYTES`] bounds them.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -242,13 +245,13 @@
     }
 
     /// All entries, or all but those of buckets that hold entries of lists alone: those are soft and no floor.
-    pub(crate) fn beside_lists(&self) -> impl Iterator<Item = (&Key, &Value)> {
+    pub(crate) fn entries_outside_lists(&self) -> impl Iterator<Item = (&Key, &Value)> {
         let other = |bucket: &&Arc<Bucket>| !bucket.is_lists();
         self.buckets.iter().filter(other).flat_map(|bucket| &bucket.entries)
     }
 
     /// The entries of buckets that say who votes, and what else those hold: few, of a document of any size.
-    pub(crate) fn beside_voters(&self) -> impl Iterator<Item = (&Key, &Value)> {
+    pub(crate) fn entries_near_voters(&self) -> impl Iterator<Item = (&Key, &Value)> {
         let with = |bucket: &&Arc<Bucket>| bucket.digest.is_none() || bucket.voters;
         self.buckets.iter().filter(with).flat_map(|bucket| &bucket.entries)
     }
@@ -264,11 +267,11 @@
     pub fn set(&mut self, key: Key, value: Value) {
         let at = key.bucket();
         self.root = None;
-        self.bytes += weight(&key, &value);
+        self.bytes += entry_bytes(&key, &value);
         let bucket = Arc::make_mut(&mut self.buckets[at]);
         bucket.digest = None;
         match bucket.entries.insert(key.clone(), value) {
-            Some(old) => self.bytes -= weight(&key, &old),
+            Some(old) => self.bytes -= entry_bytes(&key, &old),
             None => self.entries += 1,
         }
     }
@@ -282,13 +285,13 @@
         bucket.digest = None;
         let old = bucket.entries.remove(key)?;
         self.entries -= 1;
-        self.bytes -= weight(key, &old);
+        self.bytes -= entry_bytes(key, &old);
         Some(old)
     }
 
-    /// Whether it is within [`MOST_ENTRIES`] and [`MOST_BYTES`].
+    /// Whether it is within [`MAX_DOCUMENT_ENTRIES`] and [`MAX_DOCUMENT_BYTES`].
     pub fn fits(&self) -> bool {
-        self.entries <= MOST_ENTRIES && self.bytes <= MOST_BYTES
+        self.entries <= MAX_DOCUMENT_ENTRIES && self.bytes <= MAX_DOCUMENT_BYTES
     }
 
     /// Hashes the buckets that changed, and the root, so that
@@ -320,7 +323,7 @@
         let owned = |(key, value): (&Key, Option<&Value>)| (key.clone(), value.cloned());
         for (old, new) in self.buckets.iter().zip(&newer.buckets).filter(|(old, new)| !Arc::ptr_eq(old, new))
         {
-            delta.extend(differs(old, new).map(owned));
+            delta.extend(bucket_delta(old, new).map(owned));
         }
         delta
     }
@@ -337,7 +340,9 @@
 
     /// What the keys below `floor/` say, without that word: the document's floor.
     pub fn floor(&self) -> Document {
-        self.beside_lists().filter_map(|(key, value)| Some((key.floored()?, value.clone()))).collect()
+        self.entries_outside_lists()
+            .filter_map(|(key, value)| Some((key.floor_target()?, value.clone())))
+            .collect()
     }
 }
 
@@ -376,7 +381,7 @@
 }
 
 /// What must be set and what taken out to make one bucket of another.
-pub(crate) fn differs<'a>(
+pub(crate) fn bucket_delta<'a>(
     old: &'a Bucket,
     new: &'a Bucket,
 ) -> impl Iterator<Item = (&'a Key, Option<&'a Value>)> {
@@ -386,18 +391,18 @@
 }
 
 /// A document that is being made. It has no digest and is no [`Document`], so nothing can be obeyed, sent or hashed
-/// that is half of one; [`Arriving::seal`] alone makes a document of it, and only once all of it is hashed.
+/// that is half of one; [`DocumentBuilder::seal`] alone makes a document of it, and only once all of it is hashed.
 #[derive(Debug, Default)]
-pub(crate) struct Arriving {
+pub(crate) struct DocumentBuilder {
     made: Document,
     /// Buckets before this one are hashed.
     sealed: usize,
 }
 
-impl Arriving {
+impl DocumentBuilder {
     /// One that begins as `base`.
-    pub fn onto(base: &Document) -> Arriving {
-        Arriving { made: base.clone(), sealed: 0 }
+    pub fn onto(base: &Document) -> DocumentBuilder {
+        DocumentBuilder { made: base.clone(), sealed: 0 }
     }
 
     /// Sets a key. What is copied, as other versions share it, is spent too.
@@ -445,16 +450,16 @@
     }
 
     /// What is there of it, to be freed by steps and for nothing else.
-    pub fn into_remains(self) -> Vec<Arc<Bucket>> {
+    pub fn into_buckets(self) -> Vec<Arc<Bucket>> {
         self.made.buckets
     }
 }
 
-fn weight(key: &Key, value: &Value) -> usize {
+fn entry_bytes(key: &Key, value: &Value) -> usize {
     let says = match value {
         Value::Flag(_) => 1,
         Value::Int(_) => 8,
-        Value::Word(word) => word.len(),
+        Value::Text(word) => word.len(),
     };
     key.as_str().len() + says
 }
--- a/crates/accord/src/fetch.rs
+++ b/crates/accord/src/fetch.rs
@@ -4,31 +4,31 @@
 use std::sync::Arc;
 use std::task::Poll;
 
-use crate::document::{differs, Arriving, Digest, Document, Key, Value, MOST_BYTES};
+use crate::document::{bucket_delta, Digest, Document, DocumentBuilder, Key, Value, MAX_DOCUMENT_BYTES};
+use crate::incremental::{Budget, DocumentWithFloor, FloorExtraction, Reclaimer};
 use crate::schema;
-use crate::settings::Name;
-use crate::wire::CHUNK;
-use crate::work::{Budget, Flooring, Grave, Whole};
+use crate::settings::MemberId;
+use crate::wire::CHUNK_BYTES;
 
 /// Documents kept: the one in force, the one before, the one on its way, a proposal, and two of grace.
-const KEPT: usize = 6;
+const MAX_DOCUMENTS: usize = 6;
 /// Encoded streams kept to send chunks from.
-const STREAMS: usize = 3;
+const MAX_STREAMS: usize = 3;
 /// Chunks asked for at once.
-pub(crate) const WINDOW: u32 = 32;
+pub(crate) const WINDOW_CHUNKS: u32 = 32;
 /// Most bytes of a stream: the document's bound and what each entry adds.
-const MOST_STREAM: usize = MOST_BYTES * 2;
+const MAX_STREAM_BYTES: usize = MAX_DOCUMENT_BYTES * 2;
 /// Bytes that came in order and are not parsed, at most: what was asked for, and as much again while that is parsed.
-const MOST_REST: usize = WINDOW as usize * CHUNK * 2;
+const MAX_UNPARSED_BYTES: usize = WINDOW_CHUNKS as usize * CHUNK_BYTES * 2;
 /// Members that wait for a stream that is being written, at most. Who is not among them asks again after a period.
-const MOST_WAITING: usize = 32;
+const MAX_WAITING_REQUESTS: usize = 32;
 
-type Streamed = (Digest, Option<Digest>);
+type StreamKey = (Digest, Option<Digest>);
 
 /// What is asked of a member: the chunks of a document that a mask names, from the first on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Wanted {
-    pub to: Name,
+pub(crate) struct ChunkRequest {
+    pub to: MemberId,
     pub digest: Digest,
     pub base: Option<Digest>,
     pub first: u32,
@@ -40,48 +40,54 @@
 
 /// The documents this one holds.
 #[derive(Debug, Default)]
-pub(crate) struct Store {
-    held: Vec<(Digest, Whole)>,
-    streams: Vec<(Streamed, Arc<Vec<u8>>)>,
-    writing: Option<Writing>,
+pub(crate) struct DocumentStore {
+    held: Vec<(Digest, DocumentWithFloor)>,
+    streams: Vec<(StreamKey, Arc<Vec<u8>>)>,
+    writing: Option<StreamWriter>,
     /// Who waits for streams, by name one.
-    waiting: VecDeque<Wanted>,
+    waiting: VecDeque<ChunkRequest>,
 }
 
 /// A stream that is being written: none of it is sent before all of it is there, as each chunk says how long it is.
 #[derive(Debug)]
-struct Writing {
-    of: Streamed,
+struct StreamWriter {
+    of: StreamKey,
     from: Arc<Document>,
     to: Arc<Document>,
     at: usize,
     stream: Vec<u8>,
 }
 
-impl Store {
+impl DocumentStore {
     pub fn get(&self, digest: Digest) -> Option<&Arc<Document>> {
         self.whole(digest).map(|whole| &whole.document)
     }
 
     /// A document with its floor.
-    pub fn whole(&self, digest: Digest) -> Option<&Whole> {
+    pub fn whole(&self, digest: Digest) -> Option<&DocumentWithFloor> {
         self.held.iter().find(|(held, _)| *held == digest).map(|(_, whole)| whole)
     }
 
-    /// Keeps a document; of more than [`KEPT`] the oldest that `needed` does not name goes.
-    pub fn put(&mut self, digest: Digest, whole: Whole, needed: &[Digest], grave: &mut Grave) {
+    /// Keeps a document; of more than [`MAX_DOCUMENTS`] the oldest that `needed` does not name goes.
+    pub fn put(
+        &mut self,
+        digest: Digest,
+        whole: DocumentWithFloor,
+        needed: &[Digest],
+        reclaimer: &mut Reclaimer,
+    ) {
         if self.get(digest).is_some() {
-            grave.document(whole.document);
-            grave.document(whole.floor);
+            reclaimer.release_document(whole.document);
+            reclaimer.release_document(whole.floor);
             return;
         }
         self.held.push((digest, whole));
-        while self.held.len() > KEPT {
+        while self.held.len() > MAX_DOCUMENTS {
             match self.held.iter().position(|(held, _)| !needed.contains(held) && *held != digest) {
                 Some(at) => {
                     let (_, gone) = self.held.remove(at);
-                    grave.document(gone.document);
-                    grave.document(gone.floor);
+                    reclaimer.release_document(gone.document);
+                    reclaimer.release_document(gone.floor);
                 }
                 None => break,
             }
@@ -93,25 +99,25 @@
     pub fn chunk(&self, digest: Digest, base: Option<Digest>, at: u32) -> Option<Chunk> {
         let key = self.streamed(digest, base)?;
         let (_, stream) = self.streams.iter().find(|(of, _)| *of == key)?;
-        let begin = at as usize * CHUNK;
-        let part = stream.get(begin..stream.len().min(begin + CHUNK))?;
+        let begin = at as usize * CHUNK_BYTES;
+        let part = stream.get(begin..stream.len().min(begin + CHUNK_BYTES))?;
         Some((key.1, stream.len() as u32, part.to_vec()))
     }
 
-    fn streamed(&self, digest: Digest, base: Option<Digest>) -> Option<Streamed> {
+    fn streamed(&self, digest: Digest, base: Option<Digest>) -> Option<StreamKey> {
         self.get(digest)?;
         Some((digest, base.filter(|base| self.get(*base).is_some())))
     }
 
     /// Whether chunks of this can be sent at once. If not, and the document is held, its stream is written by
-    /// [`Store::write`], which then tells this one again.
-    pub fn is_ready(&mut self, wanted: &Wanted) -> bool {
+    /// [`DocumentStore::write`], which then tells this one again.
+    pub fn is_ready(&mut self, wanted: &ChunkRequest) -> bool {
         let Some(key) = self.streamed(wanted.digest, wanted.base) else { return false };
         if self.streams.iter().any(|(of, _)| *of == key) {
             return true;
         }
         self.waiting.retain(|other| other.to != wanted.to);
-        if self.waiting.len() < MOST_WAITING {
+        if self.waiting.len() < MAX_WAITING_REQUESTS {
             self.waiting.push_back(*wanted);
         }
         false
@@ -123,7 +129,7 @@
     }
 
     /// Goes on with a stream; once it is written, who waited for it.
-    pub fn write(&mut self, budget: &mut Budget, grave: &mut Grave) -> Vec<Wanted> {
+    pub fn write(&mut self, budget: &mut Budget, reclaimer: &mut Reclaimer) -> Vec<ChunkRequest> {
         while !budget.is_spent() {
             if self.writing.is_none() {
                 let Some(next) = self.waiting.front() else { return Vec::new() };
@@ -134,7 +140,7 @@
                     Some(of) => {
                         let to = self.get(of.0).cloned().unwrap_or_default();
                         let from = of.1.and_then(|base| self.get(base).cloned()).unwrap_or_default();
-                        self.writing = Some(Writing { of, from, to, at: 0, stream: Vec::new() });
+                        self.writing = Some(StreamWriter { of, from, to, at: 0, stream: Vec::new() });
                     }
                 }
             }
@@ -143,12 +149,12 @@
                 return Vec::new();
             }
             if let Some(done) = self.writing.take() {
-                if self.streams.len() >= STREAMS {
+                if self.streams.len() >= MAX_STREAMS {
                     self.streams.remove(0);
                 }
                 self.streams.push((done.of, Arc::new(done.stream)));
-                grave.document(done.from);
-                grave.document(done.to);
+                reclaimer.release_document(done.from);
+                reclaimer.release_document(done.to);
                 let mut ready = Vec::new();
                 for wanted in std::mem::take(&mut self.waiting) {
                     if self.streamed(wanted.digest, wanted.base) == Some(done.of) {
@@ -164,7 +170,7 @@
     }
 }
 
-impl Writing {
+impl StreamWriter {
     /// Items, each after two bytes of its length.
     fn step(&mut self, budget: &mut Budget) -> Poll<()> {
         while let (Some(old), Some(new)) = (self.from.bucket(self.at), self.to.bucket(self.at)) {
@@ -173,7 +179,7 @@
                     return Poll::Pending;
                 }
                 budget.spend((old.entries.len() + new.entries.len()).max(1));
-                for item in differs(old, new) {
+                for item in bucket_delta(old, new) {
                     append(&mut self.stream, &item);
                 }
             }
@@ -197,15 +203,15 @@
 
 /// What became of a fetch by a step.
 #[derive(Debug)]
-pub(crate) enum Fetched {
+pub(crate) enum FetchEvent {
     /// The window is full: ask for the next at once.
-    Window,
+    WindowComplete,
     /// All of it, and the digest is right.
-    Whole(Whole),
+    Complete(DocumentWithFloor),
     /// It is whole and says what this program does not know.
-    Unknown(String),
+    Unsupported(String),
     /// It is wrong: why. It begins anew, to be asked of another member.
-    Wrong(String),
+    Corrupt(String),
 }
 
 /// A document on its way here.
@@ -213,9 +219,9 @@
 pub(crate) struct Fetch {
     pub digest: Digest,
     base: Option<(Digest, Arc<Document>)>,
-    made: Arriving,
+    made: DocumentBuilder,
     /// Once it is hashed and the digest is right.
-    flooring: Option<Flooring>,
+    flooring: Option<FloorExtraction>,
     /// Bytes that came in order, of which those before `read` are parsed.
     rest: Vec<u8>,
     read: usize,
@@ -236,7 +242,7 @@
         let mut fetch = Fetch {
             digest,
             base,
-            made: Arriving::default(),
+            made: DocumentBuilder::default(),
             flooring: None,
             rest: Vec::new(),
             read: 0,
@@ -248,14 +254,15 @@
             busy: false,
             hungry: false,
         };
-        fetch.restart(&mut Grave::default());
+        fetch.restart(&mut Reclaimer::default());
         fetch
     }
 
-    fn restart(&mut self, grave: &mut Grave) {
-        let begun = self.base.as_ref().map_or_else(Arriving::default, |(_, base)| Arriving::onto(base));
-        grave.remains(std::mem::replace(&mut self.made, begun));
-        self.flooring.take().into_iter().for_each(|flooring| flooring.leave(grave));
+    fn restart(&mut self, reclaimer: &mut Reclaimer) {
+        let begun =
+            self.base.as_ref().map_or_else(DocumentBuilder::default, |(_, base)| DocumentBuilder::onto(base));
+        reclaimer.release_partial(std::mem::replace(&mut self.made, begun));
+        self.flooring.take().into_iter().for_each(|flooring| flooring.release(reclaimer));
         self.rest.clear();
         self.early.clear();
         self.unknown = None;
@@ -264,14 +271,14 @@
     }
 
     /// What is left of it is freed by steps.
-    pub fn leave(mut self, grave: &mut Grave) {
-        self.base.take().into_iter().for_each(|(_, base)| grave.document(base));
-        self.restart(grave);
+    pub fn release(mut self, reclaimer: &mut Reclaimer) {
+        self.base.take().into_iter().for_each(|(_, base)| reclaimer.release_document(base));
+        self.restart(reclaimer);
     }
 
     /// Whether more is to be asked for: not while what is here waits to be parsed, or all of it is here.
     pub fn has_room(&self) -> bool {
-        self.rest.len() - self.read < MOST_REST / 2
+        self.rest.len() - self.read < MAX_UNPARSED_BYTES / 2
             && self.total.is_none_or(|total| self.next < chunks(total))
     }
 
@@ -285,7 +292,7 @@
         let last = self.total.map_or(1, chunks);
         // Before the total is known four are asked for: most documents are no longer.
         let due = |at: &u32| self.next + at < last || self.total.is_none() && *at < 4;
-        let wanted = (0..WINDOW).filter(due).filter(|at| !self.early.contains_key(&(self.next + at)));
+        let wanted = (0..WINDOW_CHUNKS).filter(due).filter(|at| !self.early.contains_key(&(self.next + at)));
         let wanted: Vec<u32> = wanted.collect();
         self.asked = self.next + wanted.last().map_or(0, |at| at + 1);
         (
@@ -297,7 +304,7 @@
 
     /// Bytes that are here, and all.
     pub fn progress(&self) -> (usize, usize) {
-        ((self.next as usize + self.early.len()) * CHUNK, self.total.unwrap_or_default() as usize)
+        ((self.next as usize + self.early.len()) * CHUNK_BYTES, self.total.unwrap_or_default() as usize)
     }
 
     /// Takes a chunk, to be parsed by [`Fetch::step`]. Whether it was one that is missing.
@@ -308,9 +315,9 @@
         total: u32,
         at: u32,
         bytes: Vec<u8>,
-        grave: &mut Grave,
+        reclaimer: &mut Reclaimer,
     ) -> bool {
-        if digest != self.digest || total as usize > MOST_STREAM {
+        if digest != self.digest || total as usize > MAX_STREAM_BYTES {
             return false;
         }
         if base != self.base.as_ref().map(|(digest, _)| *digest) {
@@ -318,13 +325,13 @@
             if base.is_some() || self.base.is_none() {
                 return false;
             }
-            self.base.take().into_iter().for_each(|(_, base)| grave.document(base));
-            self.restart(grave);
+            self.base.take().into_iter().for_each(|(_, base)| reclaimer.release_document(base));
+            self.restart(reclaimer);
         }
         let all = *self.total.get_or_insert(total);
-        let due = (all as usize).saturating_sub(at as usize * CHUNK).min(CHUNK);
-        let window = (self.next..self.next + WINDOW).contains(&at) && at < chunks(all);
-        let room = self.rest.len() - self.read < MOST_REST;
+        let due = (all as usize).saturating_sub(at as usize * CHUNK_BYTES).min(CHUNK_BYTES);
+        let window = (self.next..self.next + WINDOW_CHUNKS).contains(&at) && at < chunks(all);
+        let room = self.rest.len() - self.read < MAX_UNPARSED_BYTES;
         if all != total || bytes.len() != due || !window || !room || self.early.contains_key(&at) {
             return false;
         }
@@ -340,49 +347,49 @@
     }
 
     /// Parses, and hashes once all is here, for as long as the budget lasts. None: there is nothing to be done about it yet.
-    pub fn step(&mut self, budget: &mut Budget, grave: &mut Grave) -> Option<Fetched> {
+    pub fn step(&mut self, budget: &mut Budget, reclaimer: &mut Reclaimer) -> Option<FetchEvent> {
         if !self.busy {
             return None;
         }
         if let Some(flooring) = &mut self.flooring {
             let Poll::Ready(whole) = flooring.step(budget) else { return None };
             (self.flooring, self.busy) = (None, false);
-            return Some(Fetched::Whole(whole));
+            return Some(FetchEvent::Complete(whole));
         }
         if let Err(why) = self.parse(budget) {
-            return Some(self.wrong(why, grave));
+            return Some(self.wrong(why, reclaimer));
         }
         if self.has_item() {
             return None;
         }
         if self.total.is_none_or(|total| self.next < chunks(total)) {
             self.busy = false;
-            return std::mem::take(&mut self.hungry).then_some(Fetched::Window);
+            return std::mem::take(&mut self.hungry).then_some(FetchEvent::WindowComplete);
         }
         if self.read < self.rest.len() {
-            return Some(self.wrong("it ends within an entry".into(), grave));
+            return Some(self.wrong("it ends within an entry".into(), reclaimer));
         }
         let made = self.made.seal(budget)?;
         let (digest, made) = (made.digest(), Arc::new(made));
         if digest != self.digest {
-            grave.document(made);
-            return Some(self.wrong("the digest is another".into(), grave));
+            reclaimer.release_document(made);
+            return Some(self.wrong("the digest is another".into(), reclaimer));
         }
         // Only now: a spoilt part may read like something unknown.
         if let Some(why) = self.unknown.take() {
-            grave.document(made);
+            reclaimer.release_document(made);
             self.busy = false;
-            return Some(Fetched::Unknown(why));
+            return Some(FetchEvent::Unsupported(why));
         }
-        self.flooring = Some(Flooring::new(made));
-        self.step(budget, grave)
+        self.flooring = Some(FloorExtraction::new(made));
+        self.step(budget, reclaimer)
     }
 
-    fn wrong(&mut self, why: String, grave: &mut Grave) -> Fetched {
+    fn wrong(&mut self, why: String, reclaimer: &mut Reclaimer) -> FetchEvent {
         // Whatever was wrong: the next try is without a base, from another member.
-        self.base.take().into_iter().for_each(|(_, base)| grave.document(base));
-        self.restart(grave);
-        Fetched::Wrong(why)
+        self.base.take().into_iter().for_each(|(_, base)| reclaimer.release_document(base));
+        self.restart(reclaimer);
+        FetchEvent::Corrupt(why)
     }
 
     /// The next item that is here whole: where it begins and ends.
@@ -404,7 +411,7 @@
             self.read = end;
             match value {
                 Some(value) => {
-                    if let Err(error) = schema::check(&key, &value) {
+                    if let Err(error) = schema::check_entry(&key, &value) {
                         self.unknown.get_or_insert(error.to_string());
                     }
                     self.made.set(key, value, budget);
@@ -416,7 +423,7 @@
             }
         }
         // What is parsed goes by the window, not by the entry: each time what is left moves.
-        if self.read >= MOST_REST / 2 || self.read == self.rest.len() {
+        if self.read >= MAX_UNPARSED_BYTES / 2 || self.read == self.rest.len() {
             self.rest.drain(..self.read);
             self.read = 0;
         }
@@ -426,7 +433,7 @@
 
 /// A stream of nothing is still one chunk, so that it has an end.
 fn chunks(total: u32) -> u32 {
-    total.div_ceil(CHUNK as u32).max(1)
+    total.div_ceil(CHUNK_BYTES as u32).max(1)
 }
 
 #[cfg(test)]
--- a/crates/accord/src/fetch/tests.rs
+++ b/crates/accord/src/fetch/tests.rs
@@ -7,46 +7,50 @@
     Arc::new(entries.collect())
 }
 
-fn put(store: &mut Store, document: &Arc<Document>, needed: &[Digest], grave: &mut Grave) {
-    store.put(document.digest(), Whole::at_once(document.clone()), needed, grave);
+fn put(store: &mut DocumentStore, document: &Arc<Document>, needed: &[Digest], reclaimer: &mut Reclaimer) {
+    store.put(document.digest(), DocumentWithFloor::new(document.clone()), needed, reclaimer);
 }
 
-fn wanted(to: u32, digest: Digest, base: Option<Digest>) -> Wanted {
-    Wanted { to: Name(to), digest, base, first: 0, mask: 1 }
+fn wanted(to: u32, digest: Digest, base: Option<Digest>) -> ChunkRequest {
+    ChunkRequest { to: MemberId(to), digest, base, first: 0, mask: 1 }
 }
 
 /// Writes all that is waited for, by so many entries a step; who is told.
-fn written(store: &mut Store, entries: usize, grave: &mut Grave) -> Vec<Name> {
+fn written(store: &mut DocumentStore, entries: usize, reclaimer: &mut Reclaimer) -> Vec<MemberId> {
     let mut told = Vec::new();
     while store.has_work() {
-        told.extend(store.write(&mut Budget::of(entries), grave).into_iter().map(|wanted| wanted.to));
+        told.extend(store.write(&mut Budget::of(entries), reclaimer).into_iter().map(|wanted| wanted.to));
     }
     told
 }
 
 #[test]
 fn a_store_is_bounded_and_keeps_what_is_needed() {
-    let (mut store, mut grave) = (Store::default(), Grave::default());
+    let (mut store, mut reclaimer) = (DocumentStore::default(), Reclaimer::default());
     let first = list(0, 1);
-    put(&mut store, &first, &[], &mut grave);
+    put(&mut store, &first, &[], &mut reclaimer);
     for at in 1..50 {
         let other = list(at, at + 1);
-        put(&mut store, &other, &[first.digest()], &mut grave);
+        put(&mut store, &other, &[first.digest()], &mut reclaimer);
         assert!(store.get(other.digest()).is_some() && store.get(first.digest()).is_some());
         for base in [Some(first.digest()), None] {
             assert!(!store.is_ready(&wanted(at, other.digest(), base)));
             assert!(store.chunk(other.digest(), base, 0).is_none(), "half of it is not sent");
-            assert_eq!(written(&mut store, 1, &mut grave), [Name(at)]);
+            assert_eq!(written(&mut store, 1, &mut reclaimer), [MemberId(at)]);
             store.chunk(other.digest(), base, 0).unwrap();
         }
     }
-    assert_eq!((store.held.len(), store.streams.len()), (KEPT, STREAMS));
+    assert_eq!((store.held.len(), store.streams.len()), (MAX_DOCUMENTS, MAX_STREAMS));
     assert!(!store.is_ready(&wanted(1, Digest::default(), None)) && !store.has_work(), "it is not held");
     for at in 0..1_000 {
         assert!(!store.is_ready(&wanted(at, first.digest(), None)));
     }
-    assert_eq!(store.waiting.len(), MOST_WAITING);
-    assert_eq!(written(&mut store, 1, &mut grave).len(), MOST_WAITING, "one stream for all of them");
+    assert_eq!(store.waiting.len(), MAX_WAITING_REQUESTS);
+    assert_eq!(
+        written(&mut store, 1, &mut reclaimer).len(),
+        MAX_WAITING_REQUESTS,
+        "one stream for all of them"
+    );
 }
 
 /// What is done to the parts of a document on its way.
@@ -80,10 +84,10 @@
     old: &Arc<Document>,
     new: &Arc<Document>,
 ) {
-    let (mut store, mut grave) = (Store::default(), Grave::default());
-    put(&mut store, new, &[], &mut grave);
+    let (mut store, mut reclaimer) = (DocumentStore::default(), Reclaimer::default());
+    put(&mut store, new, &[], &mut reclaimer);
     if fault != Fault::Base {
-        put(&mut store, old, &[], &mut grave);
+        put(&mut store, old, &[], &mut reclaimer);
     }
     let mut dice = fastrand::Rng::with_seed(seed);
     let mut fetch = Fetch::new(new.digest(), base.clone());
@@ -93,9 +97,10 @@
         assert!(asked < 10_000, "it does not end");
         let (base, first, mask) = fetch.wants();
         if !store.is_ready(&wanted(1, new.digest(), base)) {
-            written(&mut store, entries, &mut grave);
+            written(&mut store, entries, &mut reclaimer);
         }
-        let mut parts: Vec<u32> = (0..WINDOW).filter(|at| mask >> at & 1 == 1).map(|at| first + at).collect();
+        let mut parts: Vec<u32> =
+            (0..WINDOW_CHUNKS).filter(|at| mask >> at & 1 == 1).map(|at| first + at).collect();
         if fault == Fault::Doubled {
             parts.extend(parts.clone());
         }
@@ -108,26 +113,26 @@
             if fault == Fault::Spoilt && wrong == 0 && at == 2 {
                 bytes[9] ^= 1;
             }
-            fetch.chunk(new.digest(), base, total, at, bytes, &mut grave);
-            assert!(fetch.early.len() <= WINDOW as usize);
-            assert!(fetch.rest.len() <= MOST_REST * 2 + CHUNK);
+            fetch.chunk(new.digest(), base, total, at, bytes, &mut reclaimer);
+            assert!(fetch.early.len() <= WINDOW_CHUNKS as usize);
+            assert!(fetch.rest.len() <= MAX_UNPARSED_BYTES * 2 + CHUNK_BYTES);
             // Sometimes the next part comes before this one is parsed.
             for _ in 0..dice.u32(0..3) {
                 let mut budget = Budget::of(entries);
-                let step = fetch.step(&mut budget, &mut grave);
+                let step = fetch.step(&mut budget, &mut reclaimer);
                 let most = (entries as u64).saturating_add(64);
                 assert!(budget.touched() <= most, "{} of {entries}", budget.touched());
                 match step {
-                    Some(Fetched::Whole(whole)) => result = Some(whole),
-                    Some(Fetched::Wrong(_)) => wrong += 1,
+                    Some(FetchEvent::Complete(whole)) => result = Some(whole),
+                    Some(FetchEvent::Corrupt(_)) => wrong += 1,
                     _ => {}
                 }
             }
         }
         while fetch.has_work() && result.is_none() {
-            match fetch.step(&mut Budget::of(entries), &mut grave) {
-                Some(Fetched::Whole(whole)) => result = Some(whole),
-                Some(Fetched::Wrong(_)) => wrong += 1,
+            match fetch.step(&mut Budget::of(entries), &mut reclaimer) {
+                Some(FetchEvent::Complete(whole)) => result = Some(whole),
+                Some(FetchEvent::Corrupt(_)) => wrong += 1,
                 _ => {}
             }
         }
@@ -141,16 +146,16 @@
 #[test]
 fn more_than_is_parsed_is_not_taken_in() {
     let new = list(0, 20_000);
-    let (mut store, mut grave) = (Store::default(), Grave::default());
-    put(&mut store, &new, &[], &mut grave);
+    let (mut store, mut reclaimer) = (DocumentStore::default(), Reclaimer::default());
+    put(&mut store, &new, &[], &mut reclaimer);
     assert!(!store.is_ready(&wanted(1, new.digest(), None)));
-    written(&mut store, 100, &mut grave);
+    written(&mut store, 100, &mut reclaimer);
     let mut fetch = Fetch::new(new.digest(), None);
     let (mut at, mut taken) = (0, 0);
     while let Some((base, total, bytes)) = store.chunk(new.digest(), None, at) {
-        taken += u32::from(fetch.chunk(new.digest(), base, total, at, bytes, &mut grave));
+        taken += u32::from(fetch.chunk(new.digest(), base, total, at, bytes, &mut reclaimer));
         at += 1;
     }
-    assert!(at > 200 && taken <= MOST_REST as u32 / CHUNK as u32 + 1, "{taken} of {at}");
+    assert!(at > 200 && taken <= MAX_UNPARSED_BYTES as u32 / CHUNK_BYTES as u32 + 1, "{taken} of {at}");
     assert!(!fetch.has_room());
 }
--- a/crates/accord/src/work.rs
+++ b/crates/accord/src/incremental.rs
@@ -9,13 +9,13 @@
 use std::task::Poll;
 
 use crate::change::Change;
-use crate::document::{Arriving, Bucket, Document, Key};
-use crate::schema::{hard, stricter};
+use crate::document::{Bucket, Document, DocumentBuilder, Key};
+use crate::schema::{is_hard, stricter};
 
 /// Entries that one step touches, and at most a bucket more: about a millisecond of work.
-pub const STEP: usize = 1_000;
+pub const STEP_ENTRIES: usize = 1_000;
 /// What waits to be freed, at most. It is more than a member holds of documents, terms and floors.
-const MOST_SPENT: usize = 24;
+const MAX_QUEUED_FOR_RECLAIM: usize = 24;
 
 /// Entries that may still be touched.
 #[derive(Debug)]
@@ -56,33 +56,33 @@
 
 /// A document that is whole, and its floor: both hashed.
 #[derive(Clone, Debug)]
-pub(crate) struct Whole {
+pub(crate) struct DocumentWithFloor {
     pub document: Arc<Document>,
     pub floor: Arc<Document>,
 }
 
-impl Whole {
+impl DocumentWithFloor {
     /// Hashed by its maker.
-    pub fn at_once(document: Arc<Document>) -> Whole {
+    pub fn new(document: Arc<Document>) -> DocumentWithFloor {
         let floor = Arc::new(document.floor());
-        Whole { document, floor }
+        DocumentWithFloor { document, floor }
     }
 }
 
 /// Takes the floor out of a document.
 #[derive(Debug)]
-pub(crate) struct Flooring {
+pub(crate) struct FloorExtraction {
     pub of: Arc<Document>,
     at: usize,
-    made: Arriving,
+    made: DocumentBuilder,
 }
 
-impl Flooring {
-    pub fn new(of: Arc<Document>) -> Flooring {
-        Flooring { of, at: 0, made: Arriving::default() }
+impl FloorExtraction {
+    pub fn new(of: Arc<Document>) -> FloorExtraction {
+        FloorExtraction { of, at: 0, made: DocumentBuilder::default() }
     }
 
-    pub fn step(&mut self, budget: &mut Budget) -> Poll<Whole> {
+    pub fn step(&mut self, budget: &mut Budget) -> Poll<DocumentWithFloor> {
         while let Some(bucket) = self.of.bucket(self.at) {
             if !bucket.is_lists() {
                 if budget.is_spent() {
@@ -90,7 +90,7 @@
                 }
                 budget.spend(bucket.entries.len());
                 for (key, value) in &bucket.entries {
-                    if let Some(key) = key.floored() {
+                    if let Some(key) = key.floor_target() {
                         self.made.set(key, value.clone(), budget);
                     }
                 }
@@ -98,25 +98,27 @@
             self.at += 1;
         }
         match self.made.seal(budget) {
-            Some(floor) => Poll::Ready(Whole { document: self.of.clone(), floor: Arc::new(floor) }),
+            Some(floor) => {
+                Poll::Ready(DocumentWithFloor { document: self.of.clone(), floor: Arc::new(floor) })
+            }
             None => Poll::Pending,
         }
     }
 
-    pub fn leave(self, grave: &mut Grave) {
-        grave.remains(self.made);
-        grave.document(self.of);
+    pub fn release(self, reclaimer: &mut Reclaimer) {
+        reclaimer.release_partial(self.made);
+        reclaimer.release_document(self.of);
     }
 }
 
 /// Looks for the first hard key on which a floor is looser than terms, or silent.
 #[derive(Debug, Default)]
-pub(crate) struct Covering {
+pub(crate) struct CoverageCheck {
     at: usize,
     least: Option<Key>,
 }
 
-impl Covering {
+impl CoverageCheck {
     pub fn step(&mut self, terms: &Document, floor: &Document, budget: &mut Budget) -> Poll<Option<Key>> {
         while let Some(bucket) = terms.bucket(self.at) {
             // The same bucket says the same, and each value covers itself.
@@ -128,8 +130,8 @@
                 budget.spend(bucket.entries.len());
                 let open = bucket.entries.iter().find(|(key, value)| {
                     // Nobody votes by the floor, so it says nothing of voters: their lists are in the records.
-                    hard(key)
-                        && key.floored().is_none()
+                    is_hard(key)
+                        && key.floor_target().is_none()
                         && !key.as_str().starts_with("voter/")
                         && floor.get(key).is_none_or(|low| stricter(key, value, low) != low)
                 });
@@ -146,16 +148,16 @@
 
 /// Several of these, one after the other: the first key that one of them finds.
 #[derive(Debug)]
-pub(crate) struct Covers {
+pub(crate) struct CoverageChecks {
     pairs: VecDeque<(Arc<Document>, Arc<Document>)>,
-    now: Covering,
+    now: CoverageCheck,
 }
 
-impl Covers {
+impl CoverageChecks {
     /// Each is terms, and a floor that is to cover them.
-    pub fn new<const N: usize>(pairs: [(&Arc<Document>, &Arc<Document>); N]) -> Covers {
+    pub fn new<const N: usize>(pairs: [(&Arc<Document>, &Arc<Document>); N]) -> CoverageChecks {
         let pairs = pairs.into_iter().map(|(terms, floor)| (terms.clone(), floor.clone())).collect();
-        Covers { pairs, now: Covering::default() }
+        CoverageChecks { pairs, now: CoverageCheck::default() }
     }
 
     pub fn step(&mut self, budget: &mut Budget) -> Poll<Option<Key>> {
@@ -165,31 +167,31 @@
                 Poll::Ready(Some(key)) => return Poll::Ready(Some(key)),
                 Poll::Ready(None) => {
                     self.pairs.pop_front();
-                    self.now = Covering::default();
+                    self.now = CoverageCheck::default();
                 }
             }
         }
         Poll::Ready(None)
     }
 
-    pub fn leave(self, grave: &mut Grave) {
+    pub fn release(self, reclaimer: &mut Reclaimer) {
         for (terms, floor) in self.pairs {
-            grave.document(terms);
-            grave.document(floor);
+            reclaimer.release_document(terms);
+            reclaimer.release_document(floor);
         }
     }
 }
 
 /// Makes the terms that obey two documents at once.
 #[derive(Debug)]
-pub(crate) struct Stricter {
+pub(crate) struct JointTermsMerge {
     at: usize,
-    made: Arriving,
+    made: DocumentBuilder,
 }
 
-impl Stricter {
-    pub fn new(new: &Document) -> Stricter {
-        Stricter { at: 0, made: Arriving::onto(new) }
+impl JointTermsMerge {
+    pub fn new(new: &Document) -> JointTermsMerge {
+        JointTermsMerge { at: 0, made: DocumentBuilder::onto(new) }
     }
 
     /// With the same two documents each time.
@@ -201,7 +203,7 @@
                     return Poll::Pending;
                 }
                 budget.spend(bucket.entries.len());
-                for (key, value) in bucket.entries.iter().filter(|(key, _)| hard(key)) {
+                for (key, value) in bucket.entries.iter().filter(|(key, _)| is_hard(key)) {
                     match new.get(key) {
                         // Absent is what the operator's file says, so the one that speaks is kept beside it.
                         None => self.made.set(key.clone(), value.clone(), budget),
@@ -225,26 +227,26 @@
 
 /// Makes the strictest of several documents, the first with the second, that with the third, and so on.
 #[derive(Debug)]
-pub(crate) struct Strictest {
+pub(crate) struct JointTermsChain {
     first: Arc<Document>,
     others: VecDeque<Arc<Document>>,
-    now: Option<Stricter>,
+    now: Option<JointTermsMerge>,
 }
 
-impl Strictest {
-    pub fn new(first: &Arc<Document>, others: &[&Arc<Document>]) -> Strictest {
+impl JointTermsChain {
+    pub fn new(first: &Arc<Document>, others: &[&Arc<Document>]) -> JointTermsChain {
         let others = others.iter().map(|other| Arc::clone(other)).collect();
-        Strictest { first: first.clone(), others, now: None }
+        JointTermsChain { first: first.clone(), others, now: None }
     }
 
-    pub fn step(&mut self, budget: &mut Budget, grave: &mut Grave) -> Poll<Arc<Document>> {
+    pub fn step(&mut self, budget: &mut Budget, reclaimer: &mut Reclaimer) -> Poll<Arc<Document>> {
         while let Some(other) = self.others.front() {
-            let now = self.now.get_or_insert_with(|| Stricter::new(other));
+            let now = self.now.get_or_insert_with(|| JointTermsMerge::new(other));
             match now.step(&self.first, other, budget) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(made) => {
-                    grave.document(std::mem::replace(&mut self.first, Arc::new(made)));
-                    self.others.pop_front().into_iter().for_each(|other| grave.document(other));
+                    reclaimer.release_document(std::mem::replace(&mut self.first, Arc::new(made)));
+                    self.others.pop_front().into_iter().for_each(|other| reclaimer.release_document(other));
                     self.now = None;
                 }
             }
@@ -252,31 +254,31 @@
         Poll::Ready(self.first.clone())
     }
 
-    pub fn leave(self, grave: &mut Grave) {
-        grave.document(self.first);
-        self.others.into_iter().for_each(|other| grave.document(other));
-        self.now.into_iter().for_each(|now| grave.remains(now.made));
+    pub fn release(self, reclaimer: &mut Reclaimer) {
+        reclaimer.release_document(self.first);
+        self.others.into_iter().for_each(|other| reclaimer.release_document(other));
+        self.now.into_iter().for_each(|now| reclaimer.release_partial(now.made));
     }
 }
 
 /// What waits to be freed. A document is kept here until nobody else holds it, so that its last owner is this one, and
 /// then let go bucket by bucket.
 #[derive(Debug, Default)]
-pub(crate) struct Grave {
+pub(crate) struct Reclaimer {
     held: VecDeque<Arc<Document>>,
     buckets: VecDeque<Vec<Arc<Bucket>>>,
     changes: VecDeque<Change>,
 }
 
-impl Grave {
+impl Reclaimer {
     /// Takes one's share of a document.
-    pub fn document(&mut self, document: Arc<Document>) {
+    pub fn release_document(&mut self, document: Arc<Document>) {
         // Two shares of one here would wait for each other for ever. Of one held twice dropping one frees nothing.
         if self.held.iter().any(|held| Arc::ptr_eq(held, &document)) {
             return;
         }
         self.held.push_back(document);
-        if self.held.len() > MOST_SPENT {
+        if self.held.len() > MAX_QUEUED_FOR_RECLAIM {
             // Whoever else holds it frees it then. If nobody does, it is freed at once: a pause, and no leak.
             let shared = self.held.iter().position(|held| Arc::strong_count(held) > 1).unwrap_or(0);
             drop(self.held.remove(shared));
@@ -284,17 +286,17 @@
     }
 
     /// What was made of a document that will never be one.
-    pub fn remains(&mut self, half: Arriving) {
-        self.buckets.push_back(half.into_remains());
-        while self.buckets.len() > MOST_SPENT {
+    pub fn release_partial(&mut self, half: DocumentBuilder) {
+        self.buckets.push_back(half.into_buckets());
+        while self.buckets.len() > MAX_QUEUED_FOR_RECLAIM {
             self.buckets.pop_front();
         }
     }
 
     /// What is left of a change.
-    pub fn change(&mut self, change: Change) {
+    pub fn release_change(&mut self, change: Change) {
         self.changes.push_back(change);
-        while self.changes.len() > MOST_SPENT {
+        while self.changes.len() > MAX_QUEUED_FOR_RECLAIM {
             self.changes.pop_front();
         }
     }
--- /dev/null
+++ b/crates/accord/src/participant.rs
@@ -0,0 +1,659 @@
+//! One member: what is called from outside, and how what comes in is handed to the parts.
+
+mod bootstrap;
+mod document_work;
+mod leases;
+mod rounds;
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::change::Change;
+use crate::document::{Digest, Document, Key, Value};
+use crate::fetch::{ChunkRequest, DocumentStore, Fetch, WINDOW_CHUNKS};
+use crate::incremental::{DocumentWithFloor, Reclaimer};
+use crate::lease::LeaseHolder;
+use crate::output::{ActiveTerms, Output, ProposalError, Refusal, Role, Status};
+use crate::quorum::{voter_key, voter_named_by, Quorum, VoterList, VoterLists};
+use crate::record::{Phase, Position, ProposalId, Record, Version};
+use crate::round::{Round, RoundAction};
+use crate::schema::joint_terms;
+use crate::settings::{MemberId, Settings, SettingsError};
+use crate::voter::{Accept, Ballot, LeaseRequest, Limits, Voter, VoterStatus};
+use crate::wire::{decode, encode, Message};
+
+/// What another voter said of itself last.
+#[derive(Debug)]
+struct Peer {
+    incarnation: u64,
+    status: VoterStatus,
+    known: Position,
+    /// Whether it knows the life of this one.
+    met: bool,
+    heard: Duration,
+}
+
+/// A change that this voter is to bring in.
+#[derive(Debug)]
+struct PendingProposal {
+    id: ProposalId,
+    base: Version,
+    new: Version,
+    /// Whether it tightens the floor, and the list of voters to come if it is another, once that and the rest was looked at.
+    judged: Option<(bool, Option<VoterList>)>,
+    heard: Duration,
+}
+
+/// A change of this member's own.
+#[derive(Debug)]
+struct OwnChange {
+    id: ProposalId,
+    base: Version,
+    new: Version,
+    until: Duration,
+    tries: usize,
+}
+
+/// One member of the accord. See the crate's first paragraph.
+#[derive(Debug)]
+pub struct Participant {
+    pub(crate) settings: Settings,
+    pub(crate) me: MemberId,
+    pub(crate) incarnation: u64,
+    rng: fastrand::Rng,
+    voter: Option<Voter>,
+    holder: LeaseHolder,
+    /// The newest record known to be chosen.
+    known: Record,
+    known_since: Duration,
+    /// Who told it.
+    chosen_from: MemberId,
+    /// The record obeyed while there is a lease.
+    adopted: Record,
+    /// What `adopted` says, and the fallback.
+    leased_terms: ActiveTerms,
+    floor: Arc<Document>,
+    /// The floor of this one's own file.
+    file_floor: Arc<Document>,
+    /// Whether `obeyed` or the floor was told last.
+    lease_held: bool,
+    documents: DocumentStore,
+    /// Work on whole documents that is under way.
+    work: document_work::DocumentWork,
+    fetch: Option<Fetch>,
+    fetch_from: MemberId,
+    fetch_retry_at: Duration,
+    /// When the last part came in.
+    fetch_progress_at: Duration,
+    /// What became of preparing: at most for the versions of `known` and `adopted`.
+    prepared: BTreeMap<Digest, Result<(), Refusal>>,
+    preparing: Option<Digest>,
+    /// By voter: when a lease was last asked for, and whether that was answered.
+    lease_requests: BTreeMap<MemberId, (Duration, bool)>,
+    peers: BTreeMap<MemberId, Peer>,
+    round: Option<(Round, Duration)>,
+    highest_ballot: u32,
+    proposal: Option<PendingProposal>,
+    own_change: Option<OwnChange>,
+    proposal_count: u64,
+    withdrawn: Option<Position>,
+    /// When a majority of voters was last heard voting.
+    quorum_seen_at: Duration,
+    next_tick: Duration,
+    /// Documents' bytes sent in this period.
+    bytes_sent: usize,
+    loopback: VecDeque<Message>,
+}
+
+impl Participant {
+    /// A process that starts with nothing but its settings.
+    ///
+    /// `incarnation` tells this process from earlier ones of its name: larger for later ones.
+    ///
+    /// # Errors
+    /// Settings that [`Settings::check`] refuses, or a name that is not on the roster.
+    pub fn new(
+        settings: Settings,
+        me: MemberId,
+        incarnation: u64,
+        seed: u64,
+        now: Duration,
+    ) -> Result<Participant, SettingsError> {
+        settings.check()?;
+        if !settings.roster.contains(&me) {
+            return Err(SettingsError {
+                key: "voters",
+                reason: format!("{me} itself is not among the members"),
+            });
+        }
+        let first = settings.first();
+        let version = Version { number: 0, digest: first.digest() };
+        let proposal_id = ProposalId { name: me, incarnation, count: 0 };
+        let (position, lists) = (Position::default(), settings.first_list()?);
+        let record = Record {
+            position,
+            phase: Phase::Single(version),
+            oldest_compatible: position,
+            proposal_id,
+            lists,
+        };
+        let first = Arc::new(first);
+        let floor = Arc::new(joint_terms(&settings.floor, &first.floor()));
+        let mut file = settings.floor.clone();
+        file.seal();
+        let mut store = DocumentStore::default();
+        store.put(version.digest, DocumentWithFloor::new(first.clone()), &[], &mut Reclaimer::default());
+        let may = settings.eligible_voters();
+        let voter = may
+            .contains(&me)
+            .then(|| Voter::new(me, incarnation, Limits::of(&settings), may.iter().copied(), record, now));
+        let holder = LeaseHolder::new(record.quorum(), settings.shorter(settings.lease));
+        Ok(Participant {
+            voter,
+            holder,
+            known: record,
+            known_since: now,
+            chosen_from: me,
+            adopted: record,
+            leased_terms: ActiveTerms::Single(version, first),
+            floor,
+            file_floor: Arc::new(file),
+            lease_held: false,
+            documents: store,
+            work: document_work::DocumentWork::default(),
+            fetch: None,
+            fetch_from: me,
+            fetch_retry_at: now,
+            fetch_progress_at: now,
+            prepared: BTreeMap::new(),
+            preparing: None,
+            lease_requests: BTreeMap::new(),
+            peers: BTreeMap::new(),
+            round: None,
+            highest_ballot: 0,
+            proposal: None,
+            own_change: None,
+            proposal_count: 0,
+            withdrawn: None,
+            quorum_seen_at: now,
+            next_tick: now,
+            bytes_sent: 0,
+            loopback: VecDeque::new(),
+            rng: fastrand::Rng::with_seed(seed ^ incarnation ^ u64::from(me.0)),
+            settings,
+            me,
+            incarnation,
+        })
+    }
+
+    /// For tests: plants flaws.
+    #[doc(hidden)]
+    pub fn flawed(mut self, flaws: crate::voter::Flaws) -> Participant {
+        self.voter = self.voter.take().map(|voter| voter.flawed(flaws));
+        self.holder = self.holder.flawed(flaws);
+        self
+    }
+
+    /// What is to be obeyed at this moment. To be asked before acting after any pause: a lease ends by the clock, whether
+    /// or not [`Participant::on_timer`] was called in time.
+    pub fn active_terms(&self, now: Duration) -> ActiveTerms {
+        if self.holder.holds(now, self.adopted.position) {
+            self.leased_terms.clone()
+        } else {
+            ActiveTerms::Floor(self.floor.clone())
+        }
+    }
+
+    /// Proposes a change of the version in force. What becomes of it is told by [`Output::Settled`].
+    ///
+    /// # Errors
+    /// At once: a base that is not in force here, another change on its way, and for all but changes that touch more
+    /// than [`crate::STEP_ENTRIES`] entries one that makes no document. Of a larger one that is told by [`Output::Settled`] too.
+    pub fn propose(
+        &mut self,
+        now: Duration,
+        change: Change,
+        out: &mut Vec<Output>,
+    ) -> Result<ProposalId, ProposalError> {
+        self.check_lease(now, out);
+        if self.own_change.is_some() || self.work.is_building_change() {
+            return Err(ProposalError::Unavailable("a change of this one is under way"));
+        }
+        if !self.holder.holds(now, self.adopted.position) {
+            return Err(ProposalError::Unavailable(
+                "no lease: this one is cut off from a majority of voters",
+            ));
+        }
+        if let Some(version) = self.known.pending_version() {
+            return Err(ProposalError::Busy(version));
+        }
+        let base = self.known.obeyed();
+        if base.number != change.base {
+            return Err(ProposalError::StaleBase(base));
+        }
+        let Some(document) = self.documents.whole(base.digest).cloned() else {
+            return Err(ProposalError::Unavailable("the version in force is still on its way here"));
+        };
+        let change = self.with_current_voters(change, &document.document)?;
+        self.proposal_count += 1;
+        let id = ProposalId { name: self.me, incarnation: self.incarnation, count: self.proposal_count };
+        // An operator's word is rare: it has a step of its own, so that most are answered at once.
+        self.work.refill();
+        if let Some(made) = self.start_change_build(id, base, change, document.clone()) {
+            let made = made.map_err(ProposalError::Change)?;
+            self.next_list(&document.document, &made.document).map_err(ProposalError::Voters)?;
+            self.on_change_built(now, id, base, made, out);
+        }
+        self.run_pending(now, out);
+        Ok(id)
+    }
+
+    /// Gives up the version that is being prepared, before anybody acts on it.
+    ///
+    /// # Errors
+    /// [`ProposalError::Unavailable`] if none is being prepared.
+    pub fn withdraw(&mut self, now: Duration, out: &mut Vec<Output>) -> Result<(), ProposalError> {
+        self.check_lease(now, out);
+        if !matches!(self.known.phase, Phase::Prepare { .. }) {
+            return Err(ProposalError::Unavailable("no version is being prepared"));
+        }
+        self.send_to_voters(&Message::Withdraw(self.known.position), out);
+        self.run_pending(now, out);
+        Ok(())
+    }
+
+    /// What became of [`Output::Prepare`].
+    pub fn on_prepared(
+        &mut self,
+        now: Duration,
+        version: Version,
+        result: Result<(), Refusal>,
+        out: &mut Vec<Output>,
+    ) {
+        self.check_lease(now, out);
+        let awaited = self.preparing == Some(version.digest);
+        if awaited {
+            self.preparing = None;
+            self.record_preparation(version, result, out);
+            self.advance();
+            self.ask_leases(now, true, out);
+        }
+        self.run_pending(now, out);
+    }
+
+    /// A datagram came in.
+    pub fn receive(&mut self, now: Duration, from: MemberId, data: &[u8], out: &mut Vec<Output>) {
+        // First of all: whatever was slept through, the lease is looked at before anything is answered.
+        self.check_lease(now, out);
+        if from == self.me || !self.settings.roster.contains(&from) {
+            return;
+        }
+        if let Some(message) = decode(data) {
+            self.handle(now, from, message, out);
+            self.run_pending(now, out);
+        }
+    }
+
+    /// When [`Participant::on_timer`] is to be called, at the latest.
+    pub fn next_timer(&self) -> Option<Duration> {
+        let until = self.holder.until(self.adopted.position);
+        let lease = self.lease_held.then_some(until);
+        Some(lease.map_or(self.next_tick, |until| until.min(self.next_tick)))
+    }
+
+    /// The time of [`Participant::next_timer`] came.
+    pub fn on_timer(&mut self, now: Duration, out: &mut Vec<Output>) {
+        self.check_lease(now, out);
+        if now >= self.next_tick {
+            self.work.refill();
+            self.next_tick = now + self.settings.period;
+            self.bytes_sent = 0;
+            self.tick_voter(now, out);
+            self.ask_leases(now, false, out);
+            self.advance();
+            self.request_chunks(now, false, out);
+            self.send_own_change(now, out);
+            self.drive_rounds(now, out);
+        }
+        self.run_pending(now, out);
+    }
+
+    /// For operators.
+    pub fn status(&self, now: Duration) -> Status {
+        let until = self.holder.until(self.adopted.position);
+        let lists = self.known.lists;
+        let granted = |list: &VoterList| {
+            list.iter().map(|name| (name, self.holder.from(now, name))).collect::<Vec<_>>()
+        };
+        let role = match self.voter.as_ref().filter(|_| lists.contains(self.me)).map(Voter::status) {
+            None => Role::Activator,
+            Some(VoterStatus::Voting) => Role::Voter,
+            Some(_) => Role::Silent,
+        };
+        let mut refused: Vec<(MemberId, Refusal)> = Vec::new();
+        if let Some(voter) = &self.voter {
+            let words = voter.reports().iter();
+            refused.extend(words.filter_map(|(name, word)| Some((*name, word.clone().err()?))));
+            refused.extend(voter.overdue_members(now).into_iter().map(|name| (name, Refusal::TimedOut)));
+        } else if let Some(word) =
+            self.known.pending_version().and_then(|version| self.prepared.get(&version.digest))
+        {
+            refused.extend(word.clone().err().map(|why| (self.me, why)));
+        }
+        Status {
+            active: self.active_terms(now),
+            known: self.known.obeyed(),
+            lease_remaining: (until > now).then(|| until - now),
+            role,
+            voters: granted(&lists.current),
+            next_voters: lists.next.as_ref().map(granted),
+            pending: self
+                .known
+                .pending_version()
+                .map(|version| (version, matches!(self.known.phase, Phase::Joint { .. }))),
+            refused,
+            floor: self.floor.clone(),
+            fetched: self.fetch.as_ref().map(Fetch::progress),
+        }
+    }
+
+    fn send(&mut self, to: MemberId, message: &Message, out: &mut Vec<Output>) {
+        if to == self.me {
+            self.loopback.push_back(message.clone());
+        } else {
+            out.push(Output::Send { to, data: encode(message) });
+        }
+    }
+
+    /// To all that vote or are to vote.
+    fn send_to_voters(&mut self, message: &Message, out: &mut Vec<Output>) {
+        let lists = self.known.lists;
+        lists.all().for_each(|voter| self.send(voter, message, out));
+    }
+
+    /// Whether one may have a vote, by this one's file or by what it knows to be chosen.
+    fn may_vote(&self, name: MemberId) -> bool {
+        self.settings.eligible_voters().contains(&name) || self.known.lists.contains(name)
+    }
+
+    /// What this one said to itself, and as much work on documents as is left of this step.
+    fn run_pending(&mut self, now: Duration, out: &mut Vec<Output>) {
+        loop {
+            while let Some(message) = self.loopback.pop_front() {
+                self.handle(now, self.me, message, out);
+            }
+            if !self.step(now, out) {
+                return;
+            }
+        }
+    }
+
+    fn handle(&mut self, now: Duration, from: MemberId, message: Message, out: &mut Vec<Output>) {
+        match message {
+            Message::LeaseRequest(request) => self.on_lease_request(now, from, &request, out),
+            Message::LeaseReply { incarnation, at, position, granted, known, tell } => {
+                if incarnation == self.incarnation {
+                    self.on_lease_reply(now, from, at, position, granted, out);
+                }
+                if let Some(record) = known {
+                    self.learn(now, from, &record, out);
+                }
+                if tell {
+                    self.send(from, &Message::Chosen(self.known), out);
+                }
+            }
+            Message::Chosen(record) => self.learn(now, from, &record, out),
+            Message::PromiseRequest(ask) => {
+                self.highest_ballot = self.highest_ballot.max(ask.ballot.0);
+                let may = self.may_vote(from);
+                let Some(voter) = self.voter.as_mut().filter(|_| may) else { return };
+                let behind = ask.position <= voter.known().position;
+                match voter.promise(now, &ask) {
+                    Some(promise) => self.send(from, &Message::Promise(promise), out),
+                    None if behind => self.send(from, &Message::Chosen(self.known), out),
+                    None => {}
+                }
+            }
+            Message::Promise(promise) => {
+                self.highest_ballot = self.highest_ballot.max(promise.promised.0);
+                if let Some((round, _)) = &mut self.round {
+                    let step = round.on_promise(from, &promise);
+                    self.on_round_action(now, step, out);
+                }
+            }
+            Message::Accept(accept) => {
+                let may = self.may_vote(from);
+                let Some(voter) = self.voter.as_mut().filter(|_| may) else { return };
+                if voter.accept(now, &accept) {
+                    let accepted = Message::Accepted {
+                        position: accept.record.position,
+                        ballot: accept.ballot,
+                        incarnation: self.incarnation,
+                    };
+                    self.send(from, &accepted, out);
+                } else if voter.known().position > accept.record.position || accept.basis.is_some() {
+                    self.send(from, &Message::Chosen(self.known), out);
+                }
+            }
+            Message::Accepted { position, ballot, incarnation } => {
+                // A founding that is not chosen soon never is: those that accepted it are bound for a silence only.
+                let soon = self.settings.period * 4;
+                let open = |(round, at): &&mut (Round, Duration)| {
+                    round.request().position == position && (!round.is_bootstrap() || now < *at + soon)
+                };
+                if let Some((round, _)) = self.round.as_mut().filter(open) {
+                    let step = round.on_accepted(from, ballot, incarnation);
+                    self.on_round_action(now, step, out);
+                }
+            }
+            Message::VoterState { incarnation, recipient_incarnation, status, known, promised, accepted } => {
+                self.on_voter_state(
+                    now,
+                    from,
+                    incarnation,
+                    recipient_incarnation,
+                    status,
+                    known,
+                    promised,
+                    accepted,
+                    out,
+                );
+            }
+            Message::Propose { id, base, new } => self.on_propose(now, from, id, base, new, out),
+            Message::Withdraw(position) => {
+                if self.known.position == position && matches!(self.known.phase, Phase::Prepare { .. }) {
+                    self.withdrawn = Some(position);
+                    self.drive_rounds(now, out);
+                }
+            }
+            Message::ChunkRequest { digest, base, first, mask } => {
+                self.serve_chunks(ChunkRequest { to: from, digest, base, first, mask }, out);
+            }
+            Message::Chunk { digest, base, total, at, bytes } => {
+                let Some(fetch) = &mut self.fetch else { return };
+                if fetch.chunk(digest, base, total, at, bytes, &mut self.work.reclaimer) {
+                    self.record_fetch_progress(now);
+                }
+            }
+        }
+    }
+
+    // ---- records and documents ---------------------------------------------------------------------------------
+
+    fn learn(&mut self, now: Duration, from: MemberId, record: &Record, out: &mut Vec<Output>) {
+        if let Some(voter) = &mut self.voter {
+            let stood = voter.status();
+            voter.learn(now, record);
+            if voter.status() != stood {
+                out.push(Output::Log(format!("as a voter: {}", status(voter.status()))));
+            }
+        }
+        if record.position <= self.known.position {
+            return;
+        }
+        let before = std::mem::replace(&mut self.known, *record);
+        self.known_since = now;
+        self.chosen_from = from;
+        self.withdrawn = None;
+        self.round = self.round.take().filter(|(round, _)| round.request().position > record.position);
+        // A change that was taken is no wish any more: withdrawn, it would be taken again and again.
+        self.proposal = self.proposal.take().filter(|proposal| proposal.id != record.proposal_id);
+        out.push(Output::Log(said_of(record)));
+        self.resolve_own_change(now, &before, out);
+        self.advance();
+        self.ask_leases(now, true, out);
+        self.request_chunks(now, false, out);
+        self.drive_rounds(now, out);
+    }
+
+    fn store_document(&mut self, digest: Digest, document: DocumentWithFloor) {
+        let mut needed: Vec<Digest> =
+            self.known.versions().chain(self.adopted.versions()).map(|v| v.digest).collect();
+        needed.extend(self.own_change.as_ref().map(|mine| mine.new.digest));
+        self.documents.put(digest, document, &needed, &mut self.work.reclaimer);
+    }
+
+    fn record_preparation(&mut self, version: Version, result: Result<(), Refusal>, out: &mut Vec<Output>) {
+        if let Err(why) = &result {
+            out.push(Output::Log(format!("version {} refused here: {why}", version.number)));
+        }
+        self.prepared.insert(version.digest, result);
+    }
+
+    /// Prepares what is not prepared, and obeys the newest record it can.
+    fn advance(&mut self) {
+        let needed: BTreeSet<Digest> =
+            self.known.versions().chain(self.adopted.versions()).map(|version| version.digest).collect();
+        self.prepared.retain(|digest, _| needed.contains(digest));
+        // The newest that is here goes first: what is obeyed already is prepared, but for one that just started.
+        let open = |version: &Version| {
+            !self.prepared.contains_key(&version.digest) && self.documents.get(version.digest).is_some()
+        };
+        let open = self.known.versions().filter(open).last();
+        if let Some(version) = open.filter(|version| self.preparing != Some(version.digest)) {
+            self.start_floor_check(version);
+        }
+        if self.known.position > self.adopted.position {
+            self.start_adoption();
+        }
+        self.update_voter();
+    }
+
+    /// What the voter of this member goes by: the document on its way, and what the one in force says.
+    fn update_voter(&mut self) {
+        let Some(voter) = &mut self.voter else { return };
+        let in_force = self.documents.get(self.known.obeyed().digest);
+        let coming = self.known.pending_version().and_then(|version| self.documents.get(version.digest));
+        // The list that the record names must be the document's own.
+        let listed = |document: &Arc<Document>| match VoterList::from_document(document) {
+            Ok(Some(list)) => list == self.known.final_voters(),
+            Ok(None) => self.known.lists.next.is_none(),
+            Err(_) => false,
+        };
+        let holds = self.known.pending_version().is_none() || coming.is_some_and(listed);
+        let word = |key: &str| Key::new(key).ok().and_then(|key| in_force?.get(&key).cloned());
+        let go_on = word("accord/refused") == Some(Value::Text("go_on".into()));
+        let gone =
+            |name: &MemberId| [in_force, coming].into_iter().flatten().any(|document| gone(document, *name));
+        let needed = match self.known.phase {
+            Phase::Prepare { tightens_floor: true, .. } => {
+                self.settings.roster.iter().filter(|name| !gone(name)).copied().collect()
+            }
+            _ => BTreeSet::new(),
+        };
+        voter.set_preparation(holds, go_on, needed);
+    }
+
+    /// The document that is missing, the most urgent first.
+    fn missing_document(&self) -> Option<Digest> {
+        let of_known = self.known.versions().map(|version| version.digest);
+        let of_wish = self.proposal.as_ref().map(|proposal| proposal.new.digest);
+        let refused = |digest: &Digest| matches!(self.prepared.get(digest), Some(Err(_)));
+        of_known.chain(of_wish).find(|digest| self.documents.get(*digest).is_none() && !refused(digest))
+    }
+
+    fn record_fetch_progress(&mut self, now: Duration) {
+        self.fetch_retry_at = now + self.settings.period;
+        self.fetch_progress_at = now;
+    }
+
+    /// Asks for the next parts of what is missing.
+    fn request_chunks(&mut self, now: Duration, immediately: bool, out: &mut Vec<Output>) {
+        let Some(digest) = self.missing_document() else {
+            return self.end_fetch();
+        };
+        if self.fetch.as_ref().is_none_or(|fetch| fetch.digest != digest) {
+            let base = [self.known.obeyed(), self.adopted.obeyed()].into_iter().map(|version| version.digest);
+            let base = base.filter_map(|base| Some((base, self.documents.get(base)?.clone()))).next();
+            self.end_fetch();
+            self.fetch = Some(Fetch::new(digest, base));
+            let of_wish = self
+                .proposal
+                .as_ref()
+                .filter(|proposal| proposal.new.digest == digest)
+                .map(|proposal| proposal.id.name);
+            self.fetch_from = of_wish.unwrap_or(self.chosen_from);
+        } else if !self.fetch.as_ref().is_some_and(Fetch::has_room) {
+            // What is here is to be parsed first; the end of that asks for more.
+            return;
+        } else if !immediately {
+            if now < self.fetch_retry_at {
+                return;
+            }
+            // No answer for a period: another may hold it as well. The one that told is asked every other time.
+            self.fetch_from = if self.rng.bool() { self.chosen_from } else { self.random_member() };
+        }
+        if self.fetch_from == self.me {
+            self.fetch_from = self.random_member();
+        }
+        self.fetch_retry_at = now + self.settings.period;
+        if let Some(fetch) = &mut self.fetch {
+            let (base, first, mask) = fetch.wants();
+            let to = self.fetch_from;
+            self.send(to, &Message::ChunkRequest { digest, base, first, mask }, out);
+        }
+    }
+
+    fn random_member(&mut self) -> MemberId {
+        let at = self.rng.usize(..self.settings.roster.len());
+        self.settings.roster[at]
+    }
+
+    fn serve_chunks(&mut self, wanted: ChunkRequest, out: &mut Vec<Output>) {
+        if wanted.to == self.me || !self.documents.is_ready(&wanted) {
+            return;
+        }
+        for at in (0..WINDOW_CHUNKS).filter(|at| wanted.mask >> at & 1 == 1) {
+            if self.bytes_sent >= self.settings.transfer_bytes_per_period {
+                return;
+            }
+            let Some(at) = wanted.first.checked_add(at) else { return };
+            let digest = wanted.digest;
+            let Some((base, total, bytes)) = self.documents.chunk(digest, wanted.base, at) else { return };
+            self.bytes_sent += bytes.len();
+            self.send(wanted.to, &Message::Chunk { digest, base, total, at, bytes }, out);
+        }
+    }
+}
+
+/// Whether the operator declared this one's process stopped for good.
+fn gone(document: &Document, name: MemberId) -> bool {
+    Key::new(&format!("gone/{name}")).is_ok_and(|key| document.get(&key).is_some())
+}
+
+fn status(status: VoterStatus) -> &'static str {
+    match status {
+        VoterStatus::Silent { .. } => "silent for the longest lease",
+        VoterStatus::Ready => "ready for a founding, or for a majority of others to tell",
+        VoterStatus::Voting => "votes",
+    }
+}
+
+fn said_of(record: &Record) -> String {
+    match record.phase {
+        Phase::Single(version) => format!("version {} ({}) is in force", version.number, version.digest),
+        Phase::Prepare { new, .. } => format!("version {} ({}) is being prepared", new.number, new.digest),
+        Phase::Joint { old, new } => format!("versions {} and {} are both obeyed", old.number, new.number),
+    }
+}
--- /dev/null
+++ b/crates/accord/src/participant/document_work.rs
@@ -0,0 +1,403 @@
+//! The accord's work on whole documents: what is under way, and what becomes of it once it is done.
+//!
+//! One piece of each kind is under way at most. Each is for one version or record; what comes of it when another took its
+//! place meanwhile is let go, so nothing is acted on that was worked out for something else.
+
+use std::sync::Arc;
+use std::task::Poll;
+use std::time::Duration;
+
+use super::{Participant, PendingProposal};
+use crate::change::{Change, ChangeBuild, ChangeError, ProposalCheck};
+use crate::document::{Digest, Document};
+use crate::fetch::FetchEvent;
+use crate::incremental::{
+    Budget, CoverageChecks, DocumentWithFloor, JointTermsChain, Reclaimer, STEP_ENTRIES,
+};
+use crate::output::{ActiveTerms, Output, ProposalError, Refusal};
+use crate::record::{Phase, ProposalId, Record, Version};
+
+/// See the file's page.
+#[derive(Debug)]
+pub(super) struct DocumentWork {
+    budget: Budget,
+    /// Apart, as how many others hold a document must not change what is done when.
+    reclaim_budget: Budget,
+    pub(super) reclaimer: Reclaimer,
+    /// A change of this one's own that is on its way to be a document.
+    change_build: Option<(ProposalId, Version, ChangeBuild)>,
+    /// A version that is looked at beside this one's own floor before it is prepared.
+    floor_check: Option<(Version, CoverageChecks)>,
+    /// The record that is to be obeyed next.
+    adoption: Option<Adoption>,
+    /// A wish of this proposal.
+    proposal_check: Option<(ProposalId, ProposalCheck)>,
+}
+
+impl Default for DocumentWork {
+    fn default() -> DocumentWork {
+        DocumentWork {
+            budget: Budget::of(STEP_ENTRIES),
+            reclaim_budget: Budget::of(0),
+            reclaimer: Reclaimer::default(),
+            change_build: None,
+            floor_check: None,
+            adoption: None,
+            proposal_check: None,
+        }
+    }
+}
+
+impl DocumentWork {
+    pub(super) fn refill(&mut self) {
+        self.budget.refill(STEP_ENTRIES);
+    }
+
+    pub(super) fn is_building_change(&self) -> bool {
+        self.change_build.is_some()
+    }
+}
+
+/// What a record says is to be obeyed, and the floor with it.
+#[derive(Debug)]
+struct Adoption {
+    record: Record,
+    new: DocumentWithFloor,
+    /// The terms of both, of a record of two.
+    both: Option<(Version, Version, JointTermsChain)>,
+    terms: Option<ActiveTerms>,
+    floor: JointTermsChain,
+}
+
+impl Adoption {
+    fn step(&mut self, budget: &mut Budget, reclaimer: &mut Reclaimer) -> Poll<(ActiveTerms, Arc<Document>)> {
+        let obeyed = match (&self.terms, &mut self.both) {
+            (Some(obeyed), _) => obeyed.clone(),
+            (None, None) => ActiveTerms::Single(self.record.obeyed(), self.new.document.clone()),
+            (None, Some((old, new, terms))) => match terms.step(budget, reclaimer) {
+                Poll::Pending => return Poll::Pending,
+                Poll::Ready(terms) => ActiveTerms::Joint { old: *old, new: *new, terms },
+            },
+        };
+        self.terms = Some(obeyed.clone());
+        self.floor.step(budget, reclaimer).map(|floor| (obeyed, floor))
+    }
+
+    fn release(self, reclaimer: &mut Reclaimer) {
+        reclaimer.release_document(self.new.document);
+        reclaimer.release_document(self.new.floor);
+        self.both.into_iter().for_each(|(.., terms)| terms.release(reclaimer));
+        self.terms.into_iter().for_each(|obeyed| reclaimer.release_document(obeyed.terms().clone()));
+        self.floor.release(reclaimer);
+    }
+}
+
+impl Participant {
+    /// Whether [`Participant::run_step`] has something to do. Nothing is lost if it is called late, but what waits for it.
+    pub fn has_work(&self) -> bool {
+        let steps = &self.work;
+        steps.change_build.is_some()
+            || steps.floor_check.is_some()
+            || steps.adoption.is_some()
+            || steps.proposal_check.is_some()
+            || self.fetch.as_ref().is_some_and(|fetch| fetch.has_work())
+            || self.documents.has_work()
+            || steps.reclaimer.has_work()
+    }
+
+    /// Goes on with work on whole documents, of at most [`STEP_ENTRIES`] entries and what one bucket of a document holds, and
+    /// frees as many. To be called again, after others had their turn, while [`Participant::has_work`] says so. The other
+    /// calls do only what is left of the last such step.
+    pub fn run_step(&mut self, now: Duration, out: &mut Vec<Output>) {
+        self.check_lease(now, out);
+        self.work.refill();
+        self.run_pending(now, out);
+        self.work.reclaim_budget.refill(STEP_ENTRIES);
+        self.work.reclaimer.step(&mut self.work.reclaim_budget);
+    }
+
+    /// Entries touched by work on whole documents, and by freeing them, since the beginning. For tests of the bound.
+    #[doc(hidden)]
+    pub fn entries_touched(&self) -> (u64, u64) {
+        (self.work.budget.touched(), self.work.reclaim_budget.touched())
+    }
+
+    /// Goes on with the most urgent piece. False if there is none, or nothing is left of this step.
+    pub(super) fn step(&mut self, now: Duration, out: &mut Vec<Output>) -> bool {
+        if self.work.budget.is_spent() {
+            return false;
+        }
+        let DocumentWork { budget, reclaimer, change_build, floor_check, adoption, proposal_check, .. } =
+            &mut self.work;
+        if let Some(task) = adoption {
+            let done = task.step(budget, reclaimer);
+            let Poll::Ready((obeyed, floor)) = done else { return false };
+            if let Some(task) = adoption.take() {
+                let record = task.record;
+                task.release(reclaimer);
+                self.on_adopted(now, record, obeyed, floor, out);
+            }
+        } else if let Some((version, covers)) = floor_check {
+            let (version, Poll::Ready(open)) = (*version, covers.step(budget)) else { return false };
+            floor_check.take().into_iter().for_each(|(_, covers)| covers.release(reclaimer));
+            self.on_floor_checked(now, version, open.map(|key| key.to_string()), out);
+        } else if let Some((id, task)) = proposal_check {
+            let (id, Poll::Ready(word)) = (*id, task.step(budget)) else { return false };
+            proposal_check.take().into_iter().for_each(|(_, task)| task.release(reclaimer));
+            self.on_proposal_checked(now, id, word, out);
+        } else if let Some((id, base, task)) = change_build {
+            let (id, base) = (*id, *base);
+            let Poll::Ready(result) = task.step(budget) else { return false };
+            change_build.take().into_iter().for_each(|(.., task)| task.release(reclaimer));
+            match result {
+                Ok(whole) => {
+                    let old = self.documents.get(base.digest).cloned();
+                    match old.map(|old| self.next_list(&old, &whole.document)) {
+                        Some(Err(why)) => {
+                            out.push(Output::Settled { change: id, result: Err(ProposalError::Voters(why)) })
+                        }
+                        _ => self.on_change_built(now, id, base, whole, out),
+                    }
+                }
+                Err(why) => out.push(Output::Settled { change: id, result: Err(ProposalError::Change(why)) }),
+            }
+        } else if self.fetch.as_ref().is_some_and(|fetch| fetch.has_work()) {
+            let event = self.fetch.as_mut().and_then(|fetch| fetch.step(budget, reclaimer));
+            let Some(event) = event else { return false };
+            self.on_fetch_event(now, event, out);
+        } else if self.documents.has_work() {
+            let waited = self.documents.write(budget, reclaimer);
+            if waited.is_empty() && self.documents.has_work() {
+                return false;
+            }
+            waited.into_iter().for_each(|wanted| self.serve_chunks(wanted, out));
+        } else {
+            return false;
+        }
+        true
+    }
+
+    // ---- a change of this one's own ----------------------------------------------------------------------------
+
+    /// Begins to make it; what came of it, if it was done at once.
+    pub(super) fn start_change_build(
+        &mut self,
+        id: ProposalId,
+        base: Version,
+        change: Change,
+        document: DocumentWithFloor,
+    ) -> Option<Result<DocumentWithFloor, ChangeError>> {
+        let mut change_build = ChangeBuild::new(change, document);
+        match change_build.step(&mut self.work.budget) {
+            Poll::Ready(result) => {
+                change_build.release(&mut self.work.reclaimer);
+                Some(result)
+            }
+            Poll::Pending => {
+                self.work.change_build = Some((id, base, change_build));
+                None
+            }
+        }
+    }
+
+    /// Sends it on its way, unless another version came into force while it was made.
+    pub(super) fn on_change_built(
+        &mut self,
+        now: Duration,
+        id: ProposalId,
+        base: Version,
+        made: DocumentWithFloor,
+        out: &mut Vec<Output>,
+    ) {
+        if self.known.phase != Phase::Single(base) {
+            let result = Err(match self.known.pending_version() {
+                Some(version) => ProposalError::Busy(version),
+                None => ProposalError::StaleBase(self.known.obeyed()),
+            });
+            self.work.reclaimer.release_document(made.document);
+            self.work.reclaimer.release_document(made.floor);
+            return out.push(Output::Settled { change: id, result });
+        }
+        let new = Version { number: base.number + 1, digest: made.document.digest() };
+        self.store_document(new.digest, made);
+        let until = now + self.settings.prepare_timeout * 2;
+        self.own_change = Some(super::OwnChange { id, base, new, until, tries: 0 });
+        self.send_own_change(now, out);
+    }
+
+    // ---- another's change --------------------------------------------------------------------------------------
+
+    /// Begins to look whether the wish may be made, if both documents are here.
+    pub(super) fn start_proposal_check(&mut self) {
+        let Some(PendingProposal { id, base, new, .. }) = &self.proposal else { return };
+        if self.work.proposal_check.as_ref().is_some_and(|(judged, _)| judged == id) {
+            return;
+        }
+        let (Some(base), Some(newer)) = (self.documents.whole(base.digest), self.documents.whole(new.digest))
+        else {
+            return;
+        };
+        let proposal_check = (*id, ProposalCheck::new(base.clone(), newer.clone()));
+        if let Some((_, superseded)) = self.work.proposal_check.replace(proposal_check) {
+            superseded.release(&mut self.work.reclaimer);
+        }
+    }
+
+    fn on_proposal_checked(
+        &mut self,
+        now: Duration,
+        id: ProposalId,
+        word: Result<bool, ChangeError>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(PendingProposal { base, new, .. }) =
+            self.proposal.as_ref().filter(|proposal| proposal.id == id)
+        else {
+            return;
+        };
+        let documents = self.documents.get(base.digest).cloned().zip(self.documents.get(new.digest).cloned());
+        let Some((old, new)) = documents else { return };
+        let word = word.map_err(|why| why.to_string());
+        match word.and_then(|tightens_floor| Ok((tightens_floor, self.next_list(&old, &new)?))) {
+            Ok(judged) => self.proposal.iter_mut().for_each(|proposal| proposal.judged = Some(judged)),
+            Err(why) => {
+                self.proposal = None;
+                return out.push(Output::Log(format!("change of {} refused: {why}", id.name)));
+            }
+        }
+        self.drive_rounds(now, out);
+    }
+
+    // ---- a version that is to be prepared, and obeyed ----------------------------------------------------------
+
+    /// Begins to look whether this one's own fallback is looser than a document, or than its floor.
+    pub(super) fn start_floor_check(&mut self, version: Version) {
+        if self.work.floor_check.as_ref().is_some_and(|(checked, _)| *checked == version) {
+            return;
+        }
+        let Some(whole) = self.documents.whole(version.digest) else { return };
+        let covers =
+            CoverageChecks::new([(&whole.document, &self.file_floor), (&whole.floor, &self.file_floor)]);
+        if let Some((_, superseded)) = self.work.floor_check.replace((version, covers)) {
+            superseded.release(&mut self.work.reclaimer);
+        }
+    }
+
+    fn on_floor_checked(
+        &mut self,
+        now: Duration,
+        version: Version,
+        open: Option<String>,
+        out: &mut Vec<Output>,
+    ) {
+        let wanted = self.known.versions().any(|known| known.digest == version.digest);
+        match (open, self.documents.get(version.digest).cloned().filter(|_| wanted)) {
+            (_, None) => self.advance(),
+            (Some(key), Some(_)) => {
+                self.record_preparation(version, Err(Refusal::Floor(key)), out);
+                self.advance();
+                self.ask_leases(now, true, out);
+            }
+            (None, Some(document)) => {
+                self.preparing = Some(version.digest);
+                out.push(Output::Prepare { version, document });
+            }
+        }
+    }
+
+    /// Begins to work out what the newest record says is to be obeyed, if that was prepared.
+    pub(super) fn start_adoption(&mut self) {
+        let record = self.known;
+        if self.work.adoption.as_ref().is_some_and(|adoption| adoption.record == record) {
+            return;
+        }
+        let newest = record.obeyed();
+        if self.prepared.get(&newest.digest) != Some(&Ok(())) {
+            return;
+        }
+        let Some(new) = self.documents.whole(newest.digest).cloned() else { return };
+        let (both, floor) = match record.phase {
+            Phase::Single(_) | Phase::Prepare { .. } => {
+                (None, JointTermsChain::new(&self.file_floor, &[&new.floor]))
+            }
+            Phase::Joint { old, new: version } => {
+                let Some(before) = self.documents.whole(old.digest) else { return };
+                let terms = JointTermsChain::new(&before.document, &[&new.document]);
+                // The file's with the strictest of both floors: of hard keys the order makes no difference.
+                let floor = JointTermsChain::new(&self.file_floor, &[&before.floor, &new.floor]);
+                (Some((old, version, terms)), floor)
+            }
+        };
+        let adoption = Adoption { record, new, both, terms: None, floor };
+        if let Some(superseded) = self.work.adoption.replace(adoption) {
+            superseded.release(&mut self.work.reclaimer);
+        }
+    }
+
+    fn on_adopted(
+        &mut self,
+        now: Duration,
+        record: Record,
+        obeyed: ActiveTerms,
+        floor: Arc<Document>,
+        out: &mut Vec<Output>,
+    ) {
+        if record != self.known {
+            // A newer one is known by now: that one, if it can be.
+            self.work.reclaimer.release_document(obeyed.terms().clone());
+            self.work.reclaimer.release_document(floor);
+            return self.advance();
+        }
+        let same = self.leased_terms == obeyed;
+        self.adopted = record;
+        self.holder.keep(record.position, record.quorum(), |name| record.lists.contains(name));
+        let before = std::mem::replace(&mut self.leased_terms, obeyed);
+        self.work.reclaimer.release_document(before.terms().clone());
+        self.work.reclaimer.release_document(std::mem::replace(&mut self.floor, floor));
+        let leased = self.holder.holds(now, record.position);
+        if leased && self.lease_held && !same {
+            out.push(Output::Apply(self.leased_terms.clone()));
+        }
+        self.check_lease(now, out);
+        self.ask_leases(now, true, out);
+        self.update_voter();
+    }
+
+    // ---- a document on its way here ----------------------------------------------------------------------------
+
+    pub(super) fn end_fetch(&mut self) {
+        self.fetch.take().into_iter().for_each(|fetch| fetch.release(&mut self.work.reclaimer));
+    }
+
+    fn on_fetch_event(&mut self, now: Duration, event: FetchEvent, out: &mut Vec<Output>) {
+        let Some(digest) = self.fetch.as_ref().map(|fetch| fetch.digest) else { return };
+        match event {
+            FetchEvent::WindowComplete => self.request_chunks(now, true, out),
+            FetchEvent::Complete(whole) => {
+                self.end_fetch();
+                self.store_document(digest, whole);
+                self.advance();
+                self.drive_rounds(now, out);
+            }
+            FetchEvent::Unsupported(why) => {
+                self.end_fetch();
+                self.on_unsupported_document(now, digest, why, out);
+            }
+            FetchEvent::Corrupt(why) => {
+                let from = self.fetch_from;
+                out.push(Output::Log(format!("document {digest} from {from}: {why}; asked of another")));
+                self.fetch_from = self.random_member();
+                self.request_chunks(now, true, out);
+            }
+        }
+    }
+
+    fn on_unsupported_document(&mut self, now: Duration, digest: Digest, why: String, out: &mut Vec<Output>) {
+        if let Some(version) = self.known.versions().find(|version| version.digest == digest) {
+            self.record_preparation(version, Err(Refusal::Unknown(why)), out);
+            self.ask_leases(now, true, out);
+        } else {
+            self.proposal = None;
+        }
+    }
+}
--- /dev/null
+++ b/crates/accord/src/participant/rounds.rs
@@ -0,0 +1,241 @@
+//! Changes on their way, and the rounds that choose records.
+
+use super::*;
+
+impl Participant {
+    /// Sends this one's change to a voter, each time to another.
+    pub(super) fn send_own_change(&mut self, now: Duration, out: &mut Vec<Output>) {
+        let Some(mine) = &mut self.own_change else { return };
+        let change = mine.id;
+        if self.known.proposal_id == change && self.known.pending_version() == Some(mine.new) {
+            return; // it was taken: from here on it comes into force or is withdrawn, however long that takes
+        }
+        if now >= mine.until {
+            self.own_change = None;
+            out.push(Output::Settled { change, result: Err(ProposalError::TimedOut) });
+            return;
+        }
+        let propose = Message::Propose { id: mine.id, base: mine.base, new: mine.new };
+        let voters: Vec<MemberId> = self.known.lists.current.iter().collect();
+        // A voter has a few periods for it before the next is asked; this one's own vote first, if it has one.
+        let own = voters.iter().position(|voter| *voter == self.me).unwrap_or(mine.id.count as usize);
+        let to = voters[(own + mine.tries / 4) % voters.len()];
+        mine.tries += 1;
+        self.send(to, &propose, out);
+    }
+
+    pub(super) fn resolve_own_change(&mut self, _now: Duration, before: &Record, out: &mut Vec<Output>) {
+        let Some(mine) = &self.own_change else { return };
+        let (known, change) = (&self.known, mine.id);
+        let ours = known.proposal_id == mine.id;
+        let result = match known.phase {
+            Phase::Prepare { .. } if ours => return,
+            Phase::Prepare { old, .. } if old == mine.new => Ok(mine.new),
+            Phase::Prepare { old, new, .. } if old == mine.base => Err(ProposalError::Busy(new)),
+            Phase::Joint { new, .. } if new == mine.new && ours => Ok(new),
+            Phase::Single(version) if version == mine.new => Ok(version),
+            // The same version as before: a change was given up, ours or another's.
+            Phase::Single(version) if version == mine.base => match before.proposal_id == mine.id || ours {
+                true => Err(ProposalError::Withdrawn),
+                false => return,
+            },
+            _ => Err(ProposalError::StaleBase(known.obeyed())),
+        };
+        self.own_change = None;
+        out.push(Output::Settled { change, result });
+    }
+
+    pub(super) fn on_propose(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        id: ProposalId,
+        base: Version,
+        new: Version,
+        out: &mut Vec<Output>,
+    ) {
+        if self.voter.is_none() || id.name != from {
+            return;
+        }
+        // The second: it was taken, and withdrawn since; asked for late, it would be taken again.
+        if self.known.phase != Phase::Single(base) || self.known.proposal_id == id {
+            self.send(from, &Message::Chosen(self.known), out);
+            return;
+        }
+        if let Some(proposal) = &mut self.proposal {
+            if proposal.id == id {
+                proposal.heard = now;
+                return self.drive_rounds(now, out);
+            }
+            // Another's stands while it is repeated and still fits: first come, first served.
+            if proposal.base == base && now < proposal.heard + self.settings.period * 6 {
+                return;
+            }
+        }
+        self.proposal = Some(PendingProposal { id, base, new, judged: None, heard: now });
+        self.request_chunks(now, false, out);
+        self.drive_rounds(now, out);
+    }
+
+    /// The record that the wish asks for, if it is of the version in force, its document here, and a change that may be
+    /// made. Checked by the proposer as well, which may be an older program, or wrong.
+    fn checked_proposal(&mut self, in_force: Version) -> Option<Record> {
+        let proposal = self.proposal.as_ref().filter(|proposal| proposal.base == in_force)?;
+        let Some((tightens_floor, next)) = proposal.judged else {
+            self.start_proposal_check();
+            return None;
+        };
+        let phase = Phase::Prepare { old: in_force, new: proposal.new, tightens_floor };
+        let lists = VoterLists { current: self.known.lists.current, next };
+        Some(Record {
+            position: self.known.position.next(),
+            phase,
+            oldest_compatible: self.known.oldest_compatible,
+            proposal_id: proposal.id,
+            lists,
+        })
+    }
+
+    /// The list of voters to come, if it is another than the one in force; or why there may be no such list.
+    pub(super) fn next_list(&self, old: &Document, new: &Document) -> Result<Option<VoterList>, String> {
+        let now = self.known.lists.current;
+        let Some(list) = VoterList::from_document(new).map_err(|why| format!("voter: {why}"))? else {
+            // Files may differ, so that they are not gone back to.
+            let had = VoterList::from_document(old).is_ok_and(|list| list.is_none());
+            return if had { Ok(None) } else { Err("voter: at least one voter stays".into()) };
+        };
+        let may = self.settings.eligible_voters();
+        if let Some(name) = list.iter().find(|name| !self.settings.roster.contains(name)) {
+            return Err(format!("voter/{name}: no such member is on the roster"));
+        }
+        if let Some(name) = list.iter().find(|name| !may.contains(name)) {
+            return Err(format!("voter/{name}: it is not among accord.may_vote of the files"));
+        }
+        if let Some(name) = list.iter().find(|name| gone(new, *name)) {
+            return Err(format!("voter/{name}: gone/{name} says that its process is stopped for good"));
+        }
+        let fewest = self.settings.voters.len();
+        if list.len() < fewest {
+            return Err(format!(
+                "voter: {} names, at least {fewest} stay (as many as accord.voters has): a start from nothing counts on that",
+                list.len()
+            ));
+        }
+        Ok((list != now).then_some(list))
+    }
+
+    /// The change with all voters named, if it names any and the document in force names none: it begins from the list in force.
+    pub(super) fn with_current_voters(
+        &self,
+        mut change: Change,
+        base: &Document,
+    ) -> Result<Change, ProposalError> {
+        let names = change.set.keys().chain(&change.drop).any(|key| voter_named_by(key).is_some());
+        if names && VoterList::from_document(base).is_ok_and(|list| list.is_none()) {
+            let stay = self.known.lists.current.iter().filter_map(voter_key);
+            let stay: Vec<Key> = stay.filter(|key| !change.drop.contains(key)).collect();
+            if stay.is_empty() && !change.set.keys().any(|key| voter_named_by(key).is_some()) {
+                return Err(ProposalError::Voters("voter: at least one voter stays".into()));
+            }
+            change.set.extend(stay.into_iter().map(|key| (key, Value::Flag(true))));
+        }
+        Ok(change)
+    }
+
+    /// Begins a round if there is something to choose and nobody who stands before this one seems to do it.
+    pub(super) fn drive_rounds(&mut self, now: Duration, out: &mut Vec<Output>) {
+        if self.voter.as_ref().map(Voter::status) != Some(VoterStatus::Voting) {
+            return;
+        }
+        let again = |at: &Duration, wait: Duration| now >= *at + wait;
+        let wait = self.settings.period * 2;
+        if self.round.as_ref().is_some_and(|(_, at)| !again(at, wait)) {
+            return;
+        }
+        let rank = self.known.lists.all().position(|voter| voter == self.me).unwrap_or(0) as u32;
+        let turn = now >= self.known_since + wait * rank;
+        let next = self.known.position.next();
+        let Record { oldest_compatible, proposal_id, lists, .. } = self.known;
+        let (before, after) =
+            (VoterLists::unchanged(lists.current), VoterLists::unchanged(self.known.final_voters()));
+        let proposal = match self.known.phase {
+            Phase::Single(version) => self.checked_proposal(version),
+            _ if !turn => None,
+            Phase::Prepare { old, new, .. } => {
+                let lost = self.documents.get(new.digest).is_none()
+                    && again(&self.known_since, self.settings.prepare_timeout * 2);
+                // Voters to come that do not come hold everything up, and nobody acts on them yet.
+                let stuck = again(&self.known_since, self.settings.prepare_timeout * 2)
+                    && !self.next_voters_are_voting(now);
+                Some(match lost || stuck || self.withdrawn == Some(self.known.position) {
+                    true => Record {
+                        position: next,
+                        phase: Phase::Single(old),
+                        oldest_compatible,
+                        proposal_id,
+                        lists: before,
+                    },
+                    false => Record {
+                        position: next,
+                        phase: Phase::Joint { old, new },
+                        oldest_compatible: next,
+                        proposal_id,
+                        lists,
+                    },
+                })
+            }
+            Phase::Joint { new, .. } => Some(Record {
+                position: next,
+                phase: Phase::Single(new),
+                oldest_compatible,
+                proposal_id,
+                lists: after,
+            }),
+        };
+        let Some(voter) = &self.voter else { return };
+        // What was accepted here and is not known to be chosen must be finished, whoever began it.
+        let open =
+            voter.accepted().filter(|(_, record)| record.position == next && again(&self.known_since, wait));
+        let proposal = match (proposal, open) {
+            (_, Some((_, record))) => Some(*record),
+            (Some(record), None) if voter.allows(now, &record) => Some(record),
+            _ => None,
+        };
+        let Some(proposal) = proposal else { return };
+        self.highest_ballot = self.highest_ballot.max(voter.promised().0) + 1;
+        let ballot: Ballot = (self.highest_ballot, self.me);
+        let round = Round::new(&self.known, proposal, ballot);
+        let ask = Message::PromiseRequest(*round.request());
+        // Apart, so that two do not beat each other for ever.
+        let apart = self.settings.period.mul_f64(self.rng.f64());
+        self.round = Some((round, now + apart));
+        self.send_to_voters(&ask, out);
+    }
+
+    /// Whether a majority of the voters to come, if others are, was heard voting.
+    fn next_voters_are_voting(&self, now: Duration) -> bool {
+        let Some(next) = &self.known.lists.next else { return true };
+        let recent = self.settings.period * 4;
+        let votes = |peer: &Peer| peer.status == VoterStatus::Voting && now < peer.heard + recent;
+        Quorum::majorities(next, None)
+            .is_met(|name| name == self.me || self.peers.get(&name).is_some_and(votes))
+    }
+
+    pub(super) fn on_round_action(&mut self, now: Duration, step: RoundAction, out: &mut Vec<Output>) {
+        match step {
+            RoundAction::Wait => {}
+            RoundAction::Accept(accept) => self.send_to_voters(&Message::Accept(accept), out),
+            RoundAction::Preempted(ballot) => self.highest_ballot = self.highest_ballot.max(ballot.0),
+            RoundAction::Chosen(record) => {
+                self.round = None;
+                // Those that vote no more are told as well.
+                let mut told: BTreeSet<MemberId> = self.known.lists.all().chain(record.lists.all()).collect();
+                told.remove(&self.me);
+                self.learn(now, self.me, &record, out);
+                for voter in told {
+                    self.send(voter, &Message::Chosen(record), out);
+                }
+            }
+        }
+    }
+}
--- a/crates/accord/src/quorum/tests.rs
+++ b/crates/accord/src/quorum/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn list(names: &[u32]) -> Voters {
-    Voters::new(names.iter().map(|name| Name(*name))).unwrap()
+fn list(names: &[u32]) -> VoterList {
+    VoterList::new(names.iter().map(|name| MemberId(*name))).unwrap()
 }
 
 #[test]
@@ -11,24 +11,24 @@
     let lists = [list(&[1, 2, 3]), list(&[3, 4, 5, 6])];
     let joint = Quorum::majorities(&lists[0], Some(&lists[1]));
     let names = [1, 2, 3, 4, 5, 6];
-    let has = |set: u32| move |name: Name| set >> name.0 & 1 == 1;
-    let quorums: Vec<u32> = (0..128).filter(|set| joint.met(has(*set))).collect();
+    let has = |set: u32| move |name: MemberId| set >> name.0 & 1 == 1;
+    let quorums: Vec<u32> = (0..128).filter(|set| joint.is_met(has(*set))).collect();
     assert!(!quorums.is_empty());
     for a in &quorums {
         for b in &quorums {
             for of in &lists {
-                assert!(names.iter().any(|n| (a & b) >> n & 1 == 1 && of.contains(Name(*n))));
+                assert!(names.iter().any(|n| (a & b) >> n & 1 == 1 && of.contains(MemberId(*n))));
             }
         }
-        assert!(lists.iter().all(|list| Quorum::majorities(list, None).met(has(*a))));
+        assert!(lists.iter().all(|list| Quorum::majorities(list, None).is_met(has(*a))));
     }
-    assert!(!Quorum::default().met(|_| true));
+    assert!(!Quorum::default().is_met(|_| true));
 }
 
 #[test]
 fn a_quorum_lasts_until_the_first_of_its_groups_is_short_of_one() {
     let joint = Quorum::majorities(&list(&[1, 2, 3]), Some(&list(&[4])));
-    let ends = |of: [u64; 5]| move |name: Name| Duration::from_secs(of[name.0 as usize]);
+    let ends = |of: [u64; 5]| move |name: MemberId| Duration::from_secs(of[name.0 as usize]);
     assert_eq!(joint.until(ends([0, 5, 7, 0, 9])), Duration::from_secs(5));
     assert_eq!(joint.until(ends([0, 5, 7, 6, 2])), Duration::from_secs(2));
     assert_eq!(joint.until(ends([0, 5, 7, 6, 0])), Duration::ZERO);
@@ -37,7 +37,7 @@
 #[test]
 fn a_list_has_bounds_and_one_order() {
     assert_eq!(list(&[3, 1, 2]), list(&[1, 2, 3]));
-    let refused = |names: &[u32]| Voters::new(names.iter().map(|name| Name(*name))).unwrap_err().0;
+    let refused = |names: &[u32]| VoterList::new(names.iter().map(|name| MemberId(*name))).unwrap_err().0;
     assert_eq!(refused(&[]), "at least one voter stays");
     assert_eq!(refused(&[1, 2, 1]), "a voter stands twice");
     assert_eq!(refused(&(0..10).collect::<Vec<_>>()), "more than 9 voters");
--- a/crates/accord/src/table.rs
+++ b/crates/accord/src/record.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::document::Digest;
-use crate::quorum::{Lists, Quorum, Voters};
-use crate::settings::Name;
+use crate::quorum::{Quorum, VoterList, VoterLists};
+use crate::settings::MemberId;
 
 /// A version of the document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalId {
     /// The proposer.
-    pub name: Name,
+    pub name: MemberId,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Counted from 1 within the life.
     pub count: u64,
 }
@@ -29,24 +29,24 @@
 /// Where a record stands. An epoch begins when a majority of voters has started from nothing; its salt keeps two
 /// foundings apart; steps count within it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Position {
     /// Foundings before this.
     pub epoch: u32,
     /// Of this founding.
     pub salt: u32,
     /// Records since.
-    pub step: u32,
+    pub index: u32,
 }
 
-impl Mark {
+impl Position {
     /// Whether both belong to one founding.
-    pub fn same_epoch(self, other: Mark) -> bool {
+    pub fn same_epoch(self, other: Position) -> bool {
         (self.epoch, self.salt) == (other.epoch, other.salt)
     }
 
     /// The place after this.
-    pub fn next(self) -> Mark {
-        Mark { step: self.step + 1, ..self }
+    pub fn next(self) -> Position {
+        Position { index: self.index + 1, ..self }
     }
 }
 
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
     /// One version.
-    Pure(Version),
+    Single(Version),
     /// The old version, while all fetch and prepare the new one.
     Prepare {
         /// In force.
@@ -62,7 +62,7 @@
         /// To come.
         new: Version,
         /// Its floor is stricter than the old one's: it needs the word of the whole roster.
-        tightens: bool,
+        tightens_floor: bool,
     },
     /// Both: the stricter of each on hard keys.
     Joint {
@@ -77,23 +77,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// Where it stands.
-    pub mark: Mark,
+    pub position: Position,
     /// What is obeyed.
     pub phase: Phase,
     /// The oldest mark under which the same is obeyed, or something that agrees with it: leases are granted from there.
-    pub least: Mark,
+    pub oldest_compatible: Position,
     /// Whose change led here; the founder's where there was none.
-    pub by: ProposalId,
+    pub proposal_id: ProposalId,
     /// Who votes. It stands in the record itself: whose word chooses the next one is known wherever this one is, whether or not a
     /// document came.
-    pub lists: Lists,
+    pub lists: VoterLists,
 }
 
 impl Record {
     /// Whose word a lease under it needs, and the choice of the place after it, whatever is put there.
     pub fn quorum(&self) -> Quorum {
         let joint = matches!(self.phase, Phase::Joint { .. });
-        Quorum::majorities(&self.lists.now, self.lists.next.as_ref().filter(|_| joint))
+        Quorum::majorities(&self.lists.current, self.lists.next.as_ref().filter(|_| joint))
     }
 
     /// Whose word the choice of `next` needs at the place after it: for the joint step of a change of voters also a majority of
@@ -106,23 +106,23 @@
     }
 
     /// Who votes once the version on its way is in force.
-    pub fn last_list(&self) -> Voters {
-        self.lists.next.unwrap_or(self.lists.now)
+    pub fn final_voters(&self) -> VoterList {
+        self.lists.next.unwrap_or(self.lists.current)
     }
 
     /// The newest version that activators obey.
     pub fn obeyed(&self) -> Version {
         match self.phase {
-            Phase::Pure(version) => version,
+            Phase::Single(version) => version,
             Phase::Prepare { old, .. } => old,
             Phase::Joint { new, .. } => new,
         }
     }
 
     /// The version on its way, if one is.
-    pub fn coming(&self) -> Option<Version> {
+    pub fn pending_version(&self) -> Option<Version> {
         match self.phase {
-            Phase::Pure(_) => None,
+            Phase::Single(_) => None,
             Phase::Prepare { new, .. } | Phase::Joint { new, .. } => Some(new),
         }
     }
@@ -130,7 +130,7 @@
     /// The versions whose documents are needed under it, the oldest first.
     pub fn versions(&self) -> impl Iterator<Item = Version> {
         let (a, b) = match self.phase {
-            Phase::Pure(version) => (version, None),
+            Phase::Single(version) => (version, None),
             Phase::Prepare { old, new, .. } | Phase::Joint { old, new } => (old, Some(new)),
         };
         std::iter::once(a).chain(b)
@@ -139,9 +139,9 @@
 
 /// A move from one record to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Move {
+pub enum Transition {
     /// A change is taken in: all fetch and prepare it.
-    Take,
+    Prepare,
     /// All who hold a lease are ready: both are obeyed.
     Join,
     /// No lease on the old alone is left: the new is obeyed.
@@ -159,26 +159,32 @@
 /// | Joint(a, b) | **never**: some act on b | | | Finish |
 ///
 /// The list of voters in force changes with *Finish* alone, to the one that *Take* named.
-pub fn legal(from: &Record, to: &Record) -> Option<Move> {
-    if to.mark != from.mark.next() {
+pub fn legal_transition(from: &Record, to: &Record) -> Option<Transition> {
+    if to.position != from.position.next() {
         return None;
     }
     match (from.phase, to.phase) {
-        (Phase::Pure(a), Phase::Prepare { old, new, .. }) => {
-            let lists = to.lists.now == from.lists.now && to.lists.next != Some(from.lists.now);
-            (old == a && new.number == a.number + 1 && to.least == from.least && lists).then_some(Move::Take)
+        (Phase::Single(a), Phase::Prepare { old, new, .. }) => {
+            let lists = to.lists.current == from.lists.current && to.lists.next != Some(from.lists.current);
+            (old == a
+                && new.number == a.number + 1
+                && to.oldest_compatible == from.oldest_compatible
+                && lists)
+                .then_some(Transition::Prepare)
         }
         (Phase::Prepare { old, new, .. }, Phase::Joint { old: a, new: b }) => {
-            let same = to.by == from.by && to.lists == from.lists;
-            (a == old && b == new && to.least == to.mark && same).then_some(Move::Join)
+            let same = to.proposal_id == from.proposal_id && to.lists == from.lists;
+            (a == old && b == new && to.oldest_compatible == to.position && same).then_some(Transition::Join)
         }
-        (Phase::Prepare { old, .. }, Phase::Pure(a)) => {
-            let lists = Lists::only(from.lists.now);
-            (a == old && to.least == from.least && to.lists == lists).then_some(Move::Withdraw)
+        (Phase::Prepare { old, .. }, Phase::Single(a)) => {
+            let lists = VoterLists::unchanged(from.lists.current);
+            (a == old && to.oldest_compatible == from.oldest_compatible && to.lists == lists)
+                .then_some(Transition::Withdraw)
         }
-        (Phase::Joint { new, .. }, Phase::Pure(b)) => {
-            let same = to.by == from.by && to.lists == Lists::only(from.last_list());
-            (b == new && to.least == from.least && same).then_some(Move::Finish)
+        (Phase::Joint { new, .. }, Phase::Single(b)) => {
+            let same =
+                to.proposal_id == from.proposal_id && to.lists == VoterLists::unchanged(from.final_voters());
+            (b == new && to.oldest_compatible == from.oldest_compatible && same).then_some(Transition::Finish)
         }
         _ => None,
     }
--- a/crates/accord/src/settings.rs
+++ b/crates/accord/src/settings.rs
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::document::Document;
-use crate::quorum::{named, Lists, Quorum, Voters};
+use crate::quorum::{voter_named_by, Quorum, VoterList, VoterLists};
 use crate::schema;
 
 /// A member of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Name(pub u32);
+pub struct MemberId(pub u32);
 
-impl fmt::Display for Name {
+impl fmt::Display for MemberId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -23,13 +23,13 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Who chooses versions and grants leases until a document names others: 3 to 9 names, the same list for all.
-    pub voters: Vec<Name>,
+    pub voters: Vec<MemberId>,
     /// Who may vote by a document's `voter/NUMBER`: at most 16 names, the voters among them, the same list for all. Empty: the
     /// voters, so that a list may not change. A founding counts on the silence of these, so names are added here before
     /// a document has them, and taken out after.
-    pub may_vote: Vec<Name>,
+    pub eligible_voters: Vec<MemberId>,
     /// All who may act, voters among them: at most 4,096.
-    pub roster: Vec<Name>,
+    pub roster: Vec<MemberId>,
     /// How long a lease lasts: 6 periods to an hour.
     pub lease: Duration,
     /// How often something unanswered is sent again: 10 ms to 60 s.
@@ -37,9 +37,9 @@
     /// How far a monotonic clock may be from true time, parts in a million: at most 100,000.
     pub drift_ppm: u32,
     /// How long a version waits for those who neither took it up nor refused it: at least a lease.
-    pub patience: Duration,
+    pub prepare_timeout: Duration,
     /// Most bytes of documents a member sends in a period: at least 2,400.
-    pub pace: usize,
+    pub transfer_bytes_per_period: usize,
     /// What is in force where no member knows of any version.
     pub document: Document,
     /// What this one acts on while it has no lease, by its own file. Covers the document's floor on every hard key.
@@ -64,21 +64,21 @@
 impl std::error::Error for SettingsError {}
 
 /// Most members: what a voter keeps a lease for.
-const MOST_MEMBERS: usize = 4_096;
+const MAX_MEMBERS: usize = 4_096;
 /// Most that may vote: each says to each other how it stands, each period.
-const MOST_MAY_VOTE: usize = 16;
+const MAX_ELIGIBLE_VOTERS: usize = 16;
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
             voters: Vec::new(),
-            may_vote: Vec::new(),
+            eligible_voters: Vec::new(),
             roster: Vec::new(),
             lease: Duration::from_secs(6),
             period: Duration::from_millis(500),
             drift_ppm: 500,
-            patience: Duration::from_secs(60),
-            pace: 120_000,
+            prepare_timeout: Duration::from_secs(60),
+            transfer_bytes_per_period: 120_000,
             document: Document::default(),
             floor: Document::default(),
         }
@@ -104,13 +104,13 @@
         if let Some(name) = self.voters.iter().find(|name| !self.roster.contains(name)) {
             return refuse("voters", format!("{name} is not among the members"));
         }
-        let mut may = self.may_vote.clone();
+        let mut may = self.eligible_voters.clone();
         may.sort_unstable();
         may.dedup();
-        if may.len() != self.may_vote.len() || may.len() > MOST_MAY_VOTE {
+        if may.len() != self.eligible_voters.len() || may.len() > MAX_ELIGIBLE_VOTERS {
             return refuse(
                 "may_vote",
-                format!("{} names: at most {MOST_MAY_VOTE}, none twice", self.may_vote.len()),
+                format!("{} names: at most {MAX_ELIGIBLE_VOTERS}, none twice", self.eligible_voters.len()),
             );
         }
         if let Some(name) = may.iter().find(|name| !self.roster.contains(name)) {
@@ -119,10 +119,10 @@
         if let Some(name) = self.voters.iter().find(|name| !may.is_empty() && !may.contains(name)) {
             return refuse("may_vote", format!("the voter {name} is missing"));
         }
-        if self.roster.len() > MOST_MEMBERS {
+        if self.roster.len() > MAX_MEMBERS {
             return refuse(
                 "voters",
-                format!("{} members, at most {MOST_MEMBERS} are allowed", self.roster.len()),
+                format!("{} members, at most {MAX_MEMBERS} are allowed", self.roster.len()),
             );
         }
         if !(Duration::from_millis(10)..=Duration::from_secs(60)).contains(&self.period) {
@@ -135,35 +135,37 @@
         if self.drift_ppm > 100_000 {
             return refuse("drift_ppm", format!("{} is above 100000", self.drift_ppm));
         }
-        if self.patience < self.lease {
-            return refuse("patience_ms", format!("{:?} is less than a lease", self.patience));
+        if self.prepare_timeout < self.lease {
+            return refuse("patience_ms", format!("{:?} is less than a lease", self.prepare_timeout));
         }
-        if self.pace < 2_400 {
-            return refuse("pace_bytes", format!("{} is less than 2400", self.pace));
+        if self.transfer_bytes_per_period < 2_400 {
+            return refuse("pace_bytes", format!("{} is less than 2400", self.transfer_bytes_per_period));
         }
         for (name, document) in [("document", &self.document), ("floor", &self.floor)] {
-            if let Some(error) = document.iter().find_map(|(key, value)| schema::check(key, value).err()) {
+            if let Some(error) =
+                document.iter().find_map(|(key, value)| schema::check_entry(key, value).err())
+            {
                 return refuse(name, error.to_string());
             }
             if !document.fits() {
                 return refuse(name, format!("{} entries, {} bytes", document.len(), document.bytes()));
             }
         }
-        if let Some(name) = self.document.beside_lists().find_map(|(key, _)| named(key)) {
+        if let Some(name) = self.document.entries_outside_lists().find_map(|(key, _)| voter_named_by(key)) {
             return refuse(
                 "document",
                 format!("voter/{name}: who votes at the start is said by accord.voters"),
             );
         }
-        if let Some(name) = self.floor.beside_lists().find_map(|(key, _)| named(key)) {
+        if let Some(name) = self.floor.entries_outside_lists().find_map(|(key, _)| voter_named_by(key)) {
             return refuse("floor", format!("voter/{name}: voters have no floor"));
         }
-        if let Some(key) = self.floor.iter().find_map(|(key, _)| key.floored()) {
+        if let Some(key) = self.floor.iter().find_map(|(key, _)| key.floor_target()) {
             return refuse("floor", format!("floor/{key}: keys of the floor have no floor/ before them"));
         }
         for (of, key) in [
-            ("the document is stricter", schema::uncovered(&self.first(), &self.floor)),
-            ("the document's floor is stricter", schema::uncovered(&self.first().floor(), &self.floor)),
+            ("the document is stricter", schema::find_uncovered(&self.first(), &self.floor)),
+            ("the document's floor is stricter", schema::find_uncovered(&self.first().floor(), &self.floor)),
         ] {
             if let Some(key) = key {
                 return refuse("floor", format!("{key}: {of}, so one that is cut off would contradict it"));
@@ -182,7 +184,7 @@
     /// The document at the very start: the file's, with the file's floor where it says none.
     pub(crate) fn first(&self) -> Document {
         let mut first = self.document.clone();
-        if first.iter().all(|(key, _)| key.floored().is_none()) {
+        if first.iter().all(|(key, _)| key.floor_target().is_none()) {
             for (key, value) in self.floor.iter() {
                 if let Some(key) = key.floor() {
                     first.set(key, value.clone());
@@ -194,31 +196,31 @@
     }
 
     /// Who may ever vote.
-    pub(crate) fn may_vote(&self) -> &[Name] {
-        if self.may_vote.is_empty() {
+    pub(crate) fn eligible_voters(&self) -> &[MemberId] {
+        if self.eligible_voters.is_empty() {
             &self.voters
         } else {
-            &self.may_vote
+            &self.eligible_voters
         }
     }
 
     /// Who votes where no document said otherwise yet.
-    pub(crate) fn first_list(&self) -> Result<Lists, SettingsError> {
-        let list = Voters::new(self.voters.iter().copied());
+    pub(crate) fn first_list(&self) -> Result<VoterLists, SettingsError> {
+        let list = VoterList::new(self.voters.iter().copied());
         let list = list.map_err(|why| SettingsError { key: "voters", reason: why.to_string() })?;
-        Ok(Lists::only(list))
+        Ok(VoterLists::unchanged(list))
     }
 
     /// Whose silence is enough for a founding: all that may vote but for fewer than a majority of the smallest list there may
     /// be, so that whatever list is in force, one of each of its majorities is silent. With a list that may not change: a majority.
     ///
     /// Who is `gone`, as the operator promises by a document, is silent.
-    pub(crate) fn founders(&self, gone: impl Fn(Name) -> bool) -> Quorum {
-        let may = self.may_vote();
-        let left: Vec<Name> = may.iter().copied().filter(|name| !gone(*name)).collect();
+    pub(crate) fn bootstrap_quorum(&self, gone: impl Fn(MemberId) -> bool) -> Quorum {
+        let may = self.eligible_voters();
+        let left: Vec<MemberId> = may.iter().copied().filter(|name| !gone(*name)).collect();
         let need = may.len() - self.voters.len() / 2;
         let need = need.saturating_sub(may.len() - left.len()).max(1);
-        Quorum::of(left, need)
+        Quorum::threshold(left, need)
     }
 
     /// A time on the holder's side: over before it is over for anybody else.
--- a/crates/accord/src/wire.rs
+++ b/crates/accord/src/wire.rs
@@ -3,13 +3,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::document::Digest;
-use crate::table::{Mark, ProposalId, Record, Version};
-use crate::voter::{Accept, Ask, Ballot, Promise, Request, Standing};
+use crate::record::{Position, ProposalId, Record, Version};
+use crate::voter::{Accept, Ballot, LeaseRequest, Promise, PromiseRequest, VoterStatus};
 
 /// Most bytes of a datagram of this crate.
-pub const MOST_DATAGRAM: usize = 1_190;
+pub const MAX_DATAGRAM_BYTES: usize = 1_190;
 /// Bytes of a document in one [`Message::Chunk`], which adds at most 85 of its own.
-pub(crate) const CHUNK: usize = 1_080;
+pub(crate) const CHUNK_BYTES: usize = 1_080;
 /// Second: records carry lists of voters. One of the first hears nothing, has no lease and keeps to its floor.
 const VERSION: u8 = 2;
 
@@ -18,15 +18,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// A holder to a voter.
-    Request(Request),
+    LeaseRequest(LeaseRequest),
     /// A voter to a holder.
-    Reply {
+    LeaseReply {
         /// Echoed.
-        life: u64,
+        incarnation: u64,
         /// Echoed.
         at: u64,
         /// Echoed.
-        mark: Mark,
+        position: Position,
         /// Whether the lease is granted.
         granted: bool,
         /// What is chosen, if the holder did not know.
@@ -35,9 +35,9 @@
         tell: bool,
     },
     /// Chosen by a majority.
-    Known(Record),
+    Chosen(Record),
     /// A round's first step.
-    Ask(Ask),
+    PromiseRequest(PromiseRequest),
     /// Its answer.
     Promise(Promise),
     /// Its second step.
@@ -45,20 +45,20 @@
     /// Its answer.
     Accepted {
         /// The place.
-        mark: Mark,
+        position: Position,
         /// The round.
         ballot: Ballot,
         /// The life that accepted.
-        life: u64,
+        incarnation: u64,
     },
     /// A voter to a voter.
-    State {
+    VoterState {
         /// Of the sender.
-        life: u64,
+        incarnation: u64,
         /// The life of the addressee, as the sender knows it.
-        yours: u64,
+        recipient_incarnation: u64,
         /// Of the sender.
-        standing: Standing,
+        status: VoterStatus,
         /// What it knows.
         known: Record,
         /// What it promised.
@@ -76,9 +76,9 @@
         new: Version,
     },
     /// An operator gives up the version that is prepared under this record.
-    Withdraw(Mark),
+    Withdraw(Position),
     /// Parts of a document, please.
-    Want {
+    ChunkRequest {
         /// Whose.
         digest: Digest,
         /// As a delta against this one, which the asker holds.
@@ -114,7 +114,7 @@
 /// The message of these bytes; none if they are no message of this version, whole and with nothing behind it.
 pub fn decode(data: &[u8]) -> Option<Message> {
     let (version, rest) = data.split_first()?;
-    if *version != VERSION || data.len() > MOST_DATAGRAM {
+    if *version != VERSION || data.len() > MAX_DATAGRAM_BYTES {
         return None;
     }
     match postcard::take_from_bytes::<Message>(rest) {
--- a/crates/accord/tests/faults.rs
+++ b/crates/accord/tests/faults.rs
@@ -15,8 +15,8 @@
 }
 
 fn held(net: &Net, name: u32) -> Option<Value> {
-    match net.acting(Name(name)) {
-        Acting::One(_, terms) => terms.get(&key("class/a/attempts")).cloned(),
+    match net.acting(MemberId(name)) {
+        ActiveTerms::Single(_, terms) => terms.get(&key("class/a/attempts")).cloned(),
         _ => None,
     }
 }
@@ -32,7 +32,7 @@
 fn a_change_comes_into_force_with_all() {
     let mut net = Net::new(5, 3, 1);
     net.start();
-    let id = net.propose(Name(5), attempts(2)).unwrap();
+    let id = net.propose(MemberId(5), attempts(2)).unwrap();
     assert!(
         net.wait(30_000, |net| net.agreed().is_some_and(|version| version.number == 2)),
         "{:#?}",
@@ -40,7 +40,7 @@
     );
     assert_eq!(held(&net, 4), Some(Value::Int(2)));
     assert!(
-        matches!(&net.settled[..], [(Name(5), settled, Ok(Version { number: 2, .. }))] if *settled == id)
+        matches!(&net.settled[..], [(MemberId(5), settled, Ok(Version { number: 2, .. }))] if *settled == id)
     );
     sound(&net);
 }
@@ -93,18 +93,21 @@
     for seed in 0..8 {
         let mut net = Net::new(5, 3, seed);
         net.start();
-        net.propose(Name(4), attempts(2)).unwrap();
-        net.propose(Name(5), attempts(5)).unwrap();
+        net.propose(MemberId(4), attempts(2)).unwrap();
+        net.propose(MemberId(5), attempts(5)).unwrap();
         in_force(&mut net, 2);
         assert!(net.wait(60_000, |net| net.settled.len() == 2), "{:?}\n{:#?}", net.settled, net.notes);
         let (good, bad): (Vec<_>, Vec<_>) = net.settled.iter().partition(|(.., result)| result.is_ok());
         assert!(
-            matches!(bad[..], [(_, _, Err(Rejected::Busy(_) | Rejected::Stale(_)))]),
+            matches!(bad[..], [(_, _, Err(ProposalError::Busy(_) | ProposalError::StaleBase(_)))]),
             "seed {seed}: {bad:?}"
         );
-        let won = if good[0].0 == Name(4) { 2 } else { 5 };
+        let won = if good[0].0 == MemberId(4) { 2 } else { 5 };
         assert_eq!(held(&net, 1), Some(Value::Int(won)), "seed {seed}");
-        assert!(matches!(net.propose(Name(1), |change| change.base = 1), Err(Rejected::Stale(_))));
+        assert!(matches!(
+            net.propose(MemberId(1), |change| change.base = 1),
+            Err(ProposalError::StaleBase(_))
+        ));
         sound(&net);
     }
 }
@@ -115,11 +118,12 @@
     for (seed, millis) in (0..24).map(|at| (at, at * 25)) {
         let mut net = Net::new(5, 3, seed);
         net.start();
-        net.propose(Name(1), attempts(2)).unwrap();
+        net.propose(MemberId(1), attempts(2)).unwrap();
         net.run(millis);
-        net.kill(Name(1));
-        let still =
-            |net: &Net| net.members[1..].iter().all(|one| one.accord.view(Duration::ZERO).pending.is_none());
+        net.kill(MemberId(1));
+        let still = |net: &Net| {
+            net.members[1..].iter().all(|one| one.accord.status(Duration::ZERO).pending.is_none())
+        };
         assert!(
             net.wait(90_000, |net| still(net) && net.agreed().is_some()),
             "killed at {millis} ms: {:#?}",
@@ -137,11 +141,11 @@
     net.run(4_000);
     for name in [2, 5] {
         assert!(
-            matches!(net.acting(Name(name)), Acting::Floor(floor) if floor.get(&key("class/a/attempts")) == Some(&Value::Int(1)))
+            matches!(net.acting(MemberId(name)), ActiveTerms::Floor(floor) if floor.get(&key("class/a/attempts")) == Some(&Value::Int(1)))
         );
-        assert!(matches!(net.propose(Name(name), attempts(2)), Err(Rejected::NotNow(_))));
+        assert!(matches!(net.propose(MemberId(name), attempts(2)), Err(ProposalError::Unavailable(_))));
     }
-    net.propose(Name(4), attempts(2)).unwrap();
+    net.propose(MemberId(4), attempts(2)).unwrap();
     assert!(net.wait(30_000, |net| held(net, 4) == Some(Value::Int(2))));
     sound(&net);
     net.cuts.clear();
@@ -153,13 +157,13 @@
 fn one_that_was_stopped_ends_its_lease_before_it_acts() {
     let mut net = Net::new(4, 3, 4);
     net.start();
-    net.pause(Name(4), true);
-    net.propose(Name(1), attempts(2)).unwrap();
+    net.pause(MemberId(4), true);
+    net.propose(MemberId(1), attempts(2)).unwrap();
     net.run(20_000);
     assert_eq!(held(&net, 1), Some(Value::Int(2)));
-    net.pause(Name(4), false);
+    net.pause(MemberId(4), false);
     // Nothing was called yet: the clock alone says it.
-    assert!(matches!(net.acting(Name(4)), Acting::Floor(_)));
+    assert!(matches!(net.acting(MemberId(4)), ActiveTerms::Floor(_)));
     in_force(&mut net, 2);
     sound(&net);
 }
@@ -169,12 +173,12 @@
     for seed in 0..8 {
         let mut net = Net::new(5, 3, seed);
         net.start();
-        net.propose(Name(5), attempts(2)).unwrap();
+        net.propose(MemberId(5), attempts(2)).unwrap();
         in_force(&mut net, 2);
         let digest = net.agreed().unwrap().digest;
-        (1..=3).for_each(|name| net.kill(Name(name)));
+        (1..=3).for_each(|name| net.kill(MemberId(name)));
         net.run(600);
-        (1..=3).for_each(|name| net.restart(Name(name)));
+        (1..=3).for_each(|name| net.restart(MemberId(name)));
         assert!(net.wait(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
         assert_eq!(net.agreed().unwrap().digest, digest, "seed {seed}");
         assert!(net.agreed().unwrap().number > 2, "never the number of what may have been lost");
@@ -188,15 +192,15 @@
     for seed in 0..8 {
         let mut net = Net::new(5, 3, seed);
         net.start();
-        net.propose(Name(5), attempts(2)).unwrap();
+        net.propose(MemberId(5), attempts(2)).unwrap();
         in_force(&mut net, 2);
         for name in 1..=3 {
-            net.kill(Name(name));
-            net.restart_set_back(Name(name));
+            net.kill(MemberId(name));
+            net.restart_set_back(MemberId(name));
             net.run(200);
         }
         assert!(net.wait(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
-        net.propose(Name(4), attempts(3)).unwrap();
+        net.propose(MemberId(4), attempts(3)).unwrap();
         assert!(net.wait(60_000, |net| held(net, 1) == Some(Value::Int(3))), "seed {seed}: {:#?}", net.notes);
         sound(&net);
     }
@@ -206,12 +210,12 @@
 fn one_voter_gone_for_good_and_one_that_forgot_found_anew_with_the_third() {
     let mut net = Net::new(4, 3, 5);
     net.start();
-    net.kill(Name(3));
+    net.kill(MemberId(3));
     net.run(1_000);
-    net.kill(Name(2));
-    net.restart(Name(2));
+    net.kill(MemberId(2));
+    net.restart(MemberId(2));
     assert!(net.wait(60_000, |net| net.agreed().is_some()), "{:#?}", net.notes);
-    net.propose(Name(4), attempts(2)).unwrap();
+    net.propose(MemberId(4), attempts(2)).unwrap();
     assert!(net.wait(60_000, |net| held(net, 1) == Some(Value::Int(2))), "{:#?}", net.notes);
     sound(&net);
 }
@@ -224,24 +228,24 @@
     let with = |change: &mut Change| {
         change.set.insert(key("list/l/new"), Value::Flag(true));
     };
-    net.propose(Name(1), with).unwrap();
+    net.propose(MemberId(1), with).unwrap();
     net.run(20_000);
     assert_eq!(net.agreed().map(|version| version.number), Some(1), "{:#?}", net.notes);
-    assert_eq!(net.view(Name(1)).refused, [(Name(5), Refusal::Unknown("list/l/new".into()))]);
-    net.withdraw(Name(2));
+    assert_eq!(net.view(MemberId(1)).refused, [(MemberId(5), Refusal::Unknown("list/l/new".into()))]);
+    net.withdraw(MemberId(2));
     assert!(net.wait(30_000, |net| net.settled.len() == 1), "{:#?}", net.notes);
-    assert!(matches!(net.settled[0].2, Err(Rejected::Withdrawn)));
-    net.propose(Name(1), |change| drop(change.set.insert(key("accord/refused"), word("go_on")))).unwrap();
+    assert!(matches!(net.settled[0].2, Err(ProposalError::Withdrawn)));
+    net.propose(MemberId(1), |change| drop(change.set.insert(key("accord/refused"), word("go_on")))).unwrap();
     in_force(&mut net, 2);
-    net.propose(Name(1), with).unwrap();
+    net.propose(MemberId(1), with).unwrap();
     assert!(
-        net.wait(60_000, |net| net.settled.len() == 3 && net.view(Name(1)).known.number == 3),
+        net.wait(60_000, |net| net.settled.len() == 3 && net.view(MemberId(1)).known.number == 3),
         "{:#?}",
         net.notes
     );
     net.run(10_000);
-    assert!(matches!(net.acting(Name(5)), Acting::Floor(_)), "it is left on the floor");
-    assert!(matches!(net.acting(Name(4)), Acting::One(Version { number: 3, .. }, _)));
+    assert!(matches!(net.acting(MemberId(5)), ActiveTerms::Floor(_)), "it is left on the floor");
+    assert!(matches!(net.acting(MemberId(4)), ActiveTerms::Single(Version { number: 3, .. }, _)));
     sound(&net);
 }
 
@@ -252,33 +256,37 @@
     loose.floor.seal();
     let mut net = Net::with(loose, 7, Default::default());
     net.start();
-    let refused = net.propose(Name(1), |change| drop(change.set.insert(key("limit/x"), Value::Int(9))));
-    assert_eq!(refused, Err(Rejected::Change(ChangeError::Undercuts(key("limit/x")))));
-    let unsaid = net.propose(Name(1), |change| drop(change.set.insert(key("limit/y"), Value::Int(9))));
-    assert_eq!(unsaid, Err(Rejected::Change(ChangeError::Undercuts(key("limit/y")))));
+    let refused = net.propose(MemberId(1), |change| drop(change.set.insert(key("limit/x"), Value::Int(9))));
+    assert_eq!(refused, Err(ProposalError::Change(ChangeError::StricterThanFloor(key("limit/x")))));
+    let unsaid = net.propose(MemberId(1), |change| drop(change.set.insert(key("limit/y"), Value::Int(9))));
+    assert_eq!(unsaid, Err(ProposalError::Change(ChangeError::StricterThanFloor(key("limit/y")))));
     // The floor of the document is not to be stricter than that of a file.
-    net.propose(Name(1), |change| drop(change.set.insert(key("floor/limit/x"), Value::Int(9)))).unwrap();
+    net.propose(MemberId(1), |change| drop(change.set.insert(key("floor/limit/x"), Value::Int(9)))).unwrap();
     net.run(20_000);
     assert_eq!(net.agreed().map(|version| version.number), Some(1));
-    assert!(net.view(Name(1)).refused.contains(&(Name(4), Refusal::Floor("limit/x".into()))));
-    net.withdraw(Name(1));
+    assert!(net.view(MemberId(1)).refused.contains(&(MemberId(4), Refusal::Floor("limit/x".into()))));
+    net.withdraw(MemberId(1));
     assert!(net.wait(30_000, |net| net.settled.len() == 1));
     // New files, member by member; one is still cut off, so the floor waits for it.
     net.settings.floor.set(key("limit/x"), Value::Int(0));
     net.settings.floor.seal();
     for name in 1..=4 {
-        net.restart(Name(name));
+        net.restart(MemberId(name));
         net.run(12_000);
     }
     in_force(&mut net, 1);
     net.cut(&[4], &[1, 2, 3], true);
     net.run(5_000);
-    net.propose(Name(1), |change| drop(change.set.insert(key("floor/limit/x"), Value::Int(0)))).unwrap();
+    net.propose(MemberId(1), |change| drop(change.set.insert(key("floor/limit/x"), Value::Int(0)))).unwrap();
     net.run(30_000);
-    assert!(matches!(net.acting(Name(1)), Acting::One(Version { number: 1, .. }, _)), "{:#?}", net.notes);
+    assert!(
+        matches!(net.acting(MemberId(1)), ActiveTerms::Single(Version { number: 1, .. }, _)),
+        "{:#?}",
+        net.notes
+    );
     net.cuts.clear();
     in_force(&mut net, 2);
-    net.propose(Name(1), |change| drop(change.set.insert(key("limit/x"), Value::Int(9)))).unwrap();
+    net.propose(MemberId(1), |change| drop(change.set.insert(key("limit/x"), Value::Int(9)))).unwrap();
     in_force(&mut net, 3);
     sound(&net);
 }
@@ -294,12 +302,12 @@
 /// Five members of which each may vote, three vote.
 fn changing(seed: u64) -> Net {
     let mut settings = settings(6, 3);
-    settings.may_vote = (1..=5).map(Name).collect();
+    settings.eligible_voters = (1..=5).map(MemberId).collect();
     Net::with(settings, seed, Default::default())
 }
 
 fn listed(net: &Net, name: u32) -> Vec<u32> {
-    net.view(Name(name)).voters.iter().map(|(name, _)| name.0).collect()
+    net.view(MemberId(name)).voters.iter().map(|(name, _)| name.0).collect()
 }
 
 #[test]
@@ -307,20 +315,20 @@
     for seed in 0..6 {
         let mut net = changing(seed);
         net.start();
-        net.kill(Name(1));
+        net.kill(MemberId(1));
         net.run(8_000);
-        net.propose(Name(6), voters(&[4], &[1])).unwrap();
+        net.propose(MemberId(6), voters(&[4], &[1])).unwrap();
         in_force(&mut net, 2);
         assert_eq!((listed(&net, 2), listed(&net, 6)), (vec![2, 3, 4], vec![2, 3, 4]), "seed {seed}");
-        net.kill(Name(2));
+        net.kill(MemberId(2));
         net.run(8_000);
-        net.propose(Name(5), attempts(2)).unwrap();
+        net.propose(MemberId(5), attempts(2)).unwrap();
         in_force(&mut net, 3);
         sound(&net);
         // The one that was removed comes back with its old file, and is told who votes.
-        net.restart(Name(1));
+        net.restart(MemberId(1));
         in_force(&mut net, 3);
-        assert_eq!((listed(&net, 1), net.view(Name(1)).role), (vec![2, 3, 4], Role::Activator));
+        assert_eq!((listed(&net, 1), net.view(MemberId(1)).role), (vec![2, 3, 4], Role::Activator));
         sound(&net);
     }
 }
@@ -328,21 +336,21 @@
 #[test]
 fn a_change_of_all_voters_leaves_nobody_on_the_floor() {
     let mut net = changing(1);
-    net.settings.may_vote = (1..=6).map(Name).collect();
-    (1..=6).for_each(|name| net.restart(Name(name)));
+    net.settings.eligible_voters = (1..=6).map(MemberId).collect();
+    (1..=6).for_each(|name| net.restart(MemberId(name)));
     net.start();
-    net.propose(Name(1), voters(&[4, 5, 6], &[1, 2, 3])).unwrap();
+    net.propose(MemberId(1), voters(&[4, 5, 6], &[1, 2, 3])).unwrap();
     let mut fell = 0;
     while net.agreed().is_none_or(|version| version.number != 2) {
         net.run(50);
-        fell += (1..=6).filter(|name| matches!(net.acting(Name(*name)), Acting::Floor(_))).count();
+        fell += (1..=6).filter(|name| matches!(net.acting(MemberId(*name)), ActiveTerms::Floor(_))).count();
         assert!(net.now < 120_000_000, "{:#?}", net.notes);
     }
     assert_eq!((fell, listed(&net, 1)), (0, vec![4, 5, 6]));
     // The old ones matter to nobody any more.
-    (1..=3).for_each(|name| net.kill(Name(name)));
+    (1..=3).for_each(|name| net.kill(MemberId(name)));
     net.run(8_000);
-    net.propose(Name(5), attempts(2)).unwrap();
+    net.propose(MemberId(5), attempts(2)).unwrap();
     in_force(&mut net, 3);
     sound(&net);
 }
@@ -350,16 +358,16 @@
 #[test]
 fn one_that_was_cut_off_through_a_change_of_all_it_knew_finds_the_new_voters() {
     let mut net = changing(2);
-    net.settings.may_vote = (1..=6).map(Name).collect();
-    net.settings.roster = (1..=6).map(Name).collect();
-    (1..=6).for_each(|name| net.restart(Name(name)));
+    net.settings.eligible_voters = (1..=6).map(MemberId).collect();
+    net.settings.roster = (1..=6).map(MemberId).collect();
+    (1..=6).for_each(|name| net.restart(MemberId(name)));
     net.start();
     net.cut(&[6], &[1, 2, 3, 4, 5], true);
     net.run(6_000);
-    net.propose(Name(5), voters(&[4, 5], &[1, 2])).unwrap();
+    net.propose(MemberId(5), voters(&[4, 5], &[1, 2])).unwrap();
     assert!(net.wait(60_000, |net| listed(net, 3) == [3, 4, 5]), "{:#?}", net.notes);
     // Of those that it knows only one is left, and that cannot be heard.
-    (1..=2).for_each(|name| net.kill(Name(name)));
+    (1..=2).for_each(|name| net.kill(MemberId(name)));
     net.cuts.clear();
     net.cut(&[6], &[1, 2, 3], true);
     assert!(net.wait(60_000, |net| listed(net, 6) == [3, 4, 5]), "{:#?}", net.notes);
@@ -372,11 +380,12 @@
     for (seed, millis) in (0..16).map(|at| (at, at * 150)) {
         let mut net = changing(seed);
         net.start();
-        net.propose(Name(1), voters(&[4, 5], &[1])).unwrap();
+        net.propose(MemberId(1), voters(&[4, 5], &[1])).unwrap();
         net.run(millis);
-        net.kill(Name(1));
-        let still =
-            |net: &Net| net.members[1..].iter().all(|one| one.accord.view(Duration::ZERO).pending.is_none());
+        net.kill(MemberId(1));
+        let still = |net: &Net| {
+            net.members[1..].iter().all(|one| one.accord.status(Duration::ZERO).pending.is_none())
+        };
         assert!(
             net.wait(90_000, |net| still(net) && net.agreed().is_some()),
             "killed at {millis} ms: {:#?}",
@@ -394,12 +403,12 @@
     for seed in 0..6 {
         let mut net = changing(seed);
         net.start();
-        net.propose(Name(2), voters(&[4, 5], &[1, 2])).unwrap();
+        net.propose(MemberId(2), voters(&[4, 5], &[1, 2])).unwrap();
         in_force(&mut net, 2);
         // The files still name 1, 2 and 3. Member 6, which has no vote, is the only one that knows.
-        (1..=5).for_each(|name| net.kill(Name(name)));
+        (1..=5).for_each(|name| net.kill(MemberId(name)));
         net.run(600);
-        (1..=5).for_each(|name| net.restart(Name(name)));
+        (1..=5).for_each(|name| net.restart(MemberId(name)));
         assert!(net.wait(90_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
         assert_eq!(listed(&net, 1), [3, 4, 5], "seed {seed}: {:#?}", net.notes);
         sound(&net);
@@ -411,17 +420,17 @@
     for seed in 0..6 {
         let mut net = changing(seed);
         net.start();
-        net.propose(Name(2), voters(&[4, 5], &[1, 2])).unwrap();
+        net.propose(MemberId(2), voters(&[4, 5], &[1, 2])).unwrap();
         in_force(&mut net, 2);
         // A majority of the files' list starts from nothing, and hears nobody else.
         net.cut(&[1, 2], &[3, 4, 5, 6], true);
         for name in [1, 2] {
-            net.kill(Name(name));
-            net.restart(Name(name));
+            net.kill(MemberId(name));
+            net.restart(MemberId(name));
         }
-        net.propose(Name(6), attempts(2)).unwrap();
+        net.propose(MemberId(6), attempts(2)).unwrap();
         net.run(40_000);
-        assert!(matches!(net.acting(Name(1)), Acting::Floor(_)), "{:#?}", net.notes);
+        assert!(matches!(net.acting(MemberId(1)), ActiveTerms::Floor(_)), "{:#?}", net.notes);
         assert_eq!(held(&net, 6), Some(Value::Int(2)));
         sound(&net);
         net.cuts.clear();
@@ -434,12 +443,12 @@
 fn those_declared_gone_are_not_waited_for_by_a_founding() {
     for declared in [false, true] {
         let mut net = changing(5);
-        net.settings.may_vote = (1..=4).map(Name).collect();
-        (1..=6).for_each(|name| net.restart(Name(name)));
+        net.settings.eligible_voters = (1..=4).map(MemberId).collect();
+        (1..=6).for_each(|name| net.restart(MemberId(name)));
         net.start();
-        net.kill(Name(1));
+        net.kill(MemberId(1));
         net.run(8_000);
-        net.propose(Name(6), |change| {
+        net.propose(MemberId(6), |change| {
             voters(&[4], &[1])(change);
             if declared {
                 change.set.insert(key("gone/1"), Value::Flag(true));
@@ -448,9 +457,9 @@
         .unwrap();
         in_force(&mut net, 2);
         // Of 2, 3 and 4 one dies for good, and one forgets.
-        net.kill(Name(2));
-        net.kill(Name(3));
-        net.restart(Name(3));
+        net.kill(MemberId(2));
+        net.kill(MemberId(3));
+        net.restart(MemberId(3));
         net.run(60_000);
         assert_eq!(net.agreed().is_some(), declared, "{:#?}", net.notes);
         sound(&net);
@@ -461,29 +470,30 @@
 fn a_list_that_cannot_be_is_refused_with_its_reason() {
     let mut net = changing(3);
     net.start();
-    let refused = |net: &mut Net, set: &[u32], drop: &[u32]| match net.propose(Name(1), voters(set, drop)) {
-        Err(Rejected::Voters(why)) => why,
+    let refused = |net: &mut Net, set: &[u32], drop: &[u32]| match net.propose(MemberId(1), voters(set, drop))
+    {
+        Err(ProposalError::Voters(why)) => why,
         other => panic!("{other:?}"),
     };
     assert!(refused(&mut net, &[7], &[]).contains("voter/7: no such member is on the roster"));
     assert!(refused(&mut net, &[6], &[1]).contains("voter/6: it is not among accord.may_vote"));
     assert!(refused(&mut net, &[], &[1]).contains("2 names, at least 3 stay"));
     assert!(refused(&mut net, &[], &[1, 2, 3]).contains("at least one voter stays"));
-    let with_gone = net.propose(Name(1), |change| {
+    let with_gone = net.propose(MemberId(1), |change| {
         voters(&[4], &[])(change);
         change.set.insert(key("gone/4"), Value::Flag(true));
     });
-    assert!(matches!(with_gone, Err(Rejected::Voters(why)) if why.contains("gone/4 says")));
-    net.propose(Name(1), voters(&[4], &[])).unwrap();
+    assert!(matches!(with_gone, Err(ProposalError::Voters(why)) if why.contains("gone/4 says")));
+    net.propose(MemberId(1), voters(&[4], &[])).unwrap();
     in_force(&mut net, 2);
     assert_eq!(listed(&net, 6), [1, 2, 3, 4], "an even number is no error");
     // Files are not gone back to.
     assert!(refused(&mut net, &[], &[1, 2, 3, 4]).contains("at least one voter stays"));
     // Of two changes of voters the second is told of the first.
-    net.propose(Name(1), voters(&[5], &[1])).unwrap();
-    assert!(net.wait(30_000, |net| net.view(Name(6)).pending.is_some()));
-    let busy = net.propose(Name(6), voters(&[5], &[2]));
-    assert!(matches!(busy, Err(Rejected::Busy(_) | Rejected::Stale(_))), "{busy:?}");
+    net.propose(MemberId(1), voters(&[5], &[1])).unwrap();
+    assert!(net.wait(30_000, |net| net.view(MemberId(6)).pending.is_some()));
+    let busy = net.propose(MemberId(6), voters(&[5], &[2]));
+    assert!(matches!(busy, Err(ProposalError::Busy(_) | ProposalError::StaleBase(_))), "{busy:?}");
     in_force(&mut net, 3);
     assert_eq!(listed(&net, 2), [2, 3, 4, 5]);
     sound(&net);
@@ -493,23 +503,27 @@
 fn a_list_whose_majority_is_dead_is_not_joined_and_can_be_withdrawn() {
     let mut net = changing(4);
     net.start();
-    net.kill(Name(4));
-    net.kill(Name(5));
-    net.propose(Name(6), voters(&[4, 5], &[1, 2])).unwrap();
+    net.kill(MemberId(4));
+    net.kill(MemberId(5));
+    net.propose(MemberId(6), voters(&[4, 5], &[1, 2])).unwrap();
     // Withdrawn by itself after twice the patience.
     net.run(15_000);
-    assert!(net.view(Name(6)).pending.is_some());
-    assert!(net.wait(30_000, |net| net.view(Name(6)).pending.is_none()), "{:#?}", net.notes);
-    assert!(matches!(net.settled[..], [(Name(6), _, Err(Rejected::Withdrawn))]), "{:?}", net.settled);
-    net.propose(Name(6), voters(&[4, 5], &[1, 2])).unwrap();
+    assert!(net.view(MemberId(6)).pending.is_some());
+    assert!(net.wait(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.notes);
+    assert!(
+        matches!(net.settled[..], [(MemberId(6), _, Err(ProposalError::Withdrawn))]),
+        "{:?}",
+        net.settled
+    );
+    net.propose(MemberId(6), voters(&[4, 5], &[1, 2])).unwrap();
     net.run(10_000);
     assert_eq!(net.agreed().map(|version| version.number), Some(1), "{:#?}", net.notes);
-    let view = net.view(Name(6));
-    let to_come: Vec<u32> = view.voters_to_come.unwrap().iter().map(|(name, _)| name.0).collect();
+    let view = net.view(MemberId(6));
+    let to_come: Vec<u32> = view.next_voters.unwrap().iter().map(|(name, _)| name.0).collect();
     assert_eq!((view.pending.map(|(_, both)| both), to_come), (Some(false), vec![3, 4, 5]));
-    net.withdraw(Name(6));
-    assert!(net.wait(30_000, |net| net.view(Name(6)).pending.is_none()), "{:#?}", net.notes);
-    net.propose(Name(6), attempts(2)).unwrap();
+    net.withdraw(MemberId(6));
+    assert!(net.wait(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.notes);
+    net.propose(MemberId(6), attempts(2)).unwrap();
     in_force(&mut net, 2);
     assert_eq!(listed(&net, 6), [1, 2, 3]);
     sound(&net);
@@ -518,12 +532,12 @@
 #[test]
 fn a_list_of_100_000_entries_comes_by_all_with_losses_and_a_change_of_it_is_small() {
     let mut net = Net::new(4, 3, 8);
-    net.settings.pace = 600_000;
+    net.settings.transfer_bytes_per_period = 600_000;
     net.check = false;
-    (1..=4).for_each(|name| net.restart(Name(name)));
+    (1..=4).for_each(|name| net.restart(MemberId(name)));
     net.start();
     net.loss = 0.1;
-    net.propose(Name(4), |change| {
+    net.propose(MemberId(4), |change| {
         change.set =
             (0..100_000).map(|at| (key(&format!("list/blocked/host-{at}")), Value::Flag(true))).collect();
     })
@@ -533,10 +547,10 @@
         "{:#?}",
         net.notes
     );
-    let Acting::One(_, terms) = net.acting(Name(2)) else { panic!() };
+    let ActiveTerms::Single(_, terms) = net.acting(MemberId(2)) else { panic!() };
     assert_eq!(terms.under("list/").len(), 100_000);
     let before: u64 = net.members.iter().map(|member| member.sent).sum();
-    net.propose(Name(4), |change| {
+    net.propose(MemberId(4), |change| {
         change.drop.insert(key("list/blocked/host-5"));
     })
     .unwrap();
@@ -553,7 +567,7 @@
 const A_BUCKET: u64 = 600;
 
 fn list(net: &mut Net, entries: u64, value: bool) {
-    net.propose(Name(4), |change| {
+    net.propose(MemberId(4), |change| {
         change.set =
             (0..entries).map(|at| (key(&format!("list/blocked/host-{at}")), Value::Flag(value))).collect();
     })
@@ -564,38 +578,38 @@
 fn no_call_goes_over_more_than_a_step_of_a_large_document_and_all_of_it_is_freed_in_the_end() {
     const ENTRIES: u64 = 60_000;
     let mut net = Net::new(4, 3, 10);
-    net.settings.pace = 600_000;
+    net.settings.transfer_bytes_per_period = 600_000;
     net.check = false;
-    (1..=4).for_each(|name| net.restart(Name(name)));
+    (1..=4).for_each(|name| net.restart(MemberId(name)));
     net.start();
     net.touched = (0, 0);
     list(&mut net, ENTRIES, true);
     in_force(&mut net, 2);
     list(&mut net, ENTRIES, false);
     in_force(&mut net, 3);
-    net.propose(Name(4), |change| {
+    net.propose(MemberId(4), |change| {
         change.drop = (0..ENTRIES).map(|at| key(&format!("list/blocked/host-{at}"))).collect();
     })
     .unwrap();
     in_force(&mut net, 4);
     // Until no version that is kept has the lists.
     for number in 5..=12 {
-        net.propose(Name(4), |change| {
+        net.propose(MemberId(4), |change| {
             drop(change.set.insert(key(&format!("list/few/{number}")), Value::Flag(true)))
         })
         .unwrap();
         in_force(&mut net, number);
     }
     net.run(5_000);
-    let most = STEP as u64 + A_BUCKET;
+    let most = STEP_ENTRIES as u64 + A_BUCKET;
     assert!(net.touched.0 <= most && net.touched.1 <= most, "{:?} of {most}", net.touched);
     assert!(
-        net.touched.0 >= STEP as u64 && net.touched.1 >= STEP as u64,
+        net.touched.0 >= STEP_ENTRIES as u64 && net.touched.1 >= STEP_ENTRIES as u64,
         "there was work: {:?}",
         net.touched
     );
     for member in &net.members {
-        let (worked, freed) = member.accord.touched();
+        let (worked, freed) = member.accord.entries_touched();
         assert!(worked > 4 * ENTRIES && freed > 2 * ENTRIES, "{worked} {freed}");
         assert!(!member.accord.has_work());
     }
@@ -606,28 +620,30 @@
     let mut given_up = 0;
     for seed in 0..4 {
         let mut net = Net::new(5, 3, seed);
-        net.settings.pace = 200_000;
+        net.settings.transfer_bytes_per_period = 200_000;
         net.check = false;
-        (1..=5).for_each(|name| net.restart(Name(name)));
+        (1..=5).for_each(|name| net.restart(MemberId(name)));
         net.start();
         (net.loss, net.double) = (0.05, 0.1);
-        net.pause(Name(3), seed % 2 == 1);
+        net.pause(MemberId(3), seed % 2 == 1);
         list(&mut net, 20_000, true);
-        let coming = |net: &Net| net.view(Name(1)).pending.is_some();
+        let coming = |net: &Net| net.view(MemberId(1)).pending.is_some();
         assert!(net.wait(60_000, coming), "seed {seed}: {:#?}", net.notes);
         // Somewhere within the chunks, the hashing or the checking of the others.
         net.run(seed * 130);
-        net.withdraw(Name(1));
-        net.pause(Name(3), false);
-        let still = |net: &Net| (1..=5).all(|name| net.view(Name(name)).pending.is_none());
+        net.withdraw(MemberId(1));
+        net.pause(MemberId(3), false);
+        let still = |net: &Net| (1..=5).all(|name| net.view(MemberId(name)).pending.is_none());
         let settled = net.wait(90_000, |net| net.settled.len() == 1 && still(net) && net.agreed().is_some());
         assert!(settled, "seed {seed}: {:#?}", net.notes);
-        given_up += u32::from(net.settled[0].2 == Err(Rejected::Withdrawn));
-        let before = net.view(Name(1)).known.number;
+        given_up += u32::from(net.settled[0].2 == Err(ProposalError::Withdrawn));
+        let before = net.view(MemberId(1)).known.number;
         list(&mut net, 20_000, false);
         in_force(&mut net, before + 1);
         for name in 1..=5 {
-            let Acting::One(_, terms) = net.acting(Name(name)) else { panic!("seed {seed}: {name}") };
+            let ActiveTerms::Single(_, terms) = net.acting(MemberId(name)) else {
+                panic!("seed {seed}: {name}")
+            };
             let entries = terms.under("list/");
             let off = entries.iter().filter(|(_, value)| **value == Value::Flag(false)).count();
             assert_eq!((entries.len(), off), (20_000, 20_000), "seed {seed}: {name}: {:#?}", net.notes);
@@ -644,13 +660,13 @@
         change.set = (0..entries).map(|at| (key(&format!("list/l/{at}")), Value::Flag(true))).collect();
         change.set.insert(key("limit/y"), Value::Int(3));
     };
-    let word = Rejected::Change(ChangeError::Undercuts(key("limit/y")));
-    assert_eq!(net.propose(Name(4), |change| undercuts(change, 10)), Err(word.clone()));
-    let id = net.propose(Name(4), |change| undercuts(change, 20_000)).unwrap();
-    let busy = net.propose(Name(4), attempts(2));
-    assert!(matches!(busy, Err(Rejected::NotNow(_))), "one at a time: {busy:?}");
+    let word = ProposalError::Change(ChangeError::StricterThanFloor(key("limit/y")));
+    assert_eq!(net.propose(MemberId(4), |change| undercuts(change, 10)), Err(word.clone()));
+    let id = net.propose(MemberId(4), |change| undercuts(change, 20_000)).unwrap();
+    let busy = net.propose(MemberId(4), attempts(2));
+    assert!(matches!(busy, Err(ProposalError::Unavailable(_))), "one at a time: {busy:?}");
     assert!(net.wait(30_000, |net| net.settled.len() == 1));
-    assert_eq!(net.settled[0], (Name(4), id, Err(word)));
-    net.propose(Name(4), attempts(2)).unwrap();
+    assert_eq!(net.settled[0], (MemberId(4), id, Err(word)));
+    net.propose(MemberId(4), attempts(2)).unwrap();
     in_force(&mut net, 2);
 }
--- a/crates/accord/tests/measure.rs
+++ b/crates/accord/tests/measure.rs
@@ -46,11 +46,14 @@
         say(&format!("members_{members}.bytes_a_second_of_a_voter"), a_voter, "B/s");
         say(&format!("members_{members}.bytes_a_second_of_another"), another, "B/s");
         let begun = net.now;
-        net.propose(Name(members), |change| drop(change.set.insert(key("class/a/attempts"), Value::Int(2))))
-            .unwrap();
+        net.propose(MemberId(members), |change| {
+            drop(change.set.insert(key("class/a/attempts"), Value::Int(2)))
+        })
+        .unwrap();
         let joint = |net: &Net| {
-            (1..=members)
-                .all(|name| net.view(Name(name)).acting.version().is_some_and(|version| version.number == 2))
+            (1..=members).all(|name| {
+                net.view(MemberId(name)).active.version().is_some_and(|version| version.number == 2)
+            })
         };
         let mut at = None;
         while at.is_none() && net.now < begun + 60_000_000 {
@@ -98,52 +101,54 @@
 fn pauses() {
     for entries in [100_000, 200_000] {
         let mut net = Net::new(4, 3, 8);
-        net.settings.pace = 600_000;
+        net.settings.transfer_bytes_per_period = 600_000;
         net.check = false;
-        (1..=4).for_each(|name| net.restart(Name(name)));
+        (1..=4).for_each(|name| net.restart(MemberId(name)));
         net.start();
         net.pauses.clear();
         // The last entries alone are not in both lists, so that the bounds allow each.
         let list =
             |from: usize| (from..entries + from - 20).map(|at| key(&format!("list/blocked/host-{at}")));
-        net.propose(Name(4), |change| change.set = list(0).map(|key| (key, Value::Flag(true))).collect())
+        net.propose(MemberId(4), |change| change.set = list(0).map(|key| (key, Value::Flag(true))).collect())
             .unwrap();
         in_force(&mut net, 2);
         tell(&mut net, entries, "made_and_fetched");
-        net.propose(Name(4), |change| drop(change.set.insert(key("list/blocked/more"), Value::Flag(true))))
-            .unwrap();
+        net.propose(MemberId(4), |change| {
+            drop(change.set.insert(key("list/blocked/more"), Value::Flag(true)))
+        })
+        .unwrap();
         in_force(&mut net, 3);
         tell(&mut net, entries, "one_entry_more");
-        net.propose(Name(4), |change| {
+        net.propose(MemberId(4), |change| {
             change.set = list(0).map(|key| (key, Value::Flag(false))).collect();
         })
         .unwrap();
         in_force(&mut net, 4);
         tell(&mut net, entries, "all_values_changed");
-        net.propose(Name(4), |change| change.drop = list(0).collect()).unwrap();
+        net.propose(MemberId(4), |change| change.drop = list(0).collect()).unwrap();
         in_force(&mut net, 5);
         tell(&mut net, entries, "all_taken_out");
         for number in 6..=12 {
-            net.propose(Name(4), |change| {
+            net.propose(MemberId(4), |change| {
                 drop(change.set.insert(key(&format!("list/few/{number}")), Value::Flag(true)))
             })
             .unwrap();
             in_force(&mut net, number);
         }
         tell(&mut net, entries, "freed_at_last");
-        net.propose(Name(4), |change| change.set = list(0).map(|key| (key, Value::Flag(true))).collect())
+        net.propose(MemberId(4), |change| change.set = list(0).map(|key| (key, Value::Flag(true))).collect())
             .unwrap();
         in_force(&mut net, 13);
         net.pauses.clear();
-        net.kill(Name(2));
-        net.restart(Name(2));
+        net.kill(MemberId(2));
+        net.restart(MemberId(2));
         in_force(&mut net, 13);
         tell(&mut net, entries, "fetched_whole_by_a_voter_from_nothing");
     }
     // As many keys that are hard, with floors: nothing is passed over then.
     let entries = 100_000;
     let mut net = Net::new(4, 3, 9);
-    net.settings.pace = 600_000;
+    net.settings.transfer_bytes_per_period = 600_000;
     let hosts = || (0..entries / 2 - 9).map(|at| format!("out/host-{at}"));
     net.settings.floor = net
         .settings
@@ -153,16 +158,16 @@
         .chain(hosts().map(|host| (key(&host), Value::Flag(true))))
         .collect();
     net.check = false;
-    (1..=4).for_each(|name| net.restart(Name(name)));
+    (1..=4).for_each(|name| net.restart(MemberId(name)));
     net.start();
     net.pauses.clear();
-    net.propose(Name(4), |change| {
+    net.propose(MemberId(4), |change| {
         change.set = hosts().map(|host| (key(&host), Value::Flag(true))).collect();
     })
     .unwrap();
     in_force(&mut net, 2);
     tell(&mut net, entries, "hard_made_and_fetched");
-    net.propose(Name(4), |change| {
+    net.propose(MemberId(4), |change| {
         change.drop.insert(key("out/host-7"));
     })
     .unwrap();
@@ -189,6 +194,6 @@
     assert_eq!(whole.digest(), list.digest());
     say("entries_100000.made_and_hashed_whole", begun.elapsed().as_secs_f64() * 1e3, "ms");
     let begun = Instant::now();
-    assert_eq!(uncovered(&made, &list), None);
+    assert_eq!(find_uncovered(&made, &list), None);
     say("entries_100000.floor_checked", begun.elapsed().as_secs_f64() * 1e3, "ms");
 }
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -14,7 +14,9 @@
 
 use check::{explored, found};
 use stateright::{Checker, Model, Property};
-use wheellink_accord::parts::{Accept, Ask, Flaws, Holder, Promise, Request, Round, Step, Voter};
+use wheellink_accord::parts::{
+    Accept, Flaws, LeaseHolder, LeaseRequest, Promise, PromiseRequest, Round, RoundAction, Voter,
+};
 use wheellink_accord::*;
 
 const VOTERS: u32 = 3;
@@ -23,25 +25,31 @@
     Version { number, digest: Digest([number as u8; 32]) }
 }
 
-fn mark(step: u32) -> Mark {
-    Mark { epoch: 1, salt: 0, step }
+fn position(step: u32) -> Position {
+    Position { epoch: 1, salt: 0, index: step }
 }
 
 /// The records of one change: in force, prepared, both, in force.
 fn record(step: u32) -> Record {
-    let by = ProposalId { name: Name(1), life: 1, count: u64::from(step > 0) };
+    let proposal_id = ProposalId { name: MemberId(1), incarnation: 1, count: u64::from(step > 0) };
     let (old, new) = (version(1), version(2));
-    let (phase, least) = match step {
-        0 => (Phase::Pure(old), 0),
-        1 => (Phase::Prepare { old, new, tightens: false }, 0),
+    let (phase, oldest_compatible) = match step {
+        0 => (Phase::Single(old), 0),
+        1 => (Phase::Prepare { old, new, tightens_floor: false }, 0),
         2 => (Phase::Joint { old, new }, 2),
-        _ => (Phase::Pure(new), 2),
+        _ => (Phase::Single(new), 2),
     };
-    Record { mark: mark(step), phase, least: mark(least), by, lists: Lists::only(list(&[1, 2, 3])) }
+    Record {
+        position: position(step),
+        phase,
+        oldest_compatible: position(oldest_compatible),
+        proposal_id,
+        lists: VoterLists::unchanged(list(&[1, 2, 3])),
+    }
 }
 
-fn list(names: &[u32]) -> Voters {
-    Voters::new(names.iter().map(|name| Name(*name))).unwrap()
+fn list(names: &[u32]) -> VoterList {
+    VoterList::new(names.iter().map(|name| MemberId(*name))).unwrap()
 }
 
 fn secs(ticks: u8) -> Duration {
@@ -50,16 +58,17 @@
 
 fn limits() -> wheellink_accord::parts::Limits {
     wheellink_accord::parts::Limits {
-        fewest: 1,
-        settle: secs(0),
-        grant: secs(2),
+        min_voters: 1,
+        join_delay: secs(0),
+        grant_duration: secs(2),
         silence: secs(2),
-        patience: secs(9),
+        prepare_timeout: secs(9),
     }
 }
 
-fn voter(name: u32, life: u64, now: u8, flaws: Flaws) -> Voter {
-    Voter::new(Name(name), life, limits(), (1..=VOTERS).map(Name), record(0), secs(now)).flawed(flaws)
+fn voter(name: u32, incarnation: u64, now: u8, flaws: Flaws) -> Voter {
+    Voter::new(MemberId(name), incarnation, limits(), (1..=VOTERS).map(MemberId), record(0), secs(now))
+        .flawed(flaws)
 }
 
 // ---- one place, two proposers ----------------------------------------------------------------------------------
@@ -71,8 +80,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Said {
-    Ask(Ask),
-    Promise { to: Name, from: Name, promise: Promise },
+    PromiseRequest(PromiseRequest),
+    Promise { to: MemberId, from: MemberId, promise: Promise },
     Accept(Accept),
 }
 
@@ -89,25 +98,30 @@
 #[derive(Clone, Debug, PartialEq)]
 #[allow(clippy::large_enum_variant)]
 enum Act {
-    Deliver(Name, Said),
+    Deliver(MemberId, Said),
     Forget(usize),
     /// Both others tell one that forgot what they know, and its silence ends.
     Recover(usize),
 }
 
 impl Choice {
-    fn wish(proposer: usize) -> Record {
+    fn proposal(proposer: usize) -> Record {
         match proposer {
             0 => record(2),
-            _ => Record { mark: mark(2), phase: Phase::Pure(version(1)), least: mark(0), ..record(1) },
+            _ => Record {
+                position: position(2),
+                phase: Phase::Single(version(1)),
+                oldest_compatible: position(0),
+                ..record(1)
+            },
         }
     }
 
-    fn put(&self, place: &mut Place, step: Step) {
+    fn put(&self, place: &mut Place, step: RoundAction) {
         match step {
-            Step::Accept(accept) => drop(place.said.insert(Said::Accept(accept))),
-            Step::Chosen(record) => drop(place.chosen.insert(record)),
-            Step::Wait | Step::Beaten(_) => {}
+            RoundAction::Accept(accept) => drop(place.said.insert(Said::Accept(accept))),
+            RoundAction::Chosen(record) => drop(place.chosen.insert(record)),
+            RoundAction::Wait | RoundAction::Preempted(_) => {}
         }
     }
 }
@@ -120,15 +134,16 @@
         let ready = |name| {
             let mut one = voter(name, 1, 0, Flaws { votes_at_once: false, ..self.flaws }).voting();
             one.learn(secs(0), &record(1));
-            one.told(true, false, BTreeSet::new());
+            one.set_preparation(true, false, BTreeSet::new());
             one
         };
         let rounds = (0..2).map(|at| {
-            Round::new(&record(1), Self::wish(at), (at as u32 + 1, Name(at as u32 + 1))).flawed(self.flaws)
+            Round::new(&record(1), Self::proposal(at), (at as u32 + 1, MemberId(at as u32 + 1)))
+                .flawed(self.flaws)
         });
         vec![Place {
             voters: (1..=VOTERS).map(ready).collect(),
-            said: rounds.clone().map(|round| Said::Ask(*round.ask())).collect(),
+            said: rounds.clone().map(|round| Said::PromiseRequest(*round.request())).collect(),
             rounds: rounds.collect(),
             chosen: BTreeSet::new(),
             crashes: 0,
@@ -139,14 +154,14 @@
         for said in &place.said {
             match said {
                 Said::Promise { to, .. } => acts.push(Act::Deliver(*to, said.clone())),
-                _ => acts.extend((1..=VOTERS).map(|name| Act::Deliver(Name(name), said.clone()))),
+                _ => acts.extend((1..=VOTERS).map(|name| Act::Deliver(MemberId(name), said.clone()))),
             }
         }
         // Voters are alike, so it is always the first that starts from nothing.
         if place.crashes < self.crashes {
             acts.push(Act::Forget(0));
         }
-        if place.voters[0].life() > 1 {
+        if place.voters[0].incarnation() > 1 {
             acts.push(Act::Recover(0));
         }
     }
@@ -158,23 +173,23 @@
             Act::Deliver(to, said) => {
                 let at = to.0 as usize - 1;
                 match said {
-                    Said::Ask(ask) => {
-                        let promise = place.voters[at].ask(now, &ask)?;
+                    Said::PromiseRequest(ask) => {
+                        let promise = place.voters[at].promise(now, &ask)?;
                         if place.rounds[ask.ballot.1 .0 as usize - 1].accept().is_none() {
                             place.said.insert(Said::Promise { to: ask.ballot.1, from: to, promise });
                         }
                     }
                     Said::Accept(accept) => {
                         if place.voters[at].accept(now, &accept) {
-                            let life = place.voters[at].life();
+                            let incarnation = place.voters[at].incarnation();
                             let (from, to) = (place.voters[at].me(), accept.ballot.1 .0 as usize - 1);
                             // Counted at once: what comes later can choose nothing more.
-                            let step = place.rounds[to].accepted(from, accept.ballot, life);
+                            let step = place.rounds[to].on_accepted(from, accept.ballot, incarnation);
                             self.put(&mut place, step);
                         }
                     }
                     Said::Promise { from, promise, to } => {
-                        let step = place.rounds[at].promised(from, &promise);
+                        let step = place.rounds[at].on_promise(from, &promise);
                         place.said.remove(&Said::Promise { from, promise, to });
                         self.put(&mut place, step);
                         if place.rounds[at].accept().is_some() {
@@ -188,20 +203,20 @@
             }
             Act::Forget(at) => {
                 place.crashes += 1;
-                let life = place.voters[at].life() + 1;
-                place.voters[at] = voter(at as u32 + 1, life, 0, self.flaws);
+                let incarnation = place.voters[at].incarnation() + 1;
+                place.voters[at] = voter(at as u32 + 1, incarnation, 0, self.flaws);
                 if self.flaws.votes_at_once {
                     place.voters[at].learn(now, &record(1));
                     place.voters[at] = place.voters[at].clone().voting();
-                    place.voters[at].told(true, false, BTreeSet::new());
+                    place.voters[at].set_preparation(true, false, BTreeSet::new());
                 }
             }
             Act::Recover(at) => {
-                let life = place.voters[at].life();
+                let incarnation = place.voters[at].incarnation();
                 for other in (0..place.voters.len()).filter(|other| *other != at) {
-                    place.voters[other].met(Name(at as u32 + 1), life);
+                    place.voters[other].observe_incarnation(MemberId(at as u32 + 1), incarnation);
                     let told = place.voters[other].clone();
-                    place.voters[at].recall(
+                    place.voters[at].merge_peer_state(
                         now,
                         told.me(),
                         told.known(),
@@ -209,8 +224,8 @@
                         told.accepted().copied(),
                     );
                 }
-                place.voters[at].wake(secs(9));
-                place.voters[at].told(true, false, BTreeSet::new());
+                place.voters[at].end_silence(secs(9));
+                place.voters[at].set_preparation(true, false, BTreeSet::new());
             }
         }
         (place != *before).then_some(place)
@@ -220,9 +235,11 @@
         vec![
             Property::always("one record at one place", |_, place: &Place| place.chosen.len() < 2),
             Property::sometimes("the first proposer's is chosen", |_, place: &Place| {
-                place.chosen.contains(&Self::wish(0))
+                place.chosen.contains(&Self::proposal(0))
+            }),
+            Property::sometimes("the second's is", |_, place: &Place| {
+                place.chosen.contains(&Self::proposal(1))
             }),
-            Property::sometimes("the second's is", |_, place: &Place| place.chosen.contains(&Self::wish(1))),
         ]
     }
 }
@@ -240,7 +257,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Activator {
-    holder: Holder,
+    holder: LeaseHolder,
     adopted: u32,
     /// By voter, on its way: granted what was asked for then, under that record.
     grants: BTreeMap<usize, (u8, u32)>,
@@ -263,7 +280,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Does {
     Tick,
-    Ask(usize, usize),
+    PromiseRequest(usize, usize),
     Granted(usize, usize),
     Accept(usize),
     Learn(usize),
@@ -284,23 +301,23 @@
     /// The record, at the place after the one chosen: a flawed table puts the last one early.
     fn wanted(&self, fleet: &Fleet) -> Option<Record> {
         let mut wanted = record(self.next(fleet)?);
-        wanted.mark = record(fleet.chosen).mark.next();
-        if wanted.mark != record(3).mark && wanted.phase == record(3).phase {
-            wanted.least = mark(0);
+        wanted.position = record(fleet.chosen).position.next();
+        if wanted.position != record(3).position && wanted.phase == record(3).phase {
+            wanted.oldest_compatible = position(0);
         }
         Some(wanted)
     }
 
     fn at(&self, step: u32) -> Record {
         match (step, self.flaws.skips_joint) {
-            (3, true) => Record { mark: mark(2), least: mark(0), ..record(3) },
+            (3, true) => Record { position: position(2), oldest_compatible: position(0), ..record(3) },
             _ => record(step),
         }
     }
 
     fn acts(fleet: &Fleet, at: usize) -> Option<u32> {
         let one = &fleet.activators[at];
-        let holds = one.holder.holds(secs(fleet.now), mark(0));
+        let holds = one.holder.holds(secs(fleet.now), position(0));
         holds.then_some(one.adopted)
     }
 
@@ -322,7 +339,7 @@
     fn init_states(&self) -> Vec<Fleet> {
         let without = Flaws { votes_at_once: false, ..self.flaws };
         let activator = || Activator {
-            holder: Holder::new(record(1).quorum(), secs(2)).flawed(self.flaws),
+            holder: LeaseHolder::new(record(1).quorum(), secs(2)).flawed(self.flaws),
             adopted: 0,
             grants: BTreeMap::new(),
         };
@@ -345,7 +362,7 @@
         for at in 0..fleet.activators.len() {
             // Voters are alike, so a lease of the first two, of which the first forgets, is any lease.
             for to in 0..2 {
-                does.push(Does::Ask(at, to));
+                does.push(Does::PromiseRequest(at, to));
                 does.push(Does::Granted(at, to));
             }
             does.push(Does::Adopt(at));
@@ -356,7 +373,7 @@
             if fleet.crashes < self.crashes && at == 0 {
                 does.push(Does::Forget(at));
             }
-            if fleet.voters[at].life() > 1 {
+            if fleet.voters[at].incarnation() > 1 {
                 does.push(Does::Recover(at));
             }
         }
@@ -368,30 +385,41 @@
         match does {
             Does::Tick => {
                 fleet.now += 1;
-                fleet.voters.iter_mut().for_each(|voter| voter.sweep(secs(before.now + 1)));
+                fleet.voters.iter_mut().for_each(|voter| voter.drop_expired_grants(secs(before.now + 1)));
             }
-            Does::Ask(at, to) => {
+            Does::PromiseRequest(at, to) => {
                 let (sent, step) = (before.now, before.activators[at].adopted);
-                let mark = self.at(step).mark;
-                let request = Request { life: 1, at: 0, mark, known: mark, word: None };
-                if !fleet.voters[to].grant(now, Name(10 + at as u32), &request) {
+                let position = self.at(step).position;
+                let request = LeaseRequest { incarnation: 1, at: 0, position, known: position, word: None };
+                if !fleet.voters[to].grant_lease(now, MemberId(10 + at as u32), &request) {
                     return (fleet != *before).then_some(fleet);
                 }
                 if self.late {
                     fleet.activators[at].grants.insert(to, (sent, step));
                 } else {
-                    fleet.activators[at].holder.granted(now, Name(to as u32 + 1), mark, secs(sent));
+                    fleet.activators[at].holder.record_grant(
+                        now,
+                        MemberId(to as u32 + 1),
+                        position,
+                        secs(sent),
+                    );
                 }
             }
             Does::Granted(at, to) => {
                 let (sent, step) = fleet.activators[at].grants.remove(&to)?;
-                fleet.activators[at].holder.granted(now, Name(to as u32 + 1), self.at(step).mark, secs(sent));
+                fleet.activators[at].holder.record_grant(
+                    now,
+                    MemberId(to as u32 + 1),
+                    self.at(step).position,
+                    secs(sent),
+                );
             }
             Does::Accept(at) => {
                 let wanted = self.wanted(&fleet)?;
-                let lives = fleet.voters.iter().map(|voter| (voter.me(), voter.life())).collect();
-                let accept = Accept { ballot: (1, Name(1)), record: wanted, lives, basis: None };
-                fleet.voters[at].told(true, true, BTreeSet::new());
+                let incarnations =
+                    fleet.voters.iter().map(|voter| (voter.me(), voter.incarnation())).collect();
+                let accept = Accept { ballot: (1, MemberId(1)), record: wanted, incarnations, basis: None };
+                fleet.voters[at].set_preparation(true, true, BTreeSet::new());
                 if !fleet.voters[at].accept(now, &accept) {
                     return None;
                 }
@@ -407,28 +435,35 @@
                 fleet.crashes += 1;
                 // What its earlier life accepted counts for nobody: `Choice` shows that.
                 fleet.took.remove(&at);
-                let life = fleet.voters[at].life() + 1;
-                fleet.voters[at] = voter(at as u32 + 1, life, fleet.now, self.flaws);
+                let incarnation = fleet.voters[at].incarnation() + 1;
+                fleet.voters[at] = voter(at as u32 + 1, incarnation, fleet.now, self.flaws);
             }
             Does::Recover(at) => {
-                let standing = fleet.voters[at].standing();
-                if !matches!(standing, parts::Standing::Silent { until, .. } if until <= now) {
+                let status = fleet.voters[at].status();
+                if !matches!(status, parts::VoterStatus::Silent { until, .. } if until <= now) {
                     return None;
                 }
                 let others: Vec<Voter> = (0..fleet.voters.len())
                     .filter(|other| *other != at)
                     .map(|other| before.voters[other].clone())
                     .collect();
-                if others.iter().any(|other| other.standing() != parts::Standing::Voting) {
+                if others.iter().any(|other| other.status() != parts::VoterStatus::Voting) {
                     return None;
                 }
                 for other in &others {
                     let (known, promised) = (other.known(), other.promised());
-                    fleet.voters[at].recall(secs(0), other.me(), known, promised, other.accepted().copied());
-                    let life = fleet.voters[at].life();
-                    fleet.voters[other.me().0 as usize - 1].met(Name(at as u32 + 1), life);
+                    fleet.voters[at].merge_peer_state(
+                        secs(0),
+                        other.me(),
+                        known,
+                        promised,
+                        other.accepted().copied(),
+                    );
+                    let incarnation = fleet.voters[at].incarnation();
+                    fleet.voters[other.me().0 as usize - 1]
+                        .observe_incarnation(MemberId(at as u32 + 1), incarnation);
                 }
-                fleet.voters[at].wake(now);
+                fleet.voters[at].end_silence(now);
             }
         }
         if fleet.first.is_none() && fleet.chosen >= 2 {
@@ -493,12 +528,12 @@
 #[test]
 fn planted_an_acceptor_beside_the_promises() {
     // What this model found in the first draft.
-    found(Choice { flaws: Flaws { accepts_beside: true, ..Flaws::default() }, crashes: 1 }, PLACE);
+    found(Choice { flaws: Flaws { accepts_without_promise: true, ..Flaws::default() }, crashes: 1 }, PLACE);
 }
 
 #[test]
 fn planted_a_lease_that_the_grantor_ends_first() {
-    let flaws = Flaws { grantor_first: true, ..Flaws::default() };
+    let flaws = Flaws { grantor_expires_first: true, ..Flaws::default() };
     found(Leases { flaws, crashes: 0, ticks: 2, late: false }, APART);
 }
 
@@ -516,6 +551,6 @@
 
 #[test]
 fn planted_a_lease_counted_from_the_arrival() {
-    let flaws = Flaws { from_arrival: true, ..Flaws::default() };
+    let flaws = Flaws { lease_from_arrival: true, ..Flaws::default() };
     found(Leases { flaws, crashes: 0, ticks: 2, late: true }, APART);
 }
