--- a/crates/accord/tests/net/mod.rs
+++ b/crates/accord/tests/net/mod.rs
@@ -18,7 +18,7 @@
 }
 
 pub fn word(word: &str) -> Value {
-    Value::Word(word.into())
+    Value::Text(word.into())
 }
 
 /// As strict as any change of these tests.
@@ -33,14 +33,14 @@
 
 pub fn settings(members: u32, voters: u32) -> Settings {
     Settings {
-        voters: (1..=voters).map(Name).collect(),
-        may_vote: Vec::new(),
-        roster: (1..=members).map(Name).collect(),
+        voters: (1..=voters).map(MemberId).collect(),
+        eligible_voters: Vec::new(),
+        roster: (1..=members).map(MemberId).collect(),
         lease: Duration::from_secs(3),
         period: Duration::from_millis(250),
         drift_ppm: 2_000,
-        patience: Duration::from_secs(10),
-        pace: 120_000,
+        prepare_timeout: Duration::from_secs(10),
+        transfer_bytes_per_period: 120_000,
         document: document(&[("class/a/attempts", Value::Int(3)), ("class/a/effect", word("safe"))]),
         floor: floor(),
     }
@@ -50,15 +50,15 @@
 const LIFE: u64 = 1_000;
 
 enum Event {
-    Datagram { from: Name, to: Name, data: Vec<u8> },
-    Prepared { to: Name, life: u64, version: Version, result: Result<(), Refusal> },
-    Look { to: Name, life: u64 },
-    Work { to: Name, life: u64 },
+    Datagram { from: MemberId, to: MemberId, data: Vec<u8> },
+    Prepared { to: MemberId, incarnation: u64, version: Version, result: Result<(), Refusal> },
+    Look { to: MemberId, incarnation: u64 },
+    Work { to: MemberId, incarnation: u64 },
 }
 
 pub struct Member {
-    pub accord: Accord,
-    pub life: u64,
+    pub accord: Participant,
+    pub incarnation: u64,
     pub up: bool,
     pub paused: bool,
     /// Parts in a million that its clock is fast.
@@ -109,9 +109,9 @@
     pub double: f64,
     pub delay: u64,
     /// Ordered pairs over which nothing comes.
-    pub cuts: BTreeSet<(Name, Name)>,
+    pub cuts: BTreeSet<(MemberId, MemberId)>,
     pub flaws: Flaws,
-    pub settled: Vec<(Name, ProposalId, Result<Version, Rejected>)>,
+    pub settled: Vec<(MemberId, ProposalId, Result<Version, ProposalError>)>,
     pub notes: Vec<String>,
     pub check: bool,
     on: Vec<Option<On>>,
@@ -171,7 +171,7 @@
             let accord = net.born(name, 1);
             net.members.push(Member {
                 accord,
-                life: 1,
+                incarnation: 1,
                 up: true,
                 paused: false,
                 drift,
@@ -186,23 +186,23 @@
         net
     }
 
-    fn born(&mut self, name: Name, life: u64) -> Accord {
-        self.born_at(name, life * LIFE)
+    fn born(&mut self, name: MemberId, incarnation: u64) -> Participant {
+        self.born_at(name, incarnation * LIFE)
     }
 
     /// One whose machine tells this time of its start.
-    fn born_at(&mut self, name: Name, life: u64) -> Accord {
+    fn born_at(&mut self, name: MemberId, incarnation: u64) -> Participant {
         let seed = self.rng.u64(..);
-        Accord::new(self.settings.clone(), name, life, seed, Duration::from_secs(7))
+        Participant::new(self.settings.clone(), name, incarnation, seed, Duration::from_secs(7))
             .unwrap()
             .flawed(self.flaws)
     }
 
-    pub fn at(&self, name: Name) -> usize {
+    pub fn at(&self, name: MemberId) -> usize {
         name.0 as usize - 1
     }
 
-    pub fn clock(&self, name: Name) -> Duration {
+    pub fn clock(&self, name: MemberId) -> Duration {
         let member = &self.members[self.at(name)];
         let age = (self.now - member.born) as i64;
         Duration::from_secs(7) + Duration::from_micros((age + age * member.drift / 1_000_000) as u64)
@@ -214,29 +214,29 @@
         self.waiting.insert(self.count, event);
     }
 
-    fn look(&mut self, name: Name) {
+    fn look(&mut self, name: MemberId) {
         let at = self.at(name);
         if self.members[at].accord.has_work() && !self.members[at].working {
             self.members[at].working = true;
-            let life = self.members[at].life;
-            self.push(self.now + 200, Event::Work { to: name, life });
+            let incarnation = self.members[at].incarnation;
+            self.push(self.now + 200, Event::Work { to: name, incarnation });
         }
         let local = self.clock(name);
-        let Some(wake) = self.members[at].accord.wake_at() else { return };
+        let Some(wake) = self.members[at].accord.next_timer() else { return };
         let due = self.now + wake.saturating_sub(local).as_micros() as u64 + 1_000;
         let looks = self.members[at].look;
         if looks > self.now && looks <= due {
             return;
         }
         self.members[at].look = due;
-        let life = self.members[at].life;
-        self.push(due, Event::Look { to: name, life });
+        let incarnation = self.members[at].incarnation;
+        self.push(due, Event::Look { to: name, incarnation });
     }
 
-    fn carry(&mut self, from: Name, outs: Vec<Out>) {
+    fn carry(&mut self, from: MemberId, outs: Vec<Output>) {
         for out in outs {
             match out {
-                Out::Send { to, data } => {
+                Output::Send { to, data } => {
                     assert!(data.len() <= 1_190, "{} bytes", data.len());
                     let at = self.at(from);
                     self.members[at].sent += data.len() as u64;
@@ -248,7 +248,7 @@
                         self.push(due, Event::Datagram { from, to, data: data.clone() });
                     }
                 }
-                Out::Prepare { version, document } => {
+                Output::Prepare { version, document } => {
                     let at = self.at(from);
                     let unknown = self.members[at].unknown.clone();
                     let result = match unknown.filter(|key| document.get(key).is_some()) {
@@ -256,12 +256,12 @@
                         None => Ok(()),
                     };
                     let due = self.now + self.rng.u64(1_000..=200_000);
-                    let life = self.members[at].life;
-                    self.push(due, Event::Prepared { to: from, life, version, result });
+                    let incarnation = self.members[at].incarnation;
+                    self.push(due, Event::Prepared { to: from, incarnation, version, result });
                 }
-                Out::Act(_) => {}
-                Out::Settled { change, result } => self.settled.push((from, change, result)),
-                Out::Note(note) => {
+                Output::Apply(_) => {}
+                Output::Settled { change, result } => self.settled.push((from, change, result)),
+                Output::Log(note) => {
                     self.notes.push(format!("{:>9.3} {from}: {note}", self.now as f64 / 1e6));
                 }
             }
@@ -299,15 +299,15 @@
     }
 
     fn play(&mut self, event: Event) {
-        let (to, life) = match &event {
+        let (to, incarnation) = match &event {
             Event::Datagram { to, .. } => (*to, None),
-            Event::Prepared { to, life, .. } | Event::Look { to, life } | Event::Work { to, life } => {
-                (*to, Some(*life))
-            }
+            Event::Prepared { to, incarnation, .. }
+            | Event::Look { to, incarnation }
+            | Event::Work { to, incarnation } => (*to, Some(*incarnation)),
         };
         let (at, now) = (self.at(to), self.clock(to));
         let member = &mut self.members[at];
-        if !member.up || life.is_some_and(|life| life != member.life) {
+        if !member.up || incarnation.is_some_and(|incarnation| incarnation != member.incarnation) {
             return;
         }
         if member.paused {
@@ -317,23 +317,23 @@
             return;
         }
         let mut out = Vec::new();
-        let (begun, touched) = (busy(), member.accord.touched());
+        let (begun, touched) = (busy(), member.accord.entries_touched());
         let kind = match event {
             Event::Datagram { from, data, .. } => {
-                member.accord.heard(now, from, &data, &mut out);
+                member.accord.receive(now, from, &data, &mut out);
                 "heard"
             }
             Event::Prepared { version, result, .. } => {
-                member.accord.prepared(now, version, result, &mut out);
+                member.accord.on_prepared(now, version, result, &mut out);
                 "prepared"
             }
             Event::Look { .. } => {
-                member.accord.wake(now, &mut out);
+                member.accord.on_timer(now, &mut out);
                 "wake"
             }
             Event::Work { .. } => {
                 member.working = false;
-                member.accord.work(now, &mut out);
+                member.accord.run_step(now, &mut out);
                 "work"
             }
         };
@@ -342,7 +342,7 @@
     }
 
     fn paused(&mut self, kind: &'static str, at: usize, begun: u64, before: (u64, u64)) {
-        let now = self.members[at].accord.touched();
+        let now = self.members[at].accord.entries_touched();
         let most = &mut self.touched;
         *most = (most.0.max(now.0 - before.0), most.1.max(now.1 - before.1));
         let took = busy() - begun;
@@ -358,11 +358,11 @@
         for at in 0..self.members.len() {
             let member = &self.members[at];
             let on = (member.up && !member.paused).then(|| {
-                let acting = member.accord.acting(self.clock(Name(at as u32 + 1)));
+                let acting = member.accord.active_terms(self.clock(MemberId(at as u32 + 1)));
                 let on = match &acting {
-                    Acting::Floor(floor) => On::Floor(floor.digest()),
-                    Acting::One(version, _) => On::One(*version),
-                    Acting::Both { old, new, .. } => On::Both(*old, *new),
+                    ActiveTerms::Floor(floor) => On::Floor(floor.digest()),
+                    ActiveTerms::Single(version, _) => On::One(*version),
+                    ActiveTerms::Joint { old, new, .. } => On::Both(*old, *new),
                 };
                 (on, acting.terms().clone())
             });
@@ -389,7 +389,11 @@
         }
         // With no lease anywhere, of those stopped neither, all begins anew: what was forgotten by all is not in force.
         let leased = |at: usize, member: &Member| {
-            member.up && !matches!(member.accord.acting(self.clock(Name(at as u32 + 1))), Acting::Floor(_))
+            member.up
+                && !matches!(
+                    member.accord.active_terms(self.clock(MemberId(at as u32 + 1))),
+                    ActiveTerms::Floor(_)
+                )
         };
         if acted.is_empty() && !self.members.iter().enumerate().any(|(at, member)| leased(at, member)) {
             self.first.clear();
@@ -409,19 +413,24 @@
         }
     }
 
-    pub fn propose(&mut self, name: Name, change: impl FnOnce(&mut Change)) -> Result<ProposalId, Rejected> {
+    pub fn propose(
+        &mut self,
+        name: MemberId,
+        change: impl FnOnce(&mut Change),
+    ) -> Result<ProposalId, ProposalError> {
         let (at, now) = (self.at(name), self.clock(name));
-        let mut wanted = Change { base: self.members[at].accord.view(now).known.number, ..Change::default() };
+        let mut wanted =
+            Change { base: self.members[at].accord.status(now).known.number, ..Change::default() };
         change(&mut wanted);
         let mut out = Vec::new();
-        let (begun, touched) = (busy(), self.members[at].accord.touched());
+        let (begun, touched) = (busy(), self.members[at].accord.entries_touched());
         let id = self.members[at].accord.propose(now, wanted, &mut out);
         self.paused("propose", at, begun, touched);
         self.carry(name, out);
         id
     }
 
-    pub fn withdraw(&mut self, name: Name) {
+    pub fn withdraw(&mut self, name: MemberId) {
         let (at, now) = (self.at(name), self.clock(name));
         let mut out = Vec::new();
         self.members[at].accord.withdraw(now, &mut out).unwrap();
@@ -429,33 +438,34 @@
     }
 
     /// Killed; `restart` starts another life from nothing.
-    pub fn kill(&mut self, name: Name) {
+    pub fn kill(&mut self, name: MemberId) {
         let at = self.at(name);
         self.members[at].up = false;
     }
 
-    pub fn restart(&mut self, name: Name) {
-        let life = self.members[self.at(name)].life + 1;
-        self.restart_at(name, life * LIFE);
+    pub fn restart(&mut self, name: MemberId) {
+        let incarnation = self.members[self.at(name)].incarnation + 1;
+        self.restart_at(name, incarnation * LIFE);
     }
 
     /// ... on a machine whose clock was set back to before an earlier start.
-    pub fn restart_set_back(&mut self, name: Name) {
-        let life = self.members[self.at(name)].life + 1;
-        self.restart_at(name, life * LIFE - 3 * LIFE / 2);
+    pub fn restart_set_back(&mut self, name: MemberId) {
+        let incarnation = self.members[self.at(name)].incarnation + 1;
+        self.restart_at(name, incarnation * LIFE - 3 * LIFE / 2);
     }
 
-    fn restart_at(&mut self, name: Name, told: u64) {
+    fn restart_at(&mut self, name: MemberId, told: u64) {
         let at = self.at(name);
-        let life = self.members[at].life + 1;
+        let incarnation = self.members[at].incarnation + 1;
         self.members[at].accord = self.born_at(name, told);
         let member = &mut self.members[at];
-        (member.life, member.up, member.paused, member.born, member.look) = (life, true, false, self.now, 0);
+        (member.incarnation, member.up, member.paused, member.born, member.look) =
+            (incarnation, true, false, self.now, 0);
         member.working = false;
         self.look(name);
     }
 
-    pub fn pause(&mut self, name: Name, paused: bool) {
+    pub fn pause(&mut self, name: MemberId, paused: bool) {
         let at = self.at(name);
         self.members[at].paused = paused;
     }
@@ -464,27 +474,27 @@
     pub fn cut(&mut self, from: &[u32], to: &[u32], both: bool) {
         for a in from {
             for b in to {
-                self.cuts.insert((Name(*a), Name(*b)));
+                self.cuts.insert((MemberId(*a), MemberId(*b)));
                 if both {
-                    self.cuts.insert((Name(*b), Name(*a)));
+                    self.cuts.insert((MemberId(*b), MemberId(*a)));
                 }
             }
         }
     }
 
-    pub fn acting(&self, name: Name) -> Acting {
-        self.members[self.at(name)].accord.acting(self.clock(name))
+    pub fn acting(&self, name: MemberId) -> ActiveTerms {
+        self.members[self.at(name)].accord.active_terms(self.clock(name))
     }
 
-    pub fn view(&self, name: Name) -> View {
-        self.members[self.at(name)].accord.view(self.clock(name))
+    pub fn view(&self, name: MemberId) -> Status {
+        self.members[self.at(name)].accord.status(self.clock(name))
     }
 
     /// Whether each one that is up acts on one version, the same.
     pub fn agreed(&self) -> Option<Version> {
         let mut all = self.members.iter().enumerate().filter(|(_, member)| member.up && !member.paused).map(
-            |(at, _)| match self.acting(Name(at as u32 + 1)) {
-                Acting::One(version, _) => Some(version),
+            |(at, _)| match self.acting(MemberId(at as u32 + 1)) {
+                ActiveTerms::Single(version, _) => Some(version),
                 _ => None,
             },
         );
@@ -499,15 +509,15 @@
 
 fn contradicts(a: On, b: On, of_a: &Document, of_b: &Document) -> bool {
     match (a, b) {
-        (On::One(_), On::One(_)) => breach(of_a, of_b).is_some(),
+        (On::One(_), On::One(_)) => find_contradiction(of_a, of_b).is_some(),
         (On::Floor(_), On::Floor(_)) => false,
-        (On::Floor(_), _) => uncovered(of_b, of_a).is_some(),
-        (_, On::Floor(_)) => uncovered(of_a, of_b).is_some(),
+        (On::Floor(_), _) => find_uncovered(of_b, of_a).is_some(),
+        (_, On::Floor(_)) => find_uncovered(of_a, of_b).is_some(),
         (On::Both(..), On::One(one)) if a.obeys(one) => false,
         (On::One(one), On::Both(..)) if b.obeys(one) => false,
         (On::Both(x, y), On::Both(..)) if b.obeys(x) || b.obeys(y) => false,
         // Nothing in common: the one is looser than the other somewhere, or says the same.
-        _ => uncovered(of_b, of_a).is_some() || uncovered(of_a, of_b).is_some(),
+        _ => find_uncovered(of_b, of_a).is_some() || find_uncovered(of_a, of_b).is_some(),
     }
 }
 
@@ -523,13 +533,13 @@
     let members = voters + dice.u32(0..=3) + spares;
     let mut setup = settings(members, voters);
     if spares > 0 {
-        setup.may_vote = (1..=voters + spares).map(Name).collect();
+        setup.eligible_voters = (1..=voters + spares).map(MemberId).collect();
     }
     let mut net = Net::with(setup, seed, flaws);
     net.double = 0.1;
     net.run(6_000);
     for _ in 0..changes {
-        let any = |dice: &mut fastrand::Rng| Name(dice.u32(1..=members));
+        let any = |dice: &mut fastrand::Rng| MemberId(dice.u32(1..=members));
         net.loss = *dice.choice(&[0.0, 0.0, 0.1, 0.3]).unwrap();
         net.delay = *dice.choice(&[5_000, 40_000, 400_000, 2_500_000]).unwrap();
         let propose = |net: &mut Net, dice: &mut fastrand::Rng| {
@@ -585,17 +595,17 @@
                 }
             }
             3 => {
-                (1..=voters).for_each(|name| net.kill(Name(name)));
+                (1..=voters).for_each(|name| net.kill(MemberId(name)));
                 net.run(dice.u64(0..1_000));
-                (1..=voters).for_each(|name| net.restart(Name(name)));
+                (1..=voters).for_each(|name| net.restart(MemberId(name)));
             }
             4 => {
                 let some: Vec<u32> = (1..=members).filter(|_| dice.u32(0..3) == 0).collect();
-                some.iter().for_each(|name| net.pause(Name(*name), true));
+                some.iter().for_each(|name| net.pause(MemberId(*name), true));
                 net.run(dice.u64(0..2_000));
                 propose(&mut net, &mut dice);
                 net.run(dice.u64(500..20_000));
-                some.iter().for_each(|name| net.pause(Name(*name), false));
+                some.iter().for_each(|name| net.pause(MemberId(*name), false));
             }
             5 => {
                 // Two in turn: a majority of three that forgot, within a lease.
@@ -619,7 +629,8 @@
     }
     (net.loss, net.double, net.delay) = (0.0, 0.0, 20_000);
     let agreed = net.wait(120_000, |net| {
-        let still = net.members.iter().all(|member| member.accord.view(Duration::MAX / 4).pending.is_none());
+        let still =
+            net.members.iter().all(|member| member.accord.status(Duration::MAX / 4).pending.is_none());
         still && net.agreed().is_some()
     });
     (net, agreed)
--- a/crates/accord/tests/props.rs
+++ b/crates/accord/tests/props.rs
@@ -9,7 +9,7 @@
     prop_oneof![
         (name, 1..=16i64).prop_map(|(name, value)| (format!("class/{name}/attempts"), Value::Int(value))),
         (name, prop::sample::select(vec!["safe", "keyed", "unsafe"]))
-            .prop_map(|(name, word)| (format!("class/{name}/effect"), Value::Word(word.into()))),
+            .prop_map(|(name, word)| (format!("class/{name}/effect"), Value::Text(word.into()))),
         (name, 0..99i64).prop_map(|(name, value)| (format!("limit/{name}"), Value::Int(value))),
         name.prop_map(|name| (format!("out/{name}"), Value::Flag(true))),
         (name, name, any::<bool>())
@@ -40,14 +40,14 @@
 
     #[test]
     fn the_stricter_of_two_covers_both(a in document(), b in document()) {
-        let both = stricter_of(&a, &b);
-        prop_assert_eq!(uncovered(&a, &both), None);
-        prop_assert_eq!(uncovered(&b, &both), None);
+        let both = joint_terms(&a, &b);
+        prop_assert_eq!(find_uncovered(&a, &both), None);
+        prop_assert_eq!(find_uncovered(&b, &both), None);
         // Soft keys say what the newer says.
-        for (key, value) in b.iter().filter(|(key, _)| !hard(key)) {
+        for (key, value) in b.iter().filter(|(key, _)| !is_hard(key)) {
             prop_assert_eq!(both.get(key), Some(value));
         }
-        prop_assert_eq!(stricter_of(&both, &both).digest(), both.digest());
+        prop_assert_eq!(joint_terms(&both, &both).digest(), both.digest());
     }
 
     #[test]
@@ -60,11 +60,11 @@
         match change.apply(&base) {
             Ok(made) => {
                 prop_assert_eq!(made.digest(), newer.digest());
-                prop_assert_eq!(uncovered(&made, &base.floor()), None);
-                prop_assert_eq!(uncovered(&made, &made.floor()), None);
+                prop_assert_eq!(find_uncovered(&made, &base.floor()), None);
+                prop_assert_eq!(find_uncovered(&made, &made.floor()), None);
             }
-            Err(ChangeError::Undercuts(key)) => prop_assert!(hard(&key) && newer.get(&key).is_some()),
-            Err(ChangeError::Nothing) => prop_assert_eq!(base, newer),
+            Err(ChangeError::StricterThanFloor(key)) => prop_assert!(is_hard(&key) && newer.get(&key).is_some()),
+            Err(ChangeError::NoEffect) => prop_assert_eq!(base, newer),
             Err(other) => prop_assert!(false, "{other}"),
         }
     }
@@ -81,20 +81,20 @@
 
     #[test]
     fn any_datagrams_leave_a_member_sound(data in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..20)) {
-        let roster: Vec<Name> = (1..=3).map(Name).collect();
+        let roster: Vec<MemberId> = (1..=3).map(MemberId).collect();
         let settings = Settings { voters: roster.clone(), roster, ..Settings::default() };
         let now = std::time::Duration::from_secs(1);
-        let mut member = Accord::new(settings, Name(1), 1, 1, now).unwrap();
+        let mut member = Participant::new(settings, MemberId(1), 1, 1, now).unwrap();
         let mut out = Vec::new();
         for (at, mut bytes) in data.into_iter().enumerate() {
             if bytes.len() > 1 {
                 (bytes[0], bytes[1]) = (2, at as u8 % 12);
             }
-            member.heard(now, Name(2 + at as u32 % 2), &bytes, &mut out);
-            member.wake(now, &mut out);
+            member.receive(now, MemberId(2 + at as u32 % 2), &bytes, &mut out);
+            member.on_timer(now, &mut out);
         }
         // Garbage of others is no lease of a majority.
-        prop_assert!(matches!(member.acting(now), Acting::Floor(_)));
+        prop_assert!(matches!(member.active_terms(now), ActiveTerms::Floor(_)));
     }
 }
 
@@ -103,28 +103,30 @@
     for path in ["one", "", "a//b", "a/b/c/d/e", "a/ b", &format!("a/{}", "x".repeat(65))] {
         assert!(Key::new(path).is_err(), "{path}");
     }
-    let refused = |path: &str, value: Value| check(&Key::new(path).unwrap(), &value).unwrap_err().to_string();
+    let refused =
+        |path: &str, value: Value| check_entry(&Key::new(path).unwrap(), &value).unwrap_err().to_string();
     assert_eq!(refused("class/a/colour", Value::Int(1)), "class/a/colour: no such key is known");
     assert_eq!(refused("class/a/attempts", Value::Int(17)), "class/a/attempts: 17 is no number of 1 to 16");
     assert_eq!(
         refused("out/h", Value::Flag(false)),
         "out/h: false: only true is allowed; to say no, drop the key"
     );
-    assert!(refused("draft/w/1", Value::Word("1:9".into())).contains("length of 0 to 8"));
-    assert!(refused("draft/w/4", Value::Word("1:1".into())).contains("no such key"));
+    assert!(refused("draft/w/1", Value::Text("1:9".into())).contains("length of 0 to 8"));
+    assert!(refused("draft/w/4", Value::Text("1:1".into())).contains("no such key"));
     assert!(refused("floor/floor/limit/x", Value::Int(1)).contains("no such key"));
     assert!(refused("gone/01", Value::Flag(true)).contains("no such key"));
-    assert!(check(&Key::new("floor/class/a/effect").unwrap(), &Value::Word("keyed".into())).is_ok());
+    assert!(check_entry(&Key::new("floor/class/a/effect").unwrap(), &Value::Text("keyed".into())).is_ok());
 }
 
 #[test]
 fn a_document_has_bounds() {
-    let list: Document =
-        (0..MOST_ENTRIES).map(|at| (Key::new(&format!("list/l/{at}")).unwrap(), Value::Flag(true))).collect();
+    let list: Document = (0..MAX_DOCUMENT_ENTRIES)
+        .map(|at| (Key::new(&format!("list/l/{at}")).unwrap(), Value::Flag(true)))
+        .collect();
     let mut change = Change::default();
     change.set.insert(Key::new("list/m/one").unwrap(), Value::Flag(true));
     assert!(
-        matches!(change.apply(&list), Err(ChangeError::Large { entries, .. }) if entries == MOST_ENTRIES + 1)
+        matches!(change.apply(&list), Err(ChangeError::TooLarge { entries, .. }) if entries == MAX_DOCUMENT_ENTRIES + 1)
     );
     change.drop.insert(Key::new("list/l/1").unwrap());
     assert!(change.apply(&list).is_ok());
--- a/crates/accord/tests/voters.rs
+++ b/crates/accord/tests/voters.rs
@@ -16,7 +16,9 @@
 
 use check::explored;
 use stateright::{Checker, HasDiscoveries, Model, Property};
-use wheellink_accord::parts::{Accept, Flaws, Holder, Limits, Request, Round, Standing, Step, Voter};
+use wheellink_accord::parts::{
+    Accept, Flaws, LeaseHolder, LeaseRequest, Limits, Round, RoundAction, Voter, VoterStatus,
+};
 use wheellink_accord::*;
 
 fn secs(ticks: u8) -> Duration {
@@ -27,16 +29,16 @@
     Version { number, digest: Digest([which; 32]) }
 }
 
-fn list(names: &[u32]) -> Voters {
-    Voters::new(names.iter().map(|name| Name(*name))).unwrap()
+fn list(names: &[u32]) -> VoterList {
+    VoterList::new(names.iter().map(|name| MemberId(*name))).unwrap()
 }
 
 /// The change: from one list to the other.
 #[derive(Clone, Debug)]
 struct Change {
     flaws: Flaws,
-    from: Voters,
-    to: Voters,
+    from: VoterList,
+    to: VoterList,
     /// The place known to all at the start.
     first: u32,
     /// The last place that is chosen.
@@ -55,7 +57,7 @@
 struct Fleet {
     now: u8,
     voters: Vec<Voter>,
-    holder: Holder,
+    holder: LeaseHolder,
     /// The place of the record that the activator obeys.
     adopted: u32,
     /// By place.
@@ -63,7 +65,7 @@
     /// By place and who wants it.
     rounds: BTreeMap<(u32, u32), Round>,
     /// Who accepted the next one in this life, where only one may follow.
-    took: BTreeSet<Name>,
+    took: BTreeSet<MemberId>,
     twice: bool,
     forgot: bool,
     /// When b was first acted on.
@@ -73,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Does {
     Tick,
-    Ask { place: u32, of: u32, voter: usize },
+    PromiseRequest { place: u32, of: u32, voter: usize },
     Accept { place: u32, of: u32, voter: usize },
     Take(usize),
     Learn(usize),
@@ -86,58 +88,66 @@
 
 impl Change {
     /// What the one or the other wants after a record. None after the last.
-    fn wish(&self, after: &Record, of: u32) -> Option<Record> {
-        let (mark, by) = (after.mark.next(), after.by);
-        let same = Record { mark, ..*after };
+    fn proposal(&self, after: &Record, of: u32) -> Option<Record> {
+        let (position, proposal_id) = (after.position.next(), after.proposal_id);
+        let same = Record { position, ..*after };
         Some(match (after.phase, of) {
             (Phase::Prepare { old, new, .. }, 0) => {
-                Record { phase: Phase::Joint { old, new }, least: mark, ..same }
-            }
-            (Phase::Prepare { old, .. }, _) => {
-                Record { phase: Phase::Pure(old), lists: Lists::only(after.lists.now), ..same }
+                Record { phase: Phase::Joint { old, new }, oldest_compatible: position, ..same }
             }
+            (Phase::Prepare { old, .. }, _) => Record {
+                phase: Phase::Single(old),
+                lists: VoterLists::unchanged(after.lists.current),
+                ..same
+            },
             (Phase::Joint { new, .. }, 0) => Record {
-                phase: Phase::Pure(new),
-                lists: Lists::only(after.lists.next.unwrap_or(after.lists.now)),
+                phase: Phase::Single(new),
+                lists: VoterLists::unchanged(after.lists.next.unwrap_or(after.lists.current)),
                 ..same
             },
-            (Phase::Pure(old), of) if old.number == 2 => {
+            (Phase::Single(old), of) if old.number == 2 => {
                 let new = version(3, 3 + of as u8);
-                let by = ProposalId { count: 2 + u64::from(of), ..by };
-                Record { phase: Phase::Prepare { old, new, tightens: false }, by, ..same }
+                let proposal_id = ProposalId { count: 2 + u64::from(of), ..proposal_id };
+                Record { phase: Phase::Prepare { old, new, tightens_floor: false }, proposal_id, ..same }
             }
             _ => return None,
         })
     }
 
     fn start(&self) -> BTreeMap<u32, Record> {
-        let mark = |step| Mark { epoch: 1, salt: 0, step };
-        let by = ProposalId { name: Name(1), life: 1, count: 1 };
+        let position = |step| Position { epoch: 1, salt: 0, index: step };
+        let proposal_id = ProposalId { name: MemberId(1), incarnation: 1, count: 1 };
         let (old, new) = (version(1, 1), version(2, 2));
-        let lists = Lists { now: self.from, next: Some(self.to) };
-        let phase = Phase::Prepare { old, new, tightens: false };
-        let mut record = Record { mark: mark(1), phase, least: mark(0), by, lists };
+        let lists = VoterLists { current: self.from, next: Some(self.to) };
+        let phase = Phase::Prepare { old, new, tightens_floor: false };
+        let mut record =
+            Record { position: position(1), phase, oldest_compatible: position(0), proposal_id, lists };
         let mut chosen = BTreeMap::from([(1, record)]);
         for place in 2..=self.first {
-            record = self.wish(&record, 0).unwrap();
+            record = self.proposal(&record, 0).unwrap();
             chosen.insert(place, record);
         }
         chosen
     }
 
-    fn voter(&self, name: u32, life: u64, now: u8, chosen: &BTreeMap<u32, Record>) -> Voter {
-        let limits =
-            Limits { fewest: 1, settle: secs(0), grant: secs(2), silence: secs(2), patience: secs(0) };
-        let all = Lists { now: self.from, next: Some(self.to) };
-        let mut voter =
-            Voter::new(Name(name), life, limits, all.all(), chosen[&1], secs(now)).flawed(self.flaws);
-        voter.told(true, true, BTreeSet::new());
+    fn voter(&self, name: u32, incarnation: u64, now: u8, chosen: &BTreeMap<u32, Record>) -> Voter {
+        let limits = Limits {
+            min_voters: 1,
+            join_delay: secs(0),
+            grant_duration: secs(2),
+            silence: secs(2),
+            prepare_timeout: secs(0),
+        };
+        let all = VoterLists { current: self.from, next: Some(self.to) };
+        let mut voter = Voter::new(MemberId(name), incarnation, limits, all.all(), chosen[&1], secs(now))
+            .flawed(self.flaws);
+        voter.set_preparation(true, true, BTreeSet::new());
         voter
     }
 
     fn obeyed(record: &Record) -> [Version; 2] {
         match record.phase {
-            Phase::Pure(one) | Phase::Prepare { old: one, .. } => [one, one],
+            Phase::Single(one) | Phase::Prepare { old: one, .. } => [one, one],
             Phase::Joint { old, new } => [old, new],
         }
     }
@@ -145,7 +155,7 @@
     /// The record that the activator acts on, if it has a lease.
     fn acts(fleet: &Fleet) -> Option<&Record> {
         let record = &fleet.chosen[&fleet.adopted];
-        fleet.holder.holds(secs(fleet.now), record.mark).then_some(record)
+        fleet.holder.holds(secs(fleet.now), record.position).then_some(record)
     }
 
     fn latest(fleet: &Fleet) -> (&u32, &Record) {
@@ -155,7 +165,7 @@
 
 impl Fleet {
     fn put(&mut self, record: Record) {
-        self.twice |= *self.chosen.entry(record.mark.step).or_insert(record) != record;
+        self.twice |= *self.chosen.entry(record.position.index).or_insert(record) != record;
         if self.joint.is_none() && matches!(record.phase, Phase::Joint { .. }) {
             self.joint = Some(self.now);
         }
@@ -168,7 +178,7 @@
 
     fn init_states(&self) -> Vec<Fleet> {
         let chosen = self.start();
-        let all = Lists { now: self.from, next: Some(self.to) };
+        let all = VoterLists { current: self.from, next: Some(self.to) };
         let mut names: Vec<u32> = all.all().map(|name| name.0).collect();
         names.sort_unstable();
         let ready = |name: &u32| {
@@ -178,13 +188,13 @@
             chosen.values().for_each(|record| {
                 voter.learn(secs(0), record);
             });
-            voter.told(true, true, BTreeSet::new());
+            voter.set_preparation(true, true, BTreeSet::new());
             voter
         };
         vec![Fleet {
             now: 0,
             voters: names.iter().map(ready).collect(),
-            holder: Holder::new(chosen[&self.first].quorum(), secs(2)).flawed(self.flaws),
+            holder: LeaseHolder::new(chosen[&self.first].quorum(), secs(2)).flawed(self.flaws),
             adopted: self.first,
             joint: (self.first > 1).then_some(0),
             chosen,
@@ -202,10 +212,10 @@
         let place = *Self::latest(fleet).0;
         for at in 0..fleet.voters.len() {
             let name = fleet.voters[at].me().0;
-            let next = fleet.voters[at].known().mark.step + 1;
+            let next = fleet.voters[at].known().position.index + 1;
             if self.contest == Some(next) {
                 for of in 0..2 {
-                    does.push(Does::Ask { place: next, of, voter: at });
+                    does.push(Does::PromiseRequest { place: next, of, voter: at });
                     does.push(Does::Accept { place: next, of, voter: at });
                 }
             } else if next == place + 1 && next <= self.last {
@@ -220,9 +230,9 @@
             if self.forgets == Some(name) && !fleet.forgot {
                 does.push(Does::Forget(at));
             }
-            if self.forgets == Some(name) && fleet.voters[at].standing() != Standing::Voting {
+            if self.forgets == Some(name) && fleet.voters[at].status() != VoterStatus::Voting {
                 does.push(Does::Wake(at));
-                if !self.flaws.added_unlearnt {
+                if !self.flaws.added_votes_unlearnt {
                     does.extend((0..fleet.voters.len()).map(|from| Does::Recall { voter: at, from }));
                 }
             }
@@ -238,18 +248,18 @@
         match does {
             Does::Tick => {
                 fleet.now += 1;
-                fleet.voters.iter_mut().for_each(|voter| voter.sweep(secs(before.now + 1)));
+                fleet.voters.iter_mut().for_each(|voter| voter.drop_expired_grants(secs(before.now + 1)));
             }
-            Does::Ask { place, of, voter } => {
+            Does::PromiseRequest { place, of, voter } => {
                 let after = *fleet.chosen.get(&(place - 1))?;
-                let wish = self.wish(&after, of)?;
-                let fresh = Round::new(&after, wish, (of + 1, Name(of + 1))).flawed(self.flaws);
+                let proposal = self.proposal(&after, of)?;
+                let fresh = Round::new(&after, proposal, (of + 1, MemberId(of + 1))).flawed(self.flaws);
                 let round = fleet.rounds.entry((place, of)).or_insert(fresh);
                 if round.accept().is_some() {
                     return None;
                 }
-                let promise = fleet.voters[voter].ask(now, round.ask())?;
-                round.promised(fleet.voters[voter].me(), &promise);
+                let promise = fleet.voters[voter].promise(now, round.request())?;
+                round.on_promise(fleet.voters[voter].me(), &promise);
             }
             Does::Accept { place, of, voter } => {
                 let round = fleet.rounds.get_mut(&(place, of))?;
@@ -257,8 +267,8 @@
                 if !fleet.voters[voter].accept(now, &accept) {
                     return None;
                 }
-                let (me, life) = (fleet.voters[voter].me(), fleet.voters[voter].life());
-                if let Step::Chosen(record) = round.accepted(me, accept.ballot, life) {
+                let (me, incarnation) = (fleet.voters[voter].me(), fleet.voters[voter].incarnation());
+                if let RoundAction::Chosen(record) = round.on_accepted(me, accept.ballot, incarnation) {
                     // What else it hears changes nothing any more.
                     fleet.rounds.remove(&(place, of));
                     fleet.put(record);
@@ -266,35 +276,36 @@
             }
             Does::Take(at) => {
                 let after = *Self::latest(before).1;
-                let wish = self.wish(&after, 0)?;
-                let lives = before.voters.iter().map(|voter| (voter.me(), voter.life())).collect();
-                let accept = Accept { ballot: (1, Name(1)), record: wish, lives, basis: None };
+                let proposal = self.proposal(&after, 0)?;
+                let incarnations =
+                    before.voters.iter().map(|voter| (voter.me(), voter.incarnation())).collect();
+                let accept = Accept { ballot: (1, MemberId(1)), record: proposal, incarnations, basis: None };
                 if !fleet.voters[at].accept(now, &accept) || !fleet.took.insert(fleet.voters[at].me()) {
                     return None;
                 }
-                let quorum = after.quorum_for(&wish);
-                let quorum = if self.flaws.choice_of_new { quorum.alone(true) } else { quorum };
-                if quorum.met(|name| fleet.took.contains(&name)) {
+                let quorum = after.quorum_for(&proposal);
+                let quorum = if self.flaws.choice_by_new_list { quorum.only_list(true) } else { quorum };
+                if quorum.is_met(|name| fleet.took.contains(&name)) {
                     fleet.took.clear();
-                    fleet.put(wish);
+                    fleet.put(proposal);
                 }
             }
             Does::Learn(at) => {
-                let next = fleet.voters[at].known().mark.step + 1;
+                let next = fleet.voters[at].known().position.index + 1;
                 fleet.voters[at].learn(now, &fleet.chosen[&next].clone());
-                fleet.voters[at].told(true, true, BTreeSet::new());
+                fleet.voters[at].set_preparation(true, true, BTreeSet::new());
             }
             Does::Grant(at) => {
-                let mark = fleet.chosen[&fleet.adopted].mark;
-                let request = Request { life: 1, at: 0, mark, known: mark, word: None };
-                if fleet.voters[at].grant(now, Name(10), &request) {
-                    fleet.holder.granted(now, fleet.voters[at].me(), mark, now);
+                let position = fleet.chosen[&fleet.adopted].position;
+                let request = LeaseRequest { incarnation: 1, at: 0, position, known: position, word: None };
+                if fleet.voters[at].grant_lease(now, MemberId(10), &request) {
+                    fleet.holder.record_grant(now, fleet.voters[at].me(), position, now);
                 }
             }
             Does::Adopt => {
                 let (place, record) = Self::latest(before);
                 fleet.adopted = *place;
-                fleet.holder.keep(record.mark, record.quorum(), |name| record.lists.contains(name));
+                fleet.holder.keep(record.position, record.quorum(), |name| record.lists.contains(name));
             }
             Does::Forget(at) => {
                 fleet.forgot = true;
@@ -305,16 +316,16 @@
             }
             Does::Recall { voter, from } => {
                 let teller = &before.voters[from];
-                if voter == from || teller.standing() != Standing::Voting {
+                if voter == from || teller.status() != VoterStatus::Voting {
                     return None;
                 }
-                let (me, life) = (before.voters[voter].me(), before.voters[voter].life());
-                fleet.voters[from].met(me, life);
+                let (me, incarnation) = (before.voters[voter].me(), before.voters[voter].incarnation());
+                fleet.voters[from].observe_incarnation(me, incarnation);
                 let (known, accepted) = (teller.known(), teller.accepted().copied());
-                fleet.voters[voter].recall(now, teller.me(), known, teller.promised(), accepted);
-                fleet.voters[voter].told(true, true, BTreeSet::new());
+                fleet.voters[voter].merge_peer_state(now, teller.me(), known, teller.promised(), accepted);
+                fleet.voters[voter].set_preparation(true, true, BTreeSet::new());
             }
-            Does::Wake(at) => drop(fleet.voters[at].wake(now)),
+            Does::Wake(at) => drop(fleet.voters[at].end_silence(now)),
         }
         (fleet != *before).then_some(fleet)
     }
@@ -339,7 +350,7 @@
         ];
         if self.forgets.is_some() {
             all.push(Property::sometimes("one that forgot votes again", |_, fleet: &Fleet| {
-                let again = |voter: &Voter| voter.life() == 2 && voter.standing() == Standing::Voting;
+                let again = |voter: &Voter| voter.incarnation() == 2 && voter.status() == VoterStatus::Voting;
                 fleet.voters.iter().any(again)
             }));
         }
@@ -388,13 +399,13 @@
 
 #[test]
 fn planted_a_choice_after_the_joint_step_by_the_new_list_alone() {
-    let flaws = Flaws { choice_of_new: true, ..Flaws::default() };
+    let flaws = Flaws { choice_by_new_list: true, ..Flaws::default() };
     flaw(Change { flaws, asked: &[2, 3], ..down_to_one() }, APART);
 }
 
 #[test]
 fn planted_a_lease_under_the_joint_step_by_the_old_list_alone() {
-    let flaws = Flaws { lease_of_old: true, ..Flaws::default() };
+    let flaws = Flaws { lease_from_old_list: true, ..Flaws::default() };
     flaw(Change { flaws, first: 2, last: 6, ticks: 0, asked: &[2, 3], ..down_to_one() }, APART);
 }
 
@@ -406,7 +417,7 @@
 
 #[test]
 fn planted_an_added_voter_that_votes_before_it_learnt() {
-    let flaws = Flaws { added_unlearnt: true, ..Flaws::default() };
+    let flaws = Flaws { added_votes_unlearnt: true, ..Flaws::default() };
     let (from, to, contest) = (list(&[1, 2]), list(&[1, 2, 3]), Some(4));
     let change = Change { flaws, from, to, first: 3, last: 4, contest, ..down_to_one() };
     flaw(Change { forgets: Some(3), asked: &[], ..change }, PLACE);
--- a/node/src/accords.rs
+++ b/node/src/accords.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use wheellink_accord::{check, Document, Key, Name, Settings, Value};
+use wheellink_accord::{check_entry, Document, Key, MemberId, Settings, Value};
 
 use crate::membership;
 use terms::{Base, Terms};
@@ -72,8 +72,8 @@
 }
 
 /// The name of a member in the accord.
-pub fn number(name: &str) -> Name {
-    Name(membership::number(name).0)
+pub fn number(name: &str) -> MemberId {
+    MemberId(membership::number(name).0)
 }
 
 impl Setup {
@@ -109,13 +109,13 @@
     pub fn settings(&self, members: &membership::Setup) -> Result<Settings, String> {
         Ok(Settings {
             voters: self.voters.iter().map(|name| number(name)).collect(),
-            may_vote: self.may_vote.iter().map(|name| number(name)).collect(),
+            eligible_voters: self.may_vote.iter().map(|name| number(name)).collect(),
             roster: members.names().map(number).collect(),
             lease: Duration::from_millis(self.lease_ms),
             period: Duration::from_millis(self.period_ms),
             drift_ppm: self.drift_ppm,
-            patience: Duration::from_millis(self.patience_ms),
-            pace: self.pace_bytes,
+            prepare_timeout: Duration::from_millis(self.patience_ms),
+            transfer_bytes_per_period: self.pace_bytes,
             document: document("document", &self.document)?,
             floor: document("floor", &self.floor)?,
         })
@@ -131,7 +131,7 @@
         let failed = |reason: String| format!("accord.{what}.{path}: {reason}");
         let mut set = |path: &str, value: Value| {
             let key = Key::new(path).map_err(|e| failed(e.to_string()))?;
-            check(&key, &value).map_err(|e| format!("accord.{what}: {e}"))?;
+            check_entry(&key, &value).map_err(|e| format!("accord.{what}: {e}"))?;
             if made.get(&key).is_some() {
                 return Err(failed("it stands twice".into()));
             }
@@ -148,7 +148,7 @@
             }
             toml::Value::Boolean(flag) => set(&path, Value::Flag(*flag))?,
             toml::Value::Integer(n) => set(&path, Value::Int(*n))?,
-            toml::Value::String(word) => set(&path, Value::Word(word.clone()))?,
+            toml::Value::String(word) => set(&path, Value::Text(word.clone()))?,
             _ => {
                 return Err(failed("it is true or false, a whole number, a word, or a list of words".into()))
             }
@@ -177,7 +177,7 @@
     for (path, value) in written.set {
         let value = match value {
             serde_json::Value::Bool(flag) => Value::Flag(flag),
-            serde_json::Value::String(word) => Value::Word(word),
+            serde_json::Value::String(word) => Value::Text(word),
             serde_json::Value::Number(n) if n.is_i64() => Value::Int(n.as_i64().unwrap_or_default()),
             _ => return Err(format!("{path}: it is true or false, a whole number, or a word")),
         };
@@ -185,7 +185,7 @@
         // A member's name in place of its number is looked up by whoever has the roster; its schema is asked once more then.
         let by_name = key.as_str().starts_with("voter/") || key.as_str().starts_with("gone/");
         if !by_name || value != Value::Flag(true) {
-            check(&key, &value).map_err(|e| e.to_string())?;
+            check_entry(&key, &value).map_err(|e| e.to_string())?;
         }
         change.set.insert(key, value);
     }
--- a/node/src/accords/terms.rs
+++ b/node/src/accords/terms.rs
@@ -81,13 +81,13 @@
 
     /// Takes one entry, which the schema knows.
     pub fn take(&mut self, key: &Key, value: &Value, base: &Base) -> Result<(), String> {
-        let words: Vec<&str> = key.words().collect();
+        let words: Vec<&str> = key.segments().collect();
         let int = || match value {
             Value::Int(n) => *n,
             _ => 0,
         };
         let word = || match value {
-            Value::Word(word) => word.clone(),
+            Value::Text(word) => word.clone(),
             _ => String::new(),
         };
         let place = |names: &[String], name: &str, what: &str| {
--- a/node/src/accords/terms/tests.rs
+++ b/node/src/accords/terms/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use rstest::rstest;
-use wheellink_accord::{check, stricter_of};
+use wheellink_accord::{check_entry, joint_terms};
 
 fn base() -> Base {
     let config = crate::config::operator(include_str!("../../../../deploy/invoke.toml")).expect("a file");
@@ -14,7 +14,7 @@
     let mut document = Document::default();
     for (path, value) in entries {
         let key = Key::new(path).expect("a key");
-        check(&key, value).expect("a value");
+        check_entry(&key, value).expect("a value");
         document.set(key, value.clone());
     }
     document.seal();
@@ -26,7 +26,7 @@
 }
 
 fn word(text: &str) -> Value {
-    Value::Word(text.into())
+    Value::Text(text.into())
 }
 
 /// Some of what a document may say.
@@ -78,7 +78,7 @@
             "seed {seed}: soft ones are the newer's"
         );
         // The accord's own word for both is never stricter: what one is silent of is then the file's.
-        let merged = alone(&one(&stricter_of(&old, &new))).settings(&base);
+        let merged = alone(&one(&joint_terms(&old, &new))).settings(&base);
         for (made, merged) in made.classes.iter().zip(&merged.classes) {
             assert!(made.attempts <= merged.attempts, "seed {seed}");
         }
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{json, Value};
 use wheellink_accord::{
-    Accord, Acting, Change, Digest, Document, Key, Out, ProposalId, Refusal, Rejected, Role,
+    ActiveTerms, Change, Digest, Document, Key, Output, Participant, ProposalError, ProposalId, Refusal, Role,
 };
 
 use super::*;
@@ -31,12 +31,12 @@
 
 /// See the module's page.
 pub(super) struct Agreed {
-    accord: Accord,
+    accord: Participant,
     setup: (Setup, membership::Setup),
     bound: Duration,
     office: Option<Office>,
     base: Arc<Base>,
-    acting: Acting,
+    acting: ActiveTerms,
     in_force: InForce,
     /// Readings by the digest of what was read, newest last.
     read: Vec<(Digest, Arc<Terms>)>,
@@ -46,7 +46,7 @@
     paid: HashMap<usize, Micros>,
     /// Hosts that are out by a document.
     out: BTreeSet<WorkerId>,
-    settled: VecDeque<(ProposalId, Result<wheellink_accord::Version, Rejected>)>,
+    settled: VecDeque<(ProposalId, Result<wheellink_accord::Version, ProposalError>)>,
     /// Changes of what is obeyed since the start.
     turns: u64,
 }
@@ -58,11 +58,11 @@
 }
 
 /// What is obeyed, as machines read it: `N DIGEST`, `both N and M`, or `the floor of N`, N being the newest known.
-fn said(acting: &Acting, known: u64) -> String {
+fn said(acting: &ActiveTerms, known: u64) -> String {
     match acting {
-        Acting::Floor(_) => format!("the floor of {known}"),
-        Acting::One(version, _) => format!("{} {}", version.number, short(&version.digest)),
-        Acting::Both { old, new, .. } => format!("both {} and {}", old.number, new.number),
+        ActiveTerms::Floor(_) => format!("the floor of {known}"),
+        ActiveTerms::Single(version, _) => format!("{} {}", version.number, short(&version.digest)),
+        ActiveTerms::Joint { old, new, .. } => format!("both {} and {}", old.number, new.number),
     }
 }
 
@@ -82,10 +82,10 @@
         let me = setup.1.names().next().map(number).ok_or("no name")?;
         let life = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let life = life.unwrap_or_default().as_millis() as u64;
-        let accord = Accord::new(settings, me, life, seed, since_boot()).map_err(|e| e.to_string())?;
+        let accord = Participant::new(settings, me, life, seed, since_boot()).map_err(|e| e.to_string())?;
         // Without the thread documents are read in the loop: calls wait meanwhile, and nothing else.
         let office = if setup.0.thread { Office::open(handle).ok() } else { None };
-        let acting = accord.view(since_boot()).acting;
+        let acting = accord.status(since_boot()).active;
         let setup = (setup.0.clone(), setup.1.clone());
         Ok(Self {
             roster: setup.1.names().count(),
@@ -132,7 +132,7 @@
         }
     }
 
-    pub(super) fn acting(&self) -> &Acting {
+    pub(super) fn acting(&self) -> &ActiveTerms {
         &self.acting
     }
 
@@ -143,7 +143,7 @@
 
     /// A version that is on its way.
     pub(super) fn pending(&self) -> Option<u64> {
-        self.accord.view(since_boot()).pending.map(|(version, _)| version.number)
+        self.accord.status(since_boot()).pending.map(|(version, _)| version.number)
     }
 
     /// Requests that this one may have open, where that is capped: an equal share of the fleet's.
@@ -173,17 +173,17 @@
     }
 
     /// Works out what is obeyed.
-    fn obey(&mut self, acting: Acting) -> Result<(), String> {
-        let floor = matches!(acting, Acting::Floor(_));
+    fn obey(&mut self, acting: ActiveTerms) -> Result<(), String> {
+        let floor = matches!(acting, ActiveTerms::Floor(_));
         let known = |digest: Digest| self.read.iter().find(|(d, _)| *d == digest).map(|(_, t)| t.clone());
         let terms = match &acting {
-            Acting::Both { old, new, terms } => match (known(old.digest), known(new.digest)) {
+            ActiveTerms::Joint { old, new, terms } => match (known(old.digest), known(new.digest)) {
                 (Some(old), Some(new)) => vec![old, new],
                 // It came in between: the terms of both, as the accord made them.
                 _ => vec![self.reading(terms.digest(), &terms.clone())?],
             },
-            Acting::One(version, document) => vec![self.reading(version.digest, &document.clone())?],
-            Acting::Floor(document) => vec![self.reading(document.digest(), &document.clone())?],
+            ActiveTerms::Single(version, document) => vec![self.reading(version.digest, &document.clone())?],
+            ActiveTerms::Floor(document) => vec![self.reading(document.digest(), &document.clone())?],
         };
         self.in_force = InForce { terms, floor };
         self.acting = acting;
@@ -246,7 +246,7 @@
         if !same {
             return Ok(());
         }
-        if agreed.accord.view(since_boot()).pending.is_some() {
+        if agreed.accord.status(since_boot()).pending.is_some() {
             return Err("accord: a version is on its way; try again when it is in force".into());
         }
         let d = &next.deployment;
@@ -261,7 +261,7 @@
     pub(super) fn heard_accord(&mut self, now: Micros, from: wheellink_members::Name, data: &[u8]) {
         let Some(agreed) = &mut self.agreed else { return };
         let mut out = Vec::new();
-        agreed.accord.heard(since_boot(), wheellink_accord::Name(from.0), data, &mut out);
+        agreed.accord.receive(since_boot(), wheellink_accord::MemberId(from.0), data, &mut out);
         self.carry_out_accord(now, out);
     }
 
@@ -270,11 +270,11 @@
     pub(super) fn mind_accord(&mut self) -> bool {
         let Some(agreed) = &mut self.agreed else { return false };
         let at = since_boot();
-        if agreed.accord.wake_at().is_none_or(|due| due > at) {
+        if agreed.accord.next_timer().is_none_or(|due| due > at) {
             return false;
         }
         let (mut out, before) = (Vec::new(), agreed.turns);
-        agreed.accord.wake(at, &mut out);
+        agreed.accord.on_timer(at, &mut out);
         let now = self.clock.now();
         self.carry_out_accord(now, out);
         self.agreed.as_ref().is_some_and(|agreed| agreed.turns != before)
@@ -287,7 +287,7 @@
             return false;
         };
         let mut out = Vec::new();
-        agreed.accord.work(since_boot(), &mut out);
+        agreed.accord.run_step(since_boot(), &mut out);
         let now = self.clock.now();
         self.carry_out_accord(now, out);
         self.settle();
@@ -295,8 +295,11 @@
     }
 
     pub(super) fn next_accord(&self, now: Micros) -> Micros {
-        let wait =
-            self.agreed.as_ref().and_then(|a| a.accord.wake_at()).map(|at| at.saturating_sub(since_boot()));
+        let wait = self
+            .agreed
+            .as_ref()
+            .and_then(|a| a.accord.next_timer())
+            .map(|at| at.saturating_sub(since_boot()));
         wait.map_or(Micros::MAX, |wait| now.saturating_add(wait.as_micros() as Micros))
     }
 
@@ -307,23 +310,23 @@
         if let (Some(agreed), Some(reading)) = (&mut self.agreed, reading) {
             let result = reading.terms.map(|terms| agreed.keep(reading.version.digest, terms));
             let mut out = Vec::new();
-            agreed.accord.prepared(since_boot(), reading.version, result.map_err(refusal), &mut out);
+            agreed.accord.on_prepared(since_boot(), reading.version, result.map_err(refusal), &mut out);
             self.carry_out_accord(now, out);
         }
         self.settle();
     }
 
-    fn carry_out_accord(&mut self, now: Micros, out: Vec<Out>) {
+    fn carry_out_accord(&mut self, now: Micros, out: Vec<Output>) {
         let mut todo = VecDeque::from(out);
         while let Some(o) = todo.pop_front() {
             let Some(agreed) = &mut self.agreed else { return };
             match o {
-                Out::Send { to, data } => {
+                Output::Send { to, data } => {
                     if let Some(membership) = &self.membership {
                         membership.send(wheellink_members::Name(to.0), Kind::Accord, &data);
                     }
                 }
-                Out::Prepare { version, document } => {
+                Output::Prepare { version, document } => {
                     let base = agreed.base.clone();
                     let result = match &mut agreed.office {
                         Some(office) => match office.read(version, document, base) {
@@ -333,11 +336,11 @@
                         None => agreed.reading(version.digest, &document).map(drop).map_err(refusal),
                     };
                     let mut more = Vec::new();
-                    agreed.accord.prepared(since_boot(), version, result, &mut more);
+                    agreed.accord.on_prepared(since_boot(), version, result, &mut more);
                     todo.extend(more);
                 }
-                Out::Act(acting) => self.act(now, acting, true),
-                Out::Settled { change, result } => {
+                Output::Apply(acting) => self.act(now, acting, true),
+                Output::Settled { change, result } => {
                     match &result {
                         Ok(version) => self.log.line(
                             now,
@@ -352,15 +355,15 @@
                         agreed.settled.pop_front();
                     }
                 }
-                Out::Note(line) => self.log.line(now, format_args!("accord: {line}")),
+                Output::Log(line) => self.log.line(now, format_args!("accord: {line}")),
             }
         }
     }
 
     /// Obeys this from now on: what was decided by what was obeyed before and has not left is decided anew.
-    fn act(&mut self, now: Micros, acting: Acting, told: bool) {
+    fn act(&mut self, now: Micros, acting: ActiveTerms, told: bool) {
         let Some(agreed) = &mut self.agreed else { return };
-        let line = said(&acting, agreed.accord.view(since_boot()).known.number);
+        let line = said(&acting, agreed.accord.status(since_boot()).known.number);
         if let Err(problem) = agreed.obey(acting) {
             // The accord does not act on what was refused here, so this is a fault of the program: the safest is kept.
             self.log
@@ -459,5 +462,5 @@
 }
 
 fn id(change: &ProposalId) -> String {
-    format!("{}.{}.{}", change.name.0, change.life, change.count)
+    format!("{}.{}.{}", change.name.0, change.incarnation, change.count)
 }
--- a/node/src/node/accord/operate.rs
+++ b/node/src/node/accord/operate.rs
@@ -23,8 +23,8 @@
             Ok(change) => Response::json(202, json!({"id": id(&change)})),
             Err(why) => {
                 let status = match why {
-                    Rejected::Stale(_) | Rejected::Busy(_) => 409,
-                    Rejected::Change(_) | Rejected::Voters(_) => 400,
+                    ProposalError::StaleBase(_) | ProposalError::Busy(_) => 409,
+                    ProposalError::Change(_) | ProposalError::Voters(_) => 400,
                     _ => 503,
                 };
                 Response::problem(status, &why.to_string())
@@ -41,7 +41,7 @@
     /// The change with the numbers of members in place of their names, in `voter/NAME` and `gone/NAME`.
     fn numbered(&self, change: Change) -> Change {
         let named = |key: Key| {
-            let words: Vec<&str> = key.words().collect();
+            let words: Vec<&str> = key.segments().collect();
             let [what @ ("voter" | "gone"), name] = words[..] else { return key };
             let known = self.setup.1.names().find(|known| *known == name);
             known.and_then(|name| Key::new(&format!("{what}/{}", number(name))).ok()).unwrap_or(key)
@@ -55,22 +55,25 @@
 
     /// As the log has it: machines read both.
     fn show(&self) -> Value {
-        let view = self.accord.view(since_boot());
+        let view = self.accord.status(since_boot());
         let members = &self.setup.1;
-        let name =
-            |of: wheellink_accord::Name| members.names().find(|n| number(n) == of).unwrap_or("?").to_string();
+        let name = |of: wheellink_accord::MemberId| {
+            members.names().find(|n| number(n) == of).unwrap_or("?").to_string()
+        };
         let acting = match &self.acting {
-            Acting::Floor(floor) => json!({"on": "floor", "digest": floor.digest().to_string()}),
-            Acting::One(one, _) => json!({"on": "one", "version": version(one)}),
-            Acting::Both { old, new, .. } => json!({"on": "both", "old": version(old), "new": version(new)}),
+            ActiveTerms::Floor(floor) => json!({"on": "floor", "digest": floor.digest().to_string()}),
+            ActiveTerms::Single(one, _) => json!({"on": "one", "version": version(one)}),
+            ActiveTerms::Joint { old, new, .. } => {
+                json!({"on": "both", "old": version(old), "new": version(new)})
+            }
         };
-        let list = |list: &[(wheellink_accord::Name, bool)]| -> Vec<Value> {
+        let list = |list: &[(wheellink_accord::MemberId, bool)]| -> Vec<Value> {
             list.iter()
                 .map(|(n, grants)| json!({"name": name(*n), "number": n.0, "grants": grants}))
                 .collect()
         };
         let voters = list(&view.voters);
-        let to_come = view.voters_to_come.as_deref().map(list);
+        let to_come = view.next_voters.as_deref().map(list);
         let refused: Vec<Value> = view
             .refused
             .iter()
@@ -91,7 +94,7 @@
         let out: Vec<&str> = self.out.iter().map(|h| &*h.0).take(MOST_SHOWN).collect();
         let terms = self.acting.terms();
         json!({"acting": acting, "said": said(&self.acting, view.known.number), "known": version(&view.known), "role": role,
-            "lease_left_ms": view.lease_left.map(|left| left.as_millis() as u64), "voters": voters, "voters_to_come": to_come, "pending": pending,
+            "lease_left_ms": view.lease_remaining.map(|left| left.as_millis() as u64), "voters": voters, "voters_to_come": to_come, "pending": pending,
             "fetched": fetched, "refused": refused, "settled": settled, "bound_ms": self.bound.as_millis() as u64,
             "turns": self.turns, "entries": terms.len(), "hosts_out": {"known_here": self.out.len(), "first": out},
             "floor": {"entries": view.floor.len(), "digest": view.floor.digest().to_string()},
--- a/node/src/node/together.rs
+++ b/node/src/node/together.rs
@@ -2,7 +2,7 @@
 //! And what they say to each other: what is agreed says how far to draft and what weight sites have, and what is learnt of
 //! drafts is put forward as a change of what is agreed.
 
-use wheellink_accord::{Acting, Change, Key, Value};
+use wheellink_accord::{ActiveTerms, Change, Key, Value};
 use wheellink_drafts::{Table, Workload};
 
 use super::*;
@@ -57,10 +57,10 @@
             return;
         }
         let Some(agreed) = &self.agreed else { return };
-        let (Acting::One(version, _), None) = (agreed.acting(), agreed.pending()) else { return };
+        let (ActiveTerms::Single(version, _), None) = (agreed.acting(), agreed.pending()) else { return };
         let base = version.number;
         let Some(wanted) = self.drafting.as_mut().and_then(|drafting| drafting.take_wanted()) else { return };
-        let entry = |(path, draft): (String, String)| Some((Key::new(&path).ok()?, Value::Word(draft)));
+        let entry = |(path, draft): (String, String)| Some((Key::new(&path).ok()?, Value::Text(draft)));
         let set: BTreeMap<_, _> = wanted.into_iter().filter_map(entry).collect();
         if !set.is_empty() {
             self.propose_own(now, "drafts", Change { base, set, ..Change::default() });
