--- a/crates/accord/src/change.rs
+++ b/crates/accord/src/change.rs
@@ -1,4 +1,4 @@
-//! A change: what to set and what to drop, and the version it is based on.
+//! Changes of a document: what to set, what to drop, and the version they are based on.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -14,32 +14,33 @@
 /// A change of the document in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The number of the version it is based on: it is refused if another is in force (compare and set).
+    /// Number of the version that the change is based on. The change is refused if another version is in
+    /// force (compare and set).
     pub base: u64,
     /// Keys to set.
     pub set: BTreeMap<Key, Value>,
-    /// Keys to take out; one that is not there is no error.
+    /// Keys to remove. A key that is not present is not an error.
     pub drop: BTreeSet<Key>,
 }
 
-/// Why a change makes no document.
+/// Why a change does not result in a valid document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeError {
-    /// A key or value that the schema refuses.
+    /// The schema refuses a key or value.
     Schema(schema::SchemaError),
-    /// A key is set and dropped at once.
+    /// A key is both set and dropped.
     SetAndDropped(Key),
-    /// The document would be over its bounds.
+    /// The document would exceed its limits.
     TooLarge {
-        /// Entries it would have, of at most [`MAX_DOCUMENT_ENTRIES`].
+        /// Number of entries it would have, of at most [`MAX_DOCUMENT_ENTRIES`].
         entries: usize,
-        /// Bytes it would have, of at most [`MAX_DOCUMENT_BYTES`].
+        /// Size it would have, of at most [`MAX_DOCUMENT_BYTES`].
         bytes: usize,
     },
-    /// It would be stricter on this hard key than the floor: one that is cut off would contradict it.
-    /// The floor (`floor/KEY`) is to be changed first, by a version of its own.
+    /// The document would be stricter on this hard key than the floor, so a member that is cut off would
+    /// contradict it. The floor (`floor/KEY`) has to be changed first, by a version of its own.
     StricterThanFloor(Key),
-    /// It changes nothing.
+    /// The change has no effect.
     NoEffect,
 }
 
@@ -47,15 +48,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ChangeError::Schema(error) => write!(f, "{error}"),
-            ChangeError::SetAndDropped(key) => write!(f, "{key}: set and dropped at once"),
+            ChangeError::SetAndDropped(key) => write!(f, "{key}: both set and dropped"),
             ChangeError::TooLarge { entries, bytes } => write!(
                 f,
                 "document of {entries} entries and {bytes} bytes: at most {MAX_DOCUMENT_ENTRIES} and {MAX_DOCUMENT_BYTES} are allowed"
             ),
             ChangeError::StricterThanFloor(key) => write!(
                 f,
-                "{key}: stricter than the floor, which one that is cut off acts on; change floor/{key} first, \
-                 proposal_id a version of its own"
+                "{key}: stricter than the floor, which a member that is cut off acts on; change floor/{key} first, \
+                 in a version of its own"
             ),
             ChangeError::NoEffect => f.write_str("the change changes nothing"),
         }
@@ -65,10 +66,10 @@
 impl std::error::Error for ChangeError {}
 
 impl Change {
-    /// The document that it makes of `base`.
+    /// Applies the change to `base`.
     ///
     /// # Errors
-    /// See [`ChangeError`]; nothing is taken over then.
+    /// See [`ChangeError`]. The change is applied in full or not at all.
     pub fn apply(&self, base: &Document) -> Result<Document, ChangeError> {
         let base = DocumentWithFloor::new(Arc::new(base.clone()));
         let mut making = ChangeBuild::new(self.clone(), base);
@@ -79,7 +80,8 @@
         }
     }
 
-    /// The change that makes `newer` of `base`: for going back to an older content by a new version.
+    /// The change that turns `base` into `newer`, for example to return to the content of an older version.
+    /// `number` is the version that it is based on.
     pub fn between(number: u64, base: &Document, newer: &Document) -> Change {
         let mut change = Change { base: number, ..Change::default() };
         for (key, value) in base.delta(newer) {
@@ -92,22 +94,22 @@
     }
 }
 
-/// How far a [`ChangeBuild`] is.
+/// Progress of a [`ChangeBuild`].
 #[derive(Debug)]
 enum Stage {
-    /// Keys are taken out and set: of the change what is left.
+    /// Removing and setting keys. Holds the rest of the change.
     Applying(Change, DocumentBuilder),
-    /// What is set is hashed.
+    /// Hashing the changed buckets.
     Hashing(DocumentBuilder),
-    /// Its floor is taken out of it.
+    /// Extracting the floor of the new document.
     ExtractingFloor(FloorExtraction),
-    /// It is looked at beside the floor before it and its own.
+    /// Checking the new document against the old floor and its own.
     CheckingCoverage(DocumentWithFloor, CoverageChecks),
-    /// It was made, or refused.
+    /// The document was returned.
     Done,
 }
 
-/// A change on its way to be a document, by steps.
+/// Builds the document of a change incrementally.
 #[derive(Debug)]
 pub(crate) struct ChangeBuild {
     base: DocumentWithFloor,
@@ -116,11 +118,11 @@
 
 impl ChangeBuild {
     pub fn new(change: Change, base: DocumentWithFloor) -> ChangeBuild {
-        let made = DocumentBuilder::onto(&base.document);
+        let made = DocumentBuilder::from_base(&base.document);
         ChangeBuild { base, stage: Stage::Applying(change, made) }
     }
 
-    /// Goes on for as long as the budget lasts. To be asked no more once it is ready.
+    /// Continues while the budget lasts. Not called again once it returns a result.
     pub fn step(&mut self, budget: &mut Budget) -> Poll<Result<DocumentWithFloor, ChangeError>> {
         loop {
             match &mut self.stage {
@@ -157,13 +159,13 @@
                         return Poll::Ready(Err(ChangeError::NoEffect));
                     }
                 }
-                Stage::ExtractingFloor(flooring) => {
-                    let Poll::Ready(made) = flooring.step(budget) else { return Poll::Pending };
-                    let covers = covers(&self.base, &made);
-                    self.stage = Stage::CheckingCoverage(made, covers);
+                Stage::ExtractingFloor(extraction) => {
+                    let Poll::Ready(made) = extraction.step(budget) else { return Poll::Pending };
+                    let checks = coverage_checks(&self.base, &made);
+                    self.stage = Stage::CheckingCoverage(made, checks);
                 }
-                Stage::CheckingCoverage(made, covers) => {
-                    let Poll::Ready(open) = covers.step(budget) else { return Poll::Pending };
+                Stage::CheckingCoverage(made, checks) => {
+                    let Poll::Ready(open) = checks.step(budget) else { return Poll::Pending };
                     if let Some(key) = open {
                         return Poll::Ready(Err(ChangeError::StricterThanFloor(key)));
                     }
@@ -176,7 +178,7 @@
         }
     }
 
-    /// What is left of it is freed by steps.
+    /// Hands over the remaining data to be freed incrementally.
     pub fn release(self, reclaimer: &mut Reclaimer) {
         reclaimer.release_document(self.base.document);
         reclaimer.release_document(self.base.floor);
@@ -186,69 +188,70 @@
                 reclaimer.release_partial(made);
             }
             Stage::Hashing(made) => reclaimer.release_partial(made),
-            Stage::ExtractingFloor(flooring) => flooring.release(reclaimer),
-            Stage::CheckingCoverage(made, covers) => {
+            Stage::ExtractingFloor(extraction) => extraction.release(reclaimer),
+            Stage::CheckingCoverage(made, checks) => {
                 reclaimer.release_document(made.document);
                 reclaimer.release_document(made.floor);
-                covers.release(reclaimer);
+                checks.release(reclaimer);
             }
             Stage::Done => {}
         }
     }
 }
 
-/// Both floors, as one that was cut off before this version is still on the old one.
-fn covers(base: &DocumentWithFloor, made: &DocumentWithFloor) -> CoverageChecks {
+/// The new document has to satisfy both floors, because a member that was cut off before this version still
+/// uses the old one.
+fn coverage_checks(base: &DocumentWithFloor, made: &DocumentWithFloor) -> CoverageChecks {
     CoverageChecks::new([(&made.document, &base.floor), (&made.document, &made.floor)])
 }
 
-/// Whether a version that another made may follow on one that is in force, by steps. What the document says was checked
-/// as it came in, or was made.
+/// Checks incrementally whether a version proposed by another member may follow the version in force. The
+/// entries themselves were checked when the document was received or built.
 #[derive(Debug)]
 pub(crate) enum ProposalCheck {
-    /// Whether it undercuts a floor.
+    /// Checks whether the document is stricter than a floor.
     Terms(DocumentWithFloor, DocumentWithFloor, CoverageChecks),
-    /// Whether its floor is stricter than the one before on a hard key: such a version is only begun once every member
-    /// of the roster has said that its own file's floor is as strict.
+    /// Checks whether the new floor is stricter than the old one on a hard key. Such a version proceeds only
+    /// once every member of the roster has reported that the floor of its own file is as strict.
     Floor(CoverageChecks),
 }
 
 impl ProposalCheck {
     pub fn new(base: DocumentWithFloor, newer: DocumentWithFloor) -> ProposalCheck {
-        let covers = covers(&base, &newer);
-        ProposalCheck::Terms(base, newer, covers)
+        let checks = coverage_checks(&base, &newer);
+        ProposalCheck::Terms(base, newer, checks)
     }
 
-    /// Whether it tightens the floor, or why it may not be.
+    /// Returns whether the version tightens the floor, or why it is not allowed.
     pub fn step(&mut self, budget: &mut Budget) -> Poll<Result<bool, ChangeError>> {
         loop {
             match self {
-                ProposalCheck::Terms(base, newer, covers) => {
+                ProposalCheck::Terms(base, newer, checks) => {
                     if base.document == newer.document {
                         return Poll::Ready(Err(ChangeError::NoEffect));
                     }
-                    let Poll::Ready(open) = covers.step(budget) else { return Poll::Pending };
+                    let Poll::Ready(open) = checks.step(budget) else { return Poll::Pending };
                     if let Some(key) = open {
                         return Poll::Ready(Err(ChangeError::StricterThanFloor(key)));
                     }
                     *self = ProposalCheck::Floor(CoverageChecks::new([(&newer.floor, &base.floor)]));
                 }
-                ProposalCheck::Floor(covers) => return covers.step(budget).map(|open| Ok(open.is_some())),
+                ProposalCheck::Floor(checks) => return checks.step(budget).map(|open| Ok(open.is_some())),
             }
         }
     }
 
-    /// What is left of it is freed by steps.
+    /// Hands over the remaining data to be freed incrementally.
     pub fn release(self, reclaimer: &mut Reclaimer) {
         match self {
-            ProposalCheck::Terms(base, newer, covers) => {
+            ProposalCheck::Terms(base, newer, checks) => {
                 for whole in [base, newer] {
                     reclaimer.release_document(whole.document);
                     reclaimer.release_document(whole.floor);
                 }
-                covers.release(reclaimer);
+                checks.release(reclaimer);
             }
-            ProposalCheck::Floor(covers) => covers.release(reclaimer),
+            ProposalCheck::Floor(checks) => checks.release(reclaimer),
         }
     }
 }
--- a/crates/accord/src/document.rs
+++ b/crates/accord/src/document.rs
@@ -1,7 +1,7 @@
-//! A document: a map of keys to values, its bounds and its digest.
+//! A document: a map of keys to values, with size limits and a digest.
 //!
-//! Entries lie in buckets that versions share, each with a digest of its own, so that a version of 100,000 entries which
-//! differs in ten is made by copying ten buckets and hashed by hashing ten.
+//! Entries are stored in buckets that versions share, each with its own digest. To make a version of 100,000
+//! entries that differs in ten, ten buckets are copied and hashed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,45 +11,49 @@
 
 use crate::incremental::Budget;
 
-/// Most entries of a document. A list of 100,000 fits twice; beyond that a whole transfer takes minutes at the usual pace.
+/// Maximum number of entries in a document. Two versions of a list of 100,000 fit; beyond that, a full
+/// transfer takes minutes at the usual rate.
 pub const MAX_DOCUMENT_ENTRIES: usize = 200_000;
-/// Most bytes of a document's keys and values together: what each activator may have to hold a few times over.
+/// Maximum total size of a document's keys and values. Each activator may have to hold several documents of
+/// this size.
 pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
-/// Most bytes of a [`Value::Text`].
+/// Maximum size of a [`Value::Text`].
 pub const MAX_TEXT_BYTES: usize = 256;
-/// Most bytes of one word of a key.
+/// Maximum size of one segment of a key.
 const MAX_KEY_SEGMENT_BYTES: usize = 64;
-/// Buckets of a document: about 100 entries each at 100,000, and 16 kB to hash for the root.
+/// Number of buckets in a document: about 100 entries each at 100,000 entries, and 16 kB to hash for the root
+/// digest.
 const BUCKET_COUNT: usize = 512;
 
-/// A key: a path of 2 to 4 words of 1 to 64 bytes, `/` between them.
+/// A key: a path of 2 to 4 segments of 1 to 64 bytes, separated by `/`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Key(Box<str>);
 
-/// Why a text is no key.
+/// Why a text is not a valid key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyError(pub String);
 
 impl Key {
-    /// The key of a path.
+    /// Creates a key from a path.
     ///
     /// # Errors
-    /// Fewer than 2 or more than 4 words, an empty word, one over 64 bytes, or a control character or space in one.
+    /// Fewer than 2 or more than 4 segments, or a segment that is empty, longer than 64 bytes, or contains a
+    /// control character or white space.
     pub fn new(path: &str) -> Result<Key, KeyError> {
-        let words = path.split('/').count();
+        let segments = path.split('/').count();
         let shown = || path.chars().take(80).collect::<String>();
-        if !(2..=4).contains(&words) {
-            return Err(KeyError(format!("key {:?}: {words} words, 2 to 4 are allowed", shown())));
+        if !(2..=4).contains(&segments) {
+            return Err(KeyError(format!("key {:?}: {segments} segments, 2 to 4 are allowed", shown())));
         }
-        for word in path.split('/') {
-            if word.is_empty() || word.len() > MAX_KEY_SEGMENT_BYTES {
+        for segment in path.split('/') {
+            if segment.is_empty() || segment.len() > MAX_KEY_SEGMENT_BYTES {
                 return Err(KeyError(format!(
-                    "key {:?}: a word has 1 to {MAX_KEY_SEGMENT_BYTES} bytes",
+                    "key {:?}: a segment has 1 to {MAX_KEY_SEGMENT_BYTES} bytes",
                     shown()
                 )));
             }
-            if word.chars().any(|c| c.is_control() || c.is_whitespace()) {
+            if segment.chars().any(|c| c.is_control() || c.is_whitespace()) {
                 return Err(KeyError(format!(
                     "key {:?}: spaces and control characters are not allowed",
                     shown()
@@ -59,28 +63,28 @@
         Ok(Key(path.into()))
     }
 
-    /// The path as a text.
+    /// The path as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The words of the path.
+    /// The segments of the path.
     pub fn segments(&self) -> impl Iterator<Item = &str> {
         self.0.split('/')
     }
 
-    /// The key that says the floor of this one: `floor/` before it. None for a key of four words.
+    /// The key that holds the floor of this key: the path after `floor/`. `None` for a key of four segments.
     pub fn floor(&self) -> Option<Key> {
         Key::new(&format!("floor/{}", self.0)).ok()
     }
 
-    /// The key of which this is the floor, if its first word is `floor`.
+    /// The key whose floor this key holds, if its first segment is `floor`.
     pub fn floor_target(&self) -> Option<Key> {
         self.0.strip_prefix("floor/").and_then(|rest| Key::new(rest).ok())
     }
 
     fn bucket(&self) -> usize {
-        // FNV-1a: stable for all programs, as the root digest depends on it.
+        // FNV-1a. The root digest depends on the bucket of each key, so all programs must use the same hash.
         let mut hash = 0xcbf2_9ce4_8422_2325u64;
         for byte in self.0.bytes() {
             hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
@@ -129,14 +133,14 @@
 
 impl std::error::Error for KeyError {}
 
-/// What a key says.
+/// The value of a key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Value {
-    /// Yes or no.
+    /// True or false.
     Flag(bool),
-    /// A whole number; the unit is in the key's name.
+    /// An integer; the key's name gives the unit.
     Int(i64),
-    /// A word of at most 256 bytes.
+    /// A text of at most 256 bytes.
     Text(String),
 }
 
@@ -145,12 +149,12 @@
         match self {
             Value::Flag(flag) => write!(f, "{flag}"),
             Value::Int(int) => write!(f, "{int}"),
-            Value::Text(word) => f.write_str(word),
+            Value::Text(text) => f.write_str(text),
         }
     }
 }
 
-/// The blake3 digest of a document's canonical bytes.
+/// The BLAKE3 digest of a document's canonical encoding.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 32]);
 
@@ -169,41 +173,43 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Bucket {
     pub entries: BTreeMap<Key, Value>,
-    /// None while entries changed since it was last hashed.
+    /// `None` if entries changed since the bucket was last hashed.
     digest: Option<Digest>,
-    /// Known only while hashed: it holds entries of lists and nothing else.
-    lists: bool,
-    /// Known only while hashed: it holds keys that say who votes.
-    voters: bool,
+    /// Whether all entries belong to lists. Valid only while hashed.
+    only_lists: bool,
+    /// Whether any key names a voter. Valid only while hashed.
+    names_voters: bool,
 }
 
 impl Bucket {
-    /// It holds entries of lists and nothing else: those are soft and no floor.
+    /// Whether the bucket is hashed and all its entries belong to lists, which are soft and not part of the
+    /// floor.
     pub fn is_lists(&self) -> bool {
-        self.digest.is_some() && self.lists
+        self.digest.is_some() && self.only_lists
     }
 
-    /// Hashes it.
+    /// Hashes the bucket.
     fn seal(&mut self) {
         self.digest = Some(hash_bucket(&self.entries));
-        self.lists = self.entries.keys().all(|key| key.as_str().starts_with("list/"));
-        self.voters = self.entries.keys().any(|key| key.as_str().starts_with("voter/"));
+        self.only_lists = self.entries.keys().all(|key| key.as_str().starts_with("list/"));
+        self.names_voters = self.entries.keys().any(|key| key.as_str().starts_with("voter/"));
     }
 }
 
-/// A map of keys to values, cheap to clone. Two with the same entries have the same digest, however they came about.
+/// A map of keys to values that is cheap to clone. Documents with the same entries have the same digest,
+/// whatever the order in which the entries were set.
 #[derive(Clone)]
 pub struct Document {
     buckets: Vec<Arc<Bucket>>,
     entries: usize,
     bytes: usize,
-    /// None while entries changed since it was sealed.
+    /// `None` if entries changed since the document was sealed.
     root: Option<Digest>,
 }
 
 impl Default for Document {
     fn default() -> Document {
-        // One for all, hashed once: documents of nothing are made all the time, as floors.
+        // Empty documents are created often, as floors, so all share one that is hashed once.
         static EMPTY: OnceLock<Document> = OnceLock::new();
         let make = || {
             let mut empty = Bucket::default();
@@ -219,7 +225,7 @@
 }
 
 impl Document {
-    /// What a key says.
+    /// The value of a key.
     pub fn get(&self, key: &Key) -> Option<&Value> {
         self.buckets[key.bucket()].entries.get(key)
     }
@@ -229,41 +235,43 @@
         self.entries
     }
 
-    /// Whether it says nothing.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries == 0
     }
 
-    /// Bytes of keys and values together, as [`MAX_DOCUMENT_BYTES`] bounds them.
+    /// Total size of keys and values, which [`MAX_DOCUMENT_BYTES`] limits.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// All entries, in an order that is the same for the same entries, but not by key.
+    /// All entries, in an order that depends only on the entries but is not the order of keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Value)> {
         self.buckets.iter().flat_map(|bucket| &bucket.entries)
     }
 
-    /// All entries, or all but those of buckets that hold entries of lists alone: those are soft and no floor.
+    /// All entries except those of buckets that hold only entries of lists, which are soft and not part of
+    /// the floor.
     pub(crate) fn entries_outside_lists(&self) -> impl Iterator<Item = (&Key, &Value)> {
         let other = |bucket: &&Arc<Bucket>| !bucket.is_lists();
         self.buckets.iter().filter(other).flat_map(|bucket| &bucket.entries)
     }
 
-    /// The entries of buckets that say who votes, and what else those hold: few, of a document of any size.
-    pub(crate) fn entries_near_voters(&self) -> impl Iterator<Item = (&Key, &Value)> {
-        let with = |bucket: &&Arc<Bucket>| bucket.digest.is_none() || bucket.voters;
+    /// The entries of buckets with keys that name voters, whatever else those buckets hold: few entries,
+    /// whatever the size of the document.
+    pub(crate) fn entries_of_voter_buckets(&self) -> impl Iterator<Item = (&Key, &Value)> {
+        let with = |bucket: &&Arc<Bucket>| bucket.digest.is_none() || bucket.names_voters;
         self.buckets.iter().filter(with).flat_map(|bucket| &bucket.entries)
     }
 
-    /// The entries below a prefix such as `class/`, by key. Looks at every entry once.
-    pub fn under(&self, prefix: &str) -> Vec<(&Key, &Value)> {
+    /// The entries whose keys start with a prefix such as `class/`, sorted by key. Visits every entry.
+    pub fn entries_under(&self, prefix: &str) -> Vec<(&Key, &Value)> {
         let mut found: Vec<_> = self.iter().filter(|(key, _)| key.as_str().starts_with(prefix)).collect();
         found.sort_unstable_by_key(|(key, _)| *key);
         found
     }
 
-    /// Sets a key. The bounds are those of [`Document::fits`], which the caller asks once all is set.
+    /// Sets a key. The caller checks the limits with [`Document::fits`] once all keys are set.
     pub fn set(&mut self, key: Key, value: Value) {
         let at = key.bucket();
         self.root = None;
@@ -276,7 +284,7 @@
         }
     }
 
-    /// Takes a key out, if it is there.
+    /// Removes a key, if present.
     pub fn remove(&mut self, key: &Key) -> Option<Value> {
         let at = key.bucket();
         self.buckets[at].entries.get(key)?;
@@ -289,13 +297,13 @@
         Some(old)
     }
 
-    /// Whether it is within [`MAX_DOCUMENT_ENTRIES`] and [`MAX_DOCUMENT_BYTES`].
+    /// Whether the document is within [`MAX_DOCUMENT_ENTRIES`] and [`MAX_DOCUMENT_BYTES`].
     pub fn fits(&self) -> bool {
         self.entries <= MAX_DOCUMENT_ENTRIES && self.bytes <= MAX_DOCUMENT_BYTES
     }
 
-    /// Hashes the buckets that changed, and the root, so that
-    /// [`Document::digest`] of this and of its clones costs nothing.
+    /// Hashes the changed buckets and the root, so that [`Document::digest`] of this document and its clones
+    /// is free.
     pub fn seal(&mut self) {
         self.buckets
             .iter_mut()
@@ -304,7 +312,7 @@
         self.root = Some(self.digest());
     }
 
-    /// The digest over all entries.
+    /// The digest of all entries.
     pub fn digest(&self) -> Digest {
         if let Some(root) = self.root {
             return root;
@@ -317,7 +325,7 @@
         Digest(*root.finalize().as_bytes())
     }
 
-    /// What must be set and what taken out to make `newer` of this: the buckets they share are passed over.
+    /// The keys to set and to remove to turn this document into `newer`. Skips shared buckets.
     pub fn delta(&self, newer: &Document) -> Vec<(Key, Option<Value>)> {
         let mut delta = Vec::new();
         let owned = |(key, value): (&Key, Option<&Value>)| (key.clone(), value.cloned());
@@ -328,17 +336,17 @@
         delta
     }
 
-    /// The bucket of this place, from 0; none behind the last. For work by steps, which goes over them one by one.
+    /// The bucket at an index; `None` after the last. For incremental work.
     pub(crate) fn bucket(&self, at: usize) -> Option<&Arc<Bucket>> {
         self.buckets.get(at)
     }
 
-    /// Its buckets, to be let go one by one.
+    /// The buckets, to be freed one by one.
     pub(crate) fn into_buckets(self) -> Vec<Arc<Bucket>> {
         self.buckets
     }
 
-    /// What the keys below `floor/` say, without that word: the document's floor.
+    /// The document's floor: the entries below `floor/`, without that segment.
     pub fn floor(&self) -> Document {
         self.entries_outside_lists()
             .filter_map(|(key, value)| Some((key.floor_target()?, value.clone())))
@@ -380,45 +388,46 @@
     }
 }
 
-/// What must be set and what taken out to make one bucket of another.
+/// The keys to set and to remove to turn one bucket into another.
 pub(crate) fn bucket_delta<'a>(
     old: &'a Bucket,
     new: &'a Bucket,
 ) -> impl Iterator<Item = (&'a Key, Option<&'a Value>)> {
-    let gone = old.entries.keys().filter(|key| !new.entries.contains_key(*key));
-    let put = new.entries.iter().filter(|(key, value)| old.entries.get(*key) != Some(value));
-    gone.map(|key| (key, None)).chain(put.map(|(key, value)| (key, Some(value))))
+    let removed = old.entries.keys().filter(|key| !new.entries.contains_key(*key));
+    let set = new.entries.iter().filter(|(key, value)| old.entries.get(*key) != Some(value));
+    removed.map(|key| (key, None)).chain(set.map(|(key, value)| (key, Some(value))))
 }
 
-/// A document that is being made. It has no digest and is no [`Document`], so nothing can be obeyed, sent or hashed
-/// that is half of one; [`DocumentBuilder::seal`] alone makes a document of it, and only once all of it is hashed.
+/// A document under construction. It has no digest and is not a [`Document`], so an incomplete document
+/// cannot be obeyed, sent or hashed. Only [`DocumentBuilder::seal`] turns it into a document, once all of it
+/// is hashed.
 #[derive(Debug, Default)]
 pub(crate) struct DocumentBuilder {
     made: Document,
-    /// Buckets before this one are hashed.
-    sealed: usize,
+    /// Buckets before this index are hashed.
+    hashed_until: usize,
 }
 
 impl DocumentBuilder {
-    /// One that begins as `base`.
-    pub fn onto(base: &Document) -> DocumentBuilder {
-        DocumentBuilder { made: base.clone(), sealed: 0 }
+    /// Creates a builder that starts from the entries of `base`.
+    pub fn from_base(base: &Document) -> DocumentBuilder {
+        DocumentBuilder { made: base.clone(), hashed_until: 0 }
     }
 
-    /// Sets a key. What is copied, as other versions share it, is spent too.
+    /// Sets a key. The budget also pays for copying a bucket that other versions share.
     pub fn set(&mut self, key: Key, value: Value, budget: &mut Budget) {
-        self.touch(&key, budget);
+        self.charge(&key, budget);
         self.made.set(key, value);
     }
 
-    /// Takes a key out, if it is there.
+    /// Removes a key, if present.
     pub fn remove(&mut self, key: &Key, budget: &mut Budget) {
-        self.touch(key, budget);
+        self.charge(key, budget);
         drop(self.made.remove(key));
     }
 
-    fn touch(&mut self, key: &Key, budget: &mut Budget) {
-        self.sealed = 0;
+    fn charge(&mut self, key: &Key, budget: &mut Budget) {
+        self.hashed_until = 0;
         let bucket = &self.made.buckets[key.bucket()];
         budget.spend(if Arc::strong_count(bucket) > 1 { 1 + bucket.entries.len() } else { 1 });
     }
@@ -428,14 +437,15 @@
         self.made.fits()
     }
 
-    /// Entries and bytes so far.
+    /// Number of entries and bytes so far.
     pub fn size(&self) -> (usize, usize) {
         (self.made.len(), self.made.bytes())
     }
 
-    /// Hashes what is not hashed, as far as the budget goes. The document, once; what is left here is of nothing.
+    /// Hashes the changed buckets as far as the budget allows. Returns the document once all are hashed, and
+    /// leaves an empty builder.
     pub fn seal(&mut self, budget: &mut Budget) -> Option<Document> {
-        while let Some(bucket) = self.made.buckets.get_mut(self.sealed) {
+        while let Some(bucket) = self.made.buckets.get_mut(self.hashed_until) {
             if bucket.digest.is_none() {
                 if budget.is_spent() {
                     return None;
@@ -443,25 +453,25 @@
                 budget.spend(bucket.entries.len().max(1));
                 Arc::make_mut(bucket).seal();
             }
-            self.sealed += 1;
+            self.hashed_until += 1;
         }
         self.made.root = Some(self.made.digest());
         Some(std::mem::take(self).made)
     }
 
-    /// What is there of it, to be freed by steps and for nothing else.
+    /// The buckets of an incomplete document, to be freed incrementally.
     pub fn into_buckets(self) -> Vec<Arc<Bucket>> {
         self.made.buckets
     }
 }
 
 fn entry_bytes(key: &Key, value: &Value) -> usize {
-    let says = match value {
+    let value_bytes = match value {
         Value::Flag(_) => 1,
         Value::Int(_) => 8,
-        Value::Text(word) => word.len(),
+        Value::Text(text) => text.len(),
     };
-    key.as_str().len() + says
+    key.as_str().len() + value_bytes
 }
 
 fn hash_bucket(entries: &BTreeMap<Key, Value>) -> Digest {
@@ -469,10 +479,10 @@
     let mut bytes = Vec::with_capacity(96);
     for entry in entries {
         bytes.clear();
-        // Lengths stand before the texts, so no two maps have the same bytes.
+        // The encoding puts lengths before texts, so different maps never have the same bytes.
         match postcard::to_extend(&entry, std::mem::take(&mut bytes)) {
             Ok(made) => bytes = made,
-            Err(error) => unreachable!("an entry in memory is always written: {error}"),
+            Err(error) => unreachable!("encoding an entry to memory cannot fail: {error}"),
         }
         hasher.update(&bytes);
     }
--- a/crates/accord/src/fetch.rs
+++ b/crates/accord/src/fetch.rs
@@ -1,4 +1,5 @@
-//! Documents on their way: told as a delta where a base is held at both ends, in chunks that any holder can send.
+//! Transfer of documents: encoded as a stream, as a delta where both sides hold a base, and sent in chunks by
+//! any member that holds the document.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -10,22 +11,25 @@
 use crate::settings::MemberId;
 use crate::wire::CHUNK_BYTES;
 
-/// Documents kept: the one in force, the one before, the one on its way, a proposal, and two of grace.
+/// Maximum number of documents kept: the one in force, the one before, the pending one, a proposed one, and
+/// two spare.
 const MAX_DOCUMENTS: usize = 6;
-/// Encoded streams kept to send chunks from.
+/// Maximum number of encoded streams kept, from which chunks are sent.
 const MAX_STREAMS: usize = 3;
-/// Chunks asked for at once.
+/// Number of chunks requested at once.
 pub(crate) const WINDOW_CHUNKS: u32 = 32;
-/// Most bytes of a stream: the document's bound and what each entry adds.
+/// Maximum size of a stream: the document's limit plus the overhead of each entry.
 const MAX_STREAM_BYTES: usize = MAX_DOCUMENT_BYTES * 2;
-/// Bytes that came in order and are not parsed, at most: what was asked for, and as much again while that is parsed.
+/// Maximum number of bytes received in order but not parsed: one requested window, and another one that
+/// arrives while the first is parsed.
 const MAX_UNPARSED_BYTES: usize = WINDOW_CHUNKS as usize * CHUNK_BYTES * 2;
-/// Members that wait for a stream that is being written, at most. Who is not among them asks again after a period.
+/// Maximum number of members that wait for a stream to be encoded. Others repeat their request after a
+/// period.
 const MAX_WAITING_REQUESTS: usize = 32;
 
 type StreamKey = (Digest, Option<Digest>);
 
-/// What is asked of a member: the chunks of a document that a mask names, from the first on.
+/// A request of a member for the chunks of a document that `mask` selects, counted from `first`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ChunkRequest {
     pub to: MemberId,
@@ -35,20 +39,21 @@
     pub mask: u32,
 }
 
-/// A chunk to be sent: against which base, of how many bytes in all, and its own.
+/// A chunk to send: the base of the delta, the size of the stream, and the data.
 pub(crate) type Chunk = (Option<Digest>, u32, Vec<u8>);
 
-/// The documents this one holds.
+/// The documents that this member holds.
 #[derive(Debug, Default)]
 pub(crate) struct DocumentStore {
     held: Vec<(Digest, DocumentWithFloor)>,
     streams: Vec<(StreamKey, Arc<Vec<u8>>)>,
     writing: Option<StreamWriter>,
-    /// Who waits for streams, by name one.
+    /// Requests that wait for a stream, at most one for each member.
     waiting: VecDeque<ChunkRequest>,
 }
 
-/// A stream that is being written: none of it is sent before all of it is there, as each chunk says how long it is.
+/// A stream that is being encoded. No chunk is sent before the stream is complete, because each chunk carries
+/// the size of the stream.
 #[derive(Debug)]
 struct StreamWriter {
     of: StreamKey,
@@ -60,15 +65,15 @@
 
 impl DocumentStore {
     pub fn get(&self, digest: Digest) -> Option<&Arc<Document>> {
-        self.whole(digest).map(|whole| &whole.document)
+        self.with_floor(digest).map(|whole| &whole.document)
     }
 
     /// A document with its floor.
-    pub fn whole(&self, digest: Digest) -> Option<&DocumentWithFloor> {
+    pub fn with_floor(&self, digest: Digest) -> Option<&DocumentWithFloor> {
         self.held.iter().find(|(held, _)| *held == digest).map(|(_, whole)| whole)
     }
 
-    /// Keeps a document; of more than [`MAX_DOCUMENTS`] the oldest that `needed` does not name goes.
+    /// Stores a document. Beyond [`MAX_DOCUMENTS`], drops the oldest document that is not in `needed`.
     pub fn put(
         &mut self,
         digest: Digest,
@@ -94,25 +99,25 @@
         }
     }
 
-    /// The chunk, with the total of the stream; none if that is not written yet, or the document not held. A base that is
-    /// not held here is passed over: the stream is then whole.
+    /// A chunk, with the size of its stream; `None` if the stream is not encoded yet or the document is not
+    /// held. If the base is not held here, the stream has the whole document.
     pub fn chunk(&self, digest: Digest, base: Option<Digest>, at: u32) -> Option<Chunk> {
-        let key = self.streamed(digest, base)?;
+        let key = self.stream_key(digest, base)?;
         let (_, stream) = self.streams.iter().find(|(of, _)| *of == key)?;
         let begin = at as usize * CHUNK_BYTES;
         let part = stream.get(begin..stream.len().min(begin + CHUNK_BYTES))?;
         Some((key.1, stream.len() as u32, part.to_vec()))
     }
 
-    fn streamed(&self, digest: Digest, base: Option<Digest>) -> Option<StreamKey> {
+    fn stream_key(&self, digest: Digest, base: Option<Digest>) -> Option<StreamKey> {
         self.get(digest)?;
         Some((digest, base.filter(|base| self.get(*base).is_some())))
     }
 
-    /// Whether chunks of this can be sent at once. If not, and the document is held, its stream is written by
-    /// [`DocumentStore::write`], which then tells this one again.
+    /// Whether chunks for this request can be sent at once. If not, and the document is held, the request is
+    /// queued until [`DocumentStore::write`] has encoded the stream and returns it.
     pub fn is_ready(&mut self, wanted: &ChunkRequest) -> bool {
-        let Some(key) = self.streamed(wanted.digest, wanted.base) else { return false };
+        let Some(key) = self.stream_key(wanted.digest, wanted.base) else { return false };
         if self.streams.iter().any(|(of, _)| *of == key) {
             return true;
         }
@@ -123,18 +128,19 @@
         false
     }
 
-    /// Whether a stream is to be written.
+    /// Whether there is a stream to encode.
     pub fn has_work(&self) -> bool {
         self.writing.is_some() || !self.waiting.is_empty()
     }
 
-    /// Goes on with a stream; once it is written, who waited for it.
+    /// Continues to encode a stream. Once it is complete, returns the requests that waited for it.
     pub fn write(&mut self, budget: &mut Budget, reclaimer: &mut Reclaimer) -> Vec<ChunkRequest> {
         while !budget.is_spent() {
             if self.writing.is_none() {
                 let Some(next) = self.waiting.front() else { return Vec::new() };
-                // Not held any more, or written for another: who asked is told so by silence, or served.
-                let key = self.streamed(next.digest, next.base);
+                // Either the document is no longer held, and the member gets no answer, or the stream was
+                // encoded for another member meanwhile, and the request is served.
+                let key = self.stream_key(next.digest, next.base);
                 match key.filter(|key| !self.streams.iter().any(|(of, _)| of == key)) {
                     None => return self.waiting.pop_front().into_iter().collect(),
                     Some(of) => {
@@ -157,7 +163,7 @@
                 reclaimer.release_document(done.to);
                 let mut ready = Vec::new();
                 for wanted in std::mem::take(&mut self.waiting) {
-                    if self.streamed(wanted.digest, wanted.base) == Some(done.of) {
+                    if self.stream_key(wanted.digest, wanted.base) == Some(done.of) {
                         ready.push(wanted);
                     } else {
                         self.waiting.push_back(wanted);
@@ -171,7 +177,7 @@
 }
 
 impl StreamWriter {
-    /// Items, each after two bytes of its length.
+    /// Appends the items of the stream, each after two bytes with its length.
     fn step(&mut self, budget: &mut Budget) -> Poll<()> {
         while let (Some(old), Some(new)) = (self.from.bucket(self.at), self.to.bucket(self.at)) {
             if !Arc::ptr_eq(old, new) {
@@ -194,47 +200,47 @@
     stream.extend_from_slice(&[0, 0]);
     match postcard::to_extend(item, std::mem::take(stream)) {
         Ok(made) => *stream = made,
-        Err(error) => unreachable!("an entry in memory is always written: {error}"),
+        Err(error) => unreachable!("encoding an entry to memory cannot fail: {error}"),
     }
-    // A key has at most 259 bytes and a word 256.
+    // A key has at most 259 bytes and a text 256, so the length fits.
     let length = (stream.len() - start - 2) as u16;
     stream[start..start + 2].copy_from_slice(&length.to_le_bytes());
 }
 
-/// What became of a fetch by a step.
+/// What a step of a fetch led to.
 #[derive(Debug)]
 pub(crate) enum FetchEvent {
-    /// The window is full: ask for the next at once.
+    /// All requested chunks are parsed; request the next ones at once.
     WindowComplete,
-    /// All of it, and the digest is right.
+    /// The document is complete and its digest is correct.
     Complete(DocumentWithFloor),
-    /// It is whole and says what this program does not know.
+    /// The document is complete but has entries that this program does not know.
     Unsupported(String),
-    /// It is wrong: why. It begins anew, to be asked of another member.
+    /// The data is wrong, for this reason. The fetch starts again, from another member.
     Corrupt(String),
 }
 
-/// A document on its way here.
+/// A document that is being received.
 #[derive(Debug)]
 pub(crate) struct Fetch {
     pub digest: Digest,
     base: Option<(Digest, Arc<Document>)>,
     made: DocumentBuilder,
-    /// Once it is hashed and the digest is right.
-    flooring: Option<FloorExtraction>,
-    /// Bytes that came in order, of which those before `read` are parsed.
-    rest: Vec<u8>,
-    read: usize,
-    next: u32,
-    /// The chunk after the last asked for.
-    asked: u32,
-    early: BTreeMap<u32, Vec<u8>>,
-    total: Option<u32>,
-    unknown: Option<String>,
-    /// There is something to parse, to hash or to tell.
-    busy: bool,
-    /// What was asked for is here, or lost.
-    hungry: bool,
+    /// Set once the document is hashed and its digest is correct.
+    floor_extraction: Option<FloorExtraction>,
+    /// Bytes received in order. Those before `parsed` are parsed.
+    unparsed: Vec<u8>,
+    parsed: usize,
+    next_chunk: u32,
+    /// Index after the last requested chunk.
+    requested_end: u32,
+    out_of_order: BTreeMap<u32, Vec<u8>>,
+    total_bytes: Option<u32>,
+    unsupported: Option<String>,
+    /// Whether there is something to parse, to hash or to report.
+    work_pending: bool,
+    /// Whether all requested chunks have arrived or are lost.
+    window_done: bool,
 }
 
 impl Fetch {
@@ -243,197 +249,213 @@
             digest,
             base,
             made: DocumentBuilder::default(),
-            flooring: None,
-            rest: Vec::new(),
-            read: 0,
-            next: 0,
-            asked: 0,
-            early: BTreeMap::new(),
-            total: None,
-            unknown: None,
-            busy: false,
-            hungry: false,
+            floor_extraction: None,
+            unparsed: Vec::new(),
+            parsed: 0,
+            next_chunk: 0,
+            requested_end: 0,
+            out_of_order: BTreeMap::new(),
+            total_bytes: None,
+            unsupported: None,
+            work_pending: false,
+            window_done: false,
         };
         fetch.restart(&mut Reclaimer::default());
         fetch
     }
 
     fn restart(&mut self, reclaimer: &mut Reclaimer) {
-        let begun =
-            self.base.as_ref().map_or_else(DocumentBuilder::default, |(_, base)| DocumentBuilder::onto(base));
+        let begun = self
+            .base
+            .as_ref()
+            .map_or_else(DocumentBuilder::default, |(_, base)| DocumentBuilder::from_base(base));
         reclaimer.release_partial(std::mem::replace(&mut self.made, begun));
-        self.flooring.take().into_iter().for_each(|flooring| flooring.release(reclaimer));
-        self.rest.clear();
-        self.early.clear();
-        self.unknown = None;
-        self.total = None;
-        (self.read, self.next, self.busy, self.hungry) = (0, 0, false, false);
+        self.floor_extraction.take().into_iter().for_each(|extraction| extraction.release(reclaimer));
+        self.unparsed.clear();
+        self.out_of_order.clear();
+        self.unsupported = None;
+        self.total_bytes = None;
+        (self.parsed, self.next_chunk, self.work_pending, self.window_done) = (0, 0, false, false);
     }
 
-    /// What is left of it is freed by steps.
+    /// Hands over the remaining data to be freed incrementally.
     pub fn release(mut self, reclaimer: &mut Reclaimer) {
         self.base.take().into_iter().for_each(|(_, base)| reclaimer.release_document(base));
         self.restart(reclaimer);
     }
 
-    /// Whether more is to be asked for: not while what is here waits to be parsed, or all of it is here.
+    /// Whether to request more: not while received data waits to be parsed, or once all chunks are here.
     pub fn has_room(&self) -> bool {
-        self.rest.len() - self.read < MAX_UNPARSED_BYTES / 2
-            && self.total.is_none_or(|total| self.next < chunks(total))
+        self.unparsed.len() - self.parsed < MAX_UNPARSED_BYTES / 2
+            && self.total_bytes.is_none_or(|total| self.next_chunk < chunk_count(total))
     }
 
-    /// Whether [`Fetch::step`] has something to do.
+    /// Whether there is work for [`Fetch::step`].
     pub fn has_work(&self) -> bool {
-        self.busy
+        self.work_pending
     }
 
-    /// Base, first chunk and mask to ask for.
-    pub fn wants(&mut self) -> (Option<Digest>, u32, u32) {
-        let last = self.total.map_or(1, chunks);
-        // Before the total is known four are asked for: most documents are no longer.
-        let due = |at: &u32| self.next + at < last || self.total.is_none() && *at < 4;
-        let wanted = (0..WINDOW_CHUNKS).filter(due).filter(|at| !self.early.contains_key(&(self.next + at)));
+    /// The base, the first chunk and the mask of the next request.
+    pub fn next_request(&mut self) -> (Option<Digest>, u32, u32) {
+        let last = self.total_bytes.map_or(1, chunk_count);
+        // Before the size is known, four chunks are requested: most documents are no longer than that.
+        let due = |at: &u32| self.next_chunk + at < last || self.total_bytes.is_none() && *at < 4;
+        let wanted = (0..WINDOW_CHUNKS)
+            .filter(due)
+            .filter(|at| !self.out_of_order.contains_key(&(self.next_chunk + at)));
         let wanted: Vec<u32> = wanted.collect();
-        self.asked = self.next + wanted.last().map_or(0, |at| at + 1);
+        self.requested_end = self.next_chunk + wanted.last().map_or(0, |at| at + 1);
         (
             self.base.as_ref().map(|(digest, _)| *digest),
-            self.next,
+            self.next_chunk,
             wanted.iter().fold(0, |mask, at| mask | 1 << at),
         )
     }
 
-    /// Bytes that are here, and all.
+    /// Number of bytes received, and the total.
     pub fn progress(&self) -> (usize, usize) {
-        ((self.next as usize + self.early.len()) * CHUNK_BYTES, self.total.unwrap_or_default() as usize)
+        (
+            (self.next_chunk as usize + self.out_of_order.len()) * CHUNK_BYTES,
+            self.total_bytes.unwrap_or_default() as usize,
+        )
     }
 
-    /// Takes a chunk, to be parsed by [`Fetch::step`]. Whether it was one that is missing.
+    /// Takes a chunk, which [`Fetch::step`] parses. Returns whether it was a missing one.
     pub fn on_chunk(
         &mut self,
         digest: Digest,
         base: Option<Digest>,
-        total: u32,
-        at: u32,
+        total_bytes: u32,
+        index: u32,
         bytes: Vec<u8>,
         reclaimer: &mut Reclaimer,
     ) -> bool {
-        if digest != self.digest || total as usize > MAX_STREAM_BYTES {
+        if digest != self.digest || total_bytes as usize > MAX_STREAM_BYTES {
             return false;
         }
         if base != self.base.as_ref().map(|(digest, _)| *digest) {
-            // The sender does not hold our base: it tells the whole.
+            // The sender does not hold the base, so it sends the whole document.
             if base.is_some() || self.base.is_none() {
                 return false;
             }
             self.base.take().into_iter().for_each(|(_, base)| reclaimer.release_document(base));
             self.restart(reclaimer);
         }
-        let all = *self.total.get_or_insert(total);
-        let due = (all as usize).saturating_sub(at as usize * CHUNK_BYTES).min(CHUNK_BYTES);
-        let window = (self.next..self.next + WINDOW_CHUNKS).contains(&at) && at < chunks(all);
-        let room = self.rest.len() - self.read < MAX_UNPARSED_BYTES;
-        if all != total || bytes.len() != due || !window || !room || self.early.contains_key(&at) {
+        let all = *self.total_bytes.get_or_insert(total_bytes);
+        let due = (all as usize).saturating_sub(index as usize * CHUNK_BYTES).min(CHUNK_BYTES);
+        let window =
+            (self.next_chunk..self.next_chunk + WINDOW_CHUNKS).contains(&index) && index < chunk_count(all);
+        let room = self.unparsed.len() - self.parsed < MAX_UNPARSED_BYTES;
+        if all != total_bytes
+            || bytes.len() != due
+            || !window
+            || !room
+            || self.out_of_order.contains_key(&index)
+        {
             return false;
         }
-        self.early.insert(at, bytes);
-        while let Some(bytes) = self.early.remove(&self.next) {
-            self.next += 1;
-            self.rest.extend_from_slice(&bytes);
+        self.out_of_order.insert(index, bytes);
+        while let Some(bytes) = self.out_of_order.remove(&self.next_chunk) {
+            self.next_chunk += 1;
+            self.unparsed.extend_from_slice(&bytes);
         }
-        // The last asked for is here: what is missing before it is lost, most likely. No need to wait for a period.
-        self.hungry |= at + 1 == self.asked || self.next >= self.asked.min(chunks(all));
-        self.busy = true;
+        // The last requested chunk has arrived, so earlier missing ones are most likely lost; there is no
+        // need to wait for a period.
+        self.window_done |=
+            index + 1 == self.requested_end || self.next_chunk >= self.requested_end.min(chunk_count(all));
+        self.work_pending = true;
         true
     }
 
-    /// Parses, and hashes once all is here, for as long as the budget lasts. None: there is nothing to be done about it yet.
+    /// Parses the data, and hashes the document once it is complete, for as long as the budget lasts. `None`
+    /// if the caller has nothing to do yet.
     pub fn step(&mut self, budget: &mut Budget, reclaimer: &mut Reclaimer) -> Option<FetchEvent> {
-        if !self.busy {
+        if !self.work_pending {
             return None;
         }
-        if let Some(flooring) = &mut self.flooring {
-            let Poll::Ready(whole) = flooring.step(budget) else { return None };
-            (self.flooring, self.busy) = (None, false);
+        if let Some(extraction) = &mut self.floor_extraction {
+            let Poll::Ready(whole) = extraction.step(budget) else { return None };
+            (self.floor_extraction, self.work_pending) = (None, false);
             return Some(FetchEvent::Complete(whole));
         }
         if let Err(why) = self.parse(budget) {
-            return Some(self.wrong(why, reclaimer));
+            return Some(self.corrupt(why, reclaimer));
         }
         if self.has_item() {
             return None;
         }
-        if self.total.is_none_or(|total| self.next < chunks(total)) {
-            self.busy = false;
-            return std::mem::take(&mut self.hungry).then_some(FetchEvent::WindowComplete);
+        if self.total_bytes.is_none_or(|total| self.next_chunk < chunk_count(total)) {
+            self.work_pending = false;
+            return std::mem::take(&mut self.window_done).then_some(FetchEvent::WindowComplete);
         }
-        if self.read < self.rest.len() {
-            return Some(self.wrong("it ends within an entry".into(), reclaimer));
+        if self.parsed < self.unparsed.len() {
+            return Some(self.corrupt("the stream ends within an entry".into(), reclaimer));
         }
         let made = self.made.seal(budget)?;
         let (digest, made) = (made.digest(), Arc::new(made));
         if digest != self.digest {
             reclaimer.release_document(made);
-            return Some(self.wrong("the digest is another".into(), reclaimer));
+            return Some(self.corrupt("the digest does not match".into(), reclaimer));
         }
-        // Only now: a spoilt part may read like something unknown.
-        if let Some(why) = self.unknown.take() {
+        // Reported only after the digest is verified, because corrupt data may look like an unknown entry.
+        if let Some(why) = self.unsupported.take() {
             reclaimer.release_document(made);
-            self.busy = false;
+            self.work_pending = false;
             return Some(FetchEvent::Unsupported(why));
         }
-        self.flooring = Some(FloorExtraction::new(made));
+        self.floor_extraction = Some(FloorExtraction::new(made));
         self.step(budget, reclaimer)
     }
 
-    fn wrong(&mut self, why: String, reclaimer: &mut Reclaimer) -> FetchEvent {
-        // Whatever was wrong: the next try is without a base, from another member.
+    fn corrupt(&mut self, why: String, reclaimer: &mut Reclaimer) -> FetchEvent {
+        // Whatever the cause, the next attempt uses no base and another member.
         self.base.take().into_iter().for_each(|(_, base)| reclaimer.release_document(base));
         self.restart(reclaimer);
         FetchEvent::Corrupt(why)
     }
 
-    /// The next item that is here whole: where it begins and ends.
-    fn item(&self) -> Option<(usize, usize)> {
-        let head = self.rest.get(self.read..self.read + 2)?;
+    /// Start and end of the next item, if it is complete.
+    fn next_item(&self) -> Option<(usize, usize)> {
+        let head = self.unparsed.get(self.parsed..self.parsed + 2)?;
         let length = u16::from_le_bytes([head[0], head[1]]) as usize;
-        let begin = self.read + 2;
-        (begin + length <= self.rest.len()).then_some((begin, begin + length))
+        let begin = self.parsed + 2;
+        (begin + length <= self.unparsed.len()).then_some((begin, begin + length))
     }
 
     fn has_item(&self) -> bool {
-        self.item().is_some()
+        self.next_item().is_some()
     }
 
     fn parse(&mut self, budget: &mut Budget) -> Result<(), String> {
-        while let Some((begin, end)) = self.item().filter(|_| !budget.is_spent()) {
-            let (key, value): (Key, Option<Value>) = postcard::from_bytes(&self.rest[begin..end])
-                .map_err(|error| format!("an entry is unreadable: {error}"))?;
-            self.read = end;
+        while let Some((begin, end)) = self.next_item().filter(|_| !budget.is_spent()) {
+            let (key, value): (Key, Option<Value>) = postcard::from_bytes(&self.unparsed[begin..end])
+                .map_err(|error| format!("cannot decode an entry: {error}"))?;
+            self.parsed = end;
             match value {
                 Some(value) => {
                     if let Err(error) = schema::check_entry(&key, &value) {
-                        self.unknown.get_or_insert(error.to_string());
+                        self.unsupported.get_or_insert(error.to_string());
                     }
                     self.made.set(key, value, budget);
                     if !self.made.fits() {
-                        return Err("it is above the bounds of a document".into());
+                        return Err("it exceeds the limits of a document".into());
                     }
                 }
                 None => self.made.remove(&key, budget),
             }
         }
-        // What is parsed goes by the window, not by the entry: each time what is left moves.
-        if self.read >= MAX_UNPARSED_BYTES / 2 || self.read == self.rest.len() {
-            self.rest.drain(..self.read);
-            self.read = 0;
+        // Removing parsed bytes moves the rest, so they are removed once per window instead of per entry.
+        if self.parsed >= MAX_UNPARSED_BYTES / 2 || self.parsed == self.unparsed.len() {
+            self.unparsed.drain(..self.parsed);
+            self.parsed = 0;
         }
         Ok(())
     }
 }
 
-/// A stream of nothing is still one chunk, so that it has an end.
-fn chunks(total: u32) -> u32 {
-    total.div_ceil(CHUNK_BYTES as u32).max(1)
+/// An empty stream still has one chunk, so that the receiver sees its end.
+fn chunk_count(total_bytes: u32) -> u32 {
+    total_bytes.div_ceil(CHUNK_BYTES as u32).max(1)
 }
 
 #[cfg(test)]
--- a/crates/accord/src/fetch/tests.rs
+++ b/crates/accord/src/fetch/tests.rs
@@ -95,7 +95,7 @@
     while result.is_none() {
         asked += 1;
         assert!(asked < 10_000, "it does not end");
-        let (base, first, mask) = fetch.wants();
+        let (base, first, mask) = fetch.next_request();
         if !store.is_ready(&wanted(1, new.digest(), base)) {
             written(&mut store, entries, &mut reclaimer);
         }
@@ -114,8 +114,8 @@
                 bytes[9] ^= 1;
             }
             fetch.on_chunk(new.digest(), base, total, at, bytes, &mut reclaimer);
-            assert!(fetch.early.len() <= WINDOW_CHUNKS as usize);
-            assert!(fetch.rest.len() <= MAX_UNPARSED_BYTES * 2 + CHUNK_BYTES);
+            assert!(fetch.out_of_order.len() <= WINDOW_CHUNKS as usize);
+            assert!(fetch.unparsed.len() <= MAX_UNPARSED_BYTES * 2 + CHUNK_BYTES);
             // Sometimes the next part comes before this one is parsed.
             for _ in 0..dice.u32(0..3) {
                 let mut budget = Budget::of(entries);
--- a/crates/accord/src/incremental.rs
+++ b/crates/accord/src/incremental.rs
@@ -196,7 +196,7 @@
 
 impl JointTermsMerge {
     pub fn new(new: &Document) -> JointTermsMerge {
-        JointTermsMerge { at: 0, made: DocumentBuilder::onto(new) }
+        JointTermsMerge { at: 0, made: DocumentBuilder::from_base(new) }
     }
 
     /// Continues the merge. The caller passes the same two documents each time.
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,11 +1,15 @@
-//! Settings and lists with versions on which the activators of a fleet agree, under leases of a majority of voters.
+//! Versioned settings and lists on which the activators of a fleet agree, under leases granted by a majority
+//! of voters.
 //!
-//! It owns the document, its schema and digest, the choice of each version by a majority of voters, whose list is part
-//! of the document, the leases under which a version is acted on, and the transfer of documents in datagrams. It promises that on a **hard**
-//! key no two activators ever act on contradicting versions, and on a soft one for no longer than [`Settings::bound`]
-//! from the moment the first acts on the newer. It knows nothing of calls, hosts, sockets, threads, disks or wall time:
-//! time is an argument, datagrams come out as [`Output`], and the same seed and inputs give the same outputs.
-//! docs/design/accord.md weighs the ways and argues each rule.
+//! The crate contains the document with its schema and digest; the choice of each version by a majority of
+//! voters, whose list is part of the document; the leases under which a version is obeyed; and the transfer
+//! of documents in datagrams. It guarantees that no two activators ever act on contradicting values of a
+//! **hard** key, and on contradicting values of a soft key for no longer than [`Settings::bound`] from the
+//! moment the first activator acts on the newer version.
+//!
+//! It has no dependency on calls, hosts, sockets, threads, disks or wall-clock time: time is an argument,
+//! datagrams are returned as [`Output`], and the same seed and inputs give the same outputs. See
+//! docs/design/accord.md for the design and the alternatives.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -38,7 +42,7 @@
 };
 pub use settings::{MemberId, Settings, SettingsError};
 
-/// The protocol's parts, for models and tests of this crate. Not part of the API.
+/// The parts of the protocol, for models and tests. Not part of the API.
 #[doc(hidden)]
 pub mod parts {
     pub use crate::lease::LeaseHolder;
--- a/crates/accord/src/output.rs
+++ b/crates/accord/src/output.rs
@@ -1,4 +1,4 @@
-//! What is told outside: what is acted on, refusals, and a view for operators.
+//! The outputs of a member: the terms to obey, refusals, and its status for operators.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,20 +11,21 @@
 use crate::record::{ProposalId, Version};
 use crate::settings::MemberId;
 
-/// What this activator obeys now.
+/// The terms that this activator obeys now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ActiveTerms {
-    /// It has no lease: the floor. On hard keys the stricter of this and the operator's file is to be obeyed.
+    /// There is no lease, so the floor applies. On hard keys the activator obeys the stricter of this and the
+    /// operator's file.
     Floor(Arc<Document>),
     /// One version.
     Single(Version, Arc<Document>),
     /// Two versions at once.
     Joint {
-        /// The older one.
+        /// The older version.
         old: Version,
-        /// The newer one.
+        /// The newer version.
         new: Version,
-        /// On hard keys the stricter of each, on soft keys the new ones.
+        /// The stricter value of each hard key, and the new version's value of each soft key.
         terms: Arc<Document>,
     },
 }
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The newest version obeyed; none on the floor.
+    /// The newest version obeyed; `None` on the floor.
     pub fn version(&self) -> Option<Version> {
         match self {
             ActiveTerms::Floor(_) => None,
@@ -48,49 +49,50 @@
     }
 }
 
-/// Why an activator cannot take a version up.
+/// Why an activator cannot prepare a version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// It knows no such key or value: an older program.
+    /// The program does not know a key or value; it is an older program.
     Unknown(String),
-    /// It cannot hold it.
+    /// The document does not fit in memory.
     OutOfMemory(String),
-    /// Its own file's floor is looser than the version's on this key.
+    /// The floor of its own file is looser than the version's on this key.
     Floor(String),
-    /// It neither took it up nor refused it within the settings' patience.
+    /// It neither prepared nor refused the version within the preparation timeout.
     TimedOut,
-    /// Something else.
+    /// Any other reason.
     Other(String),
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Unknown(what) => write!(f, "unknown here: {what}"),
-            Refusal::OutOfMemory(what) => write!(f, "no memory: {what}"),
-            Refusal::Floor(key) => write!(f, "{key}: the floor of this one's file is looser"),
-            Refusal::TimedOut => f.write_str("did not say within the patience"),
+            Refusal::Unknown(what) => write!(f, "unknown to this program: {what}"),
+            Refusal::OutOfMemory(what) => write!(f, "out of memory: {what}"),
+            Refusal::Floor(key) => write!(f, "{key}: the floor of this member's file is looser"),
+            Refusal::TimedOut => f.write_str("no report within patience_ms"),
             Refusal::Other(what) => f.write_str(what),
         }
     }
 }
 
-/// Why a change is not taken.
+/// Why a proposed change was not made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalError {
-    /// Another version is in force than the change is based on: this one. Look again, and propose on it.
+    /// The change is based on another version than this one, which is in force. Read the document again and
+    /// propose a change based on it.
     StaleBase(Version),
-    /// Another change is on its way to this version.
+    /// Another change is pending, to this version.
     Busy(Version),
-    /// The change makes no document.
+    /// The change does not result in a valid document.
     Change(ChangeError),
-    /// This one does not know what is in force, or already has as many changes under way as it may.
+    /// This member does not know what is in force, or already has a change in progress.
     Unavailable(&'static str),
-    /// Its list of voters cannot be: why.
+    /// The list of voters is not allowed, for this reason.
     Voters(String),
-    /// It was withdrawn before anybody acted on it.
+    /// The change was withdrawn before any member acted on it.
     Withdrawn,
-    /// No word of it within the time allowed. It may still come into force.
+    /// There was no result within the allowed time. The change may still come into force.
     TimedOut,
 }
 
@@ -104,80 +106,84 @@
                     version.number, version.digest
                 )
             }
-            ProposalError::Busy(version) => write!(f, "version {} is on its way", version.number),
+            ProposalError::Busy(version) => write!(f, "version {} is already pending", version.number),
             ProposalError::Change(error) => write!(f, "{error}"),
             ProposalError::Unavailable(why) => f.write_str(why),
             ProposalError::Voters(why) => f.write_str(why),
-            ProposalError::Withdrawn => f.write_str("withdrawn before anybody acted on it"),
-            ProposalError::TimedOut => f.write_str("no word of it in time; it may still come into force"),
+            ProposalError::Withdrawn => f.write_str("withdrawn before any member acted on it"),
+            ProposalError::TimedOut => f.write_str("no result in time; it may still come into force"),
         }
     }
 }
 
 impl std::error::Error for ProposalError {}
 
-/// What is to be done.
+/// An action for the host process.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send this as one datagram.
     Send {
-        /// To whom.
+        /// The recipient.
         to: MemberId,
         /// At most 1,190 bytes.
         data: Vec<u8>,
     },
-    /// Parse, check and index this, then call `Participant::on_prepared`. A later one supersedes it.
+    /// Parse, check and index this document, then call
+    /// [`Participant::on_prepared`](crate::Participant::on_prepared). A later request supersedes this one.
     Prepare {
         /// The version.
         version: Version,
-        /// Its document, whole.
+        /// The complete document.
         document: Arc<Document>,
     },
-    /// Obey this from this moment.
+    /// Obey these terms from now on.
     Apply(ActiveTerms),
-    /// What became of a change of this one's.
+    /// The result of a change proposed by this member.
     Settled {
         /// The change.
         change: ProposalId,
-        /// In force (both obeyed at least), or why not.
+        /// The version if it is in force, at least jointly; otherwise why not.
         result: Result<Version, ProposalError>,
     },
-    /// A line for the log.
+    /// Write this line to the log.
     Log(String),
 }
 
-/// What this one is in the choice of versions.
+/// The role of a member in the choice of versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Acts, and has no vote.
+    /// Obeys versions and has no vote.
     Activator,
-    /// Started from nothing: grants and promises nothing for the longest lease, and until it has learnt.
+    /// A voter that started without state. It grants and promises nothing for the longest lease time, and
+    /// until it has recovered.
     Silent,
-    /// Votes.
+    /// A voter.
     Voter,
 }
 
-/// For operators.
+/// The status of a member, for operators.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// What is acted on.
+    /// The terms obeyed.
     pub active: ActiveTerms,
-    /// The newest version known to be chosen, acted on or not.
+    /// The newest version known to be chosen, whether or not it is obeyed.
     pub known: Version,
-    /// What is left of the lease by this one's own clock; none on the floor.
+    /// Remaining time of the lease by this member's clock; `None` on the floor.
     pub lease_remaining: Option<Duration>,
-    /// What this one is.
+    /// The role of this member.
     pub role: Role,
-    /// The list in force, and whether each granted this one a lease that still runs.
+    /// The current voters, and whether the grant of each to this member still runs.
     pub voters: Vec<(MemberId, bool)>,
-    /// While voters change: the list to come, likewise. Once both versions are obeyed a lease needs a majority of each list.
+    /// During a change of voters: the future voters, likewise. While both versions are obeyed, a lease needs
+    /// a majority of each list.
     pub next_voters: Option<Vec<(MemberId, bool)>>,
-    /// The version on its way, and whether both are obeyed already.
+    /// The pending version, and whether it is already obeyed jointly with the old one.
     pub pending: Option<(Version, bool)>,
-    /// Who refused it or keeps it waiting, and why, as far as this one knows (voters know most).
+    /// Members that refuse or delay the pending version, and why, as far as this member knows. Voters know
+    /// most.
     pub refused: Vec<(MemberId, Refusal)>,
-    /// What is acted on without a lease.
+    /// The floor, obeyed without a lease.
     pub floor: Arc<Document>,
-    /// Bytes fetched of the document on its way, and bytes of all of it.
+    /// Bytes fetched of the document in transfer, and its total size.
     pub fetched: Option<(usize, usize)>,
 }
--- a/crates/accord/src/participant.rs
+++ b/crates/accord/src/participant.rs
@@ -130,10 +130,10 @@
                 reason: format!("{me} itself is not among the members"),
             });
         }
-        let first = settings.first();
+        let first = settings.initial_document();
         let version = Version { number: 0, digest: first.digest() };
-        let proposal_id = ProposalId { name: me, incarnation, count: 0 };
-        let (position, lists) = (Position::default(), settings.first_list()?);
+        let proposal_id = ProposalId { proposer: me, incarnation, count: 0 };
+        let (position, lists) = (Position::default(), settings.initial_voters()?);
         let record = Record {
             position,
             phase: Phase::Single(version),
@@ -232,18 +232,18 @@
         if let Some(version) = self.known.pending_version() {
             return Err(ProposalError::Busy(version));
         }
-        let base = self.known.obeyed();
+        let base = self.known.active_version();
         if base.number != change.base {
             return Err(ProposalError::StaleBase(base));
         }
-        let Some(document) = self.documents.whole(base.digest).cloned() else {
+        let Some(document) = self.documents.with_floor(base.digest).cloned() else {
             return Err(ProposalError::Unavailable(
                 "the document of the version in force has not arrived yet",
             ));
         };
         let change = self.with_current_voters(change, &document.document)?;
         self.proposal_count += 1;
-        let id = ProposalId { name: self.me, incarnation: self.incarnation, count: self.proposal_count };
+        let id = ProposalId { proposer: self.me, incarnation: self.incarnation, count: self.proposal_count };
         // Changes by operators are rare, so each gets a full step of work and most are answered at once.
         self.work.refill();
         if let Some(made) = self.start_change_build(id, base, change, document.clone()) {
@@ -349,7 +349,7 @@
         }
         Status {
             active: self.active_terms(now),
-            known: self.known.obeyed(),
+            known: self.known.active_version(),
             lease_remaining: (until > now).then(|| until - now),
             role,
             voters: granted(&lists.current),
@@ -554,7 +554,7 @@
     /// says about refusals and required members.
     fn update_voter(&mut self) {
         let Some(voter) = &mut self.voter else { return };
-        let in_force = self.documents.get(self.known.obeyed().digest);
+        let in_force = self.documents.get(self.known.active_version().digest);
         let coming = self.known.pending_version().and_then(|version| self.documents.get(version.digest));
         // The list of the record must be the list that the document names.
         let listed = |document: &Arc<Document>| match VoterList::from_document(document) {
@@ -596,7 +596,9 @@
             return self.end_fetch();
         };
         if self.fetch.as_ref().is_none_or(|fetch| fetch.digest != digest) {
-            let base = [self.known.obeyed(), self.adopted.obeyed()].into_iter().map(|version| version.digest);
+            let base = [self.known.active_version(), self.adopted.active_version()]
+                .into_iter()
+                .map(|version| version.digest);
             let base = base.filter_map(|base| Some((base, self.documents.get(base)?.clone()))).next();
             self.end_fetch();
             self.fetch = Some(Fetch::new(digest, base));
@@ -604,7 +606,7 @@
                 .proposal
                 .as_ref()
                 .filter(|proposal| proposal.new.digest == digest)
-                .map(|proposal| proposal.id.name);
+                .map(|proposal| proposal.id.proposer);
             self.fetch_from = of_wish.unwrap_or(self.chosen_from);
         } else if !self.fetch.as_ref().is_some_and(Fetch::has_room) {
             // Parsing has to catch up first; it requests more when it is done.
@@ -622,7 +624,7 @@
         }
         self.fetch_retry_at = now + self.settings.period;
         if let Some(fetch) = &mut self.fetch {
-            let (base, first, mask) = fetch.wants();
+            let (base, first, mask) = fetch.next_request();
             let to = self.fetch_from;
             self.send(to, &Message::ChunkRequest { digest, base, first, mask }, out);
         }
--- a/crates/accord/src/participant/bootstrap.rs
+++ b/crates/accord/src/participant/bootstrap.rs
@@ -131,7 +131,7 @@
             .filter(|(_, peer)| ready(peer))
             .map(|(name, peer)| (*name, peer.incarnation))
             .collect();
-        let documents = [self.known.obeyed(), self.adopted.obeyed()];
+        let documents = [self.known.active_version(), self.adopted.active_version()];
         let documents = documents.map(|version| self.documents.get(version.digest));
         let quorum = self
             .settings
@@ -143,7 +143,7 @@
         // Bootstrap with the newest known version. If its document does not arrive within the preparation
         // timeout, use a version whose document is here.
         let late = now >= voter.known_since() + self.settings.prepare_timeout;
-        let known = self.known.obeyed();
+        let known = self.known.active_version();
         let old = self.known.versions().next().unwrap_or(known);
         // Each version goes with the list of voters that its document names.
         let list_of = |record: &Record| match record.phase {
@@ -153,7 +153,7 @@
         let candidates = [
             (known, list_of(&self.known)),
             (old, self.known.lists.current),
-            (self.adopted.obeyed(), list_of(&self.adopted)),
+            (self.adopted.active_version(), list_of(&self.adopted)),
         ];
         let held = candidates.into_iter().find(|(version, _)| self.documents.get(version.digest).is_some());
         let Some((version, list)) = held.filter(|(version, _)| *version == known || late) else { return };
@@ -171,7 +171,7 @@
             .max(self.known.position.epoch)
             + 1;
         let position = Position { epoch, salt: self.rng.u32(..), index: 0 };
-        let proposal_id = ProposalId { name: self.me, incarnation: self.incarnation, count: 0 };
+        let proposal_id = ProposalId { proposer: self.me, incarnation: self.incarnation, count: 0 };
         let phase = Phase::Single(Version { number, digest: version.digest });
         let record = Record {
             position,
--- a/crates/accord/src/participant/document_work.rs
+++ b/crates/accord/src/participant/document_work.rs
@@ -76,7 +76,7 @@
     fn step(&mut self, budget: &mut Budget, reclaimer: &mut Reclaimer) -> Poll<(ActiveTerms, Arc<Document>)> {
         let obeyed = match (&self.terms, &mut self.both) {
             (Some(obeyed), _) => obeyed.clone(),
-            (None, None) => ActiveTerms::Single(self.record.obeyed(), self.new.document.clone()),
+            (None, None) => ActiveTerms::Single(self.record.active_version(), self.new.document.clone()),
             (None, Some((old, new, terms))) => match terms.step(budget, reclaimer) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(terms) => ActiveTerms::Joint { old: *old, new: *new, terms },
@@ -142,9 +142,9 @@
                 task.release(reclaimer);
                 self.on_adopted(now, record, obeyed, floor, out);
             }
-        } else if let Some((version, covers)) = floor_check {
-            let (version, Poll::Ready(open)) = (*version, covers.step(budget)) else { return false };
-            floor_check.take().into_iter().for_each(|(_, covers)| covers.release(reclaimer));
+        } else if let Some((version, checks)) = floor_check {
+            let (version, Poll::Ready(open)) = (*version, checks.step(budget)) else { return false };
+            floor_check.take().into_iter().for_each(|(_, checks)| checks.release(reclaimer));
             self.on_floor_checked(now, version, open.map(|key| key.to_string()), out);
         } else if let Some((id, task)) = proposal_check {
             let (id, Poll::Ready(verdict)) = (*id, task.step(budget)) else { return false };
@@ -217,7 +217,7 @@
         if self.known.phase != Phase::Single(base) {
             let result = Err(match self.known.pending_version() {
                 Some(version) => ProposalError::Busy(version),
-                None => ProposalError::StaleBase(self.known.obeyed()),
+                None => ProposalError::StaleBase(self.known.active_version()),
             });
             self.work.reclaimer.release_document(made.document);
             self.work.reclaimer.release_document(made.floor);
@@ -238,7 +238,8 @@
         if self.work.proposal_check.as_ref().is_some_and(|(judged, _)| judged == id) {
             return;
         }
-        let (Some(base), Some(newer)) = (self.documents.whole(base.digest), self.documents.whole(new.digest))
+        let (Some(base), Some(newer)) =
+            (self.documents.with_floor(base.digest), self.documents.with_floor(new.digest))
         else {
             return;
         };
@@ -268,7 +269,7 @@
             Err(why) => {
                 self.proposal = None;
                 return out
-                    .push(Output::Log(format!("change proposed by member {} refused: {why}", id.name)));
+                    .push(Output::Log(format!("change proposed by member {} refused: {why}", id.proposer)));
             }
         }
         self.drive_rounds(now, out);
@@ -282,10 +283,10 @@
         if self.work.floor_check.as_ref().is_some_and(|(checked, _)| *checked == version) {
             return;
         }
-        let Some(whole) = self.documents.whole(version.digest) else { return };
-        let covers =
+        let Some(whole) = self.documents.with_floor(version.digest) else { return };
+        let checks =
             CoverageChecks::new([(&whole.document, &self.file_floor), (&whole.floor, &self.file_floor)]);
-        if let Some((_, superseded)) = self.work.floor_check.replace((version, covers)) {
+        if let Some((_, superseded)) = self.work.floor_check.replace((version, checks)) {
             superseded.release(&mut self.work.reclaimer);
         }
     }
@@ -318,17 +319,17 @@
         if self.work.adoption.as_ref().is_some_and(|adoption| adoption.record == record) {
             return;
         }
-        let newest = record.obeyed();
+        let newest = record.active_version();
         if self.prepared.get(&newest.digest) != Some(&Ok(())) {
             return;
         }
-        let Some(new) = self.documents.whole(newest.digest).cloned() else { return };
+        let Some(new) = self.documents.with_floor(newest.digest).cloned() else { return };
         let (both, floor) = match record.phase {
             Phase::Single(_) | Phase::Prepare { .. } => {
                 (None, JointTermsChain::new(&self.file_floor, &[&new.floor]))
             }
             Phase::Joint { old, new: version } => {
-                let Some(before) = self.documents.whole(old.digest) else { return };
+                let Some(before) = self.documents.with_floor(old.digest) else { return };
                 let terms = JointTermsChain::new(&before.document, &[&new.document]);
                 // The floor of the file combined with the floors of both versions. The order does not matter
                 // for hard keys.
--- a/crates/accord/src/participant/leases.rs
+++ b/crates/accord/src/participant/leases.rs
@@ -55,7 +55,7 @@
         if leased {
             out.push(Output::Log(format!(
                 "lease acquired from a majority of voters; version {} is in effect",
-                self.adopted.obeyed().number
+                self.adopted.active_version().number
             )));
         } else {
             out.push(Output::Log("no lease from a majority of voters; the floor is in effect".into()));
--- a/crates/accord/src/participant/rounds.rs
+++ b/crates/accord/src/participant/rounds.rs
@@ -40,7 +40,7 @@
                 true => Err(ProposalError::Withdrawn),
                 false => return,
             },
-            _ => Err(ProposalError::StaleBase(known.obeyed())),
+            _ => Err(ProposalError::StaleBase(known.active_version())),
         };
         self.own_change = None;
         out.push(Output::Settled { change, result });
@@ -55,7 +55,7 @@
         new: Version,
         out: &mut Vec<Output>,
     ) {
-        if self.voter.is_none() || id.name != from {
+        if self.voter.is_none() || id.proposer != from {
             return;
         }
         // The proposal of the current record was chosen before and withdrawn since. A late message must not
--- a/crates/accord/src/quorum.rs
+++ b/crates/accord/src/quorum.rs
@@ -53,7 +53,7 @@
     /// See [`VoterList::new`].
     pub fn from_document(document: &Document) -> Result<Option<VoterList>, VoterListError> {
         // This runs in each period, so it skips buckets without `voter/` keys.
-        let names = document.entries_near_voters().filter_map(|(key, _)| voter_named_by(key));
+        let names = document.entries_of_voter_buckets().filter_map(|(key, _)| voter_named_by(key));
         let names: Vec<MemberId> = names.take(MAX_VOTERS + 1).collect();
         if names.is_empty() {
             return Ok(None);
--- a/crates/accord/src/record.rs
+++ b/crates/accord/src/record.rs
@@ -1,4 +1,4 @@
-//! What a record of the register is, and the one table that judges which may follow which.
+//! The records that voters choose, and the table of allowed transitions between them.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,42 +9,43 @@
 /// A version of the document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// One more for each change.
+    /// Increases by one with each change.
     pub number: u64,
-    /// Of its content.
+    /// Digest of the document.
     pub digest: Digest,
 }
 
-/// Who proposed a change: the name, the life of its process, and a count within it.
+/// Identifies a proposed change: the proposer, the incarnation of its process, and a count within it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalId {
     /// The proposer.
-    pub name: MemberId,
-    /// Its life.
+    pub proposer: MemberId,
+    /// Incarnation of the proposer.
     pub incarnation: u64,
-    /// Counted from 1 within the life.
+    /// Starts at 1 in each incarnation.
     pub count: u64,
 }
 
-/// Where a record stands. An epoch begins when a majority of voters has started from nothing; its salt keeps two
-/// foundings apart; steps count within it.
+/// Position of a record in the sequence. A new epoch is bootstrapped after a majority of voters started
+/// without state. The salt tells apart two bootstraps of the same epoch number. The index counts records
+/// within the epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// Foundings before this.
+    /// Number of the epoch.
     pub epoch: u32,
-    /// Of this founding.
+    /// Random number of this bootstrap.
     pub salt: u32,
-    /// Records since.
+    /// Number of records since the bootstrap.
     pub index: u32,
 }
 
 impl Position {
-    /// Whether both belong to one founding.
+    /// Whether both positions belong to the same bootstrap.
     pub fn same_epoch(self, other: Position) -> bool {
         (self.epoch, self.salt) == (other.epoch, other.salt)
     }
 
-    /// The place after this.
+    /// The next position.
     pub fn next(self) -> Position {
         Position { index: self.index + 1, ..self }
     }
@@ -55,16 +56,17 @@
 pub enum Phase {
     /// One version.
     Single(Version),
-    /// The old version, while all fetch and prepare the new one.
+    /// The old version, while all members fetch and prepare the new one.
     Prepare {
-        /// In force.
+        /// The version in force.
         old: Version,
-        /// To come.
+        /// The pending version.
         new: Version,
-        /// Its floor is stricter than the old one's: it needs the word of the whole roster.
+        /// Whether the floor of the new version is stricter than the old one. Such a version needs the
+        /// consent of the whole roster.
         tightens_floor: bool,
     },
-    /// Both: the stricter of each on hard keys.
+    /// Both versions: the stricter value of each hard key.
     Joint {
         /// Obeyed until all leases on it alone have ended.
         old: Version,
@@ -73,31 +75,32 @@
     },
 }
 
-/// One record of the register on which voters agree.
+/// A record that the voters choose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Where it stands.
+    /// The position.
     pub position: Position,
     /// What is obeyed.
     pub phase: Phase,
-    /// The oldest mark under which the same is obeyed, or something that agrees with it: leases are granted from there.
+    /// The oldest position whose terms are compatible with the terms of this record. Leases are granted for
+    /// records from there on.
     pub oldest_compatible: Position,
-    /// Whose change led here; the founder's where there was none.
+    /// The change that led to this record. If there is none, it names the member that bootstrapped the epoch.
     pub proposal_id: ProposalId,
-    /// Who votes. It stands in the record itself: whose word chooses the next one is known wherever this one is, whether or not a
-    /// document came.
+    /// The voters. They are part of the record so that a member which knows the record also knows the quorum
+    /// for the next one, whether or not it has the document.
     pub lists: VoterLists,
 }
 
 impl Record {
-    /// Whose word a lease under it needs, and the choice of the place after it, whatever is put there.
+    /// The quorum for a lease under this record, and for the choice of the next record, whatever that is.
     pub fn quorum(&self) -> Quorum {
         let joint = matches!(self.phase, Phase::Joint { .. });
         Quorum::majorities(&self.lists.current, self.lists.next.as_ref().filter(|_| joint))
     }
 
-    /// Whose word the choice of `next` needs at the place after it: for the joint step of a change of voters also a majority of
-    /// those to come, as nothing goes on without them from there.
+    /// The quorum that chooses `next`. For the joint step of a change of voters it includes a majority of the
+    /// new list, because nothing proceeds without them after that.
     pub fn quorum_for(&self, next: &Record) -> Quorum {
         match next.phase {
             Phase::Joint { .. } => next.quorum(),
@@ -105,13 +108,13 @@
         }
     }
 
-    /// Who votes once the version on its way is in force.
+    /// The voters once the pending version is in force.
     pub fn final_voters(&self) -> VoterList {
         self.lists.next.unwrap_or(self.lists.current)
     }
 
     /// The newest version that activators obey.
-    pub fn obeyed(&self) -> Version {
+    pub fn active_version(&self) -> Version {
         match self.phase {
             Phase::Single(version) => version,
             Phase::Prepare { old, .. } => old,
@@ -119,7 +122,7 @@
         }
     }
 
-    /// The version on its way, if one is.
+    /// The pending version, if there is one.
     pub fn pending_version(&self) -> Option<Version> {
         match self.phase {
             Phase::Single(_) => None,
@@ -127,7 +130,7 @@
         }
     }
 
-    /// The versions whose documents are needed under it, the oldest first.
+    /// The versions whose documents are needed under this record, oldest first.
     pub fn versions(&self) -> impl Iterator<Item = Version> {
         let (a, b) = match self.phase {
             Phase::Single(version) => (version, None),
@@ -137,28 +140,28 @@
     }
 }
 
-/// A move from one record to the next.
+/// A transition from one record to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// A change is taken in: all fetch and prepare it.
+    /// A change is accepted: all members fetch and prepare the new version.
     Prepare,
-    /// All who hold a lease are ready: both are obeyed.
+    /// All lease holders are prepared: both versions are obeyed.
     Join,
-    /// No lease on the old alone is left: the new is obeyed.
+    /// No lease on the old version alone is left: only the new version is obeyed.
     Finish,
-    /// The new one is given up before anybody acted on it.
+    /// The new version is given up before any member acted on it.
     Withdraw,
 }
 
-/// The table: which record may follow which, within an epoch. None where it may not.
+/// The transition table: which record may follow which within an epoch. `None` if it may not.
 ///
-/// | from | Pure(a) | Prepare(a, b) | Joint(a, b) | Pure(b) |
+/// | from | Single(a) | Prepare(a, b) | Joint(a, b) | Single(b) |
 /// | --- | --- | --- | --- | --- |
-/// | Pure(a) | | Take, if b is a's number + 1 | **never**: it would skip the preparing | **never** |
+/// | Single(a) | | Prepare, if b has a's number + 1 | **never**: it would skip the preparation | **never** |
 /// | Prepare(a, b) | Withdraw | | Join | **never**: leases on a alone may last |
-/// | Joint(a, b) | **never**: some act on b | | | Finish |
+/// | Joint(a, b) | **never**: some members act on b | | | Finish |
 ///
-/// The list of voters in force changes with *Finish* alone, to the one that *Take* named.
+/// Only *Finish* changes the list of voters in force, to the list that *Prepare* named.
 pub fn legal_transition(from: &Record, to: &Record) -> Option<Transition> {
     if to.position != from.position.next() {
         return None;
--- a/crates/accord/src/settings.rs
+++ b/crates/accord/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings, checked whole.
+//! Settings of a member, and their validation.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::quorum::{voter_named_by, Quorum, VoterList, VoterLists};
 use crate::schema;
 
-/// A member of the fleet.
+/// The number of a member of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u32);
 
@@ -19,39 +19,41 @@
     }
 }
 
-/// What the accord is told at its start. All members of a fleet are told the same voters, lease and drift.
+/// Settings of a member at its start. All members of a fleet need the same voters, lease and clock drift.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who chooses versions and grants leases until a document names others: 3 to 9 names, the same list for all.
+    /// The voters until a document names others: 3 to 9 members, the same list on all members.
     pub voters: Vec<MemberId>,
-    /// Who may vote by a document's `voter/NUMBER`: at most 16 names, the voters among them, the same list for all. Empty: the
-    /// voters, so that a list may not change. A founding counts on the silence of these, so names are added here before
-    /// a document has them, and taken out after.
+    /// The members that a document may make voters by `voter/NUMBER`: at most 16, including the voters, the
+    /// same list on all members. If empty, only the voters, so the list cannot change. An epoch bootstrap
+    /// relies on the silence of these members, so add a member here before a document names it, and remove it
+    /// afterwards.
     pub eligible_voters: Vec<MemberId>,
-    /// All who may act, voters among them: at most 4,096.
+    /// All members, including the voters: at most 4,096.
     pub roster: Vec<MemberId>,
-    /// How long a lease lasts: 6 periods to an hour.
+    /// Duration of a lease: from 6 periods to an hour.
     pub lease: Duration,
-    /// How often something unanswered is sent again: 10 ms to 60 s.
+    /// Interval at which unanswered messages are sent again: 10 ms to 60 s.
     pub period: Duration,
-    /// How far a monotonic clock may be from true time, parts in a million: at most 100,000.
+    /// Maximum error of a monotonic clock, in parts per million: at most 100,000.
     pub drift_ppm: u32,
-    /// How long a version waits for those who neither took it up nor refused it: at least a lease.
+    /// How long a version waits for members that neither prepared nor refused it: at least a lease.
     pub prepare_timeout: Duration,
-    /// Most bytes of documents a member sends in a period: at least 2,400.
+    /// Maximum number of document bytes that a member sends in a period: at least 2,400.
     pub transfer_bytes_per_period: usize,
-    /// What is in force where no member knows of any version.
+    /// The document in force when no member knows of any version.
     pub document: Document,
-    /// What this one acts on while it has no lease, by its own file. Covers the document's floor on every hard key.
+    /// The floor of this member's own file, obeyed while it has no lease. It covers the document's floor on
+    /// every hard key.
     pub floor: Document,
 }
 
 /// Why settings are refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The key as it is named in an operator's file below `[accord]`.
+    /// The key in the `[accord]` section of an operator's file.
     pub key: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub reason: String,
 }
 
@@ -63,9 +65,9 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Most members: what a voter keeps a lease for.
+/// Maximum number of members. A voter keeps a lease grant for each.
 const MAX_MEMBERS: usize = 4_096;
-/// Most that may vote: each says to each other how it stands, each period.
+/// Maximum number of eligible voters. Each sends its state to each other in each period.
 const MAX_ELIGIBLE_VOTERS: usize = 16;
 
 impl Default for Settings {
@@ -86,10 +88,11 @@
 }
 
 impl Settings {
-    /// Looks at all of it.
+    /// Checks all settings.
     ///
     /// # Errors
-    /// The first key that is out of its range, or a document that its own floor or the file's does not cover.
+    /// The first key that is out of range, or a document that its own floor or the file's floor does not
+    /// cover.
     pub fn check(&self) -> Result<(), SettingsError> {
         let refuse = |key, reason: String| Err(SettingsError { key, reason });
         if !(3..=9).contains(&self.voters.len()) {
@@ -99,7 +102,7 @@
         sorted.sort_unstable();
         sorted.dedup();
         if sorted.len() != self.voters.len() {
-            return refuse("voters", "a name stands twice".into());
+            return refuse("voters", "a name is listed twice".into());
         }
         if let Some(name) = self.voters.iter().find(|name| !self.roster.contains(name)) {
             return refuse("voters", format!("{name} is not among the members"));
@@ -128,7 +131,8 @@
         if !(Duration::from_millis(10)..=Duration::from_secs(60)).contains(&self.period) {
             return refuse("period_ms", format!("{:?} is not 10 ms to 60 s", self.period));
         }
-        // Six tries at 30 in 100 lost each way leave one lease in a hundred to chance.
+        // With six attempts and 30 % of datagrams lost in each direction, a renewal fails in one of a hundred
+        // cases.
         if self.lease < self.period * 6 || self.lease > Duration::from_secs(3600) {
             return refuse("lease_ms", format!("{:?} is not six periods to an hour", self.lease));
         }
@@ -152,37 +156,41 @@
             }
         }
         if let Some(name) = self.document.entries_outside_lists().find_map(|(key, _)| voter_named_by(key)) {
-            return refuse(
-                "document",
-                format!("voter/{name}: who votes at the start is said by accord.voters"),
-            );
+            return refuse("document", format!("voter/{name}: accord.voters names the initial voters"));
         }
         if let Some(name) = self.floor.entries_outside_lists().find_map(|(key, _)| voter_named_by(key)) {
             return refuse("floor", format!("voter/{name}: voters have no floor"));
         }
         if let Some(key) = self.floor.iter().find_map(|(key, _)| key.floor_target()) {
-            return refuse("floor", format!("floor/{key}: keys of the floor have no floor/ before them"));
+            return refuse("floor", format!("floor/{key}: keys of the floor must not start with floor/"));
         }
         for (of, key) in [
-            ("the document is stricter", schema::find_uncovered(&self.first(), &self.floor)),
-            ("the document's floor is stricter", schema::find_uncovered(&self.first().floor(), &self.floor)),
+            ("the document is stricter", schema::find_uncovered(&self.initial_document(), &self.floor)),
+            (
+                "the document's floor is stricter",
+                schema::find_uncovered(&self.initial_document().floor(), &self.floor),
+            ),
         ] {
             if let Some(key) = key {
-                return refuse("floor", format!("{key}: {of}, so one that is cut off would contradict it"));
+                return refuse(
+                    "floor",
+                    format!("{key}: {of}, so a member that is cut off would contradict it"),
+                );
             }
         }
         Ok(())
     }
 
-    /// The promise T: from the moment the first activator acts on a version, after this none acts on one that contradicts
-    /// it. A lease is never granted on the old once a majority took the new, so what is left of leases is at most one of
-    /// them; a period more for the loop that is to notice; and the drift of the clock that measures it.
+    /// The upper bound on contradictions: this long after the first activator acts on a version, none acts on
+    /// one that contradicts it. No lease is granted on the old version once a majority accepted the new one,
+    /// so at most one lease time is left. The bound adds a period, for the loop to notice the end of the
+    /// lease, and the drift of the clock that measures it.
     pub fn bound(&self) -> Duration {
         self.longer(self.lease + self.period)
     }
 
-    /// The document at the very start: the file's, with the file's floor where it says none.
-    pub(crate) fn first(&self) -> Document {
+    /// The initial document: the file's, with the file's floor unless the document has a floor itself.
+    pub(crate) fn initial_document(&self) -> Document {
         let mut first = self.document.clone();
         if first.iter().all(|(key, _)| key.floor_target().is_none()) {
             for (key, value) in self.floor.iter() {
@@ -195,7 +203,7 @@
         first
     }
 
-    /// Who may ever vote.
+    /// All members that may ever vote.
     pub(crate) fn eligible_voters(&self) -> &[MemberId] {
         if self.eligible_voters.is_empty() {
             &self.voters
@@ -204,17 +212,19 @@
         }
     }
 
-    /// Who votes where no document said otherwise yet.
-    pub(crate) fn first_list(&self) -> Result<VoterLists, SettingsError> {
+    /// The voters until a document names others.
+    pub(crate) fn initial_voters(&self) -> Result<VoterLists, SettingsError> {
         let list = VoterList::new(self.voters.iter().copied());
         let list = list.map_err(|why| SettingsError { key: "voters", reason: why.to_string() })?;
         Ok(VoterLists::unchanged(list))
     }
 
-    /// Whose silence is enough for a founding: all that may vote but for fewer than a majority of the smallest list there may
-    /// be, so that whatever list is in force, one of each of its majorities is silent. With a list that may not change: a majority.
+    /// The members whose silence allows an epoch bootstrap: all eligible voters but fewer than a majority of
+    /// the smallest allowed list. So whatever list is in force, each of its majorities has a silent member.
+    /// If the list cannot change, this is a majority.
     ///
-    /// Who is `gone`, as the operator promises by a document, is silent.
+    /// Members for which `gone` is true count as silent: the operator promises by a document that their
+    /// processes are stopped.
     pub(crate) fn bootstrap_quorum(&self, gone: impl Fn(MemberId) -> bool) -> Quorum {
         let may = self.eligible_voters();
         let left: Vec<MemberId> = may.iter().copied().filter(|name| !gone(*name)).collect();
@@ -223,18 +233,18 @@
         Quorum::threshold(left, need)
     }
 
-    /// A time on the holder's side: over before it is over for anybody else.
+    /// A duration as the holder measures it: it ends before it ends on any other clock.
     pub(crate) fn shorter(&self, time: Duration) -> Duration {
         time - self.drift(time)
     }
 
-    /// A time on the grantor's side: over after it is over for everybody else.
+    /// A duration as the grantor measures it: it ends after it has ended on all other clocks.
     pub(crate) fn longer(&self, time: Duration) -> Duration {
         time + self.drift(time)
     }
 
     fn drift(&self, time: Duration) -> Duration {
-        // Rounded up, so that a drift of nothing but rounding errs on the safe side.
+        // Rounded up, so that the result is safe even if the drift rounds to zero.
         time * self.drift_ppm / 1_000_000 + Duration::from_micros(1)
     }
 }
--- a/crates/accord/src/wire.rs
+++ b/crates/accord/src/wire.rs
@@ -109,7 +109,7 @@
 pub fn encode(message: &Message) -> Vec<u8> {
     match postcard::to_extend(message, vec![WIRE_VERSION]) {
         Ok(data) => data,
-        Err(error) => unreachable!("a message in memory is always written: {error}"),
+        Err(error) => unreachable!("encoding a message to memory cannot fail: {error}"),
     }
 }
 
--- a/crates/accord/src/wire/tests.rs
+++ b/crates/accord/src/wire/tests.rs
@@ -12,7 +12,7 @@
     let list = |from: u32| VoterList::new((from..from + 9).map(MemberId)).unwrap();
     let version = Version { number: u64::MAX, digest: Digest([255; 32]) };
     let position = Position { epoch: most, salt: most, index: most };
-    let proposal_id = ProposalId { name: MemberId(most), incarnation: u64::MAX, count: u64::MAX };
+    let proposal_id = ProposalId { proposer: MemberId(most), incarnation: u64::MAX, count: u64::MAX };
     let phase = Phase::Prepare { old: version, new: version, tightens_floor: true };
     let lists = VoterLists { current: list(most - 9), next: Some(list(most - 18)) };
     let record = Record { position, phase, oldest_compatible: position, proposal_id, lists };
--- a/crates/accord/tests/faults.rs
+++ b/crates/accord/tests/faults.rs
@@ -548,7 +548,7 @@
         net.notes
     );
     let ActiveTerms::Single(_, terms) = net.acting(MemberId(2)) else { panic!() };
-    assert_eq!(terms.under("list/").len(), 100_000);
+    assert_eq!(terms.entries_under("list/").len(), 100_000);
     let before: u64 = net.members.iter().map(|member| member.sent).sum();
     net.propose(MemberId(4), |change| {
         change.drop.insert(key("list/blocked/host-5"));
@@ -644,7 +644,7 @@
             let ActiveTerms::Single(_, terms) = net.acting(MemberId(name)) else {
                 panic!("seed {seed}: {name}")
             };
-            let entries = terms.under("list/");
+            let entries = terms.entries_under("list/");
             let off = entries.iter().filter(|(_, value)| **value == Value::Flag(false)).count();
             assert_eq!((entries.len(), off), (20_000, 20_000), "seed {seed}: {name}: {:#?}", net.notes);
         }
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -31,7 +31,7 @@
 
 /// The records of one change: in force, prepared, both, in force.
 fn record(step: u32) -> Record {
-    let proposal_id = ProposalId { name: MemberId(1), incarnation: 1, count: u64::from(step > 0) };
+    let proposal_id = ProposalId { proposer: MemberId(1), incarnation: 1, count: u64::from(step > 0) };
     let (old, new) = (version(1), version(2));
     let (phase, oldest_compatible) = match step {
         0 => (Phase::Single(old), 0),
--- a/crates/accord/tests/props.rs
+++ b/crates/accord/tests/props.rs
@@ -106,7 +106,10 @@
     let refused =
         |path: &str, value: Value| check_entry(&Key::new(path).unwrap(), &value).unwrap_err().to_string();
     assert_eq!(refused("class/a/colour", Value::Int(1)), "class/a/colour: no such key is known");
-    assert_eq!(refused("class/a/attempts", Value::Int(17)), "class/a/attempts: 17 is no number of 1 to 16");
+    assert_eq!(
+        refused("class/a/attempts", Value::Int(17)),
+        "class/a/attempts: 17 is not a number from 1 to 16"
+    );
     assert_eq!(
         refused("out/h", Value::Flag(false)),
         "out/h: false: only true is allowed; to say no, drop the key"
--- a/crates/accord/tests/voters.rs
+++ b/crates/accord/tests/voters.rs
@@ -116,7 +116,7 @@
 
     fn start(&self) -> BTreeMap<u32, Record> {
         let position = |step| Position { epoch: 1, salt: 0, index: step };
-        let proposal_id = ProposalId { name: MemberId(1), incarnation: 1, count: 1 };
+        let proposal_id = ProposalId { proposer: MemberId(1), incarnation: 1, count: 1 };
         let (old, new) = (version(1, 1), version(2, 2));
         let lists = VoterLists { current: self.from, next: Some(self.to) };
         let phase = Phase::Prepare { old, new, tightens_floor: false };
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -462,5 +462,5 @@
 }
 
 fn id(change: &ProposalId) -> String {
-    format!("{}.{}.{}", change.name.0, change.incarnation, change.count)
+    format!("{}.{}.{}", change.proposer.0, change.incarnation, change.count)
 }
