--- a/crates/accord/src/participant.rs
+++ b/crates/accord/src/participant.rs
@@ -70,7 +70,7 @@
     known: Record,
     known_since: Duration,
     /// The member that sent `known`.
-    chosen_from: MemberId,
+    known_from: MemberId,
     /// The record that is obeyed while this member holds a lease.
     adopted: Record,
     /// The terms of `adopted`, obeyed while a lease is held.
@@ -147,17 +147,17 @@
         file.seal();
         let mut store = DocumentStore::default();
         store.put(version.digest, DocumentWithFloor::new(first.clone()), &[], &mut Reclaimer::default());
-        let may = settings.eligible_voters();
-        let voter = may
-            .contains(&me)
-            .then(|| Voter::new(me, incarnation, Limits::of(&settings), may.iter().copied(), record, now));
+        let is_eligible = settings.eligible_voters();
+        let voter = is_eligible.contains(&me).then(|| {
+            Voter::new(me, incarnation, Limits::of(&settings), is_eligible.iter().copied(), record, now)
+        });
         let holder = LeaseHolder::new(record.quorum(), settings.shorter(settings.lease));
         Ok(Participant {
             voter,
             holder,
             known: record,
             known_since: now,
-            chosen_from: me,
+            known_from: me,
             adopted: record,
             leased_terms: ActiveTerms::Single(version, first),
             floor,
@@ -246,10 +246,10 @@
         let id = ProposalId { proposer: self.me, incarnation: self.incarnation, count: self.proposal_count };
         // Changes by operators are rare, so each gets a full step of work and most are answered at once.
         self.work.refill();
-        if let Some(made) = self.start_change_build(id, base, change, document.clone()) {
-            let made = made.map_err(ProposalError::Change)?;
-            self.next_list(&document.document, &made.document).map_err(ProposalError::Voters)?;
-            self.on_change_built(now, id, base, made, out);
+        if let Some(built) = self.start_change_build(id, base, change, document.clone()) {
+            let built = built.map_err(ProposalError::Change)?;
+            self.next_list(&document.document, &built.document).map_err(ProposalError::Voters)?;
+            self.on_change_built(now, id, base, built, out);
         }
         self.run_pending(now, out);
         Ok(id)
@@ -339,13 +339,13 @@
         };
         let mut refused: Vec<(MemberId, Refusal)> = Vec::new();
         if let Some(voter) = &self.voter {
-            let words = voter.reports().iter();
-            refused.extend(words.filter_map(|(name, word)| Some((*name, word.clone().err()?))));
+            let reports = voter.reports().iter();
+            refused.extend(reports.filter_map(|(name, report)| Some((*name, report.clone().err()?))));
             refused.extend(voter.overdue_members(now).into_iter().map(|name| (name, Refusal::TimedOut)));
-        } else if let Some(word) =
+        } else if let Some(report) =
             self.known.pending_version().and_then(|version| self.prepared.get(&version.digest))
         {
-            refused.extend(word.clone().err().map(|why| (self.me, why)));
+            refused.extend(report.clone().err().map(|why| (self.me, why)));
         }
         Status {
             active: self.active_terms(now),
@@ -411,12 +411,12 @@
                 }
             }
             Message::Chosen(record) => self.learn(now, from, &record, out),
-            Message::PromiseRequest(ask) => {
-                self.highest_ballot = self.highest_ballot.max(ask.ballot.0);
-                let may = self.may_vote(from);
-                let Some(voter) = self.voter.as_mut().filter(|_| may) else { return };
-                let behind = ask.position <= voter.known().position;
-                match voter.promise(now, &ask) {
+            Message::PromiseRequest(request) => {
+                self.highest_ballot = self.highest_ballot.max(request.ballot.0);
+                let is_eligible = self.may_vote(from);
+                let Some(voter) = self.voter.as_mut().filter(|_| is_eligible) else { return };
+                let behind = request.position <= voter.known().position;
+                match voter.promise(now, &request) {
                     Some(promise) => self.send(from, &Message::Promise(promise), out),
                     None if behind => self.send(from, &Message::Chosen(self.known), out),
                     None => {}
@@ -425,13 +425,13 @@
             Message::Promise(promise) => {
                 self.highest_ballot = self.highest_ballot.max(promise.promised.0);
                 if let Some((round, _)) = &mut self.round {
-                    let step = round.on_promise(from, &promise);
-                    self.on_round_action(now, step, out);
+                    let action = round.on_promise(from, &promise);
+                    self.on_round_action(now, action, out);
                 }
             }
             Message::Accept(accept) => {
-                let may = self.may_vote(from);
-                let Some(voter) = self.voter.as_mut().filter(|_| may) else { return };
+                let is_eligible = self.may_vote(from);
+                let Some(voter) = self.voter.as_mut().filter(|_| is_eligible) else { return };
                 if voter.accept(now, &accept) {
                     let accepted = Message::Accepted {
                         position: accept.record.position,
@@ -447,12 +447,12 @@
                 // An acceptance of a bootstrap binds its voter only for the duration of a silence, so a
                 // bootstrap that is not chosen soon is abandoned.
                 let window = self.settings.period * 4;
-                let open = |(round, at): &&mut (Round, Duration)| {
+                let is_current = |(round, at): &&mut (Round, Duration)| {
                     round.request().position == position && (!round.is_bootstrap() || now < *at + window)
                 };
-                if let Some((round, _)) = self.round.as_mut().filter(open) {
-                    let step = round.on_accepted(from, ballot, incarnation);
-                    self.on_round_action(now, step, out);
+                if let Some((round, _)) = self.round.as_mut().filter(is_current) {
+                    let action = round.on_accepted(from, ballot, incarnation);
+                    self.on_round_action(now, action, out);
                 }
             }
             Message::VoterState { incarnation, recipient_incarnation, status, known, promised, accepted } => {
@@ -491,9 +491,9 @@
 
     fn learn(&mut self, now: Duration, from: MemberId, record: &Record, out: &mut Vec<Output>) {
         if let Some(voter) = &mut self.voter {
-            let stood = voter.status();
+            let old_status = voter.status();
             voter.learn(now, record);
-            if voter.status() != stood {
+            if voter.status() != old_status {
                 out.push(Output::Log(format!("voter status: {}", describe_status(voter.status()))));
             }
         }
@@ -502,7 +502,7 @@
         }
         let before = std::mem::replace(&mut self.known, *record);
         self.known_since = now;
-        self.chosen_from = from;
+        self.known_from = from;
         self.withdrawn = None;
         self.round = self.round.take().filter(|(round, _)| round.request().position > record.position);
         // Forget a proposal once its record is chosen; otherwise it would be proposed again after a
@@ -519,7 +519,7 @@
     fn store_document(&mut self, digest: Digest, document: DocumentWithFloor) {
         let mut needed: Vec<Digest> =
             self.known.versions().chain(self.adopted.versions()).map(|v| v.digest).collect();
-        needed.extend(self.own_change.as_ref().map(|mine| mine.new.digest));
+        needed.extend(self.own_change.as_ref().map(|own_change| own_change.new.digest));
         self.documents.put(digest, document, &needed, &mut self.work.reclaimer);
     }
 
@@ -537,11 +537,11 @@
         self.prepared.retain(|digest, _| needed.contains(digest));
         // The newest available version is prepared first: the version obeyed now is prepared already, except
         // after a start.
-        let open = |version: &Version| {
+        let is_unprepared = |version: &Version| {
             !self.prepared.contains_key(&version.digest) && self.documents.get(version.digest).is_some()
         };
-        let open = self.known.versions().filter(open).last();
-        if let Some(version) = open.filter(|version| self.preparing != Some(version.digest)) {
+        let unprepared = self.known.versions().filter(is_unprepared).last();
+        if let Some(version) = unprepared.filter(|version| self.preparing != Some(version.digest)) {
             self.start_floor_check(version);
         }
         if self.known.position > self.adopted.position {
@@ -555,18 +555,18 @@
     fn update_voter(&mut self) {
         let Some(voter) = &mut self.voter else { return };
         let in_force = self.documents.get(self.known.active_version().digest);
-        let coming = self.known.pending_version().and_then(|version| self.documents.get(version.digest));
+        let pending = self.known.pending_version().and_then(|version| self.documents.get(version.digest));
         // The list of the record must be the list that the document names.
-        let listed = |document: &Arc<Document>| match VoterList::from_document(document) {
+        let names_same_list = |document: &Arc<Document>| match VoterList::from_document(document) {
             Ok(Some(list)) => list == self.known.final_voters(),
             Ok(None) => self.known.lists.next.is_none(),
             Err(_) => false,
         };
-        let has_document = self.known.pending_version().is_none() || coming.is_some_and(listed);
+        let has_document = self.known.pending_version().is_none() || pending.is_some_and(names_same_list);
         let setting = |key: &str| Key::new(key).ok().and_then(|key| in_force?.get(&key).cloned());
         let proceed_on_refusal = setting("accord/refused") == Some(Value::Text("go_on".into()));
         let declared_gone = |name: &MemberId| {
-            [in_force, coming].into_iter().flatten().any(|document| is_declared_gone(document, *name))
+            [in_force, pending].into_iter().flatten().any(|document| is_declared_gone(document, *name))
         };
         let required = match self.known.phase {
             Phase::Prepare { tightens_floor: true, .. } => {
@@ -579,10 +579,12 @@
 
     /// The most urgent missing document.
     fn missing_document(&self) -> Option<Digest> {
-        let of_known = self.known.versions().map(|version| version.digest);
-        let of_wish = self.proposal.as_ref().map(|proposal| proposal.new.digest);
+        let known_digests = self.known.versions().map(|version| version.digest);
+        let proposed_digest = self.proposal.as_ref().map(|proposal| proposal.new.digest);
         let refused = |digest: &Digest| matches!(self.prepared.get(digest), Some(Err(_)));
-        of_known.chain(of_wish).find(|digest| self.documents.get(*digest).is_none() && !refused(digest))
+        known_digests
+            .chain(proposed_digest)
+            .find(|digest| self.documents.get(*digest).is_none() && !refused(digest))
     }
 
     fn record_fetch_progress(&mut self, now: Duration) {
@@ -602,12 +604,12 @@
             let base = base.filter_map(|base| Some((base, self.documents.get(base)?.clone()))).next();
             self.end_fetch();
             self.fetch = Some(Fetch::new(digest, base));
-            let of_wish = self
+            let proposer = self
                 .proposal
                 .as_ref()
                 .filter(|proposal| proposal.new.digest == digest)
                 .map(|proposal| proposal.id.proposer);
-            self.fetch_from = of_wish.unwrap_or(self.chosen_from);
+            self.fetch_from = proposer.unwrap_or(self.known_from);
         } else if !self.fetch.as_ref().is_some_and(Fetch::has_room) {
             // Parsing has to catch up first; it requests more when it is done.
             return;
@@ -617,7 +619,7 @@
             }
             // There was no answer for a period, and other members may hold the document too. The member that
             // sent the record is asked every other time on average.
-            self.fetch_from = if self.rng.bool() { self.chosen_from } else { self.random_member() };
+            self.fetch_from = if self.rng.bool() { self.known_from } else { self.random_member() };
         }
         if self.fetch_from == self.me {
             self.fetch_from = self.random_member();
@@ -635,21 +637,21 @@
         self.settings.roster[at]
     }
 
-    fn serve_chunks(&mut self, wanted: ChunkRequest, out: &mut Vec<Output>) {
-        if wanted.to == self.me || !self.documents.is_ready(&wanted) {
+    fn serve_chunks(&mut self, request: ChunkRequest, out: &mut Vec<Output>) {
+        if request.to == self.me || !self.documents.is_ready(&request) {
             return;
         }
-        for at in (0..WINDOW_CHUNKS).filter(|at| wanted.mask >> at & 1 == 1) {
+        for at in (0..WINDOW_CHUNKS).filter(|at| request.mask >> at & 1 == 1) {
             if self.bytes_sent >= self.settings.transfer_bytes_per_period {
                 return;
             }
-            let Some(index) = wanted.first.checked_add(at) else { return };
-            let digest = wanted.digest;
-            let Some((base, total_bytes, bytes)) = self.documents.chunk(digest, wanted.base, index) else {
+            let Some(index) = request.first.checked_add(at) else { return };
+            let digest = request.digest;
+            let Some((base, total_bytes, bytes)) = self.documents.chunk(digest, request.base, index) else {
                 return;
             };
             self.bytes_sent += bytes.len();
-            self.send(wanted.to, &Message::Chunk { digest, base, total_bytes, index, bytes }, out);
+            self.send(request.to, &Message::Chunk { digest, base, total_bytes, index, bytes }, out);
         }
     }
 }
@@ -661,7 +663,7 @@
 
 fn describe_status(status: VoterStatus) -> &'static str {
     match status {
-        VoterStatus::Silent { .. } => "silent until all leases of an earlier incarnation have ended",
+        VoterStatus::Silent { .. } => "silent for the longest lease time",
         VoterStatus::Ready => "waiting for the state of a majority of voters, or for an epoch bootstrap",
         VoterStatus::Voting => "voting",
     }
--- a/crates/accord/src/participant/bootstrap.rs
+++ b/crates/accord/src/participant/bootstrap.rs
@@ -10,14 +10,14 @@
             out.push(Output::Log(format!("voter status: {}", describe_status(voter.status()))));
         }
         let recent = self.settings.period * 4;
-        let voting = |peer: &Peer| peer.status == VoterStatus::Voting && now < peer.heard_at + recent;
-        let votes = |name: MemberId| name == self.me || self.peers.get(&name).is_some_and(voting);
-        if self.known.quorum().is_met(votes) {
+        let peer_is_voting = |peer: &Peer| peer.status == VoterStatus::Voting && now < peer.heard_at + recent;
+        let is_voting = |name: MemberId| name == self.me || self.peers.get(&name).is_some_and(peer_is_voting);
+        if self.known.quorum().is_met(is_voting) {
             self.quorum_seen_at = now;
         }
         let lists = self.known.lists;
         // A member that is eligible but on no list is not a lost voter.
-        let lost = |(name, peer): (&MemberId, &Peer)| {
+        let has_lost_state = |(name, peer): (&MemberId, &Peer)| {
             now < peer.heard_at + recent
                 && lists.contains(*name)
                 && matches!(peer.status, VoterStatus::Ready | VoterStatus::Silent { state_lost: true, .. })
@@ -25,7 +25,7 @@
         let silence = self.settings.longer(self.settings.lease + self.settings.period);
         if voter.status() == VoterStatus::Voting
             && now > self.quorum_seen_at + silence * 3
-            && self.peers.iter().any(lost)
+            && self.peers.iter().any(has_lost_state)
         {
             out.push(Output::Log(
                 "voter: too few other voters are voting; going silent to bootstrap a new epoch with those that lost their state".into(),
@@ -71,16 +71,10 @@
             return;
         }
         self.take_later_incarnation(recipient_incarnation, out);
-        let met = recipient_incarnation == self.incarnation;
+        let knows_incarnation = recipient_incarnation == self.incarnation;
         self.peers.insert(
             from,
-            Peer {
-                incarnation,
-                status: status,
-                known: known.position,
-                knows_incarnation: met,
-                heard_at: now,
-            },
+            Peer { incarnation, status, known: known.position, knows_incarnation, heard_at: now },
         );
         self.learn(now, from, &known, out);
         let Some(voter) = &mut self.voter else { return };
@@ -88,7 +82,7 @@
         // State counts for a recovery only if it was sent to this incarnation by a voter whose state is
         // intact.
         let intact = matches!(status, VoterStatus::Voting | VoterStatus::Silent { state_lost: false, .. });
-        if met && intact {
+        if knows_incarnation && intact {
             voter.merge_peer_state(now, from, &known, promised, accepted);
         }
     }
@@ -122,27 +116,27 @@
         // after that.
         self.round = None;
         let recent = self.settings.period * 4;
-        let ready = |peer: &Peer| {
+        let is_ready = |peer: &Peer| {
             peer.status == VoterStatus::Ready && peer.knows_incarnation && now < peer.heard_at + recent
         };
         let mut incarnations: Vec<(MemberId, u64)> = self
             .peers
             .iter()
-            .filter(|(_, peer)| ready(peer))
+            .filter(|(_, peer)| is_ready(peer))
             .map(|(name, peer)| (*name, peer.incarnation))
             .collect();
         let documents = [self.known.active_version(), self.adopted.active_version()];
         let documents = documents.map(|version| self.documents.get(version.digest));
-        let quorum = self
-            .settings
-            .bootstrap_quorum(|name| documents.iter().flatten().any(|of| is_declared_gone(of, name)));
+        let quorum = self.settings.bootstrap_quorum(|name| {
+            documents.iter().flatten().any(|document| is_declared_gone(document, name))
+        });
         let silent = |name: MemberId| name == self.me || incarnations.iter().any(|(other, _)| *other == name);
         if !quorum.is_met(silent) || incarnations.iter().any(|(name, _)| *name < self.me) {
             return;
         }
         // Bootstrap with the newest known version. If its document does not arrive within the preparation
         // timeout, use a version whose document is here.
-        let late = now >= voter.known_since() + self.settings.prepare_timeout;
+        let timed_out = now >= voter.known_since() + self.settings.prepare_timeout;
         let known = self.known.active_version();
         let old = self.known.versions().next().unwrap_or(known);
         // Each version goes with the list of voters that its document names.
@@ -155,8 +149,11 @@
             (old, self.known.lists.current),
             (self.adopted.active_version(), list_of(&self.adopted)),
         ];
-        let held = candidates.into_iter().find(|(version, _)| self.documents.get(version.digest).is_some());
-        let Some((version, list)) = held.filter(|(version, _)| *version == known || late) else { return };
+        let available =
+            candidates.into_iter().find(|(version, _)| self.documents.get(version.digest).is_some());
+        let Some((version, list)) = available.filter(|(version, _)| *version == known || timed_out) else {
+            return;
+        };
         let number = match self.known.position.epoch {
             0 => 1,
             // Higher than any version that may have been chosen and that no remaining member knows.
--- a/crates/accord/src/participant/document_work.rs
+++ b/crates/accord/src/participant/document_work.rs
@@ -74,23 +74,23 @@
 
 impl Adoption {
     fn step(&mut self, budget: &mut Budget, reclaimer: &mut Reclaimer) -> Poll<(ActiveTerms, Arc<Document>)> {
-        let obeyed = match (&self.terms, &mut self.both) {
-            (Some(obeyed), _) => obeyed.clone(),
+        let terms = match (&self.terms, &mut self.both) {
+            (Some(terms), _) => terms.clone(),
             (None, None) => ActiveTerms::Single(self.record.active_version(), self.new.document.clone()),
             (None, Some((old, new, terms))) => match terms.step(budget, reclaimer) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(terms) => ActiveTerms::Joint { old: *old, new: *new, terms },
             },
         };
-        self.terms = Some(obeyed.clone());
-        self.floor.step(budget, reclaimer).map(|floor| (obeyed, floor))
+        self.terms = Some(terms.clone());
+        self.floor.step(budget, reclaimer).map(|floor| (terms, floor))
     }
 
     fn release(self, reclaimer: &mut Reclaimer) {
         reclaimer.release_document(self.new.document);
         reclaimer.release_document(self.new.floor);
         self.both.into_iter().for_each(|(.., terms)| terms.release(reclaimer));
-        self.terms.into_iter().for_each(|obeyed| reclaimer.release_document(obeyed.terms().clone()));
+        self.terms.into_iter().for_each(|terms| reclaimer.release_document(terms.terms().clone()));
         self.floor.release(reclaimer);
     }
 }
@@ -99,14 +99,14 @@
     /// Whether there is work for [`Participant::run_step`]. A late call delays that work and has no other
     /// effect.
     pub fn has_work(&self) -> bool {
-        let steps = &self.work;
-        steps.change_build.is_some()
-            || steps.floor_check.is_some()
-            || steps.adoption.is_some()
-            || steps.proposal_check.is_some()
+        let work = &self.work;
+        work.change_build.is_some()
+            || work.floor_check.is_some()
+            || work.adoption.is_some()
+            || work.proposal_check.is_some()
             || self.fetch.as_ref().is_some_and(|fetch| fetch.has_work())
             || self.documents.has_work()
-            || steps.reclaimer.has_work()
+            || work.reclaimer.has_work()
     }
 
     /// Does a step of the work on whole documents: touches at most [`STEP_ENTRIES`] entries plus the size of
@@ -136,16 +136,16 @@
             &mut self.work;
         if let Some(task) = adoption {
             let done = task.step(budget, reclaimer);
-            let Poll::Ready((obeyed, floor)) = done else { return false };
+            let Poll::Ready((terms, floor)) = done else { return false };
             if let Some(task) = adoption.take() {
                 let record = task.record;
                 task.release(reclaimer);
-                self.on_adopted(now, record, obeyed, floor, out);
+                self.on_adopted(now, record, terms, floor, out);
             }
         } else if let Some((version, checks)) = floor_check {
-            let (version, Poll::Ready(open)) = (*version, checks.step(budget)) else { return false };
+            let (version, Poll::Ready(uncovered)) = (*version, checks.step(budget)) else { return false };
             floor_check.take().into_iter().for_each(|(_, checks)| checks.release(reclaimer));
-            self.on_floor_checked(now, version, open.map(|key| key.to_string()), out);
+            self.on_floor_checked(now, version, uncovered.map(|key| key.to_string()), out);
         } else if let Some((id, task)) = proposal_check {
             let (id, Poll::Ready(verdict)) = (*id, task.step(budget)) else { return false };
             proposal_check.take().into_iter().for_each(|(_, task)| task.release(reclaimer));
@@ -155,13 +155,13 @@
             let Poll::Ready(result) = task.step(budget) else { return false };
             change_build.take().into_iter().for_each(|(.., task)| task.release(reclaimer));
             match result {
-                Ok(whole) => {
+                Ok(built) => {
                     let old = self.documents.get(base.digest).cloned();
-                    match old.map(|old| self.next_list(&old, &whole.document)) {
+                    match old.map(|old| self.next_list(&old, &built.document)) {
                         Some(Err(why)) => {
                             out.push(Output::Settled { change: id, result: Err(ProposalError::Voters(why)) })
                         }
-                        _ => self.on_change_built(now, id, base, whole, out),
+                        _ => self.on_change_built(now, id, base, built, out),
                     }
                 }
                 Err(why) => out.push(Output::Settled { change: id, result: Err(ProposalError::Change(why)) }),
@@ -171,11 +171,11 @@
             let Some(event) = event else { return false };
             self.on_fetch_event(now, event, out);
         } else if self.documents.has_work() {
-            let waited = self.documents.write(budget, reclaimer);
-            if waited.is_empty() && self.documents.has_work() {
+            let requests = self.documents.write(budget, reclaimer);
+            if requests.is_empty() && self.documents.has_work() {
                 return false;
             }
-            waited.into_iter().for_each(|wanted| self.serve_chunks(wanted, out));
+            requests.into_iter().for_each(|request| self.serve_chunks(request, out));
         } else {
             return false;
         }
@@ -211,7 +211,7 @@
         now: Duration,
         id: ProposalId,
         base: Version,
-        made: DocumentWithFloor,
+        built: DocumentWithFloor,
         out: &mut Vec<Output>,
     ) {
         if self.known.phase != Phase::Single(base) {
@@ -219,12 +219,12 @@
                 Some(version) => ProposalError::Busy(version),
                 None => ProposalError::StaleBase(self.known.active_version()),
             });
-            self.work.reclaimer.release_document(made.document);
-            self.work.reclaimer.release_document(made.floor);
+            self.work.reclaimer.release_document(built.document);
+            self.work.reclaimer.release_document(built.floor);
             return out.push(Output::Settled { change: id, result });
         }
-        let new = Version { number: base.number + 1, digest: made.document.digest() };
-        self.store_document(new.digest, made);
+        let new = Version { number: base.number + 1, digest: built.document.digest() };
+        self.store_document(new.digest, built);
         let deadline = now + self.settings.prepare_timeout * 2;
         self.own_change = Some(super::OwnChange { id, base, new, deadline, attempts: 0 });
         self.send_own_change(now, out);
@@ -235,7 +235,7 @@
     /// Starts to check whether the pending proposal is allowed, once both documents are here.
     pub(super) fn start_proposal_check(&mut self) {
         let Some(PendingProposal { id, base, new, .. }) = &self.proposal else { return };
-        if self.work.proposal_check.as_ref().is_some_and(|(judged, _)| judged == id) {
+        if self.work.proposal_check.as_ref().is_some_and(|(checked, _)| checked == id) {
             return;
         }
         let (Some(base), Some(newer)) =
@@ -283,9 +283,11 @@
         if self.work.floor_check.as_ref().is_some_and(|(checked, _)| *checked == version) {
             return;
         }
-        let Some(whole) = self.documents.with_floor(version.digest) else { return };
-        let checks =
-            CoverageChecks::new([(&whole.document, &self.file_floor), (&whole.floor, &self.file_floor)]);
+        let Some(document) = self.documents.with_floor(version.digest) else { return };
+        let checks = CoverageChecks::new([
+            (&document.document, &self.file_floor),
+            (&document.floor, &self.file_floor),
+        ]);
         if let Some((_, superseded)) = self.work.floor_check.replace((version, checks)) {
             superseded.release(&mut self.work.reclaimer);
         }
@@ -295,11 +297,11 @@
         &mut self,
         now: Duration,
         version: Version,
-        open: Option<String>,
+        uncovered: Option<String>,
         out: &mut Vec<Output>,
     ) {
-        let wanted = self.known.versions().any(|known| known.digest == version.digest);
-        match (open, self.documents.get(version.digest).cloned().filter(|_| wanted)) {
+        let is_needed = self.known.versions().any(|known| known.digest == version.digest);
+        match (uncovered, self.documents.get(version.digest).cloned().filter(|_| is_needed)) {
             (_, None) => self.advance(),
             (Some(key), Some(_)) => {
                 self.record_preparation(version, Err(Refusal::Floor(key)), out);
@@ -347,24 +349,24 @@
         &mut self,
         now: Duration,
         record: Record,
-        obeyed: ActiveTerms,
+        terms: ActiveTerms,
         floor: Arc<Document>,
         out: &mut Vec<Output>,
     ) {
         if record != self.known {
             // A newer record is known by now; adopt that one instead if possible.
-            self.work.reclaimer.release_document(obeyed.terms().clone());
+            self.work.reclaimer.release_document(terms.terms().clone());
             self.work.reclaimer.release_document(floor);
             return self.advance();
         }
-        let same = self.leased_terms == obeyed;
+        let unchanged = self.leased_terms == terms;
         self.adopted = record;
         self.holder.adopt_record(record.position, record.quorum(), |name| record.lists.contains(name));
-        let before = std::mem::replace(&mut self.leased_terms, obeyed);
+        let before = std::mem::replace(&mut self.leased_terms, terms);
         self.work.reclaimer.release_document(before.terms().clone());
         self.work.reclaimer.release_document(std::mem::replace(&mut self.floor, floor));
-        let leased = self.holder.is_held(now, record.position);
-        if leased && self.lease_held && !same {
+        let is_held = self.holder.is_held(now, record.position);
+        if is_held && self.lease_held && !unchanged {
             out.push(Output::Apply(self.leased_terms.clone()));
         }
         self.check_lease(now, out);
@@ -382,9 +384,9 @@
         let Some(digest) = self.fetch.as_ref().map(|fetch| fetch.digest) else { return };
         match event {
             FetchEvent::WindowComplete => self.request_chunks(now, true, out),
-            FetchEvent::Complete(whole) => {
+            FetchEvent::Complete(document) => {
                 self.end_fetch();
-                self.store_document(digest, whole);
+                self.store_document(digest, document);
                 self.advance();
                 self.drive_rounds(now, out);
             }
--- a/crates/accord/src/participant/leases.rs
+++ b/crates/accord/src/participant/leases.rs
@@ -47,12 +47,12 @@
 
     /// Reports the terms to obey if a lease began or ended.
     pub(super) fn check_lease(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let leased = self.holder.is_held(now, self.adopted.position);
-        if leased == self.lease_held {
+        let is_held = self.holder.is_held(now, self.adopted.position);
+        if is_held == self.lease_held {
             return;
         }
-        self.lease_held = leased;
-        if leased {
+        self.lease_held = is_held;
+        if is_held {
             out.push(Output::Log(format!(
                 "lease acquired from a majority of voters; version {} is in effect",
                 self.adopted.active_version().number
@@ -78,9 +78,9 @@
             known: self.known.position,
             report,
         };
-        let votes: BTreeSet<MemberId> = self.adopted.lists.all().chain(self.known.lists.all()).collect();
-        self.lease_requests.retain(|name, _| votes.contains(name));
-        for voter in votes {
+        let voters: BTreeSet<MemberId> = self.adopted.lists.all().chain(self.known.lists.all()).collect();
+        self.lease_requests.retain(|name, _| voters.contains(name));
+        for voter in voters {
             let due = match self.lease_requests.get(&voter) {
                 None => true,
                 Some((at, true)) => now >= *at + self.settings.lease / 6,
--- a/crates/accord/src/participant/rounds.rs
+++ b/crates/accord/src/participant/rounds.rs
@@ -5,41 +5,44 @@
 impl Participant {
     /// Sends this member's change to a voter, and moves on to the next voter after some attempts.
     pub(super) fn send_own_change(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let Some(mine) = &mut self.own_change else { return };
-        let change = mine.id;
-        if self.known.proposal_id == change && self.known.pending_version() == Some(mine.new) {
-            return; // the proposal was chosen; from here on it comes into force or is withdrawn, whatever time that takes
+        let Some(own_change) = &mut self.own_change else { return };
+        let change = own_change.id;
+        if self.known.proposal_id == change && self.known.pending_version() == Some(own_change.new) {
+            // The proposal was chosen. It comes into force or is withdrawn, however long that takes.
+            return;
         }
-        if now >= mine.deadline {
+        if now >= own_change.deadline {
             self.own_change = None;
             out.push(Output::Settled { change, result: Err(ProposalError::TimedOut) });
             return;
         }
-        let propose = Message::Propose { id: mine.id, base: mine.base, new: mine.new };
+        let propose = Message::Propose { id: own_change.id, base: own_change.base, new: own_change.new };
         let voters: Vec<MemberId> = self.known.lists.current.iter().collect();
         // Each voter gets four attempts before the next one is asked. This member's own voter comes first, if
         // it has one.
-        let own = voters.iter().position(|voter| *voter == self.me).unwrap_or(mine.id.count as usize);
-        let to = voters[(own + mine.attempts / 4) % voters.len()];
-        mine.attempts += 1;
+        let own = voters.iter().position(|voter| *voter == self.me).unwrap_or(own_change.id.count as usize);
+        let to = voters[(own + own_change.attempts / 4) % voters.len()];
+        own_change.attempts += 1;
         self.send(to, &propose, out);
     }
 
     pub(super) fn resolve_own_change(&mut self, _now: Duration, before: &Record, out: &mut Vec<Output>) {
-        let Some(mine) = &self.own_change else { return };
-        let (known, change) = (&self.known, mine.id);
-        let ours = known.proposal_id == mine.id;
+        let Some(own_change) = &self.own_change else { return };
+        let (known, change) = (&self.known, own_change.id);
+        let is_own = known.proposal_id == own_change.id;
         let result = match known.phase {
-            Phase::Prepare { .. } if ours => return,
-            Phase::Prepare { old, .. } if old == mine.new => Ok(mine.new),
-            Phase::Prepare { old, new, .. } if old == mine.base => Err(ProposalError::Busy(new)),
-            Phase::Joint { new, .. } if new == mine.new && ours => Ok(new),
-            Phase::Single(version) if version == mine.new => Ok(version),
+            Phase::Prepare { .. } if is_own => return,
+            Phase::Prepare { old, .. } if old == own_change.new => Ok(own_change.new),
+            Phase::Prepare { old, new, .. } if old == own_change.base => Err(ProposalError::Busy(new)),
+            Phase::Joint { new, .. } if new == own_change.new && is_own => Ok(new),
+            Phase::Single(version) if version == own_change.new => Ok(version),
             // The version is the same as before, so a change was withdrawn: this member's or another's.
-            Phase::Single(version) if version == mine.base => match before.proposal_id == mine.id || ours {
-                true => Err(ProposalError::Withdrawn),
-                false => return,
-            },
+            Phase::Single(version) if version == own_change.base => {
+                match before.proposal_id == own_change.id || is_own {
+                    true => Err(ProposalError::Withdrawn),
+                    false => return,
+                }
+            }
             _ => Err(ProposalError::StaleBase(known.active_version())),
         };
         self.own_change = None;
@@ -58,8 +61,8 @@
         if self.voter.is_none() || id.proposer != from {
             return;
         }
-        // The proposal of the current record was chosen before and withdrawn since. A late message must not
-        // bring it back.
+        // If this proposal led to the current record, it was chosen before and withdrawn since. A late message
+        // must not bring it back.
         if self.known.phase != Phase::Single(base) || self.known.proposal_id == id {
             self.send(from, &Message::Chosen(self.known), out);
             return;
@@ -105,7 +108,7 @@
     /// # Errors
     /// Why the list is not allowed.
     pub(super) fn next_list(&self, old: &Document, new: &Document) -> Result<Option<VoterList>, String> {
-        let now = self.known.lists.current;
+        let current = self.known.lists.current;
         let Some(list) = VoterList::from_document(new).map_err(|why| format!("voter: {why}"))? else {
             // Settings files may differ between members, so a document that names voters is never followed by
             // one that leaves the list to the files.
@@ -116,11 +119,11 @@
                 Err("voter: at least one voter must remain".into())
             };
         };
-        let may = self.settings.eligible_voters();
+        let eligible = self.settings.eligible_voters();
         if let Some(name) = list.iter().find(|name| !self.settings.roster.contains(name)) {
             return Err(format!("voter/{name}: no such member is on the roster"));
         }
-        if let Some(name) = list.iter().find(|name| !may.contains(name)) {
+        if let Some(name) = list.iter().find(|name| !eligible.contains(name)) {
             return Err(format!("voter/{name}: it is not among accord.may_vote of the files"));
         }
         if let Some(name) = list.iter().find(|name| is_declared_gone(new, *name)) {
@@ -133,7 +136,7 @@
                 list.len()
             ));
         }
-        Ok((list != now).then_some(list))
+        Ok((list != current).then_some(list))
     }
 
     /// Adds the current voters to a change that names voters when the document in force names none, so that
@@ -143,14 +146,14 @@
         mut change: Change,
         base: &Document,
     ) -> Result<Change, ProposalError> {
-        let names = change.set.keys().chain(&change.drop).any(|key| voter_named_by(key).is_some());
-        if names && VoterList::from_document(base).is_ok_and(|list| list.is_none()) {
-            let stay = self.known.lists.current.iter().filter_map(voter_key);
-            let stay: Vec<Key> = stay.filter(|key| !change.drop.contains(key)).collect();
-            if stay.is_empty() && !change.set.keys().any(|key| voter_named_by(key).is_some()) {
+        let names_voters = change.set.keys().chain(&change.drop).any(|key| voter_named_by(key).is_some());
+        if names_voters && VoterList::from_document(base).is_ok_and(|list| list.is_none()) {
+            let remaining = self.known.lists.current.iter().filter_map(voter_key);
+            let remaining: Vec<Key> = remaining.filter(|key| !change.drop.contains(key)).collect();
+            if remaining.is_empty() && !change.set.keys().any(|key| voter_named_by(key).is_some()) {
                 return Err(ProposalError::Voters("voter: at least one voter must remain".into()));
             }
-            change.set.extend(stay.into_iter().map(|key| (key, Value::Flag(true))));
+            change.set.extend(remaining.into_iter().map(|key| (key, Value::Flag(true))));
         }
         Ok(change)
     }
@@ -160,43 +163,45 @@
         if self.voter.as_ref().map(Voter::status) != Some(VoterStatus::Voting) {
             return;
         }
-        let again = |at: &Duration, wait: Duration| now >= *at + wait;
+        let elapsed = |at: &Duration, wait: Duration| now >= *at + wait;
         let wait = self.settings.period * 2;
-        if self.round.as_ref().is_some_and(|(_, at)| !again(at, wait)) {
+        if self.round.as_ref().is_some_and(|(_, at)| !elapsed(at, wait)) {
             return;
         }
         let rank = self.known.lists.all().position(|voter| voter == self.me).unwrap_or(0) as u32;
-        let turn = now >= self.known_since + wait * rank;
+        let is_my_turn = now >= self.known_since + wait * rank;
         let next = self.known.position.next();
         let Record { oldest_compatible, proposal_id, lists, .. } = self.known;
         let (before, after) =
             (VoterLists::unchanged(lists.current), VoterLists::unchanged(self.known.final_voters()));
         let proposal = match self.known.phase {
             Phase::Single(version) => self.checked_proposal(version),
-            _ if !turn => None,
+            _ if !is_my_turn => None,
             Phase::Prepare { old, new, .. } => {
-                let lost = self.documents.get(new.digest).is_none()
-                    && again(&self.known_since, self.settings.prepare_timeout * 2);
+                let document_missing = self.documents.get(new.digest).is_none()
+                    && elapsed(&self.known_since, self.settings.prepare_timeout * 2);
                 // Future voters that do not vote block the change, and no member acts on the new version yet,
                 // so it is withdrawn.
-                let stuck = again(&self.known_since, self.settings.prepare_timeout * 2)
+                let voters_missing = elapsed(&self.known_since, self.settings.prepare_timeout * 2)
                     && !self.next_voters_are_voting(now);
-                Some(match lost || stuck || self.withdrawn == Some(self.known.position) {
-                    true => Record {
-                        position: next,
-                        phase: Phase::Single(old),
-                        oldest_compatible,
-                        proposal_id,
-                        lists: before,
-                    },
-                    false => Record {
-                        position: next,
-                        phase: Phase::Joint { old, new },
-                        oldest_compatible: next,
-                        proposal_id,
-                        lists,
+                Some(
+                    match document_missing || voters_missing || self.withdrawn == Some(self.known.position) {
+                        true => Record {
+                            position: next,
+                            phase: Phase::Single(old),
+                            oldest_compatible,
+                            proposal_id,
+                            lists: before,
+                        },
+                        false => Record {
+                            position: next,
+                            phase: Phase::Joint { old, new },
+                            oldest_compatible: next,
+                            proposal_id,
+                            lists,
+                        },
                     },
-                })
+                )
             }
             Phase::Joint { new, .. } => Some(Record {
                 position: next,
@@ -209,9 +214,10 @@
         let Some(voter) = &self.voter else { return };
         // A record that was accepted here and is not known to be chosen must be completed, whoever proposed
         // it.
-        let open =
-            voter.accepted().filter(|(_, record)| record.position == next && again(&self.known_since, wait));
-        let proposal = match (proposal, open) {
+        let unfinished = voter
+            .accepted()
+            .filter(|(_, record)| record.position == next && elapsed(&self.known_since, wait));
+        let proposal = match (proposal, unfinished) {
             (_, Some((_, record))) => Some(*record),
             (Some(record), None) if voter.allows(now, &record) => Some(record),
             _ => None,
@@ -220,24 +226,24 @@
         self.highest_ballot = self.highest_ballot.max(voter.promised().0) + 1;
         let ballot: Ballot = (self.highest_ballot, self.me);
         let round = Round::new(&self.known, proposal, ballot);
-        let ask = Message::PromiseRequest(*round.request());
+        let request = Message::PromiseRequest(*round.request());
         // A random delay keeps two proposers from preempting each other for ever.
         let jitter = self.settings.period.mul_f64(self.rng.f64());
         self.round = Some((round, now + jitter));
-        self.send_to_voters(&ask, out);
+        self.send_to_voters(&request, out);
     }
 
     /// Whether a majority of the future voters, if the list changes, was recently seen voting.
     fn next_voters_are_voting(&self, now: Duration) -> bool {
         let Some(next) = &self.known.lists.next else { return true };
         let recent = self.settings.period * 4;
-        let votes = |peer: &Peer| peer.status == VoterStatus::Voting && now < peer.heard_at + recent;
+        let is_voting = |peer: &Peer| peer.status == VoterStatus::Voting && now < peer.heard_at + recent;
         Quorum::majorities(next, None)
-            .is_met(|name| name == self.me || self.peers.get(&name).is_some_and(votes))
+            .is_met(|name| name == self.me || self.peers.get(&name).is_some_and(is_voting))
     }
 
-    pub(super) fn on_round_action(&mut self, now: Duration, step: RoundAction, out: &mut Vec<Output>) {
-        match step {
+    pub(super) fn on_round_action(&mut self, now: Duration, action: RoundAction, out: &mut Vec<Output>) {
+        match action {
             RoundAction::Wait => {}
             RoundAction::Accept(accept) => self.send_to_voters(&Message::Accept(accept), out),
             RoundAction::Preempted(ballot) => self.highest_ballot = self.highest_ballot.max(ballot.0),
