--- a/crates/accord/src/fetch/tests.rs
+++ b/crates/accord/src/fetch/tests.rs
@@ -15,7 +15,7 @@
     ChunkRequest { to: MemberId(to), digest, base, first: 0, mask: 1 }
 }
 
-/// Writes all that is waited for, by so many entries a step; who is told.
+/// Encodes all streams with this budget per step. Returns the members whose requests waited for them.
 fn written(store: &mut DocumentStore, entries: usize, reclaimer: &mut Reclaimer) -> Vec<MemberId> {
     let mut told = Vec::new();
     while store.has_work() {
@@ -53,7 +53,7 @@
     );
 }
 
-/// What is done to the parts of a document on its way.
+/// A fault that is injected into the transfer of a document.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     Nothing,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn by_steps_of_any_size_the_same_comes_of_it_whatever_becomes_of_its_parts() {
+fn a_fetch_gives_the_same_document_for_all_step_sizes_and_faults() {
     let (old, new) = (list(0, 4_000), list(100, 4_100));
     let faults = [Fault::Nothing, Fault::Lost, Fault::Doubled, Fault::Spoilt, Fault::Base];
     for (seed, fault) in faults.into_iter().enumerate() {
@@ -116,7 +116,7 @@
             fetch.on_chunk(new.digest(), base, total, at, bytes, &mut reclaimer);
             assert!(fetch.out_of_order.len() <= WINDOW_CHUNKS as usize);
             assert!(fetch.unparsed.len() <= MAX_UNPARSED_BYTES * 2 + CHUNK_BYTES);
-            // Sometimes the next part comes before this one is parsed.
+            // Sometimes the next chunk arrives before this one is parsed.
             for _ in 0..dice.u32(0..3) {
                 let mut budget = Budget::of(entries);
                 let step = fetch.step(&mut budget, &mut reclaimer);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn more_than_is_parsed_is_not_taken_in() {
+fn chunks_beyond_the_limit_of_unparsed_data_are_dropped() {
     let new = list(0, 20_000);
     let (mut store, mut reclaimer) = (DocumentStore::default(), Reclaimer::default());
     put(&mut store, &new, &[], &mut reclaimer);
--- a/crates/accord/src/quorum/tests.rs
+++ b/crates/accord/src/quorum/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn two_quorums_of_a_list_meet_and_of_a_joint_one_meet_in_both_lists() {
+fn quorums_of_a_list_intersect_and_joint_quorums_intersect_in_both_lists() {
     let lists = [list(&[1, 2, 3]), list(&[3, 4, 5, 6])];
     let joint = Quorum::majorities(&lists[0], Some(&lists[1]));
     let names = [1, 2, 3, 4, 5, 6];
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_quorum_lasts_until_the_first_of_its_groups_is_short_of_one() {
+fn a_quorum_expires_when_a_group_falls_below_its_threshold() {
     let joint = Quorum::majorities(&list(&[1, 2, 3]), Some(&list(&[4])));
     let ends = |of: [u64; 5]| move |name: MemberId| Duration::from_secs(of[name.0 as usize]);
     assert_eq!(joint.expires_at(ends([0, 5, 7, 0, 9])), Duration::from_secs(5));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_list_has_bounds_and_one_order() {
+fn a_list_has_limits_and_is_sorted() {
     assert_eq!(list(&[3, 1, 2]), list(&[1, 2, 3]));
     let refused = |names: &[u32]| VoterList::new(names.iter().map(|name| MemberId(*name))).unwrap_err().0;
     assert_eq!(refused(&[]), "at least one voter must remain");
--- a/crates/accord/src/wire/tests.rs
+++ b/crates/accord/src/wire/tests.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn the_longest_words_of_voters_fit_a_datagram() {
+fn the_largest_voter_messages_fit_a_datagram() {
     let most = u32::MAX;
     let list = |from: u32| VoterList::new((from..from + 9).map(MemberId)).unwrap();
     let version = Version { number: u64::MAX, digest: Digest([255; 32]) };
--- a/crates/accord/tests/faults.rs
+++ b/crates/accord/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Histories with faults: the promise holds in each, and the change comes into force once the fault is over.
+//! Histories with faults: the guarantees hold throughout, and changes come into force once the fault is over.
 
 mod net;
 
@@ -14,7 +14,7 @@
     }
 }
 
-fn held(net: &Net, name: u32) -> Option<Value> {
+fn obeyed_attempts(net: &Net, name: u32) -> Option<Value> {
     match net.acting(MemberId(name)) {
         ActiveTerms::Single(_, terms) => terms.get(&key("class/a/attempts")).cloned(),
         _ => None,
@@ -22,14 +22,14 @@
 }
 
 #[track_caller]
-fn sound(net: &Net) {
+fn assert_guarantees(net: &Net) {
     assert!(net.hard.is_empty(), "{:#?}\n{:#?}", net.hard, net.notes);
     let bound = net.settings.bound().as_micros() as u64;
     assert!(net.longest <= bound, "{} us of contradiction, {bound} promised\n{:#?}", net.longest, net.notes);
 }
 
 #[test]
-fn a_change_comes_into_force_with_all() {
+fn a_change_comes_into_force_on_all_members() {
     let mut net = Net::new(5, 3, 1);
     net.start();
     let id = net.propose(MemberId(5), attempts(2)).unwrap();
@@ -38,15 +38,15 @@
         "{:#?}",
         net.notes
     );
-    assert_eq!(held(&net, 4), Some(Value::Int(2)));
+    assert_eq!(obeyed_attempts(&net, 4), Some(Value::Int(2)));
     assert!(
         matches!(&net.settled[..], [(MemberId(5), settled, Ok(Version { number: 2, .. }))] if *settled == id)
     );
-    sound(&net);
+    assert_guarantees(&net);
 }
 
 #[test]
-fn seeded_histories_keep_the_promise_and_come_to_agree() {
+fn random_histories_keep_the_bound_and_end_in_agreement() {
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(60);
     for seed in 0..seeds {
         let (net, agreed) = faulted(seed, 4, Default::default());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn seeded_histories_with_changes_of_voters_keep_the_promise_and_come_to_agree() {
+fn random_histories_with_changes_of_voters_keep_the_bound_and_end_in_agreement() {
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(30);
     let (mut lists, mut longest) = (BTreeSet::new(), 0);
     for seed in 0..seeds {
@@ -81,7 +81,7 @@
     assert!(lists.len() as u64 > seeds / 4, "too few changed their voters to show anything");
 }
 
-/// Plays until all act on this version.
+/// Runs until all members act on this version.
 #[track_caller]
 fn in_force(net: &mut Net, number: u64) {
     let done = net.wait(60_000, |net| net.agreed().is_some_and(|version| version.number == number));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn of_two_proposers_one_is_told_that_it_lost() {
+fn of_two_concurrent_proposals_one_is_refused() {
     for seed in 0..8 {
         let mut net = Net::new(5, 3, seed);
         net.start();
@@ -103,18 +103,18 @@
             "seed {seed}: {bad:?}"
         );
         let won = if good[0].0 == MemberId(4) { 2 } else { 5 };
-        assert_eq!(held(&net, 1), Some(Value::Int(won)), "seed {seed}");
+        assert_eq!(obeyed_attempts(&net, 1), Some(Value::Int(won)), "seed {seed}");
         assert!(matches!(
             net.propose(MemberId(1), |change| change.base = 1),
             Err(ProposalError::StaleBase(_))
         ));
-        sound(&net);
+        assert_guarantees(&net);
     }
 }
 
 #[test]
-fn a_proposer_that_dies_half_way_leaves_no_half_version() {
-    // Voter 1 is the first to drive rounds; killed after ever more of its moves.
+fn a_version_whose_proposer_is_killed_is_finished_or_withdrawn() {
+    // Voter 1 has the highest rank and drives the rounds. It is killed at ever later steps.
     for (seed, millis) in (0..24).map(|at| (at, at * 25)) {
         let mut net = Net::new(5, 3, seed);
         net.start();
@@ -129,12 +129,12 @@
             "killed at {millis} ms: {:#?}",
             net.notes
         );
-        sound(&net);
+        assert_guarantees(&net);
     }
 }
 
 #[test]
-fn one_that_is_cut_off_falls_to_the_floor_and_comes_back_by_itself() {
+fn a_member_that_is_cut_off_obeys_the_floor_and_recovers_by_itself() {
     let mut net = Net::new(5, 3, 3);
     net.start();
     net.cut(&[2, 5], &[1, 3, 4], true);
@@ -146,30 +146,30 @@
         assert!(matches!(net.propose(MemberId(name), attempts(2)), Err(ProposalError::Unavailable(_))));
     }
     net.propose(MemberId(4), attempts(2)).unwrap();
-    assert!(net.wait(30_000, |net| held(net, 4) == Some(Value::Int(2))));
-    sound(&net);
+    assert!(net.wait(30_000, |net| obeyed_attempts(net, 4) == Some(Value::Int(2))));
+    assert_guarantees(&net);
     net.cuts.clear();
     in_force(&mut net, 2);
-    sound(&net);
+    assert_guarantees(&net);
 }
 
 #[test]
-fn one_that_was_stopped_ends_its_lease_before_it_acts() {
+fn a_paused_member_does_not_act_on_an_expired_lease() {
     let mut net = Net::new(4, 3, 4);
     net.start();
     net.pause(MemberId(4), true);
     net.propose(MemberId(1), attempts(2)).unwrap();
     net.run(20_000);
-    assert_eq!(held(&net, 1), Some(Value::Int(2)));
+    assert_eq!(obeyed_attempts(&net, 1), Some(Value::Int(2)));
     net.pause(MemberId(4), false);
-    // Nothing was called yet: the clock alone says it.
+    // No call was made yet, so only the clock ends the lease.
     assert!(matches!(net.acting(MemberId(4)), ActiveTerms::Floor(_)));
     in_force(&mut net, 2);
-    sound(&net);
+    assert_guarantees(&net);
 }
 
 #[test]
-fn voters_that_all_start_from_nothing_find_the_newest_document_that_is_left() {
+fn voters_that_all_lose_their_state_bootstrap_with_the_newest_remaining_document() {
     for seed in 0..8 {
         let mut net = Net::new(5, 3, seed);
         net.start();
@@ -182,13 +182,14 @@
         assert!(net.wait(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
         assert_eq!(net.agreed().unwrap().digest, digest, "seed {seed}");
         assert!(net.agreed().unwrap().number > 2, "never the number of what may have been lost");
-        sound(&net);
+        assert_guarantees(&net);
     }
 }
 
-/// Their lives look like earlier ones than those that the others remember, and theirs to them.
+/// After a restart on a clock that was set back, a voter's incarnation seems older than the one its peers
+/// know.
 #[test]
-fn voters_that_start_on_clocks_that_were_set_back_vote_again() {
+fn voters_that_restart_on_clocks_that_were_set_back_vote_again() {
     for seed in 0..8 {
         let mut net = Net::new(5, 3, seed);
         net.start();
@@ -201,13 +202,13 @@
         }
         assert!(net.wait(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
         net.propose(MemberId(4), attempts(3)).unwrap();
-        assert!(net.wait(60_000, |net| held(net, 1) == Some(Value::Int(3))), "seed {seed}: {:#?}", net.notes);
-        sound(&net);
+        assert!(net.wait(60_000, |net| obeyed_attempts(net, 1) == Some(Value::Int(3))), "seed {seed}: {:#?}", net.notes);
+        assert_guarantees(&net);
     }
 }
 
 #[test]
-fn one_voter_gone_for_good_and_one_that_forgot_found_anew_with_the_third() {
+fn a_voter_without_state_and_a_third_one_bootstrap_when_another_is_dead() {
     let mut net = Net::new(4, 3, 5);
     net.start();
     net.kill(MemberId(3));
@@ -216,12 +217,12 @@
     net.restart(MemberId(2));
     assert!(net.wait(60_000, |net| net.agreed().is_some()), "{:#?}", net.notes);
     net.propose(MemberId(4), attempts(2)).unwrap();
-    assert!(net.wait(60_000, |net| held(net, 1) == Some(Value::Int(2))), "{:#?}", net.notes);
-    sound(&net);
+    assert!(net.wait(60_000, |net| obeyed_attempts(net, 1) == Some(Value::Int(2))), "{:#?}", net.notes);
+    assert_guarantees(&net);
 }
 
 #[test]
-fn a_version_waits_for_one_that_refuses_and_is_withdrawn_or_goes_on() {
+fn a_version_waits_for_a_refusing_member_until_withdrawn_or_proceeds_without_it() {
     let mut net = Net::new(5, 3, 6);
     net.start();
     net.members[4].unknown = Some(key("list/l/new"));
@@ -246,11 +247,11 @@
     net.run(10_000);
     assert!(matches!(net.acting(MemberId(5)), ActiveTerms::Floor(_)), "it is left on the floor");
     assert!(matches!(net.acting(MemberId(4)), ActiveTerms::Single(Version { number: 3, .. }, _)));
-    sound(&net);
+    assert_guarantees(&net);
 }
 
 #[test]
-fn no_version_undercuts_the_floor_and_a_stricter_floor_needs_every_file() {
+fn no_version_is_stricter_than_the_floor_and_a_stricter_floor_needs_every_file() {
     let mut loose = settings(4, 3);
     loose.floor.set(key("limit/x"), Value::Int(50));
     loose.floor.seal();
@@ -260,14 +261,14 @@
     assert_eq!(refused, Err(ProposalError::Change(ChangeError::StricterThanFloor(key("limit/x")))));
     let unsaid = net.propose(MemberId(1), |change| drop(change.set.insert(key("limit/y"), Value::Int(9))));
     assert_eq!(unsaid, Err(ProposalError::Change(ChangeError::StricterThanFloor(key("limit/y")))));
-    // The floor of the document is not to be stricter than that of a file.
+    // The document's floor must not be stricter than the floor of a file.
     net.propose(MemberId(1), |change| drop(change.set.insert(key("floor/limit/x"), Value::Int(9)))).unwrap();
     net.run(20_000);
     assert_eq!(net.agreed().map(|version| version.number), Some(1));
     assert!(net.view(MemberId(1)).refused.contains(&(MemberId(4), Refusal::Floor("limit/x".into()))));
     net.withdraw(MemberId(1));
     assert!(net.wait(30_000, |net| net.settled.len() == 1));
-    // New files, member by member; one is still cut off, so the floor waits for it.
+    // Members get new files one by one. One member is still cut off, so the stricter floor waits for it.
     net.settings.floor.set(key("limit/x"), Value::Int(0));
     net.settings.floor.seal();
     for name in 1..=4 {
@@ -288,7 +289,7 @@
     in_force(&mut net, 2);
     net.propose(MemberId(1), |change| drop(change.set.insert(key("limit/x"), Value::Int(9)))).unwrap();
     in_force(&mut net, 3);
-    sound(&net);
+    assert_guarantees(&net);
 }
 
 fn voters(set: &[u32], drop: &[u32]) -> impl FnOnce(&mut Change) {
@@ -299,8 +300,8 @@
     }
 }
 
-/// Five members of which each may vote, three vote.
-fn changing(seed: u64) -> Net {
+/// Five of six members may vote, and three do.
+fn net_with_eligible_voters(seed: u64) -> Net {
     let mut settings = settings(6, 3);
     settings.eligible_voters = (1..=5).map(MemberId).collect();
     Net::with(settings, seed, Default::default())
@@ -313,7 +314,7 @@
 #[test]
 fn a_dead_voter_is_replaced_and_then_another_may_die() {
     for seed in 0..6 {
-        let mut net = changing(seed);
+        let mut net = net_with_eligible_voters(seed);
         net.start();
         net.kill(MemberId(1));
         net.run(8_000);
@@ -324,18 +325,18 @@
         net.run(8_000);
         net.propose(MemberId(5), attempts(2)).unwrap();
         in_force(&mut net, 3);
-        sound(&net);
-        // The one that was removed comes back with its old file, and is told who votes.
+        assert_guarantees(&net);
+        // The removed voter restarts with its old file and learns the current voters from others.
         net.restart(MemberId(1));
         in_force(&mut net, 3);
         assert_eq!((listed(&net, 1), net.view(MemberId(1)).role), (vec![2, 3, 4], Role::Activator));
-        sound(&net);
+        assert_guarantees(&net);
     }
 }
 
 #[test]
-fn a_change_of_all_voters_leaves_nobody_on_the_floor() {
-    let mut net = changing(1);
+fn a_change_of_all_voters_puts_no_member_on_the_floor() {
+    let mut net = net_with_eligible_voters(1);
     net.settings.eligible_voters = (1..=6).map(MemberId).collect();
     (1..=6).for_each(|name| net.restart(MemberId(name)));
     net.start();
@@ -347,17 +348,17 @@
         assert!(net.now < 120_000_000, "{:#?}", net.notes);
     }
     assert_eq!((fell, listed(&net, 1)), (0, vec![4, 5, 6]));
-    // The old ones matter to nobody any more.
+    // The old voters are no longer needed.
     (1..=3).for_each(|name| net.kill(MemberId(name)));
     net.run(8_000);
     net.propose(MemberId(5), attempts(2)).unwrap();
     in_force(&mut net, 3);
-    sound(&net);
+    assert_guarantees(&net);
 }
 
 #[test]
-fn one_that_was_cut_off_through_a_change_of_all_it_knew_finds_the_new_voters() {
-    let mut net = changing(2);
+fn a_member_that_was_cut_off_during_a_change_of_voters_finds_the_new_voters() {
+    let mut net = net_with_eligible_voters(2);
     net.settings.eligible_voters = (1..=6).map(MemberId).collect();
     net.settings.roster = (1..=6).map(MemberId).collect();
     (1..=6).for_each(|name| net.restart(MemberId(name)));
@@ -366,19 +367,19 @@
     net.run(6_000);
     net.propose(MemberId(5), voters(&[4, 5], &[1, 2])).unwrap();
     assert!(net.wait(60_000, |net| listed(net, 3) == [3, 4, 5]), "{:#?}", net.notes);
-    // Of those that it knows only one is left, and that cannot be heard.
+    // Member 6 knows voters 1 to 3. Only voter 3 is left of them, and cannot be reached.
     (1..=2).for_each(|name| net.kill(MemberId(name)));
     net.cuts.clear();
     net.cut(&[6], &[1, 2, 3], true);
     assert!(net.wait(60_000, |net| listed(net, 6) == [3, 4, 5]), "{:#?}", net.notes);
     in_force(&mut net, 2);
-    sound(&net);
+    assert_guarantees(&net);
 }
 
 #[test]
-fn a_proposer_of_its_own_removal_that_dies_half_way_leaves_one_list() {
+fn a_voter_killed_while_it_removes_itself_leaves_one_list() {
     for (seed, millis) in (0..16).map(|at| (at, at * 150)) {
-        let mut net = changing(seed);
+        let mut net = net_with_eligible_voters(seed);
         net.start();
         net.propose(MemberId(1), voters(&[4, 5], &[1])).unwrap();
         net.run(millis);
@@ -394,35 +395,35 @@
         let lists: Vec<Vec<u32>> = (2..=6).map(|name| listed(&net, name)).collect();
         assert!(lists.iter().all(|list| *list == lists[0]), "{lists:?}");
         assert!([vec![1, 2, 3], vec![2, 3, 4, 5]].contains(&lists[0]));
-        sound(&net);
+        assert_guarantees(&net);
     }
 }
 
 #[test]
-fn voters_that_all_start_with_old_files_find_the_newest_list() {
+fn voters_that_all_restart_with_old_files_find_the_newest_list() {
     for seed in 0..6 {
-        let mut net = changing(seed);
+        let mut net = net_with_eligible_voters(seed);
         net.start();
         net.propose(MemberId(2), voters(&[4, 5], &[1, 2])).unwrap();
         in_force(&mut net, 2);
-        // The files still name 1, 2 and 3. Member 6, which has no vote, is the only one that knows.
+        // The files still name voters 1 to 3. Only member 6, which has no vote, knows the current list.
         (1..=5).for_each(|name| net.kill(MemberId(name)));
         net.run(600);
         (1..=5).for_each(|name| net.restart(MemberId(name)));
         assert!(net.wait(90_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
         assert_eq!(listed(&net, 1), [3, 4, 5], "seed {seed}: {:#?}", net.notes);
-        sound(&net);
+        assert_guarantees(&net);
     }
 }
 
 #[test]
-fn old_voters_alone_do_not_found_beside_the_new_ones() {
+fn old_voters_alone_do_not_bootstrap_while_new_ones_vote() {
     for seed in 0..6 {
-        let mut net = changing(seed);
+        let mut net = net_with_eligible_voters(seed);
         net.start();
         net.propose(MemberId(2), voters(&[4, 5], &[1, 2])).unwrap();
         in_force(&mut net, 2);
-        // A majority of the files' list starts from nothing, and hears nobody else.
+        // A majority of the list in the files restarts without state and reaches no other member.
         net.cut(&[1, 2], &[3, 4, 5, 6], true);
         for name in [1, 2] {
             net.kill(MemberId(name));
@@ -431,18 +432,18 @@
         net.propose(MemberId(6), attempts(2)).unwrap();
         net.run(40_000);
         assert!(matches!(net.acting(MemberId(1)), ActiveTerms::Floor(_)), "{:#?}", net.notes);
-        assert_eq!(held(&net, 6), Some(Value::Int(2)));
-        sound(&net);
+        assert_eq!(obeyed_attempts(&net, 6), Some(Value::Int(2)));
+        assert_guarantees(&net);
         net.cuts.clear();
         in_force(&mut net, 3);
-        sound(&net);
+        assert_guarantees(&net);
     }
 }
 
 #[test]
-fn those_declared_gone_are_not_waited_for_by_a_founding() {
+fn a_bootstrap_does_not_wait_for_members_declared_gone() {
     for declared in [false, true] {
-        let mut net = changing(5);
+        let mut net = net_with_eligible_voters(5);
         net.settings.eligible_voters = (1..=4).map(MemberId).collect();
         (1..=6).for_each(|name| net.restart(MemberId(name)));
         net.start();
@@ -456,19 +457,19 @@
         })
         .unwrap();
         in_force(&mut net, 2);
-        // Of 2, 3 and 4 one dies for good, and one forgets.
+        // Of voters 2, 3 and 4, one is killed for good and one loses its state.
         net.kill(MemberId(2));
         net.kill(MemberId(3));
         net.restart(MemberId(3));
         net.run(60_000);
         assert_eq!(net.agreed().is_some(), declared, "{:#?}", net.notes);
-        sound(&net);
+        assert_guarantees(&net);
     }
 }
 
 #[test]
-fn a_list_that_cannot_be_is_refused_with_its_reason() {
-    let mut net = changing(3);
+fn an_invalid_list_of_voters_is_refused_with_its_reason() {
+    let mut net = net_with_eligible_voters(3);
     net.start();
     let refused = |net: &mut Net, set: &[u32], drop: &[u32]| match net.propose(MemberId(1), voters(set, drop))
     {
@@ -487,26 +488,26 @@
     net.propose(MemberId(1), voters(&[4], &[])).unwrap();
     in_force(&mut net, 2);
     assert_eq!(listed(&net, 6), [1, 2, 3, 4], "an even number is no error");
-    // Files are not gone back to.
+    // The list of the settings files is never used again.
     assert!(refused(&mut net, &[], &[1, 2, 3, 4]).contains("at least one voter must remain"));
-    // Of two changes of voters the second is told of the first.
+    // The second of two changes of voters is refused because of the first.
     net.propose(MemberId(1), voters(&[5], &[1])).unwrap();
     assert!(net.wait(30_000, |net| net.view(MemberId(6)).pending.is_some()));
     let busy = net.propose(MemberId(6), voters(&[5], &[2]));
     assert!(matches!(busy, Err(ProposalError::Busy(_) | ProposalError::StaleBase(_))), "{busy:?}");
     in_force(&mut net, 3);
     assert_eq!(listed(&net, 2), [2, 3, 4, 5]);
-    sound(&net);
+    assert_guarantees(&net);
 }
 
 #[test]
-fn a_list_whose_majority_is_dead_is_not_joined_and_can_be_withdrawn() {
-    let mut net = changing(4);
+fn a_list_with_a_dead_majority_is_not_joined_and_can_be_withdrawn() {
+    let mut net = net_with_eligible_voters(4);
     net.start();
     net.kill(MemberId(4));
     net.kill(MemberId(5));
     net.propose(MemberId(6), voters(&[4, 5], &[1, 2])).unwrap();
-    // Withdrawn by itself after twice the patience.
+    // The version is withdrawn automatically after twice the preparation timeout.
     net.run(15_000);
     assert!(net.view(MemberId(6)).pending.is_some());
     assert!(net.wait(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.notes);
@@ -526,11 +527,11 @@
     net.propose(MemberId(6), attempts(2)).unwrap();
     in_force(&mut net, 2);
     assert_eq!(listed(&net, 6), [1, 2, 3]);
-    sound(&net);
+    assert_guarantees(&net);
 }
 
 #[test]
-fn a_list_of_100_000_entries_comes_by_all_with_losses_and_a_change_of_it_is_small() {
+fn a_list_of_100_000_entries_reaches_all_members_despite_loss_and_a_change_of_it_is_small() {
     let mut net = Net::new(4, 3, 8);
     net.settings.transfer_bytes_per_period = 600_000;
     net.check = false;
@@ -563,8 +564,8 @@
     assert!(after - before < 200_000, "{} bytes for a change of one entry", after - before);
 }
 
-/// One bucket of a document of 200,000 entries, with room for those that keys fill unevenly.
-const A_BUCKET: u64 = 600;
+/// Size of a bucket in a document of 200,000 entries, with a margin for uneven distribution.
+const MAX_BUCKET_ENTRIES: u64 = 600;
 
 fn list(net: &mut Net, entries: u64, value: bool) {
     net.propose(MemberId(4), |change| {
@@ -575,7 +576,7 @@
 }
 
 #[test]
-fn no_call_goes_over_more_than_a_step_of_a_large_document_and_all_of_it_is_freed_in_the_end() {
+fn no_call_touches_more_than_a_step_of_a_large_document_and_all_of_it_is_freed() {
     const ENTRIES: u64 = 60_000;
     let mut net = Net::new(4, 3, 10);
     net.settings.transfer_bytes_per_period = 600_000;
@@ -592,7 +593,7 @@
     })
     .unwrap();
     in_force(&mut net, 4);
-    // Until no version that is kept has the lists.
+    // Make changes until no stored version has the lists.
     for number in 5..=12 {
         net.propose(MemberId(4), |change| {
             drop(change.set.insert(key(&format!("list/few/{number}")), Value::Flag(true)))
@@ -601,7 +602,7 @@
         in_force(&mut net, number);
     }
     net.run(5_000);
-    let most = STEP_ENTRIES as u64 + A_BUCKET;
+    let most = STEP_ENTRIES as u64 + MAX_BUCKET_ENTRIES;
     assert!(net.touched.0 <= most && net.touched.1 <= most, "{:?} of {most}", net.touched);
     assert!(
         net.touched.0 >= STEP_ENTRIES as u64 && net.touched.1 >= STEP_ENTRIES as u64,
@@ -616,7 +617,7 @@
 }
 
 #[test]
-fn a_large_document_that_is_given_up_half_way_leaves_nothing_of_it_behind() {
+fn a_large_document_withdrawn_during_its_transfer_has_no_effect() {
     let mut given_up = 0;
     for seed in 0..4 {
         let mut net = Net::new(5, 3, seed);
@@ -629,7 +630,7 @@
         list(&mut net, 20_000, true);
         let coming = |net: &Net| net.view(MemberId(1)).pending.is_some();
         assert!(net.wait(60_000, coming), "seed {seed}: {:#?}", net.notes);
-        // Somewhere within the chunks, the hashing or the checking of the others.
+        // Withdraw while other members receive chunks, hash or check the document.
         net.run(seed * 130);
         net.withdraw(MemberId(1));
         net.pause(MemberId(3), false);
@@ -653,7 +654,7 @@
 }
 
 #[test]
-fn a_large_change_that_makes_no_document_is_refused_later_by_the_same_word() {
+fn a_large_invalid_change_is_refused_later_with_the_same_error() {
     let mut net = Net::new(4, 3, 11);
     net.start();
     let undercuts = |change: &mut Change, entries: u64| {
--- a/crates/accord/tests/measure.rs
+++ b/crates/accord/tests/measure.rs
@@ -1,4 +1,5 @@
-//! `make measure WHAT=accord`: `name value unit`, one a line. Simulated time; nothing here is of a real network.
+//! `make measure WHAT=accord`: prints one `name value unit` per line. Time is simulated; nothing is measured
+//! on a real network.
 
 mod net;
 
@@ -71,21 +72,22 @@
     pauses();
 }
 
-/// The last parts by itself.
+/// The measurements of `entries`, on their own.
 #[test]
 #[ignore = "a measurement"]
 fn accord_entries() {
     entries();
 }
 
-/// The longest single call of each kind, in processor time, while large documents come, are replaced, freed and served.
+/// The longest single call of each kind, in processor time, while large documents are received, replaced,
+/// freed and served.
 #[test]
 #[ignore = "a measurement"]
 fn accord_pauses() {
     pauses();
 }
 
-/// What the calls of this part took at most, by kind.
+/// Prints the longest call of each kind in this part, and starts the next part.
 fn tell(net: &mut Net, entries: usize, what: &str) {
     for (kind, longest) in std::mem::take(&mut net.pauses) {
         say(&format!("entries_{entries}.{what}.longest_{kind}"), longest as f64 / 1e3, "ms");
@@ -106,7 +108,7 @@
         (1..=4).for_each(|name| net.restart(MemberId(name)));
         net.start();
         net.pauses.clear();
-        // The last entries alone are not in both lists, so that the bounds allow each.
+        // Only the last entries differ between the lists, so that each document is within the limits.
         let list =
             |from: usize| (from..entries + from - 20).map(|at| key(&format!("list/blocked/host-{at}")));
         net.propose(MemberId(4), |change| change.set = list(0).map(|key| (key, Value::Flag(true))).collect())
@@ -145,7 +147,7 @@
         in_force(&mut net, 13);
         tell(&mut net, entries, "fetched_whole_by_a_voter_from_nothing");
     }
-    // As many keys that are hard, with floors: nothing is passed over then.
+    // The same number of hard keys, with floors: none of these buckets is skipped.
     let entries = 100_000;
     let mut net = Net::new(4, 3, 9);
     net.settings.transfer_bytes_per_period = 600_000;
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -1,11 +1,14 @@
-//! Exhaustive models that drive the crate's own voter, round and holder through all interleavings of a small fleet.
+//! Exhaustive models that run the crate's own voter, round and lease holder through all interleavings of a
+//! small fleet.
 //!
-//! `Choice`: three voters, two proposers that want different records at one place, messages that are lost, doubled and
-//! reordered at will, and voters that start from nothing: never are two records chosen.
-//! `Leases`: three voters, an activator that asks, is answered late, pauses and adopts when it likes, a clock, and a voter
-//! that starts from nothing, while a version is prepared, joined and finished. All other activators are the worst that
-//! there can be: they act on each record from the instant it is chosen, lease or not. Never does the one contradict them,
-//! and the bound is kept.
+//! `Choice`: three voters; two proposers that want different records at one position; messages that are lost,
+//! duplicated and reordered; and a voter that restarts without state. No two records are chosen at one
+//! position.
+//!
+//! `Leases`: three voters; an activator that requests leases, gets late answers, pauses, and adopts records
+//! at any time; a clock; and a voter that restarts without state, while a version is prepared, joined and
+//! finished. All other activators are modelled by their worst case: they act on each record from the moment
+//! it is chosen, with or without a lease. The modelled activator never contradicts them, and the bound holds.
 
 mod check;
 
@@ -29,7 +32,7 @@
     Position { epoch: 1, salt: 0, index: step }
 }
 
-/// The records of one change: in force, prepared, both, in force.
+/// The records of one change, in order: in force, prepared, joint, in force.
 fn record(step: u32) -> Record {
     let proposal_id = ProposalId { proposer: MemberId(1), incarnation: 1, count: u64::from(step > 0) };
     let (old, new) = (version(1), version(2));
@@ -71,7 +74,7 @@
         .flawed(flaws)
 }
 
-// ---- one place, two proposers ----------------------------------------------------------------------------------
+// ---- one position, two proposers -------------------------------------------------------------------------------
 
 struct Choice {
     flaws: Flaws,
@@ -90,7 +93,7 @@
     voters: Vec<Voter>,
     rounds: Vec<Round>,
     chosen: BTreeSet<Record>,
-    /// On its way: asks and accepts come late, twice, to some or to none.
+    /// Messages in transit. Requests may arrive late, twice, at some voters, or at none.
     said: BTreeSet<Said>,
     crashes: u8,
 }
@@ -100,7 +103,7 @@
 enum Act {
     Deliver(MemberId, Said),
     Forget(usize),
-    /// Both others tell one that forgot what they know, and its silence ends.
+    /// Both other voters send their state to a voter that lost its own, and its silence ends.
     Recover(usize),
 }
 
@@ -157,7 +160,7 @@
                 _ => acts.extend((1..=VOTERS).map(|name| Act::Deliver(MemberId(name), said.clone()))),
             }
         }
-        // Voters are alike, so it is always the first that starts from nothing.
+        // Voters are symmetric, so only the first one restarts without state.
         if place.crashes < self.crashes {
             acts.push(Act::Forget(0));
         }
@@ -183,7 +186,8 @@
                         if place.voters[at].accept(now, &accept) {
                             let incarnation = place.voters[at].incarnation();
                             let (from, to) = (place.voters[at].me(), accept.ballot.1 .0 as usize - 1);
-                            // Counted at once: what comes later can choose nothing more.
+                            // The acceptance is counted at once; a later delivery could not choose anything
+                            // else.
                             let step = place.rounds[to].on_accepted(from, accept.ballot, incarnation);
                             self.put(&mut place, step);
                         }
@@ -193,7 +197,7 @@
                         place.said.remove(&Said::Promise { from, promise, to });
                         self.put(&mut place, step);
                         if place.rounds[at].accept().is_some() {
-                            // Read no more.
+                            // The round ignores further promises.
                             place.said.retain(
                                 |said| !matches!(said, Said::Promise { to: other, .. } if *other == to),
                             );
@@ -250,8 +254,8 @@
     flaws: Flaws,
     crashes: u8,
     ticks: u8,
-    /// Whether answers come late: as a lease counts from the asking, that can only shorten it, so it is left out of the
-    /// model in which a voter forgets.
+    /// Whether answers may be late. A lease is counted from its request, so a late answer only shortens it;
+    /// the model in which a voter loses its state therefore leaves late answers out.
     late: bool,
 }
 
@@ -259,7 +263,7 @@
 struct Activator {
     holder: LeaseHolder,
     adopted: u32,
-    /// By voter, on its way: granted what was asked for then, under that record.
+    /// Grants in transit, by voter: the time of the request, and the record it was for.
     grants: BTreeMap<usize, (u8, u32)>,
 }
 
@@ -271,9 +275,9 @@
     /// The newest record that a majority chose.
     chosen: u32,
     crashes: u8,
-    /// Who accepted the next one in this life.
+    /// Voters whose current incarnation accepted the next record.
     took: BTreeSet<usize>,
-    /// When the new version was first acted on: when both were to be obeyed.
+    /// When the new version was first acted on, that is, when the joint record was chosen.
     first: Option<u8>,
 }
 
@@ -298,7 +302,8 @@
         }
     }
 
-    /// The record, at the place after the one chosen: a flawed table puts the last one early.
+    /// The next record, at the position after the chosen one. The faulty transition table puts the last
+    /// record there early.
     fn wanted(&self, fleet: &Fleet) -> Option<Record> {
         let mut wanted = record(self.next(fleet)?);
         wanted.position = record(fleet.chosen).position.next();
@@ -326,7 +331,7 @@
     }
 }
 
-/// With the version on its way, so that the model begins where it matters.
+/// A voter that knows the prepared version, so that the model starts at the relevant point.
 fn prepared(mut voter: Voter) -> Voter {
     voter.learn(secs(0), &record(1));
     voter
@@ -358,9 +363,10 @@
         if fleet.now < self.ticks {
             does.push(Does::Tick);
         }
-        // An activator that does none of these while the clock goes on is one that is stopped.
+        // An activator that takes none of these actions while the clock advances is a paused one.
         for at in 0..fleet.activators.len() {
-            // Voters are alike, so a lease of the first two, of which the first forgets, is any lease.
+            // Voters are symmetric, so a lease from the first two, the first of which loses its state, stands
+            // for all leases.
             for to in 0..2 {
                 does.push(Does::PromiseRequest(at, to));
                 does.push(Does::Granted(at, to));
@@ -434,7 +440,7 @@
             Does::Adopt(at) => fleet.activators[at].adopted = fleet.chosen,
             Does::Forget(at) => {
                 fleet.crashes += 1;
-                // What its earlier life accepted counts for nobody: `Choice` shows that.
+                // What an earlier incarnation accepted does not count; the `Choice` model shows that.
                 fleet.took.remove(&at);
                 let incarnation = fleet.voters[at].incarnation() + 1;
                 fleet.voters[at] = voter(at as u32 + 1, incarnation, fleet.now, self.flaws);
@@ -528,7 +534,8 @@
 
 #[test]
 fn planted_an_acceptor_beside_the_promises() {
-    // What this model found in the first draft.
+    // A voter that lost its state accepts in a round that does not rest on a promise of its new incarnation.
+    // This model found the fault in an early version of the protocol.
     found(Choice { flaws: Flaws { accepts_without_promise: true, ..Flaws::default() }, crashes: 1 }, PLACE);
 }
 
--- a/crates/accord/tests/net/mod.rs
+++ b/crates/accord/tests/net/mod.rs
@@ -1,4 +1,5 @@
-//! A simulated network of members with clocks that drift, and a checker that sees what each acts on at every event.
+//! A simulated network of members whose clocks drift, and a checker that compares the terms of all members at
+//! every event.
 #![allow(dead_code)] // each test file uses a part of it
 
 use std::cmp::Reverse;
@@ -21,7 +22,7 @@
     Value::Text(word.into())
 }
 
-/// As strict as any change of these tests.
+/// At least as strict as any change of these tests.
 pub fn floor() -> Document {
     document(&[
         ("class/a/effect", word("unsafe")),
@@ -46,8 +47,8 @@
     }
 }
 
-/// What a later start of a process adds to its life.
-const LIFE: u64 = 1_000;
+/// Difference between the incarnations of two successive starts of a process.
+const INCARNATION_STEP: u64 = 1_000;
 
 enum Event {
     Datagram { from: MemberId, to: MemberId, data: Vec<u8> },
@@ -61,18 +62,18 @@
     pub incarnation: u64,
     pub up: bool,
     pub paused: bool,
-    /// Parts in a million that its clock is fast.
+    /// Clock error in parts per million; positive if the clock is fast.
     drift: i64,
     born: u64,
-    /// Refuses what has this key.
+    /// Refuses documents with this key.
     pub unknown: Option<Key>,
     pub sent: u64,
     look: u64,
-    /// A step of its work is to come.
+    /// Whether a `Work` event is queued.
     working: bool,
 }
 
-/// What members act on, in a form that compares.
+/// The terms of a member, in a form that can be compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum On {
     Floor(Digest),
@@ -108,7 +109,7 @@
     pub loss: f64,
     pub double: f64,
     pub delay: u64,
-    /// Ordered pairs over which nothing comes.
+    /// Ordered pairs of members between which datagrams are lost.
     pub cuts: BTreeSet<(MemberId, MemberId)>,
     pub flaws: Flaws,
     pub settled: Vec<(MemberId, ProposalId, Result<Version, ProposalError>)>,
@@ -118,17 +119,18 @@
     terms: BTreeMap<On, Arc<Document>>,
     judged: BTreeMap<(On, On), bool>,
     first: BTreeMap<Version, u64>,
-    /// Contradictions on hard keys, each with a word of who and what.
+    /// Contradictions on hard keys, each with its time and terms.
     pub hard: Vec<String>,
-    /// The longest that one acted on another version after the first acted on a newer.
+    /// The longest time that a member acted on another version after the first member acted on a newer one,
+    /// in microseconds.
     pub longest: u64,
-    /// By kind of call, the most processor time that one took, in microseconds, what it freed included.
+    /// By kind of call: the longest processor time of one call in microseconds, including freeing memory.
     pub pauses: BTreeMap<&'static str, u64>,
-    /// The most entries that one call worked on, and that one freed.
+    /// The maximum number of entries that one call worked on, and that one call freed.
     pub touched: (u64, u64),
 }
 
-/// Processor time of this thread, in microseconds: other work on the machine does not count.
+/// Processor time of this thread in microseconds, which excludes other load on the machine.
 pub fn busy() -> u64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
@@ -168,7 +170,7 @@
         let most = i64::from(net.settings.drift_ppm);
         for name in net.settings.roster.clone() {
             let drift = net.rng.i64(-most..=most);
-            let accord = net.born(name, 1);
+            let accord = net.create_member(name, 1);
             net.members.push(Member {
                 accord,
                 incarnation: 1,
@@ -186,12 +188,12 @@
         net
     }
 
-    fn born(&mut self, name: MemberId, incarnation: u64) -> Participant {
-        self.born_at(name, incarnation * LIFE)
+    fn create_member(&mut self, name: MemberId, incarnation: u64) -> Participant {
+        self.create_member_at(name, incarnation * INCARNATION_STEP)
     }
 
-    /// One whose machine tells this time of its start.
-    fn born_at(&mut self, name: MemberId, incarnation: u64) -> Participant {
+    /// Creates a member with this incarnation, as given by its machine's clock at the start.
+    fn create_member_at(&mut self, name: MemberId, incarnation: u64) -> Participant {
         let seed = self.rng.u64(..);
         Participant::new(self.settings.clone(), name, incarnation, seed, Duration::from_secs(7))
             .unwrap()
@@ -269,14 +271,15 @@
         self.look(from);
     }
 
-    /// Plays for so many milliseconds.
+    /// Runs the simulation for this many milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
         self.until(end, |_| false);
         self.now = end;
     }
 
-    /// Plays until something holds; false if it never did in so many milliseconds.
+    /// Runs the simulation until `done` is true. Returns false if that does not happen within this many
+    /// milliseconds.
     pub fn wait(&mut self, millis: u64, done: impl Fn(&Net) -> bool) -> bool {
         self.until(self.now + millis * 1_000, done)
     }
@@ -311,7 +314,7 @@
             return;
         }
         if member.paused {
-            // It waits in the socket, or in the loop.
+            // The event waits in the socket or in the loop of the paused process.
             let due = self.now + 50_000;
             self.push(due, event);
             return;
@@ -380,14 +383,16 @@
         let acted: BTreeSet<Version> = now.iter().filter_map(|on| on.newest()).collect();
         let latest = acted.iter().map(|version| self.first[version]).max().unwrap_or_default();
         for version in &acted {
-            // Anybody who acts on this one, long after the first acted on a later one that is still, or was followed.
+            // Find members that act on an old version long after the first member acted on a newer one that
+            // is still in effect or was followed by another.
             for (other, first) in &self.first {
                 if *first > self.first[version] && *first <= latest && other.digest != version.digest {
                     self.longest = self.longest.max(self.now - first);
                 }
             }
         }
-        // With no lease anywhere, of those stopped neither, all begins anew: what was forgotten by all is not in force.
+        // If no member holds a lease, paused ones included, the fleet may start from the beginning: a version
+        // that all members lost is not in force.
         let leased = |at: usize, member: &Member| {
             member.up
                 && !matches!(
@@ -437,7 +442,7 @@
         self.carry(name, out);
     }
 
-    /// Killed; `restart` starts another life from nothing.
+    /// Kills a member. `restart` starts its next incarnation without state.
     pub fn kill(&mut self, name: MemberId) {
         let at = self.at(name);
         self.members[at].up = false;
@@ -445,19 +450,19 @@
 
     pub fn restart(&mut self, name: MemberId) {
         let incarnation = self.members[self.at(name)].incarnation + 1;
-        self.restart_at(name, incarnation * LIFE);
+        self.restart_at(name, incarnation * INCARNATION_STEP);
     }
 
-    /// ... on a machine whose clock was set back to before an earlier start.
+    /// Restarts a member on a machine whose clock was set back to before an earlier start.
     pub fn restart_set_back(&mut self, name: MemberId) {
         let incarnation = self.members[self.at(name)].incarnation + 1;
-        self.restart_at(name, incarnation * LIFE - 3 * LIFE / 2);
+        self.restart_at(name, incarnation * INCARNATION_STEP - 3 * INCARNATION_STEP / 2);
     }
 
-    fn restart_at(&mut self, name: MemberId, told: u64) {
+    fn restart_at(&mut self, name: MemberId, reported: u64) {
         let at = self.at(name);
         let incarnation = self.members[at].incarnation + 1;
-        self.members[at].accord = self.born_at(name, told);
+        self.members[at].accord = self.create_member_at(name, reported);
         let member = &mut self.members[at];
         (member.incarnation, member.up, member.paused, member.born, member.look) =
             (incarnation, true, false, self.now, 0);
@@ -470,7 +475,7 @@
         self.members[at].paused = paused;
     }
 
-    /// Cuts all ways between the two groups, or only those from the first.
+    /// Cuts the connections from the first group to the second, and with `both` also back.
     pub fn cut(&mut self, from: &[u32], to: &[u32], both: bool) {
         for a in from {
             for b in to {
@@ -490,7 +495,7 @@
         self.members[self.at(name)].accord.status(self.clock(name))
     }
 
-    /// Whether each one that is up acts on one version, the same.
+    /// The version on which all running members act, if it is one and the same.
     pub fn agreed(&self) -> Option<Version> {
         let mut all = self.members.iter().enumerate().filter(|(_, member)| member.up && !member.paused).map(
             |(at, _)| match self.acting(MemberId(at as u32 + 1)) {
@@ -516,17 +521,19 @@
         (On::Both(..), On::One(one)) if a.obeys(one) => false,
         (On::One(one), On::Both(..)) if b.obeys(one) => false,
         (On::Both(x, y), On::Both(..)) if b.obeys(x) || b.obeys(y) => false,
-        // Nothing in common: the one is looser than the other somewhere, or says the same.
+        // No version in common: the terms contradict each other unless each covers the other.
         _ => find_uncovered(of_b, of_a).is_some() || find_uncovered(of_a, of_b).is_some(),
     }
 }
 
-/// A history of changes and faults of a seed, healed at its end. False if the members did not come to agree then.
+/// Runs a random history of changes and faults, and ends the faults. Returns false if the members did not
+/// agree afterwards.
 pub fn faulted(seed: u64, changes: u32, flaws: Flaws) -> (Net, bool) {
     played(seed, changes, flaws, 0)
 }
 
-/// The same with so many members besides that may vote, and changes of voters among the others. Files stay as they are.
+/// The same with additional members that may vote, and with changes of voters among the other changes. The
+/// settings files stay the same.
 pub fn played(seed: u64, changes: u32, flaws: Flaws, spares: u32) -> (Net, bool) {
     let mut dice = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let voters = *dice.choice(&[3, 3, 4, 5]).unwrap();
@@ -608,7 +615,8 @@
                 some.iter().for_each(|name| net.pause(MemberId(*name), false));
             }
             5 => {
-                // Two in turn: a majority of three that forgot, within a lease.
+                // Restart two members one after the other: a majority of three that loses its state within a
+                // lease.
                 let b = any(&mut dice);
                 for name in [a, b] {
                     net.kill(name);
--- a/crates/accord/tests/props.rs
+++ b/crates/accord/tests/props.rs
@@ -26,7 +26,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_digest_is_of_the_content_not_of_the_way_to_it(a in document(), b in document()) {
+    fn a_digest_depends_on_the_entries_alone(a in document(), b in document()) {
         let mut made = a.clone();
         for (key, value) in a.delta(&b) {
             match value {
@@ -39,11 +39,11 @@
     }
 
     #[test]
-    fn the_stricter_of_two_covers_both(a in document(), b in document()) {
+    fn joint_terms_cover_both_documents(a in document(), b in document()) {
         let both = joint_terms(&a, &b);
         prop_assert_eq!(find_uncovered(&a, &both), None);
         prop_assert_eq!(find_uncovered(&b, &both), None);
-        // Soft keys say what the newer says.
+        // Soft keys have the newer value.
         for (key, value) in b.iter().filter(|(key, _)| !is_hard(key)) {
             prop_assert_eq!(both.get(key), Some(value));
         }
@@ -70,7 +70,7 @@
     }
 
     #[test]
-    fn any_bytes_decode_to_a_message_that_encodes_or_to_none(mut data in prop::collection::vec(any::<u8>(), 0..1300), kind in 0u8..14) {
+    fn any_bytes_decode_to_none_or_to_a_message_that_encodes_again(mut data in prop::collection::vec(any::<u8>(), 0..1300), kind in 0u8..14) {
         if data.len() > 1 {
             (data[0], data[1]) = (2, kind);
         }
@@ -80,7 +80,7 @@
     }
 
     #[test]
-    fn any_datagrams_leave_a_member_sound(data in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..20)) {
+    fn any_datagrams_leave_a_member_without_a_lease(data in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..20)) {
         let roster: Vec<MemberId> = (1..=3).map(MemberId).collect();
         let settings = Settings { voters: roster.clone(), roster, ..Settings::default() };
         let now = std::time::Duration::from_secs(1);
@@ -93,13 +93,13 @@
             member.receive(now, MemberId(2 + at as u32 % 2), &bytes, &mut out);
             member.on_timer(now, &mut out);
         }
-        // Garbage of others is no lease of a majority.
+        // Invalid datagrams never amount to a lease from a majority.
         prop_assert!(matches!(member.active_terms(now), ActiveTerms::Floor(_)));
     }
 }
 
 #[test]
-fn keys_and_values_out_of_their_bounds_are_refused_by_name() {
+fn keys_and_values_out_of_range_are_refused_by_name() {
     for path in ["one", "", "a//b", "a/b/c/d/e", "a/ b", &format!("a/{}", "x".repeat(65))] {
         assert!(Key::new(path).is_err(), "{path}");
     }
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_document_has_bounds() {
+fn a_document_has_limits() {
     let list: Document = (0..MAX_DOCUMENT_ENTRIES)
         .map(|at| (Key::new(&format!("list/l/{at}")).unwrap(), Value::Flag(true)))
         .collect();
--- a/crates/accord/tests/voters.rs
+++ b/crates/accord/tests/voters.rs
@@ -1,13 +1,16 @@
-//! Exhaustive model of a change of voters: rounds, leases and voters that forget in one, driven by the crate's own code.
+//! Exhaustive model of a change of voters: rounds, leases, and voters that lose their state, run with the
+//! crate's own code.
 //!
-//! Version a gives way to b, and with it one list of voters to another; b then gives way to c by the new list alone. At each
-//! place the fleet may want two things: to join or to withdraw, then c or d. An activator asks, adopts, sleeps when it likes; all
-//! others are the worst that there can be and act on each record from the instant it is chosen. Never are two records
-//! chosen at one place, never do two obey versions that have nothing in common, and none obeys a alone later than a lease
-//! after the first obeyed b.
+//! Version a is replaced by b, and one list of voters by another; then b is replaced by c under the new list
+//! alone. At each position two records may be proposed: first join or withdraw, then c or d. An activator
+//! requests leases, adopts records, and pauses at any time. All other activators are modelled by their worst
+//! case: they act on each record from the moment it is chosen. No two records are chosen at one position, no
+//! two activators obey versions that have nothing in common, and none obeys a alone longer than a lease after
+//! the first obeyed b.
 //!
-//! What is left out, so that all states are seen in seconds: the answer to a word of a round comes at once (a lost answer
-//! is a word that never came; `model.rs` has late answers of both kinds, with one list), and a lease is granted at once.
+//! To explore all states within seconds, answers in a round arrive at once (a lost answer is the same as a
+//! request that was never delivered; `model.rs` covers late answers of both kinds with one list), and leases
+//! are granted at once.
 
 mod check;
 
@@ -33,23 +36,23 @@
     VoterList::new(names.iter().map(|name| MemberId(*name))).unwrap()
 }
 
-/// The change: from one list to the other.
+/// A change from one list of voters to another.
 #[derive(Clone, Debug)]
 struct Change {
     flaws: Flaws,
     from: VoterList,
     to: VoterList,
-    /// The place known to all at the start.
+    /// The position that all voters know at the start.
     first: u32,
-    /// The last place that is chosen.
+    /// The last position to be chosen.
     last: u32,
-    /// The place at which two want different things: there rounds are played out. Elsewhere only one record may follow, and a round
-    /// is its second step.
+    /// The position at which two records compete; rounds are run in full there. Elsewhere only one record may
+    /// follow, and a round is its second phase only.
     contest: Option<u32>,
-    /// Who starts from nothing, once.
+    /// The voter that restarts without state, once.
     forgets: Option<u32>,
     ticks: u8,
-    /// Of whom the activator asks a lease.
+    /// The voters from which the activator requests leases.
     asked: &'static [u32],
 }
 
@@ -58,13 +61,13 @@
     now: u8,
     voters: Vec<Voter>,
     holder: LeaseHolder,
-    /// The place of the record that the activator obeys.
+    /// Position of the record that the activator obeys.
     adopted: u32,
-    /// By place.
+    /// By position.
     chosen: BTreeMap<u32, Record>,
-    /// By place and who wants it.
+    /// By position and proposer.
     rounds: BTreeMap<(u32, u32), Round>,
-    /// Who accepted the next one in this life, where only one may follow.
+    /// Voters whose current incarnation accepted the next record, where only one may follow.
     took: BTreeSet<MemberId>,
     twice: bool,
     forgot: bool,
@@ -87,7 +90,7 @@
 }
 
 impl Change {
-    /// What the one or the other wants after a record. None after the last.
+    /// The record that a proposer wants after this one; `None` after the last.
     fn proposal(&self, after: &Record, of: u32) -> Option<Record> {
         let (position, proposal_id) = (after.position.next(), after.proposal_id);
         let same = Record { position, ..*after };
@@ -183,7 +186,7 @@
         names.sort_unstable();
         let ready = |name: &u32| {
             let mut voter = self.voter(*name, 1, 0, &chosen);
-            // One to come was silent for long and has learnt: of one that has not, see those that forget.
+            // Future voters are past their silence and have recovered; `forgets` covers one that is not.
             voter = voter.into_voting();
             chosen.values().for_each(|record| {
                 voter.learn(secs(0), record);
@@ -269,7 +272,7 @@
                 }
                 let (me, incarnation) = (fleet.voters[voter].me(), fleet.voters[voter].incarnation());
                 if let RoundAction::Chosen(record) = round.on_accepted(me, accept.ballot, incarnation) {
-                    // What else it hears changes nothing any more.
+                    // Further answers would not change anything.
                     fleet.rounds.remove(&(place, of));
                     fleet.put(record);
                 }
@@ -312,7 +315,7 @@
             }
             Does::Forget(at) => {
                 fleet.forgot = true;
-                // What its earlier life accepted counts for nobody: lives tell them apart.
+                // What an earlier incarnation accepted does not count.
                 fleet.took.remove(&fleet.voters[at].me());
                 let voter = self.voter(fleet.voters[at].me().0, 2, fleet.now, &fleet.chosen);
                 fleet.voters[at] = voter;
@@ -365,7 +368,8 @@
 const APART: &str = "no two obey versions with nothing in common";
 const BOUND: &str = "none obeys the old alone beyond a lease";
 
-/// Down to one voter: the smallest change after which the old majority and the new one may be strangers.
+/// Reduces the list to one voter: the smallest change after which a majority of the old list and one of the
+/// new may have no member in common.
 fn down_to_one() -> Change {
     Change {
         flaws: Flaws::default(),
@@ -390,11 +394,11 @@
     explored(Change { forgets: Some(2), ..down_to_one() }).assert_properties();
 }
 
-/// The trace to a state that breaks the property. Nothing more is looked at once there is one.
+/// Finds a trace to a state that violates the property, and stops there.
 fn flaw(model: Change, property: &'static str) {
     let checker = model.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let path =
-        checker.discovery(property).unwrap_or_else(|| panic!("a planted flaw was not found: {property}"));
+        checker.discovery(property).unwrap_or_else(|| panic!("an injected fault was not found: {property}"));
     let steps = path.into_actions();
     println!("found in {} steps of {} states: {steps:#?}", steps.len(), checker.state_count());
     assert!(!steps.is_empty());
