--- a/crates/accord/tests/check/mod.rs
+++ b/crates/accord/tests/check/mod.rs
@@ -7,7 +7,7 @@
 const MAX_STATES: usize = 6_000_000;
 
 /// Explores all reachable states. Fails above `MAX_STATES`, because an incomplete exploration proves nothing.
-pub fn explored<M>(model: M) -> impl Checker<M>
+pub fn explore<M>(model: M) -> impl Checker<M>
 where
     M: Model + Send + Sync + 'static,
     M::State: std::hash::Hash + Send + Sync + Clone + std::fmt::Debug + PartialEq + Eq,
@@ -21,7 +21,7 @@
 }
 
 /// Finds a trace to a state that violates the property. Fails if the injected fault is not found.
-pub fn found<M>(model: M, property: &'static str)
+pub fn assert_detected<M>(model: M, property: &'static str)
 where
     M: Model + Send + Sync + 'static,
     M::State: std::hash::Hash + Send + Sync + Clone + std::fmt::Debug + PartialEq + Eq,
--- a/crates/accord/tests/faults.rs
+++ b/crates/accord/tests/faults.rs
@@ -23,18 +23,23 @@
 
 #[track_caller]
 fn assert_guarantees(net: &Net) {
-    assert!(net.hard.is_empty(), "{:#?}\n{:#?}", net.hard, net.notes);
+    assert!(net.hard_contradictions.is_empty(), "{:#?}\n{:#?}", net.hard_contradictions, net.notes);
     let bound = net.settings.bound().as_micros() as u64;
-    assert!(net.longest <= bound, "{} us of contradiction, {bound} promised\n{:#?}", net.longest, net.notes);
+    assert!(
+        net.longest_contradiction_us <= bound,
+        "{} us of contradiction, {bound} promised\n{:#?}",
+        net.longest_contradiction_us,
+        net.notes
+    );
 }
 
 #[test]
 fn a_change_comes_into_force_on_all_members() {
     let mut net = Net::new(5, 3, 1);
-    net.start();
+    net.wait_for_start();
     let id = net.propose(MemberId(5), attempts(2)).unwrap();
     assert!(
-        net.wait(30_000, |net| net.agreed().is_some_and(|version| version.number == 2)),
+        net.run_until(30_000, |net| net.agreed().is_some_and(|version| version.number == 2)),
         "{:#?}",
         net.notes
     );
@@ -49,10 +54,20 @@
 fn random_histories_keep_the_bound_and_end_in_agreement() {
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(60);
     for seed in 0..seeds {
-        let (net, agreed) = faulted(seed, 4, Default::default());
+        let (net, agreed) = random_history(seed, 4, Default::default());
         let bound = net.settings.bound().as_micros() as u64;
-        assert!(net.hard.is_empty(), "seed {seed}: {:#?}\n{:#?}", net.hard, net.notes);
-        assert!(net.longest <= bound, "seed {seed}: {} of {bound} us\n{:#?}", net.longest, net.notes);
+        assert!(
+            net.hard_contradictions.is_empty(),
+            "seed {seed}: {:#?}\n{:#?}",
+            net.hard_contradictions,
+            net.notes
+        );
+        assert!(
+            net.longest_contradiction_us <= bound,
+            "seed {seed}: {} of {bound} us\n{:#?}",
+            net.longest_contradiction_us,
+            net.notes
+        );
         assert!(agreed, "seed {seed}: not agreed after 120 s\n{:#?}", net.notes);
     }
 }
@@ -62,10 +77,20 @@
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(30);
     let (mut lists, mut longest) = (BTreeSet::new(), 0);
     for seed in 0..seeds {
-        let (net, agreed) = played(seed, 4, Default::default(), 1 + seed as u32 % 3);
+        let (net, agreed) = random_history_with_spares(seed, 4, Default::default(), 1 + seed as u32 % 3);
         let bound = net.settings.bound().as_micros() as u64;
-        assert!(net.hard.is_empty(), "seed {seed}: {:#?}\n{:#?}", net.hard, net.notes);
-        assert!(net.longest <= bound, "seed {seed}: {} of {bound} us\n{:#?}", net.longest, net.notes);
+        assert!(
+            net.hard_contradictions.is_empty(),
+            "seed {seed}: {:#?}\n{:#?}",
+            net.hard_contradictions,
+            net.notes
+        );
+        assert!(
+            net.longest_contradiction_us <= bound,
+            "seed {seed}: {} of {bound} us\n{:#?}",
+            net.longest_contradiction_us,
+            net.notes
+        );
         assert!(agreed, "seed {seed}: not agreed after 120 s\n{:#?}", net.notes);
         let list = listed(&net, 1);
         assert!(
@@ -75,7 +100,7 @@
         if list.len() > 3 || list != [1, 2, 3] {
             lists.insert((seed, list));
         }
-        longest = longest.max(net.longest);
+        longest = longest.max(net.longest_contradiction_us);
     }
     println!("{} of {seeds} ended with another list; at most {longest} us of contradiction", lists.len());
     assert!(lists.len() as u64 > seeds / 4, "too few changed their voters to show anything");
@@ -84,7 +109,7 @@
 /// Runs until all members act on this version.
 #[track_caller]
 fn in_force(net: &mut Net, number: u64) {
-    let done = net.wait(60_000, |net| net.agreed().is_some_and(|version| version.number == number));
+    let done = net.run_until(60_000, |net| net.agreed().is_some_and(|version| version.number == number));
     assert!(done, "{number} is not in force: {:#?}", net.notes);
 }
 
@@ -92,11 +117,11 @@
 fn of_two_concurrent_proposals_one_is_refused() {
     for seed in 0..8 {
         let mut net = Net::new(5, 3, seed);
-        net.start();
+        net.wait_for_start();
         net.propose(MemberId(4), attempts(2)).unwrap();
         net.propose(MemberId(5), attempts(5)).unwrap();
         in_force(&mut net, 2);
-        assert!(net.wait(60_000, |net| net.settled.len() == 2), "{:?}\n{:#?}", net.settled, net.notes);
+        assert!(net.run_until(60_000, |net| net.settled.len() == 2), "{:?}\n{:#?}", net.settled, net.notes);
         let (good, bad): (Vec<_>, Vec<_>) = net.settled.iter().partition(|(.., result)| result.is_ok());
         assert!(
             matches!(bad[..], [(_, _, Err(ProposalError::Busy(_) | ProposalError::StaleBase(_)))]),
@@ -117,7 +142,7 @@
     // Voter 1 has the highest rank and drives the rounds. It is killed at ever later steps.
     for (seed, millis) in (0..24).map(|at| (at, at * 25)) {
         let mut net = Net::new(5, 3, seed);
-        net.start();
+        net.wait_for_start();
         net.propose(MemberId(1), attempts(2)).unwrap();
         net.run(millis);
         net.kill(MemberId(1));
@@ -125,7 +150,7 @@
             net.members[1..].iter().all(|one| one.accord.status(Duration::ZERO).pending.is_none())
         };
         assert!(
-            net.wait(90_000, |net| still(net) && net.agreed().is_some()),
+            net.run_until(90_000, |net| still(net) && net.agreed().is_some()),
             "killed at {millis} ms: {:#?}",
             net.notes
         );
@@ -136,7 +161,7 @@
 #[test]
 fn a_member_that_is_cut_off_obeys_the_floor_and_recovers_by_itself() {
     let mut net = Net::new(5, 3, 3);
-    net.start();
+    net.wait_for_start();
     net.cut(&[2, 5], &[1, 3, 4], true);
     net.run(4_000);
     for name in [2, 5] {
@@ -146,7 +171,7 @@
         assert!(matches!(net.propose(MemberId(name), attempts(2)), Err(ProposalError::Unavailable(_))));
     }
     net.propose(MemberId(4), attempts(2)).unwrap();
-    assert!(net.wait(30_000, |net| obeyed_attempts(net, 4) == Some(Value::Int(2))));
+    assert!(net.run_until(30_000, |net| obeyed_attempts(net, 4) == Some(Value::Int(2))));
     assert_guarantees(&net);
     net.cuts.clear();
     in_force(&mut net, 2);
@@ -156,7 +181,7 @@
 #[test]
 fn a_paused_member_does_not_act_on_an_expired_lease() {
     let mut net = Net::new(4, 3, 4);
-    net.start();
+    net.wait_for_start();
     net.pause(MemberId(4), true);
     net.propose(MemberId(1), attempts(2)).unwrap();
     net.run(20_000);
@@ -172,14 +197,14 @@
 fn voters_that_all_lose_their_state_bootstrap_with_the_newest_remaining_document() {
     for seed in 0..8 {
         let mut net = Net::new(5, 3, seed);
-        net.start();
+        net.wait_for_start();
         net.propose(MemberId(5), attempts(2)).unwrap();
         in_force(&mut net, 2);
         let digest = net.agreed().unwrap().digest;
         (1..=3).for_each(|name| net.kill(MemberId(name)));
         net.run(600);
         (1..=3).for_each(|name| net.restart(MemberId(name)));
-        assert!(net.wait(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
+        assert!(net.run_until(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
         assert_eq!(net.agreed().unwrap().digest, digest, "seed {seed}");
         assert!(net.agreed().unwrap().number > 2, "never the number of what may have been lost");
         assert_guarantees(&net);
@@ -192,7 +217,7 @@
 fn voters_that_restart_on_clocks_that_were_set_back_vote_again() {
     for seed in 0..8 {
         let mut net = Net::new(5, 3, seed);
-        net.start();
+        net.wait_for_start();
         net.propose(MemberId(5), attempts(2)).unwrap();
         in_force(&mut net, 2);
         for name in 1..=3 {
@@ -200,9 +225,13 @@
             net.restart_set_back(MemberId(name));
             net.run(200);
         }
-        assert!(net.wait(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
+        assert!(net.run_until(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
         net.propose(MemberId(4), attempts(3)).unwrap();
-        assert!(net.wait(60_000, |net| obeyed_attempts(net, 1) == Some(Value::Int(3))), "seed {seed}: {:#?}", net.notes);
+        assert!(
+            net.run_until(60_000, |net| obeyed_attempts(net, 1) == Some(Value::Int(3))),
+            "seed {seed}: {:#?}",
+            net.notes
+        );
         assert_guarantees(&net);
     }
 }
@@ -210,21 +239,21 @@
 #[test]
 fn a_voter_without_state_and_a_third_one_bootstrap_when_another_is_dead() {
     let mut net = Net::new(4, 3, 5);
-    net.start();
+    net.wait_for_start();
     net.kill(MemberId(3));
     net.run(1_000);
     net.kill(MemberId(2));
     net.restart(MemberId(2));
-    assert!(net.wait(60_000, |net| net.agreed().is_some()), "{:#?}", net.notes);
+    assert!(net.run_until(60_000, |net| net.agreed().is_some()), "{:#?}", net.notes);
     net.propose(MemberId(4), attempts(2)).unwrap();
-    assert!(net.wait(60_000, |net| obeyed_attempts(net, 1) == Some(Value::Int(2))), "{:#?}", net.notes);
+    assert!(net.run_until(60_000, |net| obeyed_attempts(net, 1) == Some(Value::Int(2))), "{:#?}", net.notes);
     assert_guarantees(&net);
 }
 
 #[test]
 fn a_version_waits_for_a_refusing_member_until_withdrawn_or_proceeds_without_it() {
     let mut net = Net::new(5, 3, 6);
-    net.start();
+    net.wait_for_start();
     net.members[4].unknown = Some(key("list/l/new"));
     let with = |change: &mut Change| {
         change.set.insert(key("list/l/new"), Value::Flag(true));
@@ -234,13 +263,13 @@
     assert_eq!(net.agreed().map(|version| version.number), Some(1), "{:#?}", net.notes);
     assert_eq!(net.view(MemberId(1)).refused, [(MemberId(5), Refusal::Unknown("list/l/new".into()))]);
     net.withdraw(MemberId(2));
-    assert!(net.wait(30_000, |net| net.settled.len() == 1), "{:#?}", net.notes);
+    assert!(net.run_until(30_000, |net| net.settled.len() == 1), "{:#?}", net.notes);
     assert!(matches!(net.settled[0].2, Err(ProposalError::Withdrawn)));
     net.propose(MemberId(1), |change| drop(change.set.insert(key("accord/refused"), word("go_on")))).unwrap();
     in_force(&mut net, 2);
     net.propose(MemberId(1), with).unwrap();
     assert!(
-        net.wait(60_000, |net| net.settled.len() == 3 && net.view(MemberId(1)).known.number == 3),
+        net.run_until(60_000, |net| net.settled.len() == 3 && net.view(MemberId(1)).known.number == 3),
         "{:#?}",
         net.notes
     );
@@ -256,7 +285,7 @@
     loose.floor.set(key("limit/x"), Value::Int(50));
     loose.floor.seal();
     let mut net = Net::with(loose, 7, Default::default());
-    net.start();
+    net.wait_for_start();
     let refused = net.propose(MemberId(1), |change| drop(change.set.insert(key("limit/x"), Value::Int(9))));
     assert_eq!(refused, Err(ProposalError::Change(ChangeError::StricterThanFloor(key("limit/x")))));
     let unsaid = net.propose(MemberId(1), |change| drop(change.set.insert(key("limit/y"), Value::Int(9))));
@@ -267,7 +296,7 @@
     assert_eq!(net.agreed().map(|version| version.number), Some(1));
     assert!(net.view(MemberId(1)).refused.contains(&(MemberId(4), Refusal::Floor("limit/x".into()))));
     net.withdraw(MemberId(1));
-    assert!(net.wait(30_000, |net| net.settled.len() == 1));
+    assert!(net.run_until(30_000, |net| net.settled.len() == 1));
     // Members get new files one by one. One member is still cut off, so the stricter floor waits for it.
     net.settings.floor.set(key("limit/x"), Value::Int(0));
     net.settings.floor.seal();
@@ -315,7 +344,7 @@
 fn a_dead_voter_is_replaced_and_then_another_may_die() {
     for seed in 0..6 {
         let mut net = net_with_eligible_voters(seed);
-        net.start();
+        net.wait_for_start();
         net.kill(MemberId(1));
         net.run(8_000);
         net.propose(MemberId(6), voters(&[4], &[1])).unwrap();
@@ -339,7 +368,7 @@
     let mut net = net_with_eligible_voters(1);
     net.settings.eligible_voters = (1..=6).map(MemberId).collect();
     (1..=6).for_each(|name| net.restart(MemberId(name)));
-    net.start();
+    net.wait_for_start();
     net.propose(MemberId(1), voters(&[4, 5, 6], &[1, 2, 3])).unwrap();
     let mut fell = 0;
     while net.agreed().is_none_or(|version| version.number != 2) {
@@ -362,16 +391,16 @@
     net.settings.eligible_voters = (1..=6).map(MemberId).collect();
     net.settings.roster = (1..=6).map(MemberId).collect();
     (1..=6).for_each(|name| net.restart(MemberId(name)));
-    net.start();
+    net.wait_for_start();
     net.cut(&[6], &[1, 2, 3, 4, 5], true);
     net.run(6_000);
     net.propose(MemberId(5), voters(&[4, 5], &[1, 2])).unwrap();
-    assert!(net.wait(60_000, |net| listed(net, 3) == [3, 4, 5]), "{:#?}", net.notes);
+    assert!(net.run_until(60_000, |net| listed(net, 3) == [3, 4, 5]), "{:#?}", net.notes);
     // Member 6 knows voters 1 to 3. Only voter 3 is left of them, and cannot be reached.
     (1..=2).for_each(|name| net.kill(MemberId(name)));
     net.cuts.clear();
     net.cut(&[6], &[1, 2, 3], true);
-    assert!(net.wait(60_000, |net| listed(net, 6) == [3, 4, 5]), "{:#?}", net.notes);
+    assert!(net.run_until(60_000, |net| listed(net, 6) == [3, 4, 5]), "{:#?}", net.notes);
     in_force(&mut net, 2);
     assert_guarantees(&net);
 }
@@ -380,7 +409,7 @@
 fn a_voter_killed_while_it_removes_itself_leaves_one_list() {
     for (seed, millis) in (0..16).map(|at| (at, at * 150)) {
         let mut net = net_with_eligible_voters(seed);
-        net.start();
+        net.wait_for_start();
         net.propose(MemberId(1), voters(&[4, 5], &[1])).unwrap();
         net.run(millis);
         net.kill(MemberId(1));
@@ -388,7 +417,7 @@
             net.members[1..].iter().all(|one| one.accord.status(Duration::ZERO).pending.is_none())
         };
         assert!(
-            net.wait(90_000, |net| still(net) && net.agreed().is_some()),
+            net.run_until(90_000, |net| still(net) && net.agreed().is_some()),
             "killed at {millis} ms: {:#?}",
             net.notes
         );
@@ -403,14 +432,14 @@
 fn voters_that_all_restart_with_old_files_find_the_newest_list() {
     for seed in 0..6 {
         let mut net = net_with_eligible_voters(seed);
-        net.start();
+        net.wait_for_start();
         net.propose(MemberId(2), voters(&[4, 5], &[1, 2])).unwrap();
         in_force(&mut net, 2);
         // The files still name voters 1 to 3. Only member 6, which has no vote, knows the current list.
         (1..=5).for_each(|name| net.kill(MemberId(name)));
         net.run(600);
         (1..=5).for_each(|name| net.restart(MemberId(name)));
-        assert!(net.wait(90_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
+        assert!(net.run_until(90_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
         assert_eq!(listed(&net, 1), [3, 4, 5], "seed {seed}: {:#?}", net.notes);
         assert_guarantees(&net);
     }
@@ -420,7 +449,7 @@
 fn old_voters_alone_do_not_bootstrap_while_new_ones_vote() {
     for seed in 0..6 {
         let mut net = net_with_eligible_voters(seed);
-        net.start();
+        net.wait_for_start();
         net.propose(MemberId(2), voters(&[4, 5], &[1, 2])).unwrap();
         in_force(&mut net, 2);
         // A majority of the list in the files restarts without state and reaches no other member.
@@ -446,7 +475,7 @@
         let mut net = net_with_eligible_voters(5);
         net.settings.eligible_voters = (1..=4).map(MemberId).collect();
         (1..=6).for_each(|name| net.restart(MemberId(name)));
-        net.start();
+        net.wait_for_start();
         net.kill(MemberId(1));
         net.run(8_000);
         net.propose(MemberId(6), |change| {
@@ -470,7 +499,7 @@
 #[test]
 fn an_invalid_list_of_voters_is_refused_with_its_reason() {
     let mut net = net_with_eligible_voters(3);
-    net.start();
+    net.wait_for_start();
     let refused = |net: &mut Net, set: &[u32], drop: &[u32]| match net.propose(MemberId(1), voters(set, drop))
     {
         Err(ProposalError::Voters(why)) => why,
@@ -492,7 +521,7 @@
     assert!(refused(&mut net, &[], &[1, 2, 3, 4]).contains("at least one voter must remain"));
     // The second of two changes of voters is refused because of the first.
     net.propose(MemberId(1), voters(&[5], &[1])).unwrap();
-    assert!(net.wait(30_000, |net| net.view(MemberId(6)).pending.is_some()));
+    assert!(net.run_until(30_000, |net| net.view(MemberId(6)).pending.is_some()));
     let busy = net.propose(MemberId(6), voters(&[5], &[2]));
     assert!(matches!(busy, Err(ProposalError::Busy(_) | ProposalError::StaleBase(_))), "{busy:?}");
     in_force(&mut net, 3);
@@ -503,14 +532,14 @@
 #[test]
 fn a_list_with_a_dead_majority_is_not_joined_and_can_be_withdrawn() {
     let mut net = net_with_eligible_voters(4);
-    net.start();
+    net.wait_for_start();
     net.kill(MemberId(4));
     net.kill(MemberId(5));
     net.propose(MemberId(6), voters(&[4, 5], &[1, 2])).unwrap();
     // The version is withdrawn automatically after twice the preparation timeout.
     net.run(15_000);
     assert!(net.view(MemberId(6)).pending.is_some());
-    assert!(net.wait(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.notes);
+    assert!(net.run_until(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.notes);
     assert!(
         matches!(net.settled[..], [(MemberId(6), _, Err(ProposalError::Withdrawn))]),
         "{:?}",
@@ -523,7 +552,7 @@
     let to_come: Vec<u32> = view.next_voters.unwrap().iter().map(|(name, _)| name.0).collect();
     assert_eq!((view.pending.map(|(_, both)| both), to_come), (Some(false), vec![3, 4, 5]));
     net.withdraw(MemberId(6));
-    assert!(net.wait(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.notes);
+    assert!(net.run_until(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.notes);
     net.propose(MemberId(6), attempts(2)).unwrap();
     in_force(&mut net, 2);
     assert_eq!(listed(&net, 6), [1, 2, 3]);
@@ -534,9 +563,9 @@
 fn a_list_of_100_000_entries_reaches_all_members_despite_loss_and_a_change_of_it_is_small() {
     let mut net = Net::new(4, 3, 8);
     net.settings.transfer_bytes_per_period = 600_000;
-    net.check = false;
+    net.checks_enabled = false;
     (1..=4).for_each(|name| net.restart(MemberId(name)));
-    net.start();
+    net.wait_for_start();
     net.loss = 0.1;
     net.propose(MemberId(4), |change| {
         change.set =
@@ -544,7 +573,7 @@
     })
     .unwrap();
     assert!(
-        net.wait(300_000, |net| net.agreed().is_some_and(|version| version.number == 2)),
+        net.run_until(300_000, |net| net.agreed().is_some_and(|version| version.number == 2)),
         "{:#?}",
         net.notes
     );
@@ -556,7 +585,7 @@
     })
     .unwrap();
     assert!(
-        net.wait(60_000, |net| net.agreed().is_some_and(|version| version.number == 3)),
+        net.run_until(60_000, |net| net.agreed().is_some_and(|version| version.number == 3)),
         "{:#?}",
         net.notes
     );
@@ -580,10 +609,10 @@
     const ENTRIES: u64 = 60_000;
     let mut net = Net::new(4, 3, 10);
     net.settings.transfer_bytes_per_period = 600_000;
-    net.check = false;
+    net.checks_enabled = false;
     (1..=4).for_each(|name| net.restart(MemberId(name)));
-    net.start();
-    net.touched = (0, 0);
+    net.wait_for_start();
+    net.max_entries_touched = (0, 0);
     list(&mut net, ENTRIES, true);
     in_force(&mut net, 2);
     list(&mut net, ENTRIES, false);
@@ -603,11 +632,15 @@
     }
     net.run(5_000);
     let most = STEP_ENTRIES as u64 + MAX_BUCKET_ENTRIES;
-    assert!(net.touched.0 <= most && net.touched.1 <= most, "{:?} of {most}", net.touched);
     assert!(
-        net.touched.0 >= STEP_ENTRIES as u64 && net.touched.1 >= STEP_ENTRIES as u64,
+        net.max_entries_touched.0 <= most && net.max_entries_touched.1 <= most,
+        "{:?} of {most}",
+        net.max_entries_touched
+    );
+    assert!(
+        net.max_entries_touched.0 >= STEP_ENTRIES as u64 && net.max_entries_touched.1 >= STEP_ENTRIES as u64,
         "there was work: {:?}",
-        net.touched
+        net.max_entries_touched
     );
     for member in &net.members {
         let (worked, freed) = member.accord.entries_touched();
@@ -622,20 +655,21 @@
     for seed in 0..4 {
         let mut net = Net::new(5, 3, seed);
         net.settings.transfer_bytes_per_period = 200_000;
-        net.check = false;
+        net.checks_enabled = false;
         (1..=5).for_each(|name| net.restart(MemberId(name)));
-        net.start();
-        (net.loss, net.double) = (0.05, 0.1);
+        net.wait_for_start();
+        (net.loss, net.duplication) = (0.05, 0.1);
         net.pause(MemberId(3), seed % 2 == 1);
         list(&mut net, 20_000, true);
         let coming = |net: &Net| net.view(MemberId(1)).pending.is_some();
-        assert!(net.wait(60_000, coming), "seed {seed}: {:#?}", net.notes);
+        assert!(net.run_until(60_000, coming), "seed {seed}: {:#?}", net.notes);
         // Withdraw while other members receive chunks, hash or check the document.
         net.run(seed * 130);
         net.withdraw(MemberId(1));
         net.pause(MemberId(3), false);
         let still = |net: &Net| (1..=5).all(|name| net.view(MemberId(name)).pending.is_none());
-        let settled = net.wait(90_000, |net| net.settled.len() == 1 && still(net) && net.agreed().is_some());
+        let settled =
+            net.run_until(90_000, |net| net.settled.len() == 1 && still(net) && net.agreed().is_some());
         assert!(settled, "seed {seed}: {:#?}", net.notes);
         given_up += u32::from(net.settled[0].2 == Err(ProposalError::Withdrawn));
         let before = net.view(MemberId(1)).known.number;
@@ -656,7 +690,7 @@
 #[test]
 fn a_large_invalid_change_is_refused_later_with_the_same_error() {
     let mut net = Net::new(4, 3, 11);
-    net.start();
+    net.wait_for_start();
     let undercuts = |change: &mut Change, entries: u64| {
         change.set = (0..entries).map(|at| (key(&format!("list/l/{at}")), Value::Flag(true))).collect();
         change.set.insert(key("limit/y"), Value::Int(3));
@@ -666,7 +700,7 @@
     let id = net.propose(MemberId(4), |change| undercuts(change, 20_000)).unwrap();
     let busy = net.propose(MemberId(4), attempts(2));
     assert!(matches!(busy, Err(ProposalError::Unavailable(_))), "one at a time: {busy:?}");
-    assert!(net.wait(30_000, |net| net.settled.len() == 1));
+    assert!(net.run_until(30_000, |net| net.settled.len() == 1));
     assert_eq!(net.settled[0], (MemberId(4), id, Err(word)));
     net.propose(MemberId(4), attempts(2)).unwrap();
     in_force(&mut net, 2);
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use check::{explored, found};
+use check::{assert_detected, explore};
 use stateright::{Checker, Model, Property};
 use wheellink_accord::parts::{
     Accept, Flaws, LeaseHolder, LeaseRequest, Promise, PromiseRequest, Round, RoundAction, Voter,
@@ -82,27 +82,27 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Said {
+enum Packet {
     PromiseRequest(PromiseRequest),
     Promise { to: MemberId, from: MemberId, promise: Promise },
     Accept(Accept),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Place {
+struct ChoiceState {
     voters: Vec<Voter>,
     rounds: Vec<Round>,
     chosen: BTreeSet<Record>,
     /// Messages in transit. Requests may arrive late, twice, at some voters, or at none.
-    said: BTreeSet<Said>,
+    in_transit: BTreeSet<Packet>,
     crashes: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 #[allow(clippy::large_enum_variant)]
-enum Act {
-    Deliver(MemberId, Said),
-    Forget(usize),
+enum ChoiceAction {
+    Deliver(MemberId, Packet),
+    Restart(usize),
     /// Both other voters send their state to a voter that lost its own, and its silence ends.
     Recover(usize),
 }
@@ -120,20 +120,20 @@
         }
     }
 
-    fn put(&self, place: &mut Place, step: RoundAction) {
-        match step {
-            RoundAction::Accept(accept) => drop(place.said.insert(Said::Accept(accept))),
-            RoundAction::Chosen(record) => drop(place.chosen.insert(record)),
+    fn apply(&self, state: &mut ChoiceState, action: RoundAction) {
+        match action {
+            RoundAction::Accept(accept) => drop(state.in_transit.insert(Packet::Accept(accept))),
+            RoundAction::Chosen(record) => drop(state.chosen.insert(record)),
             RoundAction::Wait | RoundAction::Preempted(_) => {}
         }
     }
 }
 
 impl Model for Choice {
-    type State = Place;
-    type Action = Act;
+    type State = ChoiceState;
+    type Action = ChoiceAction;
 
-    fn init_states(&self) -> Vec<Place> {
+    fn init_states(&self) -> Vec<ChoiceState> {
         let ready = |name| {
             let mut one = voter(name, 1, 0, Flaws { votes_at_once: false, ..self.flaws }).into_voting();
             one.learn(secs(0), &record(1));
@@ -144,105 +144,110 @@
             Round::new(&record(1), Self::proposal(at), (at as u32 + 1, MemberId(at as u32 + 1)))
                 .flawed(self.flaws)
         });
-        vec![Place {
+        vec![ChoiceState {
             voters: (1..=VOTERS).map(ready).collect(),
-            said: rounds.clone().map(|round| Said::PromiseRequest(*round.request())).collect(),
+            in_transit: rounds.clone().map(|round| Packet::PromiseRequest(*round.request())).collect(),
             rounds: rounds.collect(),
             chosen: BTreeSet::new(),
             crashes: 0,
         }]
     }
 
-    fn actions(&self, place: &Place, acts: &mut Vec<Act>) {
-        for said in &place.said {
-            match said {
-                Said::Promise { to, .. } => acts.push(Act::Deliver(*to, said.clone())),
-                _ => acts.extend((1..=VOTERS).map(|name| Act::Deliver(MemberId(name), said.clone()))),
+    fn actions(&self, state: &ChoiceState, actions: &mut Vec<ChoiceAction>) {
+        for packet in &state.in_transit {
+            match packet {
+                Packet::Promise { to, .. } => actions.push(ChoiceAction::Deliver(*to, packet.clone())),
+                _ => actions
+                    .extend((1..=VOTERS).map(|name| ChoiceAction::Deliver(MemberId(name), packet.clone()))),
             }
         }
         // Voters are symmetric, so only the first one restarts without state.
-        if place.crashes < self.crashes {
-            acts.push(Act::Forget(0));
+        if state.crashes < self.crashes {
+            actions.push(ChoiceAction::Restart(0));
         }
-        if place.voters[0].incarnation() > 1 {
-            acts.push(Act::Recover(0));
+        if state.voters[0].incarnation() > 1 {
+            actions.push(ChoiceAction::Recover(0));
         }
     }
 
-    fn next_state(&self, before: &Place, act: Act) -> Option<Place> {
-        let mut place = before.clone();
+    fn next_state(&self, before: &ChoiceState, action: ChoiceAction) -> Option<ChoiceState> {
+        let mut state = before.clone();
         let now = secs(0);
-        match act {
-            Act::Deliver(to, said) => {
+        match action {
+            ChoiceAction::Deliver(to, packet) => {
                 let at = to.0 as usize - 1;
-                match said {
-                    Said::PromiseRequest(ask) => {
-                        let promise = place.voters[at].promise(now, &ask)?;
-                        if place.rounds[ask.ballot.1 .0 as usize - 1].accept().is_none() {
-                            place.said.insert(Said::Promise { to: ask.ballot.1, from: to, promise });
+                match packet {
+                    Packet::PromiseRequest(request) => {
+                        let promise = state.voters[at].promise(now, &request)?;
+                        if state.rounds[request.ballot.1 .0 as usize - 1].accept().is_none() {
+                            state.in_transit.insert(Packet::Promise {
+                                to: request.ballot.1,
+                                from: to,
+                                promise,
+                            });
                         }
                     }
-                    Said::Accept(accept) => {
-                        if place.voters[at].accept(now, &accept) {
-                            let incarnation = place.voters[at].incarnation();
-                            let (from, to) = (place.voters[at].me(), accept.ballot.1 .0 as usize - 1);
+                    Packet::Accept(accept) => {
+                        if state.voters[at].accept(now, &accept) {
+                            let incarnation = state.voters[at].incarnation();
+                            let (from, to) = (state.voters[at].me(), accept.ballot.1 .0 as usize - 1);
                             // The acceptance is counted at once; a later delivery could not choose anything
                             // else.
-                            let step = place.rounds[to].on_accepted(from, accept.ballot, incarnation);
-                            self.put(&mut place, step);
+                            let step = state.rounds[to].on_accepted(from, accept.ballot, incarnation);
+                            self.apply(&mut state, step);
                         }
                     }
-                    Said::Promise { from, promise, to } => {
-                        let step = place.rounds[at].on_promise(from, &promise);
-                        place.said.remove(&Said::Promise { from, promise, to });
-                        self.put(&mut place, step);
-                        if place.rounds[at].accept().is_some() {
+                    Packet::Promise { from, promise, to } => {
+                        let step = state.rounds[at].on_promise(from, &promise);
+                        state.in_transit.remove(&Packet::Promise { from, promise, to });
+                        self.apply(&mut state, step);
+                        if state.rounds[at].accept().is_some() {
                             // The round ignores further promises.
-                            place.said.retain(
-                                |said| !matches!(said, Said::Promise { to: other, .. } if *other == to),
+                            state.in_transit.retain(
+                                |packet| !matches!(packet, Packet::Promise { to: other, .. } if *other == to),
                             );
                         }
                     }
                 }
             }
-            Act::Forget(at) => {
-                place.crashes += 1;
-                let incarnation = place.voters[at].incarnation() + 1;
-                place.voters[at] = voter(at as u32 + 1, incarnation, 0, self.flaws);
+            ChoiceAction::Restart(at) => {
+                state.crashes += 1;
+                let incarnation = state.voters[at].incarnation() + 1;
+                state.voters[at] = voter(at as u32 + 1, incarnation, 0, self.flaws);
                 if self.flaws.votes_at_once {
-                    place.voters[at].learn(now, &record(1));
-                    place.voters[at] = place.voters[at].clone().into_voting();
-                    place.voters[at].set_preparation(true, false, BTreeSet::new());
+                    state.voters[at].learn(now, &record(1));
+                    state.voters[at] = state.voters[at].clone().into_voting();
+                    state.voters[at].set_preparation(true, false, BTreeSet::new());
                 }
             }
-            Act::Recover(at) => {
-                let incarnation = place.voters[at].incarnation();
-                for other in (0..place.voters.len()).filter(|other| *other != at) {
-                    place.voters[other].observe_incarnation(MemberId(at as u32 + 1), incarnation);
-                    let told = place.voters[other].clone();
-                    place.voters[at].merge_peer_state(
+            ChoiceAction::Recover(at) => {
+                let incarnation = state.voters[at].incarnation();
+                for other in (0..state.voters.len()).filter(|other| *other != at) {
+                    state.voters[other].observe_incarnation(MemberId(at as u32 + 1), incarnation);
+                    let peer = state.voters[other].clone();
+                    state.voters[at].merge_peer_state(
                         now,
-                        told.me(),
-                        told.known(),
-                        told.promised(),
-                        told.accepted().copied(),
+                        peer.me(),
+                        peer.known(),
+                        peer.promised(),
+                        peer.accepted().copied(),
                     );
                 }
-                place.voters[at].end_silence(secs(9));
-                place.voters[at].set_preparation(true, false, BTreeSet::new());
+                state.voters[at].end_silence(secs(9));
+                state.voters[at].set_preparation(true, false, BTreeSet::new());
             }
         }
-        (place != *before).then_some(place)
+        (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one record at one place", |_, place: &Place| place.chosen.len() < 2),
-            Property::sometimes("the first proposer's is chosen", |_, place: &Place| {
-                place.chosen.contains(&Self::proposal(0))
+            Property::always("one record at one position", |_, state: &ChoiceState| state.chosen.len() < 2),
+            Property::sometimes("the first proposer's record is chosen", |_, state: &ChoiceState| {
+                state.chosen.contains(&Self::proposal(0))
             }),
-            Property::sometimes("the second's is", |_, place: &Place| {
-                place.chosen.contains(&Self::proposal(1))
+            Property::sometimes("the second proposer's record is chosen", |_, state: &ChoiceState| {
+                state.chosen.contains(&Self::proposal(1))
             }),
         ]
     }
@@ -276,20 +281,20 @@
     chosen: u32,
     crashes: u8,
     /// Voters whose current incarnation accepted the next record.
-    took: BTreeSet<usize>,
+    accepted_by: BTreeSet<usize>,
     /// When the new version was first acted on, that is, when the joint record was chosen.
     first: Option<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Does {
+enum FleetAction {
     Tick,
-    PromiseRequest(usize, usize),
-    Granted(usize, usize),
+    RequestLease(usize, usize),
+    DeliverGrant(usize, usize),
     Accept(usize),
     Learn(usize),
     Adopt(usize),
-    Forget(usize),
+    Restart(usize),
     Recover(usize),
 }
 
@@ -304,30 +309,30 @@
 
     /// The next record, at the position after the chosen one. The faulty transition table puts the last
     /// record there early.
-    fn wanted(&self, fleet: &Fleet) -> Option<Record> {
-        let mut wanted = record(self.next(fleet)?);
-        wanted.position = record(fleet.chosen).position.next();
-        if wanted.position != record(3).position && wanted.phase == record(3).phase {
-            wanted.oldest_compatible = position(0);
+    fn next_record(&self, fleet: &Fleet) -> Option<Record> {
+        let mut next = record(self.next(fleet)?);
+        next.position = record(fleet.chosen).position.next();
+        if next.position != record(3).position && next.phase == record(3).phase {
+            next.oldest_compatible = position(0);
         }
-        Some(wanted)
+        Some(next)
     }
 
-    fn at(&self, step: u32) -> Record {
+    fn record_at(&self, step: u32) -> Record {
         match (step, self.flaws.skips_joint) {
             (3, true) => Record { position: position(2), oldest_compatible: position(0), ..record(3) },
             _ => record(step),
         }
     }
 
-    fn acts(fleet: &Fleet, at: usize) -> Option<u32> {
+    fn obeyed_record(fleet: &Fleet, at: usize) -> Option<u32> {
         let one = &fleet.activators[at];
         let holds = one.holder.is_held(secs(fleet.now), position(0));
         holds.then_some(one.adopted)
     }
 
-    fn old(fleet: &Fleet) -> bool {
-        Leases::acts(fleet, 0).is_some_and(|step| step < 2)
+    fn obeys_old_only(fleet: &Fleet) -> bool {
+        Leases::obeyed_record(fleet, 0).is_some_and(|step| step < 2)
     }
 }
 
@@ -339,7 +344,7 @@
 
 impl Model for Leases {
     type State = Fleet;
-    type Action = Does;
+    type Action = FleetAction;
 
     fn init_states(&self) -> Vec<Fleet> {
         let without = Flaws { votes_at_once: false, ..self.flaws };
@@ -354,48 +359,48 @@
             activators: vec![activator()],
             chosen: 1,
             crashes: 0,
-            took: BTreeSet::new(),
+            accepted_by: BTreeSet::new(),
             first: None,
         }]
     }
 
-    fn actions(&self, fleet: &Fleet, does: &mut Vec<Does>) {
+    fn actions(&self, fleet: &Fleet, actions: &mut Vec<FleetAction>) {
         if fleet.now < self.ticks {
-            does.push(Does::Tick);
+            actions.push(FleetAction::Tick);
         }
         // An activator that takes none of these actions while the clock advances is a paused one.
         for at in 0..fleet.activators.len() {
             // Voters are symmetric, so a lease from the first two, the first of which loses its state, stands
             // for all leases.
             for to in 0..2 {
-                does.push(Does::PromiseRequest(at, to));
-                does.push(Does::Granted(at, to));
+                actions.push(FleetAction::RequestLease(at, to));
+                actions.push(FleetAction::DeliverGrant(at, to));
             }
-            does.push(Does::Adopt(at));
+            actions.push(FleetAction::Adopt(at));
         }
         for at in 0..fleet.voters.len() {
-            does.push(Does::Accept(at));
-            does.push(Does::Learn(at));
+            actions.push(FleetAction::Accept(at));
+            actions.push(FleetAction::Learn(at));
             if fleet.crashes < self.crashes && at == 0 {
-                does.push(Does::Forget(at));
+                actions.push(FleetAction::Restart(at));
             }
             if fleet.voters[at].incarnation() > 1 {
-                does.push(Does::Recover(at));
+                actions.push(FleetAction::Recover(at));
             }
         }
     }
 
-    fn next_state(&self, before: &Fleet, does: Does) -> Option<Fleet> {
+    fn next_state(&self, before: &Fleet, action: FleetAction) -> Option<Fleet> {
         let mut fleet = before.clone();
         let now = secs(fleet.now);
-        match does {
-            Does::Tick => {
+        match action {
+            FleetAction::Tick => {
                 fleet.now += 1;
                 fleet.voters.iter_mut().for_each(|voter| voter.drop_expired_grants(secs(before.now + 1)));
             }
-            Does::PromiseRequest(at, to) => {
+            FleetAction::RequestLease(at, to) => {
                 let (sent, step) = (before.now, before.activators[at].adopted);
-                let position = self.at(step).position;
+                let position = self.record_at(step).position;
                 let request =
                     LeaseRequest { incarnation: 1, sent_at_us: 0, position, known: position, report: None };
                 if !fleet.voters[to].grant_lease(now, MemberId(10 + at as u32), &request) {
@@ -412,40 +417,40 @@
                     );
                 }
             }
-            Does::Granted(at, to) => {
+            FleetAction::DeliverGrant(at, to) => {
                 let (sent, step) = fleet.activators[at].grants.remove(&to)?;
                 fleet.activators[at].holder.record_grant(
                     now,
                     MemberId(to as u32 + 1),
-                    self.at(step).position,
+                    self.record_at(step).position,
                     secs(sent),
                 );
             }
-            Does::Accept(at) => {
-                let wanted = self.wanted(&fleet)?;
+            FleetAction::Accept(at) => {
+                let next = self.next_record(&fleet)?;
                 let incarnations =
                     fleet.voters.iter().map(|voter| (voter.me(), voter.incarnation())).collect();
-                let accept = Accept { ballot: (1, MemberId(1)), record: wanted, incarnations, basis: None };
+                let accept = Accept { ballot: (1, MemberId(1)), record: next, incarnations, basis: None };
                 fleet.voters[at].set_preparation(true, true, BTreeSet::new());
                 if !fleet.voters[at].accept(now, &accept) {
                     return None;
                 }
-                fleet.took.insert(at);
-                if fleet.took.len() >= 2 {
+                fleet.accepted_by.insert(at);
+                if fleet.accepted_by.len() >= 2 {
                     fleet.chosen = self.next(&fleet)?;
-                    fleet.took.clear();
+                    fleet.accepted_by.clear();
                 }
             }
-            Does::Learn(at) => drop(fleet.voters[at].learn(secs(0), &self.at(fleet.chosen))),
-            Does::Adopt(at) => fleet.activators[at].adopted = fleet.chosen,
-            Does::Forget(at) => {
+            FleetAction::Learn(at) => drop(fleet.voters[at].learn(secs(0), &self.record_at(fleet.chosen))),
+            FleetAction::Adopt(at) => fleet.activators[at].adopted = fleet.chosen,
+            FleetAction::Restart(at) => {
                 fleet.crashes += 1;
                 // What an earlier incarnation accepted does not count; the `Choice` model shows that.
-                fleet.took.remove(&at);
+                fleet.accepted_by.remove(&at);
                 let incarnation = fleet.voters[at].incarnation() + 1;
                 fleet.voters[at] = voter(at as u32 + 1, incarnation, fleet.now, self.flaws);
             }
-            Does::Recover(at) => {
+            FleetAction::Recover(at) => {
                 let status = fleet.voters[at].status();
                 if !matches!(status, parts::VoterStatus::Silent { until, .. } if until <= now) {
                     return None;
@@ -482,83 +487,95 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no two act on contradicting versions", |_, fleet: &Fleet| {
-                !(Leases::old(fleet) && fleet.chosen == 3)
+                !(Leases::obeys_old_only(fleet) && fleet.chosen == 3)
             }),
-            Property::always("none acts on the old one beyond a lease", |_, fleet: &Fleet| {
-                !(Leases::old(fleet) && fleet.first.is_some_and(|first| fleet.now > first + 2))
+            Property::always("no activator acts on the old version beyond a lease", |_, fleet: &Fleet| {
+                !(Leases::obeys_old_only(fleet) && fleet.first.is_some_and(|first| fleet.now > first + 2))
             }),
-            Property::sometimes("the new one comes into force", |_, fleet: &Fleet| {
-                Leases::acts(fleet, 0) == Some(3)
+            Property::sometimes("the new version comes into force", |_, fleet: &Fleet| {
+                Leases::obeyed_record(fleet, 0) == Some(3)
             }),
         ]
     }
 }
 
 #[test]
-fn one_record_is_chosen_at_a_place() {
-    let checker = explored(Choice { flaws: Flaws::default(), crashes: 1 });
+fn one_record_is_chosen_at_a_position() {
+    let checker = explore(Choice { flaws: Flaws::default(), crashes: 1 });
     checker.assert_properties();
 }
 
 #[test]
 fn leases_keep_versions_apart_while_answers_are_late() {
-    explored(Leases { flaws: Flaws::default(), crashes: 0, ticks: 2, late: true }).assert_properties();
+    explore(Leases { flaws: Flaws::default(), crashes: 0, ticks: 2, late: true }).assert_properties();
 }
 
 #[test]
-fn leases_keep_versions_apart_while_a_voter_forgets() {
-    explored(Leases { flaws: Flaws::default(), crashes: 1, ticks: 3, late: false }).assert_properties();
+fn leases_keep_versions_apart_while_a_voter_loses_its_state() {
+    explore(Leases { flaws: Flaws::default(), crashes: 1, ticks: 3, late: false }).assert_properties();
 }
 
-const PLACE: &str = "one record at one place";
-const APART: &str = "no two act on contradicting versions";
+const ONE_RECORD: &str = "one record at one position";
+const NO_CONTRADICTION: &str = "no two act on contradicting versions";
 
 #[test]
-fn planted_a_lower_ballot_than_promised() {
-    found(Choice { flaws: Flaws { breaks_promise: true, ..Flaws::default() }, crashes: 0 }, PLACE);
+fn detects_acceptance_below_a_promise() {
+    assert_detected(
+        Choice { flaws: Flaws { breaks_promise: true, ..Flaws::default() }, crashes: 0 },
+        ONE_RECORD,
+    );
 }
 
 #[test]
-fn planted_half_for_a_majority() {
-    found(Choice { flaws: Flaws { half_is_majority: true, ..Flaws::default() }, crashes: 0 }, PLACE);
+fn detects_a_quorum_of_half_the_voters() {
+    assert_detected(
+        Choice { flaws: Flaws { half_is_majority: true, ..Flaws::default() }, crashes: 0 },
+        ONE_RECORD,
+    );
     let flaws = Flaws { half_is_majority: true, ..Flaws::default() };
-    found(Leases { flaws, crashes: 0, ticks: 2, late: false }, APART);
+    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
-fn planted_a_voter_that_forgets_and_votes_at_once() {
-    found(Choice { flaws: Flaws { votes_at_once: true, ..Flaws::default() }, crashes: 1 }, PLACE);
+fn detects_a_voter_that_votes_at_once_without_state() {
+    assert_detected(
+        Choice { flaws: Flaws { votes_at_once: true, ..Flaws::default() }, crashes: 1 },
+        ONE_RECORD,
+    );
     let flaws = Flaws { votes_at_once: true, ..Flaws::default() };
-    found(Leases { flaws, crashes: 1, ticks: 3, late: false }, APART);
+    assert_detected(Leases { flaws, crashes: 1, ticks: 3, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
-fn planted_an_acceptor_beside_the_promises() {
+fn detects_acceptance_without_a_promise() {
     // A voter that lost its state accepts in a round that does not rest on a promise of its new incarnation.
     // This model found the fault in an early version of the protocol.
-    found(Choice { flaws: Flaws { accepts_without_promise: true, ..Flaws::default() }, crashes: 1 }, PLACE);
+    assert_detected(
+        Choice { flaws: Flaws { accepts_without_promise: true, ..Flaws::default() }, crashes: 1 },
+        ONE_RECORD,
+    );
 }
 
 #[test]
-fn planted_a_lease_that_the_grantor_ends_first() {
+fn detects_a_lease_that_ends_at_the_grantor_first() {
     let flaws = Flaws { grantor_expires_first: true, ..Flaws::default() };
-    found(Leases { flaws, crashes: 0, ticks: 2, late: false }, APART);
+    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
-fn planted_a_skipped_joint_step() {
+fn detects_a_skipped_joint_step() {
     let flaws = Flaws { skips_joint: true, ..Flaws::default() };
-    found(Leases { flaws, crashes: 0, ticks: 2, late: false }, APART);
+    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
-fn planted_a_stale_lease_after_a_pause() {
+fn detects_a_stale_lease_after_a_pause() {
     let flaws = Flaws { stale_lease: true, ..Flaws::default() };
-    found(Leases { flaws, crashes: 0, ticks: 2, late: false }, APART);
+    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
-fn planted_a_lease_counted_from_the_arrival() {
+fn detects_a_lease_counted_from_the_arrival() {
     let flaws = Flaws { lease_from_arrival: true, ..Flaws::default() };
-    found(Leases { flaws, crashes: 0, ticks: 2, late: true }, APART);
+    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: true }, NO_CONTRADICTION);
 }
--- a/crates/accord/tests/net/mod.rs
+++ b/crates/accord/tests/net/mod.rs
@@ -53,7 +53,7 @@
 enum Event {
     Datagram { from: MemberId, to: MemberId, data: Vec<u8> },
     Prepared { to: MemberId, incarnation: u64, version: Version, result: Result<(), Refusal> },
-    Look { to: MemberId, incarnation: u64 },
+    Timer { to: MemberId, incarnation: u64 },
     Work { to: MemberId, incarnation: u64 },
 }
 
@@ -68,32 +68,32 @@
     /// Refuses documents with this key.
     pub unknown: Option<Key>,
     pub sent: u64,
-    look: u64,
+    timer_at: u64,
     /// Whether a `Work` event is queued.
-    working: bool,
+    step_queued: bool,
 }
 
 /// The terms of a member, in a form that can be compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum On {
+pub enum Obeyed {
     Floor(Digest),
-    One(Version),
-    Both(Version, Version),
+    Single(Version),
+    Joint(Version, Version),
 }
 
-impl On {
+impl Obeyed {
     fn newest(self) -> Option<Version> {
         match self {
-            On::Floor(_) => None,
-            On::One(version) | On::Both(_, version) => Some(version),
+            Obeyed::Floor(_) => None,
+            Obeyed::Single(version) | Obeyed::Joint(_, version) => Some(version),
         }
     }
 
     fn obeys(self, version: Version) -> bool {
         match self {
-            On::Floor(_) => false,
-            On::One(one) => one.digest == version.digest,
-            On::Both(a, b) => a.digest == version.digest || b.digest == version.digest,
+            Obeyed::Floor(_) => false,
+            Obeyed::Single(one) => one.digest == version.digest,
+            Obeyed::Joint(a, b) => a.digest == version.digest || b.digest == version.digest,
         }
     }
 }
@@ -104,34 +104,34 @@
     pub settings: Settings,
     pub rng: fastrand::Rng,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    waiting: BTreeMap<u64, Event>,
-    count: u64,
+    queued_events: BTreeMap<u64, Event>,
+    event_count: u64,
     pub loss: f64,
-    pub double: f64,
-    pub delay: u64,
+    pub duplication: f64,
+    pub max_delay_us: u64,
     /// Ordered pairs of members between which datagrams are lost.
     pub cuts: BTreeSet<(MemberId, MemberId)>,
     pub flaws: Flaws,
     pub settled: Vec<(MemberId, ProposalId, Result<Version, ProposalError>)>,
     pub notes: Vec<String>,
-    pub check: bool,
-    on: Vec<Option<On>>,
-    terms: BTreeMap<On, Arc<Document>>,
-    judged: BTreeMap<(On, On), bool>,
-    first: BTreeMap<Version, u64>,
+    pub checks_enabled: bool,
+    obeyed: Vec<Option<Obeyed>>,
+    terms: BTreeMap<Obeyed, Arc<Document>>,
+    compared: BTreeMap<(Obeyed, Obeyed), bool>,
+    first_acted_at: BTreeMap<Version, u64>,
     /// Contradictions on hard keys, each with its time and terms.
-    pub hard: Vec<String>,
+    pub hard_contradictions: Vec<String>,
     /// The longest time that a member acted on another version after the first member acted on a newer one,
     /// in microseconds.
-    pub longest: u64,
+    pub longest_contradiction_us: u64,
     /// By kind of call: the longest processor time of one call in microseconds, including freeing memory.
-    pub pauses: BTreeMap<&'static str, u64>,
+    pub longest_calls: BTreeMap<&'static str, u64>,
     /// The maximum number of entries that one call worked on, and that one call freed.
-    pub touched: (u64, u64),
+    pub max_entries_touched: (u64, u64),
 }
 
 /// Processor time of this thread in microseconds, which excludes other load on the machine.
-pub fn busy() -> u64 {
+pub fn cpu_time_us() -> u64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
 }
@@ -147,24 +147,24 @@
             members: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             events: BinaryHeap::new(),
-            waiting: BTreeMap::new(),
-            count: 0,
+            queued_events: BTreeMap::new(),
+            event_count: 0,
             loss: 0.0,
-            double: 0.0,
-            delay: 20_000,
+            duplication: 0.0,
+            max_delay_us: 20_000,
             cuts: BTreeSet::new(),
             flaws,
             settled: Vec::new(),
             notes: Vec::new(),
-            check: true,
-            on: vec![None; settings.roster.len()],
+            checks_enabled: true,
+            obeyed: vec![None; settings.roster.len()],
             terms: BTreeMap::new(),
-            judged: BTreeMap::new(),
-            first: BTreeMap::new(),
-            hard: Vec::new(),
-            longest: 0,
-            pauses: BTreeMap::new(),
-            touched: (0, 0),
+            compared: BTreeMap::new(),
+            first_acted_at: BTreeMap::new(),
+            hard_contradictions: Vec::new(),
+            longest_contradiction_us: 0,
+            longest_calls: BTreeMap::new(),
+            max_entries_touched: (0, 0),
             settings,
         };
         let most = i64::from(net.settings.drift_ppm);
@@ -180,10 +180,10 @@
                 born: 0,
                 unknown: None,
                 sent: 0,
-                look: 0,
-                working: false,
+                timer_at: 0,
+                step_queued: false,
             });
-            net.look(name);
+            net.schedule(name);
         }
         net
     }
@@ -211,42 +211,42 @@
     }
 
     fn push(&mut self, at: u64, event: Event) {
-        self.count += 1;
-        self.events.push(Reverse((at, self.count)));
-        self.waiting.insert(self.count, event);
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count)));
+        self.queued_events.insert(self.event_count, event);
     }
 
-    fn look(&mut self, name: MemberId) {
+    fn schedule(&mut self, name: MemberId) {
         let at = self.at(name);
-        if self.members[at].accord.has_work() && !self.members[at].working {
-            self.members[at].working = true;
+        if self.members[at].accord.has_work() && !self.members[at].step_queued {
+            self.members[at].step_queued = true;
             let incarnation = self.members[at].incarnation;
             self.push(self.now + 200, Event::Work { to: name, incarnation });
         }
         let local = self.clock(name);
         let Some(wake) = self.members[at].accord.next_timer() else { return };
         let due = self.now + wake.saturating_sub(local).as_micros() as u64 + 1_000;
-        let looks = self.members[at].look;
+        let looks = self.members[at].timer_at;
         if looks > self.now && looks <= due {
             return;
         }
-        self.members[at].look = due;
+        self.members[at].timer_at = due;
         let incarnation = self.members[at].incarnation;
-        self.push(due, Event::Look { to: name, incarnation });
+        self.push(due, Event::Timer { to: name, incarnation });
     }
 
-    fn carry(&mut self, from: MemberId, outs: Vec<Output>) {
+    fn carry_out(&mut self, from: MemberId, outs: Vec<Output>) {
         for out in outs {
             match out {
                 Output::Send { to, data } => {
                     assert!(data.len() <= 1_190, "{} bytes", data.len());
                     let at = self.at(from);
                     self.members[at].sent += data.len() as u64;
-                    for _ in 0..if self.rng.f64() < self.double { 2 } else { 1 } {
+                    for _ in 0..if self.rng.f64() < self.duplication { 2 } else { 1 } {
                         if self.rng.f64() < self.loss || self.cuts.contains(&(from, to)) {
                             continue;
                         }
-                        let due = self.now + self.rng.u64(500..=self.delay);
+                        let due = self.now + self.rng.u64(500..=self.max_delay_us);
                         self.push(due, Event::Datagram { from, to, data: data.clone() });
                     }
                 }
@@ -268,23 +268,23 @@
                 }
             }
         }
-        self.look(from);
+        self.schedule(from);
     }
 
     /// Runs the simulation for this many milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        self.until(end, |_| false);
+        self.run_events_until(end, |_| false);
         self.now = end;
     }
 
     /// Runs the simulation until `done` is true. Returns false if that does not happen within this many
     /// milliseconds.
-    pub fn wait(&mut self, millis: u64, done: impl Fn(&Net) -> bool) -> bool {
-        self.until(self.now + millis * 1_000, done)
+    pub fn run_until(&mut self, millis: u64, done: impl Fn(&Net) -> bool) -> bool {
+        self.run_events_until(self.now + millis * 1_000, done)
     }
 
-    fn until(&mut self, end: u64, done: impl Fn(&Net) -> bool) -> bool {
+    fn run_events_until(&mut self, end: u64, done: impl Fn(&Net) -> bool) -> bool {
         while let Some(&Reverse((at, id))) = self.events.peek() {
             if done(self) {
                 return true;
@@ -294,18 +294,18 @@
             }
             self.events.pop();
             self.now = self.now.max(at);
-            let event = self.waiting.remove(&id).unwrap();
-            self.play(event);
-            self.judge();
+            let event = self.queued_events.remove(&id).unwrap();
+            self.handle_event(event);
+            self.check_terms();
         }
         done(self)
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let (to, incarnation) = match &event {
             Event::Datagram { to, .. } => (*to, None),
             Event::Prepared { to, incarnation, .. }
-            | Event::Look { to, incarnation }
+            | Event::Timer { to, incarnation }
             | Event::Work { to, incarnation } => (*to, Some(*incarnation)),
         };
         let (at, now) = (self.at(to), self.clock(to));
@@ -320,7 +320,7 @@
             return;
         }
         let mut out = Vec::new();
-        let (begun, touched) = (busy(), member.accord.entries_touched());
+        let (begun, touched) = (cpu_time_us(), member.accord.entries_touched());
         let kind = match event {
             Event::Datagram { from, data, .. } => {
                 member.accord.receive(now, from, &data, &mut out);
@@ -330,31 +330,31 @@
                 member.accord.on_prepared(now, version, result, &mut out);
                 "prepared"
             }
-            Event::Look { .. } => {
+            Event::Timer { .. } => {
                 member.accord.on_timer(now, &mut out);
                 "wake"
             }
             Event::Work { .. } => {
-                member.working = false;
+                member.step_queued = false;
                 member.accord.run_step(now, &mut out);
                 "work"
             }
         };
-        self.paused(kind, at, begun, touched);
-        self.carry(to, out);
+        self.record_call(kind, at, begun, touched);
+        self.carry_out(to, out);
     }
 
-    fn paused(&mut self, kind: &'static str, at: usize, begun: u64, before: (u64, u64)) {
+    fn record_call(&mut self, kind: &'static str, at: usize, begun: u64, before: (u64, u64)) {
         let now = self.members[at].accord.entries_touched();
-        let most = &mut self.touched;
-        *most = (most.0.max(now.0 - before.0), most.1.max(now.1 - before.1));
-        let took = busy() - begun;
-        let longest = self.pauses.entry(kind).or_default();
+        let max = &mut self.max_entries_touched;
+        *max = (max.0.max(now.0 - before.0), max.1.max(now.1 - before.1));
+        let took = cpu_time_us() - begun;
+        let longest = self.longest_calls.entry(kind).or_default();
         *longest = took.max(*longest);
     }
 
-    fn judge(&mut self) {
-        if !self.check {
+    fn check_terms(&mut self) {
+        if !self.checks_enabled {
             return;
         }
         let mut changed = false;
@@ -363,31 +363,32 @@
             let on = (member.up && !member.paused).then(|| {
                 let acting = member.accord.active_terms(self.clock(MemberId(at as u32 + 1)));
                 let on = match &acting {
-                    ActiveTerms::Floor(floor) => On::Floor(floor.digest()),
-                    ActiveTerms::Single(version, _) => On::One(*version),
-                    ActiveTerms::Joint { old, new, .. } => On::Both(*old, *new),
+                    ActiveTerms::Floor(floor) => Obeyed::Floor(floor.digest()),
+                    ActiveTerms::Single(version, _) => Obeyed::Single(*version),
+                    ActiveTerms::Joint { old, new, .. } => Obeyed::Joint(*old, *new),
                 };
                 (on, acting.terms().clone())
             });
             if let Some((on, terms)) = &on {
                 self.terms.entry(*on).or_insert_with(|| terms.clone());
                 if let Some(version) = on.newest() {
-                    self.first.entry(version).or_insert(self.now);
+                    self.first_acted_at.entry(version).or_insert(self.now);
                 }
             }
             let on = on.map(|(on, _)| on);
-            changed |= self.on[at] != on;
-            self.on[at] = on;
+            changed |= self.obeyed[at] != on;
+            self.obeyed[at] = on;
         }
-        let now: BTreeSet<On> = self.on.iter().flatten().copied().collect();
+        let now: BTreeSet<Obeyed> = self.obeyed.iter().flatten().copied().collect();
         let acted: BTreeSet<Version> = now.iter().filter_map(|on| on.newest()).collect();
-        let latest = acted.iter().map(|version| self.first[version]).max().unwrap_or_default();
+        let latest = acted.iter().map(|version| self.first_acted_at[version]).max().unwrap_or_default();
         for version in &acted {
             // Find members that act on an old version long after the first member acted on a newer one that
             // is still in effect or was followed by another.
-            for (other, first) in &self.first {
-                if *first > self.first[version] && *first <= latest && other.digest != version.digest {
-                    self.longest = self.longest.max(self.now - first);
+            for (other, first) in &self.first_acted_at {
+                if *first > self.first_acted_at[version] && *first <= latest && other.digest != version.digest
+                {
+                    self.longest_contradiction_us = self.longest_contradiction_us.max(self.now - first);
                 }
             }
         }
@@ -401,18 +402,19 @@
                 )
         };
         if acted.is_empty() && !self.members.iter().enumerate().any(|(at, member)| leased(at, member)) {
-            self.first.clear();
+            self.first_acted_at.clear();
         }
         if !changed {
             return;
         }
         for a in &now {
             for b in &now {
-                let known = self.judged.get(&(*a, *b)).copied();
+                let known = self.compared.get(&(*a, *b)).copied();
                 let bad = known.unwrap_or_else(|| contradicts(*a, *b, &self.terms[a], &self.terms[b]));
-                self.judged.insert((*a, *b), bad);
+                self.compared.insert((*a, *b), bad);
                 if bad {
-                    self.hard.push(format!("{:.3} s: {a:?} and {b:?} at once", self.now as f64 / 1e6));
+                    self.hard_contradictions
+                        .push(format!("{:.3} s: {a:?} and {b:?} at once", self.now as f64 / 1e6));
                 }
             }
         }
@@ -428,10 +430,10 @@
             Change { base: self.members[at].accord.status(now).known.number, ..Change::default() };
         change(&mut wanted);
         let mut out = Vec::new();
-        let (begun, touched) = (busy(), self.members[at].accord.entries_touched());
+        let (begun, touched) = (cpu_time_us(), self.members[at].accord.entries_touched());
         let id = self.members[at].accord.propose(now, wanted, &mut out);
-        self.paused("propose", at, begun, touched);
-        self.carry(name, out);
+        self.record_call("propose", at, begun, touched);
+        self.carry_out(name, out);
         id
     }
 
@@ -439,7 +441,7 @@
         let (at, now) = (self.at(name), self.clock(name));
         let mut out = Vec::new();
         self.members[at].accord.withdraw(now, &mut out).unwrap();
-        self.carry(name, out);
+        self.carry_out(name, out);
     }
 
     /// Kills a member. `restart` starts its next incarnation without state.
@@ -464,10 +466,10 @@
         let incarnation = self.members[at].incarnation + 1;
         self.members[at].accord = self.create_member_at(name, reported);
         let member = &mut self.members[at];
-        (member.incarnation, member.up, member.paused, member.born, member.look) =
+        (member.incarnation, member.up, member.paused, member.born, member.timer_at) =
             (incarnation, true, false, self.now, 0);
-        member.working = false;
-        self.look(name);
+        member.step_queued = false;
+        self.schedule(name);
     }
 
     pub fn pause(&mut self, name: MemberId, paused: bool) {
@@ -507,20 +509,20 @@
         all.all(|other| other == Some(first)).then_some(first)
     }
 
-    pub fn start(&mut self) {
-        assert!(self.wait(60_000, |net| net.agreed().is_some()), "no start: {:#?}", self.notes);
+    pub fn wait_for_start(&mut self) {
+        assert!(self.run_until(60_000, |net| net.agreed().is_some()), "no start: {:#?}", self.notes);
     }
 }
 
-fn contradicts(a: On, b: On, of_a: &Document, of_b: &Document) -> bool {
+fn contradicts(a: Obeyed, b: Obeyed, of_a: &Document, of_b: &Document) -> bool {
     match (a, b) {
-        (On::One(_), On::One(_)) => find_contradiction(of_a, of_b).is_some(),
-        (On::Floor(_), On::Floor(_)) => false,
-        (On::Floor(_), _) => find_uncovered(of_b, of_a).is_some(),
-        (_, On::Floor(_)) => find_uncovered(of_a, of_b).is_some(),
-        (On::Both(..), On::One(one)) if a.obeys(one) => false,
-        (On::One(one), On::Both(..)) if b.obeys(one) => false,
-        (On::Both(x, y), On::Both(..)) if b.obeys(x) || b.obeys(y) => false,
+        (Obeyed::Single(_), Obeyed::Single(_)) => find_contradiction(of_a, of_b).is_some(),
+        (Obeyed::Floor(_), Obeyed::Floor(_)) => false,
+        (Obeyed::Floor(_), _) => find_uncovered(of_b, of_a).is_some(),
+        (_, Obeyed::Floor(_)) => find_uncovered(of_a, of_b).is_some(),
+        (Obeyed::Joint(..), Obeyed::Single(one)) if a.obeys(one) => false,
+        (Obeyed::Single(one), Obeyed::Joint(..)) if b.obeys(one) => false,
+        (Obeyed::Joint(x, y), Obeyed::Joint(..)) if b.obeys(x) || b.obeys(y) => false,
         // No version in common: the terms contradict each other unless each covers the other.
         _ => find_uncovered(of_b, of_a).is_some() || find_uncovered(of_a, of_b).is_some(),
     }
@@ -528,13 +530,13 @@
 
 /// Runs a random history of changes and faults, and ends the faults. Returns false if the members did not
 /// agree afterwards.
-pub fn faulted(seed: u64, changes: u32, flaws: Flaws) -> (Net, bool) {
-    played(seed, changes, flaws, 0)
+pub fn random_history(seed: u64, changes: u32, flaws: Flaws) -> (Net, bool) {
+    random_history_with_spares(seed, changes, flaws, 0)
 }
 
 /// The same with additional members that may vote, and with changes of voters among the other changes. The
 /// settings files stay the same.
-pub fn played(seed: u64, changes: u32, flaws: Flaws, spares: u32) -> (Net, bool) {
+pub fn random_history_with_spares(seed: u64, changes: u32, flaws: Flaws, spares: u32) -> (Net, bool) {
     let mut dice = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let voters = *dice.choice(&[3, 3, 4, 5]).unwrap();
     let members = voters + dice.u32(0..=3) + spares;
@@ -543,12 +545,12 @@
         setup.eligible_voters = (1..=voters + spares).map(MemberId).collect();
     }
     let mut net = Net::with(setup, seed, flaws);
-    net.double = 0.1;
+    net.duplication = 0.1;
     net.run(6_000);
     for _ in 0..changes {
         let any = |dice: &mut fastrand::Rng| MemberId(dice.u32(1..=members));
         net.loss = *dice.choice(&[0.0, 0.0, 0.1, 0.3]).unwrap();
-        net.delay = *dice.choice(&[5_000, 40_000, 400_000, 2_500_000]).unwrap();
+        net.max_delay_us = *dice.choice(&[5_000, 40_000, 400_000, 2_500_000]).unwrap();
         let propose = |net: &mut Net, dice: &mut fastrand::Rng| {
             let by = any(dice);
             let (what, value) = (dice.u32(0..6), dice.i64(1..=9));
@@ -635,8 +637,8 @@
         net.run(dice.u64(500..9_000));
         net.cuts.clear();
     }
-    (net.loss, net.double, net.delay) = (0.0, 0.0, 20_000);
-    let agreed = net.wait(120_000, |net| {
+    (net.loss, net.duplication, net.max_delay_us) = (0.0, 0.0, 20_000);
+    let agreed = net.run_until(120_000, |net| {
         let still =
             net.members.iter().all(|member| member.accord.status(Duration::MAX / 4).pending.is_none());
         still && net.agreed().is_some()
--- a/crates/accord/tests/voters.rs
+++ b/crates/accord/tests/voters.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use check::explored;
+use check::explore;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use wheellink_accord::parts::{
     Accept, Flaws, LeaseHolder, LeaseRequest, Limits, Round, RoundAction, Voter, VoterStatus,
@@ -48,12 +48,12 @@
     last: u32,
     /// The position at which two records compete; rounds are run in full there. Elsewhere only one record may
     /// follow, and a round is its second phase only.
-    contest: Option<u32>,
+    contested_position: Option<u32>,
     /// The voter that restarts without state, once.
-    forgets: Option<u32>,
+    restarts: Option<u32>,
     ticks: u8,
     /// The voters from which the activator requests leases.
-    asked: &'static [u32],
+    lease_voters: &'static [u32],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -68,33 +68,33 @@
     /// By position and proposer.
     rounds: BTreeMap<(u32, u32), Round>,
     /// Voters whose current incarnation accepted the next record, where only one may follow.
-    took: BTreeSet<MemberId>,
-    twice: bool,
-    forgot: bool,
+    accepted_by: BTreeSet<MemberId>,
+    two_chosen: bool,
+    restarted: bool,
     /// When b was first acted on.
     joint: Option<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Does {
+enum FleetAction {
     Tick,
-    PromiseRequest { place: u32, of: u32, voter: usize },
-    Accept { place: u32, of: u32, voter: usize },
-    Take(usize),
+    PromiseRequest { index: u32, proposer: u32, voter: usize },
+    Accept { index: u32, proposer: u32, voter: usize },
+    AcceptNext(usize),
     Learn(usize),
     Grant(usize),
     Adopt,
-    Forget(usize),
+    Restart(usize),
     Recall { voter: usize, from: usize },
     Wake(usize),
 }
 
 impl Change {
     /// The record that a proposer wants after this one; `None` after the last.
-    fn proposal(&self, after: &Record, of: u32) -> Option<Record> {
+    fn proposal(&self, after: &Record, proposer: u32) -> Option<Record> {
         let (position, proposal_id) = (after.position.next(), after.proposal_id);
         let same = Record { position, ..*after };
-        Some(match (after.phase, of) {
+        Some(match (after.phase, proposer) {
             (Phase::Prepare { old, new, .. }, 0) => {
                 Record { phase: Phase::Joint { old, new }, oldest_compatible: position, ..same }
             }
@@ -108,9 +108,9 @@
                 lists: VoterLists::unchanged(after.lists.next.unwrap_or(after.lists.current)),
                 ..same
             },
-            (Phase::Single(old), of) if old.number == 2 => {
-                let new = version(3, 3 + of as u8);
-                let proposal_id = ProposalId { count: 2 + u64::from(of), ..proposal_id };
+            (Phase::Single(old), proposer) if old.number == 2 => {
+                let new = version(3, 3 + proposer as u8);
+                let proposal_id = ProposalId { count: 2 + u64::from(proposer), ..proposal_id };
                 Record { phase: Phase::Prepare { old, new, tightens_floor: false }, proposal_id, ..same }
             }
             _ => return None,
@@ -126,9 +126,9 @@
         let mut record =
             Record { position: position(1), phase, oldest_compatible: position(0), proposal_id, lists };
         let mut chosen = BTreeMap::from([(1, record)]);
-        for place in 2..=self.first {
+        for index in 2..=self.first {
             record = self.proposal(&record, 0).unwrap();
-            chosen.insert(place, record);
+            chosen.insert(index, record);
         }
         chosen
     }
@@ -156,7 +156,7 @@
     }
 
     /// The record that the activator acts on, if it has a lease.
-    fn acts(fleet: &Fleet) -> Option<&Record> {
+    fn obeyed_record(fleet: &Fleet) -> Option<&Record> {
         let record = &fleet.chosen[&fleet.adopted];
         fleet.holder.is_held(secs(fleet.now), record.position).then_some(record)
     }
@@ -167,8 +167,8 @@
 }
 
 impl Fleet {
-    fn put(&mut self, record: Record) {
-        self.twice |= *self.chosen.entry(record.position.index).or_insert(record) != record;
+    fn record_chosen(&mut self, record: Record) {
+        self.two_chosen |= *self.chosen.entry(record.position.index).or_insert(record) != record;
         if self.joint.is_none() && matches!(record.phase, Phase::Joint { .. }) {
             self.joint = Some(self.now);
         }
@@ -177,7 +177,7 @@
 
 impl Model for Change {
     type State = Fleet;
-    type Action = Does;
+    type Action = FleetAction;
 
     fn init_states(&self) -> Vec<Fleet> {
         let chosen = self.start();
@@ -186,7 +186,7 @@
         names.sort_unstable();
         let ready = |name: &u32| {
             let mut voter = self.voter(*name, 1, 0, &chosen);
-            // Future voters are past their silence and have recovered; `forgets` covers one that is not.
+            // Future voters are past their silence and have recovered; `restarts` covers one that is not.
             voter = voter.into_voting();
             chosen.values().for_each(|record| {
                 voter.learn(secs(0), record);
@@ -202,70 +202,72 @@
             joint: (self.first > 1).then_some(0),
             chosen,
             rounds: BTreeMap::new(),
-            took: BTreeSet::new(),
-            twice: false,
-            forgot: false,
+            accepted_by: BTreeSet::new(),
+            two_chosen: false,
+            restarted: false,
         }]
     }
 
-    fn actions(&self, fleet: &Fleet, does: &mut Vec<Does>) {
+    fn actions(&self, fleet: &Fleet, actions: &mut Vec<FleetAction>) {
         if fleet.now < self.ticks {
-            does.push(Does::Tick);
+            actions.push(FleetAction::Tick);
         }
-        let place = *Self::latest(fleet).0;
+        let index = *Self::latest(fleet).0;
         for at in 0..fleet.voters.len() {
             let name = fleet.voters[at].me().0;
             let next = fleet.voters[at].known().position.index + 1;
-            if self.contest == Some(next) {
-                for of in 0..2 {
-                    does.push(Does::PromiseRequest { place: next, of, voter: at });
-                    does.push(Does::Accept { place: next, of, voter: at });
+            if self.contested_position == Some(next) {
+                for proposer in 0..2 {
+                    actions.push(FleetAction::PromiseRequest { index: next, proposer, voter: at });
+                    actions.push(FleetAction::Accept { index: next, proposer, voter: at });
                 }
-            } else if next == place + 1 && next <= self.last {
-                does.push(Does::Take(at));
+            } else if next == index + 1 && next <= self.last {
+                actions.push(FleetAction::AcceptNext(at));
             }
-            if next <= place {
-                does.push(Does::Learn(at));
+            if next <= index {
+                actions.push(FleetAction::Learn(at));
             }
-            if self.asked.contains(&name) {
-                does.push(Does::Grant(at));
+            if self.lease_voters.contains(&name) {
+                actions.push(FleetAction::Grant(at));
             }
-            if self.forgets == Some(name) && !fleet.forgot {
-                does.push(Does::Forget(at));
+            if self.restarts == Some(name) && !fleet.restarted {
+                actions.push(FleetAction::Restart(at));
             }
-            if self.forgets == Some(name) && fleet.voters[at].status() != VoterStatus::Voting {
-                does.push(Does::Wake(at));
+            if self.restarts == Some(name) && fleet.voters[at].status() != VoterStatus::Voting {
+                actions.push(FleetAction::Wake(at));
                 if !self.flaws.added_votes_unlearnt {
-                    does.extend((0..fleet.voters.len()).map(|from| Does::Recall { voter: at, from }));
+                    actions
+                        .extend((0..fleet.voters.len()).map(|from| FleetAction::Recall { voter: at, from }));
                 }
             }
         }
-        if fleet.adopted < place {
-            does.push(Does::Adopt);
+        if fleet.adopted < index {
+            actions.push(FleetAction::Adopt);
         }
     }
 
-    fn next_state(&self, before: &Fleet, does: Does) -> Option<Fleet> {
+    fn next_state(&self, before: &Fleet, action: FleetAction) -> Option<Fleet> {
         let mut fleet = before.clone();
         let now = secs(fleet.now);
-        match does {
-            Does::Tick => {
+        match action {
+            FleetAction::Tick => {
                 fleet.now += 1;
                 fleet.voters.iter_mut().for_each(|voter| voter.drop_expired_grants(secs(before.now + 1)));
             }
-            Does::PromiseRequest { place, of, voter } => {
-                let after = *fleet.chosen.get(&(place - 1))?;
-                let proposal = self.proposal(&after, of)?;
-                let fresh = Round::new(&after, proposal, (of + 1, MemberId(of + 1))).flawed(self.flaws);
-                let round = fleet.rounds.entry((place, of)).or_insert(fresh);
+            FleetAction::PromiseRequest { index, proposer, voter } => {
+                let after = *fleet.chosen.get(&(index - 1))?;
+                let proposal = self.proposal(&after, proposer)?;
+                let fresh =
+                    Round::new(&after, proposal, (proposer + 1, MemberId(proposer + 1))).flawed(self.flaws);
+                let round = fleet.rounds.entry((index, proposer)).or_insert(fresh);
                 if round.accept().is_some() {
                     return None;
                 }
                 let promise = fleet.voters[voter].promise(now, round.request())?;
                 round.on_promise(fleet.voters[voter].me(), &promise);
             }
-            Does::Accept { place, of, voter } => {
-                let round = fleet.rounds.get_mut(&(place, of))?;
+            FleetAction::Accept { index, proposer, voter } => {
+                let round = fleet.rounds.get_mut(&(index, proposer))?;
                 let accept = round.accept()?.clone();
                 if !fleet.voters[voter].accept(now, &accept) {
                     return None;
@@ -273,32 +275,33 @@
                 let (me, incarnation) = (fleet.voters[voter].me(), fleet.voters[voter].incarnation());
                 if let RoundAction::Chosen(record) = round.on_accepted(me, accept.ballot, incarnation) {
                     // Further answers would not change anything.
-                    fleet.rounds.remove(&(place, of));
-                    fleet.put(record);
+                    fleet.rounds.remove(&(index, proposer));
+                    fleet.record_chosen(record);
                 }
             }
-            Does::Take(at) => {
+            FleetAction::AcceptNext(at) => {
                 let after = *Self::latest(before).1;
                 let proposal = self.proposal(&after, 0)?;
                 let incarnations =
                     before.voters.iter().map(|voter| (voter.me(), voter.incarnation())).collect();
                 let accept = Accept { ballot: (1, MemberId(1)), record: proposal, incarnations, basis: None };
-                if !fleet.voters[at].accept(now, &accept) || !fleet.took.insert(fleet.voters[at].me()) {
+                if !fleet.voters[at].accept(now, &accept) || !fleet.accepted_by.insert(fleet.voters[at].me())
+                {
                     return None;
                 }
                 let quorum = after.quorum_for(&proposal);
                 let quorum = if self.flaws.choice_by_new_list { quorum.only_list(true) } else { quorum };
-                if quorum.is_met(|name| fleet.took.contains(&name)) {
-                    fleet.took.clear();
-                    fleet.put(proposal);
+                if quorum.is_met(|name| fleet.accepted_by.contains(&name)) {
+                    fleet.accepted_by.clear();
+                    fleet.record_chosen(proposal);
                 }
             }
-            Does::Learn(at) => {
+            FleetAction::Learn(at) => {
                 let next = fleet.voters[at].known().position.index + 1;
                 fleet.voters[at].learn(now, &fleet.chosen[&next].clone());
                 fleet.voters[at].set_preparation(true, true, BTreeSet::new());
             }
-            Does::Grant(at) => {
+            FleetAction::Grant(at) => {
                 let position = fleet.chosen[&fleet.adopted].position;
                 let request =
                     LeaseRequest { incarnation: 1, sent_at_us: 0, position, known: position, report: None };
@@ -306,56 +309,57 @@
                     fleet.holder.record_grant(now, fleet.voters[at].me(), position, now);
                 }
             }
-            Does::Adopt => {
-                let (place, record) = Self::latest(before);
-                fleet.adopted = *place;
+            FleetAction::Adopt => {
+                let (index, record) = Self::latest(before);
+                fleet.adopted = *index;
                 fleet
                     .holder
                     .adopt_record(record.position, record.quorum(), |name| record.lists.contains(name));
             }
-            Does::Forget(at) => {
-                fleet.forgot = true;
+            FleetAction::Restart(at) => {
+                fleet.restarted = true;
                 // What an earlier incarnation accepted does not count.
-                fleet.took.remove(&fleet.voters[at].me());
+                fleet.accepted_by.remove(&fleet.voters[at].me());
                 let voter = self.voter(fleet.voters[at].me().0, 2, fleet.now, &fleet.chosen);
                 fleet.voters[at] = voter;
             }
-            Does::Recall { voter, from } => {
-                let teller = &before.voters[from];
-                if voter == from || teller.status() != VoterStatus::Voting {
+            FleetAction::Recall { voter, from } => {
+                let peer = &before.voters[from];
+                if voter == from || peer.status() != VoterStatus::Voting {
                     return None;
                 }
                 let (me, incarnation) = (before.voters[voter].me(), before.voters[voter].incarnation());
                 fleet.voters[from].observe_incarnation(me, incarnation);
-                let (known, accepted) = (teller.known(), teller.accepted().copied());
-                fleet.voters[voter].merge_peer_state(now, teller.me(), known, teller.promised(), accepted);
+                let (known, accepted) = (peer.known(), peer.accepted().copied());
+                fleet.voters[voter].merge_peer_state(now, peer.me(), known, peer.promised(), accepted);
                 fleet.voters[voter].set_preparation(true, true, BTreeSet::new());
             }
-            Does::Wake(at) => drop(fleet.voters[at].end_silence(now)),
+            FleetAction::Wake(at) => drop(fleet.voters[at].end_silence(now)),
         }
         (fleet != *before).then_some(fleet)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut all = vec![
-            Property::always(PLACE, |_: &Self, fleet: &Fleet| !fleet.twice),
-            Property::always(APART, |_, fleet: &Fleet| {
+            Property::always(ONE_RECORD, |_: &Self, fleet: &Fleet| !fleet.two_chosen),
+            Property::always(NO_CONTRADICTION, |_, fleet: &Fleet| {
                 let latest = Change::obeyed(Change::latest(fleet).1);
-                Change::acts(fleet).is_none_or(|of| Change::obeyed(of).iter().any(|one| latest.contains(one)))
+                Change::obeyed_record(fleet)
+                    .is_none_or(|of| Change::obeyed(of).iter().any(|one| latest.contains(one)))
             }),
-            Property::always(BOUND, |_, fleet: &Fleet| {
-                let old = Change::acts(fleet).is_some_and(|of| Change::obeyed(of)[1].number == 1);
+            Property::always(WITHIN_BOUND, |_, fleet: &Fleet| {
+                let old = Change::obeyed_record(fleet).is_some_and(|of| Change::obeyed(of)[1].number == 1);
                 !(old && fleet.joint.is_some_and(|joint| fleet.now > joint + 2))
             }),
-            Property::sometimes("the last place is chosen", |this: &Self, fleet: &Fleet| {
+            Property::sometimes("the last record is chosen", |this: &Self, fleet: &Fleet| {
                 fleet.chosen.contains_key(&this.last)
             }),
-            Property::sometimes("the newest is acted on", |this: &Self, fleet: &Fleet| {
-                fleet.adopted == this.last && Change::acts(fleet).is_some()
+            Property::sometimes("the newest record is acted on", |this: &Self, fleet: &Fleet| {
+                fleet.adopted == this.last && Change::obeyed_record(fleet).is_some()
             }),
         ];
-        if self.forgets.is_some() {
-            all.push(Property::sometimes("one that forgot votes again", |_, fleet: &Fleet| {
+        if self.restarts.is_some() {
+            all.push(Property::sometimes("a voter that lost its state votes again", |_, fleet: &Fleet| {
                 let again = |voter: &Voter| voter.incarnation() == 2 && voter.status() == VoterStatus::Voting;
                 fleet.voters.iter().any(again)
             }));
@@ -364,9 +368,9 @@
     }
 }
 
-const PLACE: &str = "one record at one place";
-const APART: &str = "no two obey versions with nothing in common";
-const BOUND: &str = "none obeys the old alone beyond a lease";
+const ONE_RECORD: &str = "one record at one position";
+const NO_CONTRADICTION: &str = "no two obey versions with nothing in common";
+const WITHIN_BOUND: &str = "none obeys the old alone beyond a lease";
 
 /// Reduces the list to one voter: the smallest change after which a majority of the old list and one of the
 /// new may have no member in common.
@@ -377,25 +381,25 @@
         to: list(&[1]),
         first: 1,
         last: 3,
-        contest: None,
-        forgets: None,
+        contested_position: None,
+        restarts: None,
         ticks: 2,
-        asked: &[1, 2],
+        lease_voters: &[1, 2],
     }
 }
 
 #[test]
 fn three_voters_down_to_one_with_leases_of_old_and_new() {
-    explored(Change { ticks: 3, ..down_to_one() }).assert_properties();
+    explore(Change { ticks: 3, ..down_to_one() }).assert_properties();
 }
 
 #[test]
-fn three_voters_down_to_one_while_one_forgets() {
-    explored(Change { forgets: Some(2), ..down_to_one() }).assert_properties();
+fn three_voters_down_to_one_while_one_loses_its_state() {
+    explore(Change { restarts: Some(2), ..down_to_one() }).assert_properties();
 }
 
 /// Finds a trace to a state that violates the property, and stops there.
-fn flaw(model: Change, property: &'static str) {
+fn assert_detected(model: Change, property: &'static str) {
     let checker = model.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let path =
         checker.discovery(property).unwrap_or_else(|| panic!("an injected fault was not found: {property}"));
@@ -405,27 +409,30 @@
 }
 
 #[test]
-fn planted_a_choice_after_the_joint_step_by_the_new_list_alone() {
+fn detects_a_final_step_chosen_by_the_new_list_alone() {
     let flaws = Flaws { choice_by_new_list: true, ..Flaws::default() };
-    flaw(Change { flaws, asked: &[2, 3], ..down_to_one() }, APART);
+    assert_detected(Change { flaws, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
 }
 
 #[test]
-fn planted_a_lease_under_the_joint_step_by_the_old_list_alone() {
+fn detects_a_joint_lease_from_the_old_list_alone() {
     let flaws = Flaws { lease_from_old_list: true, ..Flaws::default() };
-    flaw(Change { flaws, first: 2, last: 6, ticks: 0, asked: &[2, 3], ..down_to_one() }, APART);
+    assert_detected(
+        Change { flaws, first: 2, last: 6, ticks: 0, lease_voters: &[2, 3], ..down_to_one() },
+        NO_CONTRADICTION,
+    );
 }
 
 #[test]
-fn planted_a_removed_voter_that_grants() {
+fn detects_a_removed_voter_that_grants() {
     let flaws = Flaws { removed_grants: true, ..Flaws::default() };
-    flaw(Change { flaws, ticks: 0, asked: &[2, 3], ..down_to_one() }, APART);
+    assert_detected(Change { flaws, ticks: 0, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
 }
 
 #[test]
-fn planted_an_added_voter_that_votes_before_it_learnt() {
+fn detects_an_added_voter_that_votes_before_recovery() {
     let flaws = Flaws { added_votes_unlearnt: true, ..Flaws::default() };
-    let (from, to, contest) = (list(&[1, 2]), list(&[1, 2, 3]), Some(4));
-    let change = Change { flaws, from, to, first: 3, last: 4, contest, ..down_to_one() };
-    flaw(Change { forgets: Some(3), asked: &[], ..change }, PLACE);
+    let (from, to, contested_position) = (list(&[1, 2]), list(&[1, 2, 3]), Some(4));
+    let change = Change { flaws, from, to, first: 3, last: 4, contested_position, ..down_to_one() };
+    assert_detected(Change { restarts: Some(3), lease_voters: &[], ..change }, ONE_RECORD);
 }
