--- a/crates/accord/src/record.rs
+++ b/crates/accord/src/record.rs
@@ -168,26 +168,29 @@
     }
     match (from.phase, to.phase) {
         (Phase::Single(a), Phase::Prepare { old, new, .. }) => {
-            let lists = to.lists.current == from.lists.current && to.lists.next != Some(from.lists.current);
+            let valid_lists =
+                to.lists.current == from.lists.current && to.lists.next != Some(from.lists.current);
             (old == a
                 && new.number == a.number + 1
                 && to.oldest_compatible == from.oldest_compatible
-                && lists)
+                && valid_lists)
                 .then_some(Transition::Prepare)
         }
         (Phase::Prepare { old, new, .. }, Phase::Joint { old: a, new: b }) => {
-            let same = to.proposal_id == from.proposal_id && to.lists == from.lists;
-            (a == old && b == new && to.oldest_compatible == to.position && same).then_some(Transition::Join)
+            let consistent = to.proposal_id == from.proposal_id && to.lists == from.lists;
+            (a == old && b == new && to.oldest_compatible == to.position && consistent)
+                .then_some(Transition::Join)
         }
         (Phase::Prepare { old, .. }, Phase::Single(a)) => {
-            let lists = VoterLists::unchanged(from.lists.current);
-            (a == old && to.oldest_compatible == from.oldest_compatible && to.lists == lists)
+            let unchanged = VoterLists::unchanged(from.lists.current);
+            (a == old && to.oldest_compatible == from.oldest_compatible && to.lists == unchanged)
                 .then_some(Transition::Withdraw)
         }
         (Phase::Joint { new, .. }, Phase::Single(b)) => {
-            let same =
+            let consistent =
                 to.proposal_id == from.proposal_id && to.lists == VoterLists::unchanged(from.final_voters());
-            (b == new && to.oldest_compatible == from.oldest_compatible && same).then_some(Transition::Finish)
+            (b == new && to.oldest_compatible == from.oldest_compatible && consistent)
+                .then_some(Transition::Finish)
         }
         _ => None,
     }
--- a/crates/accord/src/schema.rs
+++ b/crates/accord/src/schema.rs
@@ -27,13 +27,13 @@
 #[derive(Clone, Copy)]
 enum ValueRule {
     /// One of these texts, from loosest to strictest.
-    Ladder(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
     /// An integer in this range. On hard keys the smaller value is stricter.
     Range(i64, i64),
     /// A flag. On hard keys `true` is stricter.
     Flag,
     /// Only `true`; the absent key means false.
-    Present,
+    TrueOnly,
     /// `DRAFTER:LENGTH`.
     Draft,
 }
@@ -52,8 +52,8 @@
         count = at + 1;
     }
     Some(match (count, segments[0], segments[2]) {
-        (3, "class", "effect") => (true, ValueRule::Ladder(&["safe", "keyed", "unsafe"])),
-        (3, "class", "scope") => (true, ValueRule::Ladder(&["all", "zone", "cell"])),
+        (3, "class", "effect") => (true, ValueRule::OneOf(&["safe", "keyed", "unsafe"])),
+        (3, "class", "scope") => (true, ValueRule::OneOf(&["all", "zone", "cell"])),
         (3, "class", "window_ms") => (true, ValueRule::Range(0, 3_600_000)),
         (3, "class", "attempts") => (true, ValueRule::Range(1, 16)),
         (3, "class", "aim_ms" | "give_up_ms") => (false, ValueRule::Range(1, MAX_TIME_MS)),
@@ -61,18 +61,18 @@
         (3, "tenant", "quota_milli") => (true, ValueRule::Range(0, MAX_AMOUNT)),
         (2, "limit", _) => (true, ValueRule::Range(0, MAX_AMOUNT)),
         (3, "site", "weight") => (false, ValueRule::Range(0, 1_000)),
-        (2, "out", _) => (true, ValueRule::Present),
+        (2, "out", _) => (true, ValueRule::TrueOnly),
         (3, "list", _) => (false, ValueRule::Flag),
         (3, "draft", "0" | "1" | "2" | "3") => (false, ValueRule::Draft),
         // Keys that this crate reads itself: what happens when a member refuses a version, and which members
         // are declared gone.
-        (2, "accord", _) if segments[1] == "refused" => (false, ValueRule::Ladder(&["wait", "go_on"])),
+        (2, "accord", _) if segments[1] == "refused" => (false, ValueRule::OneOf(&["wait", "go_on"])),
         (2, "gone", _) if segments[1].parse::<u32>().is_ok_and(|name| name.to_string() == segments[1]) => {
-            (false, ValueRule::Present)
+            (false, ValueRule::TrueOnly)
         }
         // The voters. Hard, so that members never use two lists at once.
         (2, "voter", _) if segments[1].parse::<u32>().is_ok_and(|name| name.to_string() == segments[1]) => {
-            (true, ValueRule::Present)
+            (true, ValueRule::TrueOnly)
         }
         _ => return None,
     })
@@ -102,18 +102,18 @@
 /// An unknown key, a value of the wrong type, or a value out of range.
 pub fn check_entry(key: &Key, value: &Value) -> Result<(), SchemaError> {
     let refuse = |reason: String| Err(SchemaError { key: key.to_string(), reason });
-    let Some((_, takes)) = rule_or_floor_rule(key) else { return refuse("no such key is known".into()) };
-    match (takes, value) {
+    let Some((_, value_rule)) = rule_or_floor_rule(key) else { return refuse("no such key is known".into()) };
+    match (value_rule, value) {
         (_, Value::Text(text)) if text.len() > MAX_TEXT_BYTES => {
             refuse(format!("a text has at most {MAX_TEXT_BYTES} bytes"))
         }
-        (ValueRule::Ladder(words), Value::Text(text)) if words.contains(&text.as_str()) => Ok(()),
-        (ValueRule::Ladder(words), value) => refuse(format!("{value} is not one of {}", words.join(", "))),
+        (ValueRule::OneOf(texts), Value::Text(text)) if texts.contains(&text.as_str()) => Ok(()),
+        (ValueRule::OneOf(texts), value) => refuse(format!("{value} is not one of {}", texts.join(", "))),
         (ValueRule::Range(min, max), Value::Int(int)) if (min..=max).contains(int) => Ok(()),
         (ValueRule::Range(min, max), value) => refuse(format!("{value} is not a number from {min} to {max}")),
-        (ValueRule::Flag, Value::Flag(_)) | (ValueRule::Present, Value::Flag(true)) => Ok(()),
+        (ValueRule::Flag, Value::Flag(_)) | (ValueRule::TrueOnly, Value::Flag(true)) => Ok(()),
         (ValueRule::Flag, value) => refuse(format!("{value} is neither true nor false")),
-        (ValueRule::Present, value) => {
+        (ValueRule::TrueOnly, value) => {
             refuse(format!("{value}: only true is allowed; to say no, drop the key"))
         }
         (ValueRule::Draft, Value::Text(text)) => {
@@ -133,16 +133,16 @@
 /// The stricter of two values of a hard key. For a soft key `b`, the newer value.
 pub fn stricter<'a>(key: &Key, a: &'a Value, b: &'a Value) -> &'a Value {
     match (rule_or_floor_rule(key), a, b) {
-        (Some((true, ValueRule::Ladder(words))), Value::Text(x), Value::Text(y)) => {
-            let place = |word: &String| words.iter().position(|known| known == word);
-            if place(x) > place(y) {
+        (Some((true, ValueRule::OneOf(texts))), Value::Text(x), Value::Text(y)) => {
+            let rank = |text: &String| texts.iter().position(|known| known == text);
+            if rank(x) > rank(y) {
                 a
             } else {
                 b
             }
         }
         (Some((true, ValueRule::Range(..))), Value::Int(x), Value::Int(y)) if x < y => a,
-        (Some((true, ValueRule::Flag | ValueRule::Present)), Value::Flag(true), _) => a,
+        (Some((true, ValueRule::Flag | ValueRule::TrueOnly)), Value::Flag(true), _) => a,
         _ => b,
     }
 }
--- a/crates/accord/src/settings.rs
+++ b/crates/accord/src/settings.rs
@@ -107,19 +107,19 @@
         if let Some(name) = self.voters.iter().find(|name| !self.roster.contains(name)) {
             return refuse("voters", format!("{name} is not among the members"));
         }
-        let mut may = self.eligible_voters.clone();
-        may.sort_unstable();
-        may.dedup();
-        if may.len() != self.eligible_voters.len() || may.len() > MAX_ELIGIBLE_VOTERS {
+        let mut eligible = self.eligible_voters.clone();
+        eligible.sort_unstable();
+        eligible.dedup();
+        if eligible.len() != self.eligible_voters.len() || eligible.len() > MAX_ELIGIBLE_VOTERS {
             return refuse(
                 "may_vote",
                 format!("{} names: at most {MAX_ELIGIBLE_VOTERS}, none twice", self.eligible_voters.len()),
             );
         }
-        if let Some(name) = may.iter().find(|name| !self.roster.contains(name)) {
+        if let Some(name) = eligible.iter().find(|name| !self.roster.contains(name)) {
             return refuse("may_vote", format!("{name} is not among the members"));
         }
-        if let Some(name) = self.voters.iter().find(|name| !may.is_empty() && !may.contains(name)) {
+        if let Some(name) = self.voters.iter().find(|name| !eligible.is_empty() && !eligible.contains(name)) {
             return refuse("may_vote", format!("the voter {name} is missing"));
         }
         if self.roster.len() > MAX_MEMBERS {
@@ -164,7 +164,7 @@
         if let Some(key) = self.floor.iter().find_map(|(key, _)| key.floor_target()) {
             return refuse("floor", format!("floor/{key}: keys of the floor must not start with floor/"));
         }
-        for (of, key) in [
+        for (problem, key) in [
             ("the document is stricter", schema::find_uncovered(&self.initial_document(), &self.floor)),
             (
                 "the document's floor is stricter",
@@ -174,7 +174,7 @@
             if let Some(key) = key {
                 return refuse(
                     "floor",
-                    format!("{key}: {of}, so a member that is cut off would contradict it"),
+                    format!("{key}: {problem}, so a member that is cut off would contradict it"),
                 );
             }
         }
@@ -191,16 +191,16 @@
 
     /// The initial document: the file's, with the file's floor unless the document has a floor itself.
     pub(crate) fn initial_document(&self) -> Document {
-        let mut first = self.document.clone();
-        if first.iter().all(|(key, _)| key.floor_target().is_none()) {
+        let mut document = self.document.clone();
+        if document.iter().all(|(key, _)| key.floor_target().is_none()) {
             for (key, value) in self.floor.iter() {
                 if let Some(key) = key.floor() {
-                    first.set(key, value.clone());
+                    document.set(key, value.clone());
                 }
             }
         }
-        first.seal();
-        first
+        document.seal();
+        document
     }
 
     /// All members that may ever vote.
@@ -226,11 +226,11 @@
     /// Members for which `gone` is true count as silent: the operator promises by a document that their
     /// processes are stopped.
     pub(crate) fn bootstrap_quorum(&self, gone: impl Fn(MemberId) -> bool) -> Quorum {
-        let may = self.eligible_voters();
-        let left: Vec<MemberId> = may.iter().copied().filter(|name| !gone(*name)).collect();
-        let need = may.len() - self.voters.len() / 2;
-        let need = need.saturating_sub(may.len() - left.len()).max(1);
-        Quorum::threshold(left, need)
+        let eligible = self.eligible_voters();
+        let running: Vec<MemberId> = eligible.iter().copied().filter(|name| !gone(*name)).collect();
+        let need = eligible.len() - self.voters.len() / 2;
+        let need = need.saturating_sub(eligible.len() - running.len()).max(1);
+        Quorum::threshold(running, need)
     }
 
     /// A duration as the holder measures it: it ends before it ends on any other clock.
