--- a/crates/accord/src/participant.rs
+++ b/crates/accord/src/participant.rs
@@ -494,7 +494,7 @@
             let old_status = voter.status();
             voter.learn(now, record);
             if voter.status() != old_status {
-                out.push(Output::Log(format!("voter status: {}", describe_status(voter.status()))));
+                out.push(Output::Log(format!("this voter {}", describe_status(voter.status()))));
             }
         }
         if record.position <= self.known.position {
@@ -663,9 +663,9 @@
 
 fn describe_status(status: VoterStatus) -> &'static str {
     match status {
-        VoterStatus::Silent { .. } => "silent for the longest lease time",
-        VoterStatus::Ready => "waiting for the state of a majority of voters, or for an epoch bootstrap",
-        VoterStatus::Voting => "voting",
+        VoterStatus::Silent { .. } => "is silent for the longest lease time",
+        VoterStatus::Ready => "waits for the state of a majority of voters, or for an epoch bootstrap",
+        VoterStatus::Voting => "votes",
     }
 }
 
--- a/crates/accord/src/participant/bootstrap.rs
+++ b/crates/accord/src/participant/bootstrap.rs
@@ -7,7 +7,7 @@
         let Some(voter) = &mut self.voter else { return };
         voter.drop_expired_grants(now);
         if voter.end_silence(now) {
-            out.push(Output::Log(format!("voter status: {}", describe_status(voter.status()))));
+            out.push(Output::Log(format!("this voter {}", describe_status(voter.status()))));
         }
         let recent = self.settings.period * 4;
         let peer_is_voting = |peer: &Peer| peer.status == VoterStatus::Voting && now < peer.heard_at + recent;
