--- a/crates/accord/src/document.rs
+++ b/crates/accord/src/document.rs
@@ -253,15 +253,15 @@
     /// All entries except those of buckets that hold only entries of lists, which are soft and not part of
     /// the floor.
     pub(crate) fn entries_outside_lists(&self) -> impl Iterator<Item = (&Key, &Value)> {
-        let other = |bucket: &&Arc<Bucket>| !bucket.is_lists();
-        self.buckets.iter().filter(other).flat_map(|bucket| &bucket.entries)
+        let outside_lists = |bucket: &&Arc<Bucket>| !bucket.is_lists();
+        self.buckets.iter().filter(outside_lists).flat_map(|bucket| &bucket.entries)
     }
 
     /// The entries of buckets with keys that name voters, whatever else those buckets hold: few entries,
     /// whatever the size of the document.
     pub(crate) fn entries_of_voter_buckets(&self) -> impl Iterator<Item = (&Key, &Value)> {
-        let with = |bucket: &&Arc<Bucket>| bucket.digest.is_none() || bucket.names_voters;
-        self.buckets.iter().filter(with).flat_map(|bucket| &bucket.entries)
+        let may_name_voters = |bucket: &&Arc<Bucket>| bucket.digest.is_none() || bucket.names_voters;
+        self.buckets.iter().filter(may_name_voters).flat_map(|bucket| &bucket.entries)
     }
 
     /// The entries whose keys start with a prefix such as `class/`, sorted by key. Visits every entry.
@@ -337,8 +337,8 @@
     }
 
     /// The bucket at an index; `None` after the last. For incremental work.
-    pub(crate) fn bucket(&self, at: usize) -> Option<&Arc<Bucket>> {
-        self.buckets.get(at)
+    pub(crate) fn bucket(&self, index: usize) -> Option<&Arc<Bucket>> {
+        self.buckets.get(index)
     }
 
     /// The buckets, to be freed one by one.
@@ -403,7 +403,7 @@
 /// is hashed.
 #[derive(Debug, Default)]
 pub(crate) struct DocumentBuilder {
-    made: Document,
+    document: Document,
     /// Buckets before this index are hashed.
     hashed_until: usize,
 }
@@ -411,41 +411,41 @@
 impl DocumentBuilder {
     /// Creates a builder that starts from the entries of `base`.
     pub fn from_base(base: &Document) -> DocumentBuilder {
-        DocumentBuilder { made: base.clone(), hashed_until: 0 }
+        DocumentBuilder { document: base.clone(), hashed_until: 0 }
     }
 
     /// Sets a key. The budget also pays for copying a bucket that other versions share.
     pub fn set(&mut self, key: Key, value: Value, budget: &mut Budget) {
         self.charge(&key, budget);
-        self.made.set(key, value);
+        self.document.set(key, value);
     }
 
     /// Removes a key, if present.
     pub fn remove(&mut self, key: &Key, budget: &mut Budget) {
         self.charge(key, budget);
-        drop(self.made.remove(key));
+        drop(self.document.remove(key));
     }
 
     fn charge(&mut self, key: &Key, budget: &mut Budget) {
         self.hashed_until = 0;
-        let bucket = &self.made.buckets[key.bucket()];
+        let bucket = &self.document.buckets[key.bucket()];
         budget.spend(if Arc::strong_count(bucket) > 1 { 1 + bucket.entries.len() } else { 1 });
     }
 
     /// See [`Document::fits`].
     pub fn fits(&self) -> bool {
-        self.made.fits()
+        self.document.fits()
     }
 
     /// Number of entries and bytes so far.
     pub fn size(&self) -> (usize, usize) {
-        (self.made.len(), self.made.bytes())
+        (self.document.len(), self.document.bytes())
     }
 
     /// Hashes the changed buckets as far as the budget allows. Returns the document once all are hashed, and
     /// leaves an empty builder.
     pub fn seal(&mut self, budget: &mut Budget) -> Option<Document> {
-        while let Some(bucket) = self.made.buckets.get_mut(self.hashed_until) {
+        while let Some(bucket) = self.document.buckets.get_mut(self.hashed_until) {
             if bucket.digest.is_none() {
                 if budget.is_spent() {
                     return None;
@@ -455,13 +455,13 @@
             }
             self.hashed_until += 1;
         }
-        self.made.root = Some(self.made.digest());
-        Some(std::mem::take(self).made)
+        self.document.root = Some(self.document.digest());
+        Some(std::mem::take(self).document)
     }
 
     /// The buckets of an incomplete document, to be freed incrementally.
     pub fn into_buckets(self) -> Vec<Arc<Bucket>> {
-        self.made.buckets
+        self.document.buckets
     }
 }
 
--- a/crates/accord/src/fetch/tests.rs
+++ b/crates/accord/src/fetch/tests.rs
@@ -11,17 +11,18 @@
     store.put(document.digest(), DocumentWithFloor::new(document.clone()), needed, reclaimer);
 }
 
-fn wanted(to: u32, digest: Digest, base: Option<Digest>) -> ChunkRequest {
+fn chunk_request(to: u32, digest: Digest, base: Option<Digest>) -> ChunkRequest {
     ChunkRequest { to: MemberId(to), digest, base, first: 0, mask: 1 }
 }
 
 /// Encodes all streams with this budget per step. Returns the members whose requests waited for them.
-fn written(store: &mut DocumentStore, entries: usize, reclaimer: &mut Reclaimer) -> Vec<MemberId> {
-    let mut told = Vec::new();
+fn encode_all(store: &mut DocumentStore, entries: usize, reclaimer: &mut Reclaimer) -> Vec<MemberId> {
+    let mut members = Vec::new();
     while store.has_work() {
-        told.extend(store.write(&mut Budget::of(entries), reclaimer).into_iter().map(|wanted| wanted.to));
+        members
+            .extend(store.write(&mut Budget::of(entries), reclaimer).into_iter().map(|request| request.to));
     }
-    told
+    members
 }
 
 #[test]
@@ -34,49 +35,52 @@
         put(&mut store, &other, &[first.digest()], &mut reclaimer);
         assert!(store.get(other.digest()).is_some() && store.get(first.digest()).is_some());
         for base in [Some(first.digest()), None] {
-            assert!(!store.is_ready(&wanted(at, other.digest(), base)));
-            assert!(store.chunk(other.digest(), base, 0).is_none(), "half of it is not sent");
-            assert_eq!(written(&mut store, 1, &mut reclaimer), [MemberId(at)]);
+            assert!(!store.is_ready(&chunk_request(at, other.digest(), base)));
+            assert!(store.chunk(other.digest(), base, 0).is_none(), "an incomplete stream is not sent");
+            assert_eq!(encode_all(&mut store, 1, &mut reclaimer), [MemberId(at)]);
             store.chunk(other.digest(), base, 0).unwrap();
         }
     }
     assert_eq!((store.held.len(), store.streams.len()), (MAX_DOCUMENTS, MAX_STREAMS));
-    assert!(!store.is_ready(&wanted(1, Digest::default(), None)) && !store.has_work(), "it is not held");
+    assert!(
+        !store.is_ready(&chunk_request(1, Digest::default(), None)) && !store.has_work(),
+        "the document is not held"
+    );
     for at in 0..1_000 {
-        assert!(!store.is_ready(&wanted(at, first.digest(), None)));
+        assert!(!store.is_ready(&chunk_request(at, first.digest(), None)));
     }
     assert_eq!(store.waiting.len(), MAX_WAITING_REQUESTS);
     assert_eq!(
-        written(&mut store, 1, &mut reclaimer).len(),
+        encode_all(&mut store, 1, &mut reclaimer).len(),
         MAX_WAITING_REQUESTS,
-        "one stream for all of them"
+        "one stream serves all requests"
     );
 }
 
 /// A fault that is injected into the transfer of a document.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
-    Nothing,
+    None,
     Lost,
-    Doubled,
-    Spoilt,
-    Base,
+    Duplicated,
+    Corrupted,
+    MissingBase,
 }
 
 #[test]
 fn a_fetch_gives_the_same_document_for_all_step_sizes_and_faults() {
     let (old, new) = (list(0, 4_000), list(100, 4_100));
-    let faults = [Fault::Nothing, Fault::Lost, Fault::Doubled, Fault::Spoilt, Fault::Base];
+    let faults = [Fault::None, Fault::Lost, Fault::Duplicated, Fault::Corrupted, Fault::MissingBase];
     for (seed, fault) in faults.into_iter().enumerate() {
         for entries in [1, 7, 100, 1_000, usize::MAX] {
             for base in [None, Some((old.digest(), old.clone()))] {
-                fetched(seed as u64, fault, entries, base, &old, &new);
+                check_fetch(seed as u64, fault, entries, base, &old, &new);
             }
         }
     }
 }
 
-fn fetched(
+fn check_fetch(
     seed: u64,
     fault: Fault,
     entries: usize,
@@ -86,38 +90,38 @@
 ) {
     let (mut store, mut reclaimer) = (DocumentStore::default(), Reclaimer::default());
     put(&mut store, new, &[], &mut reclaimer);
-    if fault != Fault::Base {
+    if fault != Fault::MissingBase {
         put(&mut store, old, &[], &mut reclaimer);
     }
-    let mut dice = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let mut fetch = Fetch::new(new.digest(), base.clone());
     let (mut result, mut wrong, mut asked) = (None, 0, 0);
     while result.is_none() {
         asked += 1;
-        assert!(asked < 10_000, "it does not end");
+        assert!(asked < 10_000, "the fetch does not end");
         let (base, first, mask) = fetch.next_request();
-        if !store.is_ready(&wanted(1, new.digest(), base)) {
-            written(&mut store, entries, &mut reclaimer);
+        if !store.is_ready(&chunk_request(1, new.digest(), base)) {
+            encode_all(&mut store, entries, &mut reclaimer);
         }
         let mut parts: Vec<u32> =
             (0..WINDOW_CHUNKS).filter(|at| mask >> at & 1 == 1).map(|at| first + at).collect();
-        if fault == Fault::Doubled {
+        if fault == Fault::Duplicated {
             parts.extend(parts.clone());
         }
-        dice.shuffle(&mut parts);
+        rng.shuffle(&mut parts);
         for at in parts {
             let Some((base, total, mut bytes)) = store.chunk(new.digest(), base, at) else { continue };
-            if fault == Fault::Lost && dice.u32(0..3) == 0 {
+            if fault == Fault::Lost && rng.u32(0..3) == 0 {
                 continue;
             }
-            if fault == Fault::Spoilt && wrong == 0 && at == 2 {
+            if fault == Fault::Corrupted && wrong == 0 && at == 2 {
                 bytes[9] ^= 1;
             }
             fetch.on_chunk(new.digest(), base, total, at, bytes, &mut reclaimer);
             assert!(fetch.out_of_order.len() <= WINDOW_CHUNKS as usize);
             assert!(fetch.unparsed.len() <= MAX_UNPARSED_BYTES * 2 + CHUNK_BYTES);
             // Sometimes the next chunk arrives before this one is parsed.
-            for _ in 0..dice.u32(0..3) {
+            for _ in 0..rng.u32(0..3) {
                 let mut budget = Budget::of(entries);
                 let step = fetch.step(&mut budget, &mut reclaimer);
                 let most = (entries as u64).saturating_add(64);
@@ -140,7 +144,7 @@
     let whole = result.unwrap();
     assert_eq!(whole.document.digest(), new.digest());
     assert!(whole.document.iter().eq(new.iter()) && whole.document.len() == new.len());
-    assert_eq!(wrong > 0, fault == Fault::Spoilt);
+    assert_eq!(wrong > 0, fault == Fault::Corrupted);
 }
 
 #[test]
@@ -148,8 +152,8 @@
     let new = list(0, 20_000);
     let (mut store, mut reclaimer) = (DocumentStore::default(), Reclaimer::default());
     put(&mut store, &new, &[], &mut reclaimer);
-    assert!(!store.is_ready(&wanted(1, new.digest(), None)));
-    written(&mut store, 100, &mut reclaimer);
+    assert!(!store.is_ready(&chunk_request(1, new.digest(), None)));
+    encode_all(&mut store, 100, &mut reclaimer);
     let mut fetch = Fetch::new(new.digest(), None);
     let (mut at, mut taken) = (0, 0);
     while let Some((base, total, bytes)) = store.chunk(new.digest(), None, at) {
--- a/crates/accord/tests/net/mod.rs
+++ b/crates/accord/tests/net/mod.rs
@@ -64,7 +64,7 @@
     pub paused: bool,
     /// Clock error in parts per million; positive if the clock is fast.
     drift: i64,
-    born: u64,
+    started_at: u64,
     /// Refuses documents with this key.
     pub unknown: Option<Key>,
     pub sent: u64,
@@ -177,7 +177,7 @@
                 up: true,
                 paused: false,
                 drift,
-                born: 0,
+                started_at: 0,
                 unknown: None,
                 sent: 0,
                 timer_at: 0,
@@ -206,7 +206,7 @@
 
     pub fn clock(&self, name: MemberId) -> Duration {
         let member = &self.members[self.at(name)];
-        let age = (self.now - member.born) as i64;
+        let age = (self.now - member.started_at) as i64;
         Duration::from_secs(7) + Duration::from_micros((age + age * member.drift / 1_000_000) as u64)
     }
 
@@ -226,8 +226,8 @@
         let local = self.clock(name);
         let Some(wake) = self.members[at].accord.next_timer() else { return };
         let due = self.now + wake.saturating_sub(local).as_micros() as u64 + 1_000;
-        let looks = self.members[at].timer_at;
-        if looks > self.now && looks <= due {
+        let timer_at = self.members[at].timer_at;
+        if timer_at > self.now && timer_at <= due {
             return;
         }
         self.members[at].timer_at = due;
@@ -235,8 +235,8 @@
         self.push(due, Event::Timer { to: name, incarnation });
     }
 
-    fn carry_out(&mut self, from: MemberId, outs: Vec<Output>) {
-        for out in outs {
+    fn carry_out(&mut self, from: MemberId, outputs: Vec<Output>) {
+        for out in outputs {
             match out {
                 Output::Send { to, data } => {
                     assert!(data.len() <= 1_190, "{} bytes", data.len());
@@ -360,27 +360,27 @@
         let mut changed = false;
         for at in 0..self.members.len() {
             let member = &self.members[at];
-            let on = (member.up && !member.paused).then(|| {
-                let acting = member.accord.active_terms(self.clock(MemberId(at as u32 + 1)));
-                let on = match &acting {
+            let terms_key = (member.up && !member.paused).then(|| {
+                let active = member.accord.active_terms(self.clock(MemberId(at as u32 + 1)));
+                let terms_key = match &active {
                     ActiveTerms::Floor(floor) => Obeyed::Floor(floor.digest()),
                     ActiveTerms::Single(version, _) => Obeyed::Single(*version),
                     ActiveTerms::Joint { old, new, .. } => Obeyed::Joint(*old, *new),
                 };
-                (on, acting.terms().clone())
+                (terms_key, active.terms().clone())
             });
-            if let Some((on, terms)) = &on {
-                self.terms.entry(*on).or_insert_with(|| terms.clone());
-                if let Some(version) = on.newest() {
+            if let Some((terms_key, terms)) = &terms_key {
+                self.terms.entry(*terms_key).or_insert_with(|| terms.clone());
+                if let Some(version) = terms_key.newest() {
                     self.first_acted_at.entry(version).or_insert(self.now);
                 }
             }
-            let on = on.map(|(on, _)| on);
-            changed |= self.obeyed[at] != on;
-            self.obeyed[at] = on;
+            let terms_key = terms_key.map(|(terms_key, _)| terms_key);
+            changed |= self.obeyed[at] != terms_key;
+            self.obeyed[at] = terms_key;
         }
         let now: BTreeSet<Obeyed> = self.obeyed.iter().flatten().copied().collect();
-        let acted: BTreeSet<Version> = now.iter().filter_map(|on| on.newest()).collect();
+        let acted: BTreeSet<Version> = now.iter().filter_map(|terms_key| terms_key.newest()).collect();
         let latest = acted.iter().map(|version| self.first_acted_at[version]).max().unwrap_or_default();
         for version in &acted {
             // Find members that act on an old version long after the first member acted on a newer one that
@@ -394,14 +394,14 @@
         }
         // If no member holds a lease, paused ones included, the fleet may start from the beginning: a version
         // that all members lost is not in force.
-        let leased = |at: usize, member: &Member| {
+        let holds_lease = |at: usize, member: &Member| {
             member.up
                 && !matches!(
                     member.accord.active_terms(self.clock(MemberId(at as u32 + 1))),
                     ActiveTerms::Floor(_)
                 )
         };
-        if acted.is_empty() && !self.members.iter().enumerate().any(|(at, member)| leased(at, member)) {
+        if acted.is_empty() && !self.members.iter().enumerate().any(|(at, member)| holds_lease(at, member)) {
             self.first_acted_at.clear();
         }
         if !changed {
@@ -426,12 +426,12 @@
         change: impl FnOnce(&mut Change),
     ) -> Result<ProposalId, ProposalError> {
         let (at, now) = (self.at(name), self.clock(name));
-        let mut wanted =
+        let mut new_change =
             Change { base: self.members[at].accord.status(now).known.number, ..Change::default() };
-        change(&mut wanted);
+        change(&mut new_change);
         let mut out = Vec::new();
         let (begun, touched) = (cpu_time_us(), self.members[at].accord.entries_touched());
-        let id = self.members[at].accord.propose(now, wanted, &mut out);
+        let id = self.members[at].accord.propose(now, new_change, &mut out);
         self.record_call("propose", at, begun, touched);
         self.carry_out(name, out);
         id
@@ -466,7 +466,7 @@
         let incarnation = self.members[at].incarnation + 1;
         self.members[at].accord = self.create_member_at(name, reported);
         let member = &mut self.members[at];
-        (member.incarnation, member.up, member.paused, member.born, member.timer_at) =
+        (member.incarnation, member.up, member.paused, member.started_at, member.timer_at) =
             (incarnation, true, false, self.now, 0);
         member.step_queued = false;
         self.schedule(name);
@@ -537,9 +537,9 @@
 /// The same with additional members that may vote, and with changes of voters among the other changes. The
 /// settings files stay the same.
 pub fn random_history_with_spares(seed: u64, changes: u32, flaws: Flaws, spares: u32) -> (Net, bool) {
-    let mut dice = fastrand::Rng::with_seed(seed ^ 0x5eed);
-    let voters = *dice.choice(&[3, 3, 4, 5]).unwrap();
-    let members = voters + dice.u32(0..=3) + spares;
+    let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
+    let voters = *rng.choice(&[3, 3, 4, 5]).unwrap();
+    let members = voters + rng.u32(0..=3) + spares;
     let mut setup = settings(members, voters);
     if spares > 0 {
         setup.eligible_voters = (1..=voters + spares).map(MemberId).collect();
@@ -548,16 +548,16 @@
     net.duplication = 0.1;
     net.run(6_000);
     for _ in 0..changes {
-        let any = |dice: &mut fastrand::Rng| MemberId(dice.u32(1..=members));
-        net.loss = *dice.choice(&[0.0, 0.0, 0.1, 0.3]).unwrap();
-        net.max_delay_us = *dice.choice(&[5_000, 40_000, 400_000, 2_500_000]).unwrap();
-        let propose = |net: &mut Net, dice: &mut fastrand::Rng| {
-            let by = any(dice);
-            let (what, value) = (dice.u32(0..6), dice.i64(1..=9));
-            if spares > 0 && dice.bool() && net.members[net.at(by)].up && !net.members[net.at(by)].paused {
+        let any = |rng: &mut fastrand::Rng| MemberId(rng.u32(1..=members));
+        net.loss = *rng.choice(&[0.0, 0.0, 0.1, 0.3]).unwrap();
+        net.max_delay_us = *rng.choice(&[5_000, 40_000, 400_000, 2_500_000]).unwrap();
+        let propose = |net: &mut Net, rng: &mut fastrand::Rng| {
+            let by = any(rng);
+            let (what, value) = (rng.u32(0..6), rng.i64(1..=9));
+            if spares > 0 && rng.bool() && net.members[net.at(by)].up && !net.members[net.at(by)].paused {
                 let names: Vec<u32> = (1..=voters + spares).collect();
-                let many = voters + dice.u32(0..=spares);
-                let list = dice.choose_multiple(names, many as usize);
+                let many = voters + rng.u32(0..=spares);
+                let list = rng.choose_multiple(names, many as usize);
                 let _ = net.propose(by, |change| {
                     for name in 1..=voters + spares {
                         match list.contains(&name) {
@@ -582,22 +582,22 @@
                 });
             }
         };
-        if dice.bool() {
-            propose(&mut net, &mut dice);
-            net.run(dice.u64(0..2_500));
+        if rng.bool() {
+            propose(&mut net, &mut rng);
+            net.run(rng.u64(0..2_500));
         }
-        let a = any(&mut dice);
-        match dice.u32(0..7) {
+        let a = any(&mut rng);
+        match rng.u32(0..7) {
             0 => {
-                let half: Vec<u32> = (1..=members).filter(|_| dice.bool()).collect();
+                let half: Vec<u32> = (1..=members).filter(|_| rng.bool()).collect();
                 let rest: Vec<u32> = (1..=members).filter(|name| !half.contains(name)).collect();
-                net.cut(&half, &rest, dice.bool());
+                net.cut(&half, &rest, rng.bool());
             }
-            1 => net.cut(&[a.0], &(1..=members).collect::<Vec<_>>(), dice.bool()),
+            1 => net.cut(&[a.0], &(1..=members).collect::<Vec<_>>(), rng.bool()),
             2 => {
                 net.kill(a);
-                net.run(dice.u64(0..4_000));
-                if dice.u32(0..3) == 0 {
+                net.run(rng.u64(0..4_000));
+                if rng.u32(0..3) == 0 {
                     net.restart_set_back(a);
                 } else {
                     net.restart(a);
@@ -605,25 +605,25 @@
             }
             3 => {
                 (1..=voters).for_each(|name| net.kill(MemberId(name)));
-                net.run(dice.u64(0..1_000));
+                net.run(rng.u64(0..1_000));
                 (1..=voters).for_each(|name| net.restart(MemberId(name)));
             }
             4 => {
-                let some: Vec<u32> = (1..=members).filter(|_| dice.u32(0..3) == 0).collect();
+                let some: Vec<u32> = (1..=members).filter(|_| rng.u32(0..3) == 0).collect();
                 some.iter().for_each(|name| net.pause(MemberId(*name), true));
-                net.run(dice.u64(0..2_000));
-                propose(&mut net, &mut dice);
-                net.run(dice.u64(500..20_000));
+                net.run(rng.u64(0..2_000));
+                propose(&mut net, &mut rng);
+                net.run(rng.u64(500..20_000));
                 some.iter().for_each(|name| net.pause(MemberId(*name), false));
             }
             5 => {
                 // Restart two members one after the other: a majority of three that loses its state within a
                 // lease.
-                let b = any(&mut dice);
+                let b = any(&mut rng);
                 for name in [a, b] {
                     net.kill(name);
-                    net.run(dice.u64(0..1_500));
-                    if dice.u32(0..3) == 0 {
+                    net.run(rng.u64(0..1_500));
+                    if rng.u32(0..3) == 0 {
                         net.restart_set_back(name);
                     } else {
                         net.restart(name);
@@ -632,9 +632,9 @@
             }
             _ => {}
         }
-        propose(&mut net, &mut dice);
-        propose(&mut net, &mut dice);
-        net.run(dice.u64(500..9_000));
+        propose(&mut net, &mut rng);
+        propose(&mut net, &mut rng);
+        net.run(rng.u64(500..9_000));
         net.cuts.clear();
     }
     (net.loss, net.duplication, net.max_delay_us) = (0.0, 0.0, 20_000);
--- a/crates/accord/tests/voters.rs
+++ b/crates/accord/tests/voters.rs
@@ -85,33 +85,33 @@
     Grant(usize),
     Adopt,
     Restart(usize),
-    Recall { voter: usize, from: usize },
-    Wake(usize),
+    Recover { voter: usize, from: usize },
+    EndSilence(usize),
 }
 
 impl Change {
     /// The record that a proposer wants after this one; `None` after the last.
     fn proposal(&self, after: &Record, proposer: u32) -> Option<Record> {
         let (position, proposal_id) = (after.position.next(), after.proposal_id);
-        let same = Record { position, ..*after };
+        let next = Record { position, ..*after };
         Some(match (after.phase, proposer) {
             (Phase::Prepare { old, new, .. }, 0) => {
-                Record { phase: Phase::Joint { old, new }, oldest_compatible: position, ..same }
+                Record { phase: Phase::Joint { old, new }, oldest_compatible: position, ..next }
             }
             (Phase::Prepare { old, .. }, _) => Record {
                 phase: Phase::Single(old),
                 lists: VoterLists::unchanged(after.lists.current),
-                ..same
+                ..next
             },
             (Phase::Joint { new, .. }, 0) => Record {
                 phase: Phase::Single(new),
                 lists: VoterLists::unchanged(after.lists.next.unwrap_or(after.lists.current)),
-                ..same
+                ..next
             },
             (Phase::Single(old), proposer) if old.number == 2 => {
                 let new = version(3, 3 + proposer as u8);
                 let proposal_id = ProposalId { count: 2 + u64::from(proposer), ..proposal_id };
-                Record { phase: Phase::Prepare { old, new, tightens_floor: false }, proposal_id, ..same }
+                Record { phase: Phase::Prepare { old, new, tightens_floor: false }, proposal_id, ..next }
             }
             _ => return None,
         })
@@ -234,10 +234,10 @@
                 actions.push(FleetAction::Restart(at));
             }
             if self.restarts == Some(name) && fleet.voters[at].status() != VoterStatus::Voting {
-                actions.push(FleetAction::Wake(at));
+                actions.push(FleetAction::EndSilence(at));
                 if !self.flaws.added_votes_unlearnt {
                     actions
-                        .extend((0..fleet.voters.len()).map(|from| FleetAction::Recall { voter: at, from }));
+                        .extend((0..fleet.voters.len()).map(|from| FleetAction::Recover { voter: at, from }));
                 }
             }
         }
@@ -257,9 +257,9 @@
             FleetAction::PromiseRequest { index, proposer, voter } => {
                 let after = *fleet.chosen.get(&(index - 1))?;
                 let proposal = self.proposal(&after, proposer)?;
-                let fresh =
+                let new_round =
                     Round::new(&after, proposal, (proposer + 1, MemberId(proposer + 1))).flawed(self.flaws);
-                let round = fleet.rounds.entry((index, proposer)).or_insert(fresh);
+                let round = fleet.rounds.entry((index, proposer)).or_insert(new_round);
                 if round.accept().is_some() {
                     return None;
                 }
@@ -323,7 +323,7 @@
                 let voter = self.voter(fleet.voters[at].me().0, 2, fleet.now, &fleet.chosen);
                 fleet.voters[at] = voter;
             }
-            FleetAction::Recall { voter, from } => {
+            FleetAction::Recover { voter, from } => {
                 let peer = &before.voters[from];
                 if voter == from || peer.status() != VoterStatus::Voting {
                     return None;
@@ -334,7 +334,7 @@
                 fleet.voters[voter].merge_peer_state(now, peer.me(), known, peer.promised(), accepted);
                 fleet.voters[voter].set_preparation(true, true, BTreeSet::new());
             }
-            FleetAction::Wake(at) => drop(fleet.voters[at].end_silence(now)),
+            FleetAction::EndSilence(at) => drop(fleet.voters[at].end_silence(now)),
         }
         (fleet != *before).then_some(fleet)
     }
