--- a/crates/accord/src/participant.rs
+++ b/crates/accord/src/participant.rs
@@ -31,7 +31,7 @@
     status: VoterStatus,
     known: Position,
     /// Whether the peer knows the incarnation of this member.
-    knows_incarnation: bool,
+    knows_me: bool,
     heard_at: Duration,
 }
 
@@ -132,15 +132,9 @@
         }
         let first = settings.initial_document();
         let version = Version { number: 0, digest: first.digest() };
-        let proposal_id = ProposalId { proposer: me, incarnation, count: 0 };
+        let change = ProposalId { proposer: me, incarnation, count: 0 };
         let (position, lists) = (Position::default(), settings.initial_voters()?);
-        let record = Record {
-            position,
-            phase: Phase::Single(version),
-            oldest_compatible: position,
-            proposal_id,
-            lists,
-        };
+        let record = Record { position, phase: Phase::Single(version), leases_from: position, change, lists };
         let first = Arc::new(first);
         let floor = Arc::new(joint_terms(&settings.floor, &first.floor()));
         let mut file = settings.floor.clone();
@@ -241,7 +235,7 @@
                 "the document of the version in force has not arrived yet",
             ));
         };
-        let change = self.with_current_voters(change, &document.document)?;
+        let change = self.add_voters(change, &document.document)?;
         self.proposal_count += 1;
         let id = ProposalId { proposer: self.me, incarnation: self.incarnation, count: self.proposal_count };
         // Changes by operators are rare, so each gets a full step of work and most are answered at once.
@@ -455,12 +449,12 @@
                     self.on_round_action(now, action, out);
                 }
             }
-            Message::VoterState { incarnation, recipient_incarnation, status, known, promised, accepted } => {
+            Message::VoterState { incarnation, recipient, status, known, promised, accepted } => {
                 self.on_voter_state(
                     now,
                     from,
                     incarnation,
-                    recipient_incarnation,
+                    recipient,
                     status,
                     known,
                     promised,
@@ -507,7 +501,7 @@
         self.round = self.round.take().filter(|(round, _)| round.request().position > record.position);
         // Forget a proposal once its record is chosen; otherwise it would be proposed again after a
         // withdrawal.
-        self.proposal = self.proposal.take().filter(|proposal| proposal.id != record.proposal_id);
+        self.proposal = self.proposal.take().filter(|proposal| proposal.id != record.change);
         out.push(Output::Log(describe_record(record)));
         self.resolve_own_change(now, &before, out);
         self.advance();
@@ -564,7 +558,7 @@
         };
         let has_document = self.known.pending_version().is_none() || pending.is_some_and(names_same_list);
         let setting = |key: &str| Key::new(key).ok().and_then(|key| in_force?.get(&key).cloned());
-        let proceed_on_refusal = setting("accord/refused") == Some(Value::Text("go_on".into()));
+        let skip_refusals = setting("accord/refused") == Some(Value::Text("go_on".into()));
         let declared_gone = |name: &MemberId| {
             [in_force, pending].into_iter().flatten().any(|document| is_declared_gone(document, *name))
         };
@@ -574,7 +568,7 @@
             }
             _ => BTreeSet::new(),
         };
-        voter.set_preparation(has_document, proceed_on_refusal, required);
+        voter.set_preparation(has_document, skip_refusals, required);
     }
 
     /// The most urgent missing document.
--- a/crates/accord/src/participant/bootstrap.rs
+++ b/crates/accord/src/participant/bootstrap.rs
@@ -33,9 +33,9 @@
             voter.reset(now);
             self.quorum_seen_at = now;
         }
-        let state = |recipient_incarnation: u64, voter: &Voter| Message::VoterState {
+        let state = |recipient: u64, voter: &Voter| Message::VoterState {
             incarnation: voter.incarnation(),
-            recipient_incarnation,
+            recipient,
             status: voter.status(),
             known: *voter.known(),
             promised: voter.promised(),
@@ -60,7 +60,7 @@
         now: Duration,
         from: MemberId,
         incarnation: u64,
-        recipient_incarnation: u64,
+        recipient: u64,
         status: VoterStatus,
         known: Record,
         promised: Ballot,
@@ -70,19 +70,16 @@
         if !self.may_vote(from) || self.peers.get(&from).is_some_and(|peer| peer.incarnation > incarnation) {
             return;
         }
-        self.take_later_incarnation(recipient_incarnation, out);
-        let knows_incarnation = recipient_incarnation == self.incarnation;
-        self.peers.insert(
-            from,
-            Peer { incarnation, status, known: known.position, knows_incarnation, heard_at: now },
-        );
+        self.take_later_incarnation(recipient, out);
+        let knows_me = recipient == self.incarnation;
+        self.peers.insert(from, Peer { incarnation, status, known: known.position, knows_me, heard_at: now });
         self.learn(now, from, &known, out);
         let Some(voter) = &mut self.voter else { return };
         voter.observe_incarnation(from, incarnation);
         // State counts for a recovery only if it was sent to this incarnation by a voter whose state is
         // intact.
         let intact = matches!(status, VoterStatus::Voting | VoterStatus::Silent { state_lost: false, .. });
-        if knows_incarnation && intact {
+        if knows_me && intact {
             voter.merge_peer_state(now, from, &known, promised, accepted);
         }
     }
@@ -116,9 +113,8 @@
         // after that.
         self.round = None;
         let recent = self.settings.period * 4;
-        let is_ready = |peer: &Peer| {
-            peer.status == VoterStatus::Ready && peer.knows_incarnation && now < peer.heard_at + recent
-        };
+        let is_ready =
+            |peer: &Peer| peer.status == VoterStatus::Ready && peer.knows_me && now < peer.heard_at + recent;
         let mut incarnations: Vec<(MemberId, u64)> = self
             .peers
             .iter()
@@ -168,15 +164,10 @@
             .max(self.known.position.epoch)
             + 1;
         let position = Position { epoch, salt: self.rng.u32(..), index: 0 };
-        let proposal_id = ProposalId { proposer: self.me, incarnation: self.incarnation, count: 0 };
+        let change = ProposalId { proposer: self.me, incarnation: self.incarnation, count: 0 };
         let phase = Phase::Single(Version { number, digest: version.digest });
-        let record = Record {
-            position,
-            phase,
-            oldest_compatible: position,
-            proposal_id,
-            lists: VoterLists::unchanged(list),
-        };
+        let record =
+            Record { position, phase, leases_from: position, change, lists: VoterLists::unchanged(list) };
         incarnations.push((self.me, self.incarnation));
         let accept = Accept { ballot: (1, self.me), record, incarnations, basis: Some(self.known.position) };
         self.round = Some((Round::bootstrap(accept.clone(), quorum), now));
--- a/crates/accord/src/participant/rounds.rs
+++ b/crates/accord/src/participant/rounds.rs
@@ -5,44 +5,42 @@
 impl Participant {
     /// Sends this member's change to a voter, and moves on to the next voter after some attempts.
     pub(super) fn send_own_change(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let Some(own_change) = &mut self.own_change else { return };
-        let change = own_change.id;
-        if self.known.proposal_id == change && self.known.pending_version() == Some(own_change.new) {
+        let Some(own) = &mut self.own_change else { return };
+        let change = own.id;
+        if self.known.change == change && self.known.pending_version() == Some(own.new) {
             // The proposal was chosen. It comes into force or is withdrawn, however long that takes.
             return;
         }
-        if now >= own_change.deadline {
+        if now >= own.deadline {
             self.own_change = None;
             out.push(Output::Settled { change, result: Err(ProposalError::TimedOut) });
             return;
         }
-        let propose = Message::Propose { id: own_change.id, base: own_change.base, new: own_change.new };
+        let propose = Message::Propose { id: own.id, base: own.base, new: own.new };
         let voters: Vec<MemberId> = self.known.lists.current.iter().collect();
         // Each voter gets four attempts before the next one is asked. This member's own voter comes first, if
         // it has one.
-        let own = voters.iter().position(|voter| *voter == self.me).unwrap_or(own_change.id.count as usize);
-        let to = voters[(own + own_change.attempts / 4) % voters.len()];
-        own_change.attempts += 1;
+        let start = voters.iter().position(|voter| *voter == self.me).unwrap_or(own.id.count as usize);
+        let to = voters[(start + own.attempts / 4) % voters.len()];
+        own.attempts += 1;
         self.send(to, &propose, out);
     }
 
     pub(super) fn resolve_own_change(&mut self, _now: Duration, before: &Record, out: &mut Vec<Output>) {
-        let Some(own_change) = &self.own_change else { return };
-        let (known, change) = (&self.known, own_change.id);
-        let is_own = known.proposal_id == own_change.id;
+        let Some(own) = &self.own_change else { return };
+        let (known, change) = (&self.known, own.id);
+        let is_own = known.change == own.id;
         let result = match known.phase {
             Phase::Prepare { .. } if is_own => return,
-            Phase::Prepare { old, .. } if old == own_change.new => Ok(own_change.new),
-            Phase::Prepare { old, new, .. } if old == own_change.base => Err(ProposalError::Busy(new)),
-            Phase::Joint { new, .. } if new == own_change.new && is_own => Ok(new),
-            Phase::Single(version) if version == own_change.new => Ok(version),
+            Phase::Prepare { old, .. } if old == own.new => Ok(own.new),
+            Phase::Prepare { old, new, .. } if old == own.base => Err(ProposalError::Busy(new)),
+            Phase::Joint { new, .. } if new == own.new && is_own => Ok(new),
+            Phase::Single(version) if version == own.new => Ok(version),
             // The version is the same as before, so a change was withdrawn: this member's or another's.
-            Phase::Single(version) if version == own_change.base => {
-                match before.proposal_id == own_change.id || is_own {
-                    true => Err(ProposalError::Withdrawn),
-                    false => return,
-                }
-            }
+            Phase::Single(version) if version == own.base => match before.change == own.id || is_own {
+                true => Err(ProposalError::Withdrawn),
+                false => return,
+            },
             _ => Err(ProposalError::StaleBase(known.active_version())),
         };
         self.own_change = None;
@@ -63,7 +61,7 @@
         }
         // If this proposal led to the current record, it was chosen before and withdrawn since. A late message
         // must not bring it back.
-        if self.known.phase != Phase::Single(base) || self.known.proposal_id == id {
+        if self.known.phase != Phase::Single(base) || self.known.change == id {
             self.send(from, &Message::Chosen(self.known), out);
             return;
         }
@@ -97,8 +95,8 @@
         Some(Record {
             position: self.known.position.next(),
             phase,
-            oldest_compatible: self.known.oldest_compatible,
-            proposal_id: proposal.id,
+            leases_from: self.known.leases_from,
+            change: proposal.id,
             lists,
         })
     }
@@ -112,12 +110,8 @@
         let Some(list) = VoterList::from_document(new).map_err(|why| format!("voter: {why}"))? else {
             // Settings files may differ between members, so a document that names voters is never followed by
             // one that leaves the list to the files.
-            let base_names_none = VoterList::from_document(old).is_ok_and(|list| list.is_none());
-            return if base_names_none {
-                Ok(None)
-            } else {
-                Err("voter: at least one voter must remain".into())
-            };
+            let none_before = VoterList::from_document(old).is_ok_and(|list| list.is_none());
+            return if none_before { Ok(None) } else { Err("voter: at least one voter must remain".into()) };
         };
         let eligible = self.settings.eligible_voters();
         if let Some(name) = list.iter().find(|name| !self.settings.roster.contains(name)) {
@@ -141,11 +135,7 @@
 
     /// Adds the current voters to a change that names voters when the document in force names none, so that
     /// the change starts from the current list.
-    pub(super) fn with_current_voters(
-        &self,
-        mut change: Change,
-        base: &Document,
-    ) -> Result<Change, ProposalError> {
+    pub(super) fn add_voters(&self, mut change: Change, base: &Document) -> Result<Change, ProposalError> {
         let names_voters = change.set.keys().chain(&change.drop).any(|key| voter_named_by(key).is_some());
         if names_voters && VoterList::from_document(base).is_ok_and(|list| list.is_none()) {
             let remaining = self.known.lists.current.iter().filter_map(voter_key);
@@ -171,7 +161,7 @@
         let rank = self.known.lists.all().position(|voter| voter == self.me).unwrap_or(0) as u32;
         let is_my_turn = now >= self.known_since + wait * rank;
         let next = self.known.position.next();
-        let Record { oldest_compatible, proposal_id, lists, .. } = self.known;
+        let Record { leases_from, change, lists, .. } = self.known;
         let (before, after) =
             (VoterLists::unchanged(lists.current), VoterLists::unchanged(self.known.final_voters()));
         let proposal = match self.known.phase {
@@ -189,27 +179,23 @@
                         true => Record {
                             position: next,
                             phase: Phase::Single(old),
-                            oldest_compatible,
-                            proposal_id,
+                            leases_from,
+                            change,
                             lists: before,
                         },
                         false => Record {
                             position: next,
                             phase: Phase::Joint { old, new },
-                            oldest_compatible: next,
-                            proposal_id,
+                            leases_from: next,
+                            change,
                             lists,
                         },
                     },
                 )
             }
-            Phase::Joint { new, .. } => Some(Record {
-                position: next,
-                phase: Phase::Single(new),
-                oldest_compatible,
-                proposal_id,
-                lists: after,
-            }),
+            Phase::Joint { new, .. } => {
+                Some(Record { position: next, phase: Phase::Single(new), leases_from, change, lists: after })
+            }
         };
         let Some(voter) = &self.voter else { return };
         // A record that was accepted here and is not known to be chosen must be completed, whoever proposed
--- a/crates/accord/src/record.rs
+++ b/crates/accord/src/record.rs
@@ -84,9 +84,9 @@
     pub phase: Phase,
     /// The oldest position whose terms are compatible with the terms of this record. Leases are granted for
     /// records from there on.
-    pub oldest_compatible: Position,
+    pub leases_from: Position,
     /// The change that led to this record. If there is none, it names the member that bootstrapped the epoch.
-    pub proposal_id: ProposalId,
+    pub change: ProposalId,
     /// The voters. They are part of the record so that a member which knows the record also knows the quorum
     /// for the next one, whether or not it has the document.
     pub lists: VoterLists,
@@ -170,27 +170,22 @@
         (Phase::Single(a), Phase::Prepare { old, new, .. }) => {
             let valid_lists =
                 to.lists.current == from.lists.current && to.lists.next != Some(from.lists.current);
-            (old == a
-                && new.number == a.number + 1
-                && to.oldest_compatible == from.oldest_compatible
-                && valid_lists)
+            (old == a && new.number == a.number + 1 && to.leases_from == from.leases_from && valid_lists)
                 .then_some(Transition::Prepare)
         }
         (Phase::Prepare { old, new, .. }, Phase::Joint { old: a, new: b }) => {
-            let consistent = to.proposal_id == from.proposal_id && to.lists == from.lists;
-            (a == old && b == new && to.oldest_compatible == to.position && consistent)
-                .then_some(Transition::Join)
+            let consistent = to.change == from.change && to.lists == from.lists;
+            (a == old && b == new && to.leases_from == to.position && consistent).then_some(Transition::Join)
         }
         (Phase::Prepare { old, .. }, Phase::Single(a)) => {
             let unchanged = VoterLists::unchanged(from.lists.current);
-            (a == old && to.oldest_compatible == from.oldest_compatible && to.lists == unchanged)
+            (a == old && to.leases_from == from.leases_from && to.lists == unchanged)
                 .then_some(Transition::Withdraw)
         }
         (Phase::Joint { new, .. }, Phase::Single(b)) => {
             let consistent =
-                to.proposal_id == from.proposal_id && to.lists == VoterLists::unchanged(from.final_voters());
-            (b == new && to.oldest_compatible == from.oldest_compatible && consistent)
-                .then_some(Transition::Finish)
+                to.change == from.change && to.lists == VoterLists::unchanged(from.final_voters());
+            (b == new && to.leases_from == from.leases_from && consistent).then_some(Transition::Finish)
         }
         _ => None,
     }
--- a/crates/accord/src/round.rs
+++ b/crates/accord/src/round.rs
@@ -135,7 +135,7 @@
     pub fn on_accepted(&mut self, from: MemberId, ballot: Ballot, incarnation: u64) -> RoundAction {
         let Some(accept) = &self.accept else { return RoundAction::Wait };
         if ballot != self.request.ballot
-            || !(self.flaws.accepts_without_promise || accept.incarnations.contains(&(from, incarnation)))
+            || !(self.flaws.accepts_unpromised || accept.incarnations.contains(&(from, incarnation)))
         {
             return RoundAction::Wait;
         }
--- a/crates/accord/src/voter.rs
+++ b/crates/accord/src/voter.rs
@@ -29,7 +29,7 @@
     /// A voter accepts a lower ballot than it promised.
     pub breaks_promise: bool,
     /// A voter accepts in a round that its promise is not part of.
-    pub accepts_without_promise: bool,
+    pub accepts_unpromised: bool,
     /// Half of the voters count as a majority.
     pub half_is_majority: bool,
     /// A holder that resumes after a pause acts on an expired lease.
@@ -55,7 +55,7 @@
     /// holders have its grants by then.
     pub join_delay: Duration,
     /// How long a grant binds the grantor, by the grantor's clock.
-    pub grant_duration: Duration,
+    pub grant: Duration,
     /// How long a voter that starts without state stays silent: the longest time for which a lease of an
     /// earlier incarnation may run.
     pub silence: Duration,
@@ -65,7 +65,7 @@
 
 impl Limits {
     pub(crate) fn of(settings: &Settings) -> Limits {
-        let grant_duration = settings.longer(settings.lease);
+        let grant = settings.longer(settings.lease);
         // One period longer than a lease, because the earlier incarnation may have been in the middle of an
         // iteration of its loop.
         let silence = settings.longer(settings.lease + settings.period);
@@ -73,7 +73,7 @@
         Limits {
             min_voters: settings.voters.len(),
             join_delay,
-            grant_duration,
+            grant,
             silence,
             prepare_timeout: settings.prepare_timeout,
         }
@@ -194,7 +194,7 @@
     /// Whether this member has the document of the pending version.
     has_document: bool,
     /// Whether a version proceeds without the members that refuse it.
-    proceed_on_refusal: bool,
+    skip_refusals: bool,
     /// Members that must have prepared a version with a stricter floor.
     required_members: BTreeSet<MemberId>,
     /// During recovery: the peers with intact state that answered this incarnation.
@@ -228,7 +228,7 @@
             incarnations: BTreeMap::new(),
             reports: BTreeMap::new(),
             has_document: false,
-            proceed_on_refusal: false,
+            skip_refusals: false,
             required_members: BTreeSet::new(),
             recovered_from: BTreeSet::new(),
             flaws: Flaws::default(),
@@ -305,14 +305,9 @@
     /// Sets whether the pending document is here, whether the document in force lets a version proceed
     /// without the members that refuse it, and which members must have prepared a version with a stricter
     /// floor.
-    pub fn set_preparation(
-        &mut self,
-        has_document: bool,
-        proceed_on_refusal: bool,
-        required: BTreeSet<MemberId>,
-    ) {
+    pub fn set_preparation(&mut self, has_document: bool, skip_refusals: bool, required: BTreeSet<MemberId>) {
         self.has_document = has_document;
-        self.proceed_on_refusal = proceed_on_refusal;
+        self.skip_refusals = skip_refusals;
         self.required_members = required;
     }
 
@@ -328,16 +323,14 @@
             // Recovery now needs a majority of other peers. They send their state again in each period.
             self.recovered_from.clear();
         }
-        let is_voter = record.lists.contains(self.me);
+        let listed = record.lists.contains(self.me);
         match self.status {
             // The voter is no longer on a list. A change of voters finishes only once each lease granted
             // under the old version has ended or covers the joint step, and the reset keeps the voter silent
             // for as long as its grants may run. If it is added again, it has to recover first.
-            VoterStatus::Voting | VoterStatus::Silent { state_lost: false, .. } if !is_voter => {
-                self.reset(now)
-            }
+            VoterStatus::Voting | VoterStatus::Silent { state_lost: false, .. } if !listed => self.reset(now),
             // The voter was silent before it accepted the bootstrap and has granted nothing since.
-            VoterStatus::Ready if new_epoch && accepted_bootstrap && is_voter => self.start_voting(now),
+            VoterStatus::Ready if new_epoch && accepted_bootstrap && listed => self.start_voting(now),
             // The transition table does not relate two bootstraps, so silence keeps leases of the one epoch
             // apart from leases of the other.
             VoterStatus::Voting if new_epoch => {
@@ -459,9 +452,7 @@
         // Only voters whose promises the round rests on may accept. If another one accepted, nobody would
         // notice that it lost its state: without this check the model finds two records chosen at one
         // position.
-        if own_entry
-            .map_or(!self.flaws.accepts_without_promise, |(_, incarnation)| *incarnation != self.incarnation)
-        {
+        if own_entry.map_or(!self.flaws.accepts_unpromised, |(_, known)| *known != self.incarnation) {
             return false;
         }
         let is_outdated = |(name, incarnation): &(MemberId, u64)| {
@@ -533,8 +524,8 @@
         let timed_out = now >= self.known_since + self.limits.prepare_timeout;
         let permits_join = |name: &MemberId| match self.reports.get(name) {
             Some(Ok(())) => true,
-            Some(Err(_)) => self.proceed_on_refusal,
-            None => self.proceed_on_refusal && timed_out,
+            Some(Err(_)) => self.skip_refusals,
+            None => self.skip_refusals && timed_out,
         };
         let holders = self.grants.iter().filter(|(_, grant)| grant.until > now);
         // Every member must have prepared a version with a stricter floor: one that kept a looser floor would
@@ -546,12 +537,12 @@
 
     /// Whether every lease that this voter granted under the old version alone has ended.
     fn old_leases_expired(&self, now: Duration) -> bool {
-        let joint_position = self.known.oldest_compatible;
+        let joint_position = self.known.leases_from;
         self.grants.values().all(|grant| grant.position >= joint_position || grant.until <= now)
     }
 
     /// Grants a lease if the voter may, and returns whether it did. A grant binds this voter for
-    /// [`Limits::grant_duration`] from `now`.
+    /// [`Limits::grant`] from `now`.
     pub fn grant_lease(&mut self, now: Duration, from: MemberId, request: &LeaseRequest) -> bool {
         let held = self.grants.get(&from).copied();
         if held.is_some_and(|held| held.incarnation > request.incarnation) {
@@ -576,16 +567,13 @@
         let accepted_joint =
             self.accepted.is_some_and(|(_, record)| matches!(record.phase, Phase::Joint { .. }));
         let in_range = request.position.same_epoch(self.known.position)
-            && (self.known.oldest_compatible..=self.known.position).contains(&request.position);
+            && (self.known.leases_from..=self.known.position).contains(&request.position);
         let removed_may_grant = self.flaws.removed_grants && !self.known.lists.contains(self.me);
         if !removed_may_grant && (self.status != VoterStatus::Voting || accepted_joint || !in_range) {
             return false;
         }
-        let duration = if self.flaws.grantor_expires_first {
-            self.limits.grant_duration / 2
-        } else {
-            self.limits.grant_duration
-        };
+        let duration =
+            if self.flaws.grantor_expires_first { self.limits.grant / 2 } else { self.limits.grant };
         let until = (now + duration).max(renewed.map_or(Duration::ZERO, |held| held.until));
         self.grants
             .insert(from, Grant { incarnation: request.incarnation, position: request.position, until });
--- a/crates/accord/src/wire.rs
+++ b/crates/accord/src/wire.rs
@@ -58,7 +58,7 @@
         /// Incarnation of the sender.
         incarnation: u64,
         /// Incarnation of the recipient, as the sender knows it.
-        recipient_incarnation: u64,
+        recipient: u64,
         /// Whether the sender takes part in votes.
         status: VoterStatus,
         /// The newest record that the sender knows to be chosen.
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -34,9 +34,9 @@
 
 /// The records of one change, in order: in force, prepared, joint, in force.
 fn record(step: u32) -> Record {
-    let proposal_id = ProposalId { proposer: MemberId(1), incarnation: 1, count: u64::from(step > 0) };
+    let change = ProposalId { proposer: MemberId(1), incarnation: 1, count: u64::from(step > 0) };
     let (old, new) = (version(1), version(2));
-    let (phase, oldest_compatible) = match step {
+    let (phase, leases_from) = match step {
         0 => (Phase::Single(old), 0),
         1 => (Phase::Prepare { old, new, tightens_floor: false }, 0),
         2 => (Phase::Joint { old, new }, 2),
@@ -45,8 +45,8 @@
     Record {
         position: position(step),
         phase,
-        oldest_compatible: position(oldest_compatible),
-        proposal_id,
+        leases_from: position(leases_from),
+        change,
         lists: VoterLists::unchanged(list(&[1, 2, 3])),
     }
 }
@@ -63,7 +63,7 @@
     wheellink_accord::parts::Limits {
         min_voters: 1,
         join_delay: secs(0),
-        grant_duration: secs(2),
+        grant: secs(2),
         silence: secs(2),
         prepare_timeout: secs(9),
     }
@@ -114,7 +114,7 @@
             _ => Record {
                 position: position(2),
                 phase: Phase::Single(version(1)),
-                oldest_compatible: position(0),
+                leases_from: position(0),
                 ..record(1)
             },
         }
@@ -313,14 +313,14 @@
         let mut next = record(self.next(fleet)?);
         next.position = record(fleet.chosen).position.next();
         if next.position != record(3).position && next.phase == record(3).phase {
-            next.oldest_compatible = position(0);
+            next.leases_from = position(0);
         }
         Some(next)
     }
 
     fn record_at(&self, step: u32) -> Record {
         match (step, self.flaws.skips_joint) {
-            (3, true) => Record { position: position(2), oldest_compatible: position(0), ..record(3) },
+            (3, true) => Record { position: position(2), leases_from: position(0), ..record(3) },
             _ => record(step),
         }
     }
@@ -551,7 +551,7 @@
     // A voter that lost its state accepts in a round that does not rest on a promise of its new incarnation.
     // This model found the fault in an early version of the protocol.
     assert_detected(
-        Choice { flaws: Flaws { accepts_without_promise: true, ..Flaws::default() }, crashes: 1 },
+        Choice { flaws: Flaws { accepts_unpromised: true, ..Flaws::default() }, crashes: 1 },
         ONE_RECORD,
     );
 }
--- a/crates/accord/tests/voters.rs
+++ b/crates/accord/tests/voters.rs
@@ -92,11 +92,11 @@
 impl Change {
     /// The record that a proposer wants after this one; `None` after the last.
     fn proposal(&self, after: &Record, proposer: u32) -> Option<Record> {
-        let (position, proposal_id) = (after.position.next(), after.proposal_id);
+        let (position, change) = (after.position.next(), after.change);
         let next = Record { position, ..*after };
         Some(match (after.phase, proposer) {
             (Phase::Prepare { old, new, .. }, 0) => {
-                Record { phase: Phase::Joint { old, new }, oldest_compatible: position, ..next }
+                Record { phase: Phase::Joint { old, new }, leases_from: position, ..next }
             }
             (Phase::Prepare { old, .. }, _) => Record {
                 phase: Phase::Single(old),
@@ -110,8 +110,8 @@
             },
             (Phase::Single(old), proposer) if old.number == 2 => {
                 let new = version(3, 3 + proposer as u8);
-                let proposal_id = ProposalId { count: 2 + u64::from(proposer), ..proposal_id };
-                Record { phase: Phase::Prepare { old, new, tightens_floor: false }, proposal_id, ..next }
+                let change = ProposalId { count: 2 + u64::from(proposer), ..change };
+                Record { phase: Phase::Prepare { old, new, tightens_floor: false }, change, ..next }
             }
             _ => return None,
         })
@@ -119,12 +119,11 @@
 
     fn start(&self) -> BTreeMap<u32, Record> {
         let position = |step| Position { epoch: 1, salt: 0, index: step };
-        let proposal_id = ProposalId { proposer: MemberId(1), incarnation: 1, count: 1 };
+        let change = ProposalId { proposer: MemberId(1), incarnation: 1, count: 1 };
         let (old, new) = (version(1, 1), version(2, 2));
         let lists = VoterLists { current: self.from, next: Some(self.to) };
         let phase = Phase::Prepare { old, new, tightens_floor: false };
-        let mut record =
-            Record { position: position(1), phase, oldest_compatible: position(0), proposal_id, lists };
+        let mut record = Record { position: position(1), phase, leases_from: position(0), change, lists };
         let mut chosen = BTreeMap::from([(1, record)]);
         for index in 2..=self.first {
             record = self.proposal(&record, 0).unwrap();
@@ -137,7 +136,7 @@
         let limits = Limits {
             min_voters: 1,
             join_delay: secs(0),
-            grant_duration: secs(2),
+            grant: secs(2),
             silence: secs(2),
             prepare_timeout: secs(0),
         };
