--- a/crates/accord/tests/faults.rs
+++ b/crates/accord/tests/faults.rs
@@ -23,12 +23,12 @@
 
 #[track_caller]
 fn assert_guarantees(net: &Net) {
-    assert!(net.hard_contradictions.is_empty(), "{:#?}\n{:#?}", net.hard_contradictions, net.notes);
+    assert!(net.violations.is_empty(), "{:#?}\n{:#?}", net.violations, net.notes);
     let bound = net.settings.bound().as_micros() as u64;
     assert!(
-        net.longest_contradiction_us <= bound,
+        net.longest_us <= bound,
         "{} us of contradiction, {bound} promised\n{:#?}",
-        net.longest_contradiction_us,
+        net.longest_us,
         net.notes
     );
 }
@@ -56,18 +56,8 @@
     for seed in 0..seeds {
         let (net, agreed) = random_history(seed, 4, Default::default());
         let bound = net.settings.bound().as_micros() as u64;
-        assert!(
-            net.hard_contradictions.is_empty(),
-            "seed {seed}: {:#?}\n{:#?}",
-            net.hard_contradictions,
-            net.notes
-        );
-        assert!(
-            net.longest_contradiction_us <= bound,
-            "seed {seed}: {} of {bound} us\n{:#?}",
-            net.longest_contradiction_us,
-            net.notes
-        );
+        assert!(net.violations.is_empty(), "seed {seed}: {:#?}\n{:#?}", net.violations, net.notes);
+        assert!(net.longest_us <= bound, "seed {seed}: {} of {bound} us\n{:#?}", net.longest_us, net.notes);
         assert!(agreed, "seed {seed}: not agreed after 120 s\n{:#?}", net.notes);
     }
 }
@@ -79,18 +69,8 @@
     for seed in 0..seeds {
         let (net, agreed) = random_history_with_spares(seed, 4, Default::default(), 1 + seed as u32 % 3);
         let bound = net.settings.bound().as_micros() as u64;
-        assert!(
-            net.hard_contradictions.is_empty(),
-            "seed {seed}: {:#?}\n{:#?}",
-            net.hard_contradictions,
-            net.notes
-        );
-        assert!(
-            net.longest_contradiction_us <= bound,
-            "seed {seed}: {} of {bound} us\n{:#?}",
-            net.longest_contradiction_us,
-            net.notes
-        );
+        assert!(net.violations.is_empty(), "seed {seed}: {:#?}\n{:#?}", net.violations, net.notes);
+        assert!(net.longest_us <= bound, "seed {seed}: {} of {bound} us\n{:#?}", net.longest_us, net.notes);
         assert!(agreed, "seed {seed}: not agreed after 120 s\n{:#?}", net.notes);
         let list = listed(&net, 1);
         assert!(
@@ -100,7 +80,7 @@
         if list.len() > 3 || list != [1, 2, 3] {
             lists.insert((seed, list));
         }
-        longest = longest.max(net.longest_contradiction_us);
+        longest = longest.max(net.longest_us);
     }
     println!("{} of {seeds} ended with another list; at most {longest} us of contradiction", lists.len());
     assert!(lists.len() as u64 > seeds / 4, "too few changed their voters to show anything");
--- a/crates/accord/tests/measure.rs
+++ b/crates/accord/tests/measure.rs
@@ -18,8 +18,8 @@
     let (mut longest, mut hard, mut stuck, mut taken) = (0, 0, 0, 0);
     for seed in 1_000..1_000 + changes / 4 {
         let (net, agreed) = random_history(seed, 4, Default::default());
-        longest = longest.max(net.longest_contradiction_us);
-        hard += net.hard_contradictions.len();
+        longest = longest.max(net.longest_us);
+        hard += net.violations.len();
         stuck += u64::from(!agreed);
         taken += net.settled.iter().filter(|(.., result)| result.is_ok()).count();
     }
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use check::{assert_detected, explore};
+use check::{explore, find_fault};
 use stateright::{Checker, Model, Property};
 use wheellink_accord::parts::{
     Accept, Flaws, LeaseHolder, LeaseRequest, Promise, PromiseRequest, Round, RoundAction, Voter,
@@ -520,37 +520,31 @@
 
 #[test]
 fn detects_acceptance_below_a_promise() {
-    assert_detected(
-        Choice { flaws: Flaws { breaks_promise: true, ..Flaws::default() }, crashes: 0 },
-        ONE_RECORD,
-    );
+    find_fault(Choice { flaws: Flaws { breaks_promise: true, ..Flaws::default() }, crashes: 0 }, ONE_RECORD);
 }
 
 #[test]
 fn detects_a_quorum_of_half_the_voters() {
-    assert_detected(
+    find_fault(
         Choice { flaws: Flaws { half_is_majority: true, ..Flaws::default() }, crashes: 0 },
         ONE_RECORD,
     );
     let flaws = Flaws { half_is_majority: true, ..Flaws::default() };
-    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
+    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_voter_that_votes_at_once_without_state() {
-    assert_detected(
-        Choice { flaws: Flaws { votes_at_once: true, ..Flaws::default() }, crashes: 1 },
-        ONE_RECORD,
-    );
+    find_fault(Choice { flaws: Flaws { votes_at_once: true, ..Flaws::default() }, crashes: 1 }, ONE_RECORD);
     let flaws = Flaws { votes_at_once: true, ..Flaws::default() };
-    assert_detected(Leases { flaws, crashes: 1, ticks: 3, late: false }, NO_CONTRADICTION);
+    find_fault(Leases { flaws, crashes: 1, ticks: 3, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_acceptance_without_a_promise() {
     // A voter that lost its state accepts in a round that does not rest on a promise of its new incarnation.
     // This model found the fault in an early version of the protocol.
-    assert_detected(
+    find_fault(
         Choice { flaws: Flaws { accepts_unpromised: true, ..Flaws::default() }, crashes: 1 },
         ONE_RECORD,
     );
@@ -559,23 +553,23 @@
 #[test]
 fn detects_a_lease_that_ends_at_the_grantor_first() {
     let flaws = Flaws { grantor_expires_first: true, ..Flaws::default() };
-    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
+    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_skipped_joint_step() {
     let flaws = Flaws { skips_joint: true, ..Flaws::default() };
-    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
+    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_stale_lease_after_a_pause() {
     let flaws = Flaws { stale_lease: true, ..Flaws::default() };
-    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
+    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_lease_counted_from_the_arrival() {
     let flaws = Flaws { lease_from_arrival: true, ..Flaws::default() };
-    assert_detected(Leases { flaws, crashes: 0, ticks: 2, late: true }, NO_CONTRADICTION);
+    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: true }, NO_CONTRADICTION);
 }
--- a/crates/accord/tests/net/mod.rs
+++ b/crates/accord/tests/net/mod.rs
@@ -120,10 +120,10 @@
     compared: BTreeMap<(Obeyed, Obeyed), bool>,
     first_acted_at: BTreeMap<Version, u64>,
     /// Contradictions on hard keys, each with its time and terms.
-    pub hard_contradictions: Vec<String>,
+    pub violations: Vec<String>,
     /// The longest time that a member acted on another version after the first member acted on a newer one,
     /// in microseconds.
-    pub longest_contradiction_us: u64,
+    pub longest_us: u64,
     /// By kind of call: the longest processor time of one call in microseconds, including freeing memory.
     pub longest_calls: BTreeMap<&'static str, u64>,
     /// The maximum number of entries that one call worked on, and that one call freed.
@@ -161,8 +161,8 @@
             terms: BTreeMap::new(),
             compared: BTreeMap::new(),
             first_acted_at: BTreeMap::new(),
-            hard_contradictions: Vec::new(),
-            longest_contradiction_us: 0,
+            violations: Vec::new(),
+            longest_us: 0,
             longest_calls: BTreeMap::new(),
             max_entries_touched: (0, 0),
             settings,
@@ -388,7 +388,7 @@
             for (other, first) in &self.first_acted_at {
                 if *first > self.first_acted_at[version] && *first <= latest && other.digest != version.digest
                 {
-                    self.longest_contradiction_us = self.longest_contradiction_us.max(self.now - first);
+                    self.longest_us = self.longest_us.max(self.now - first);
                 }
             }
         }
@@ -413,8 +413,7 @@
                 let bad = known.unwrap_or_else(|| contradicts(*a, *b, &self.terms[a], &self.terms[b]));
                 self.compared.insert((*a, *b), bad);
                 if bad {
-                    self.hard_contradictions
-                        .push(format!("{:.3} s: {a:?} and {b:?} at once", self.now as f64 / 1e6));
+                    self.violations.push(format!("{:.3} s: {a:?} and {b:?} at once", self.now as f64 / 1e6));
                 }
             }
         }
--- a/crates/accord/tests/voters.rs
+++ b/crates/accord/tests/voters.rs
@@ -398,7 +398,7 @@
 }
 
 /// Finds a trace to a state that violates the property, and stops there.
-fn assert_detected(model: Change, property: &'static str) {
+fn find_fault(model: Change, property: &'static str) {
     let checker = model.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let path =
         checker.discovery(property).unwrap_or_else(|| panic!("an injected fault was not found: {property}"));
@@ -410,13 +410,13 @@
 #[test]
 fn detects_a_final_step_chosen_by_the_new_list_alone() {
     let flaws = Flaws { choice_by_new_list: true, ..Flaws::default() };
-    assert_detected(Change { flaws, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
+    find_fault(Change { flaws, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_joint_lease_from_the_old_list_alone() {
     let flaws = Flaws { lease_from_old_list: true, ..Flaws::default() };
-    assert_detected(
+    find_fault(
         Change { flaws, first: 2, last: 6, ticks: 0, lease_voters: &[2, 3], ..down_to_one() },
         NO_CONTRADICTION,
     );
@@ -425,7 +425,7 @@
 #[test]
 fn detects_a_removed_voter_that_grants() {
     let flaws = Flaws { removed_grants: true, ..Flaws::default() };
-    assert_detected(Change { flaws, ticks: 0, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
+    find_fault(Change { flaws, ticks: 0, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
 }
 
 #[test]
@@ -433,5 +433,5 @@
     let flaws = Flaws { added_votes_unlearnt: true, ..Flaws::default() };
     let (from, to, contested_position) = (list(&[1, 2]), list(&[1, 2, 3]), Some(4));
     let change = Change { flaws, from, to, first: 3, last: 4, contested_position, ..down_to_one() };
-    assert_detected(Change { restarts: Some(3), lease_voters: &[], ..change }, ONE_RECORD);
+    find_fault(Change { restarts: Some(3), lease_voters: &[], ..change }, ONE_RECORD);
 }
