--- a/crates/turns/src/flaws.rs
+++ b/crates/turns/src/faults.rs
@@ -2,7 +2,7 @@
 
 /// One of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Flaw {
+pub(crate) enum Fault {
     /// Each activator takes the whole budget for its own.
     SharesNoBudget,
     /// A lost site is chosen from.
--- a/crates/turns/src/learn.rs
+++ b/crates/turns/src/feedback.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use crate::anew::LEAST;
-use crate::place::{mark, Turns};
-use crate::terms::*;
+use crate::placement::{mark, TurnRouter};
+use crate::recompute::LEAST;
+use crate::types::*;
 use crate::wire::{Placed, Told, LONGEST};
 
 /// Turns out at once whose answers teach something; of more, what was sent is noted and the answer passed over.
@@ -38,27 +38,27 @@
     anew: bool,
 }
 
-impl Turns {
-    /// An attempt of a turn has been sent to a site. One of [`Turns::answered`] and [`Turns::dropped`] ends it.
-    pub fn sent(&mut self, now: Duration, token: Token, turn: &Turn, site: Site) {
-        let Some(place) = self.sites.meet(now, site) else { return };
+impl TurnRouter {
+    /// An attempt of a turn has been sent to a site. One of [`TurnRouter::attempt_answered`] and [`TurnRouter::attempt_failed`] ends it.
+    pub fn attempt_sent(&mut self, now: Duration, token: AttemptToken, turn: &Turn, site: SiteId) {
+        let Some(place) = self.sites.get_or_insert(now, site) else { return };
         let known = self.know(turn);
         let held = known.held.iter().find(|h| h.site == place);
-        let len = turn.prefix.len().min(LONGEST_PREFIX) as u16;
+        let len = turn.prefix.len().min(MAX_PREFIX_HASHES) as u16;
         let missing = f64::from(len) - held.map_or(0.0, |h| h.expected());
         let anew = self.pay(turn, known.displaced > 0 && missing >= LEAST, place, missing.max(0.0));
         self.talks.count(now, turn.conversation);
         let expects = held.map(|h| (h.depth, h.chance, h.at));
-        self.sites.sent(now, place, missing.max(0.0) + f64::from(turn.new) + 1.0);
+        self.sites.record_sent(now, place, missing.max(0.0) + f64::from(turn.new_blocks) + 1.0);
         let (at, life) = (self.sites.all[place as usize].clock, self.sites.all[place as usize].life);
         let tail = self.tail(turn);
         let fresh = self.tails.get(tail).is_none();
         let entry = self.tails.touch(tail);
         if entry.conversation != mark(turn.conversation) {
-            (entry.conversation, entry.extra) = (mark(turn.conversation), turn.new);
+            (entry.conversation, entry.extra) = (mark(turn.conversation), turn.new_blocks);
         }
         // Two at once, or an older one late: what is known to be longest stands.
-        (entry.depth, entry.extra) = (len, entry.extra.max(turn.new));
+        (entry.depth, entry.extra) = (len, entry.extra.max(turn.new_blocks));
         entry.lies = known.lies;
         entry.hold(place, at, life);
         self.tell_of(tail, turn, len, site);
@@ -110,7 +110,7 @@
         let mut levels = Vec::new();
         if asks {
             let mut deeper = 1;
-            for (i, key) in turn.prefix.iter().take(LONGEST_PREFIX).enumerate().rev() {
+            for (i, key) in turn.prefix.iter().take(MAX_PREFIX_HASHES).enumerate().rev() {
                 let count = self.sketch.count(*key);
                 // Twice as many as one block further down: there conversations part.
                 if count >= 2
@@ -126,7 +126,7 @@
             self.commons.touch(*key).depth = *depth;
         }
         let mut deepest = asks;
-        for key in turn.prefix.iter().take(LONGEST_PREFIX).rev() {
+        for key in turn.prefix.iter().take(MAX_PREFIX_HASHES).rev() {
             let Some(faded) = self.commons.get(*key).map(|e| e.faded) else { continue };
             let fading = self.fading(fleet.wrapping_sub(faded));
             let entry = self.commons.touch(*key);
@@ -137,7 +137,7 @@
         }
     }
 
-    fn tell_of(&mut self, key: u64, turn: &Turn, depth: u16, site: Site) {
+    fn tell_of(&mut self, key: u64, turn: &Turn, depth: u16, site: SiteId) {
         if self.members.is_empty() {
             return;
         }
@@ -146,7 +146,7 @@
             conversation: mark(turn.conversation),
             site: 0,
             depth: depth as u8,
-            extra: turn.new,
+            extra: turn.new_blocks,
         };
         if self.lately.len() >= MOST_LATELY {
             self.lately.pop_front();
@@ -155,7 +155,13 @@
     }
 
     /// The attempt was served after `took`, and its site had found so many blocks of its prefix, where it said so.
-    pub fn answered(&mut self, now: Duration, token: Token, found: Option<u32>, took: Duration) {
+    pub fn attempt_answered(
+        &mut self,
+        now: Duration,
+        token: AttemptToken,
+        found: Option<u32>,
+        took: Duration,
+    ) {
         let Some(open) = self.open.remove(&token) else { return };
         self.is_no_more_out(&open);
         self.usual += (took.as_secs_f64().min(60.0) - self.usual) * if self.usual > 0.0 { PACE } else { 1.0 };
@@ -183,7 +189,7 @@
         // It was sent less work than it had: the bound of load must know.
         let missing = f64::from(depth) * chance - f64::from(found);
         if missing >= 1.0 {
-            self.sites.missed(now, open.site, missing);
+            self.sites.record_missed(now, open.site, missing);
         }
         let share = f64::from(found.min(depth)) / f64::from(depth);
         let trust = self.believes(open.tenant);
@@ -198,8 +204,8 @@
         self.counts.misses += u64::from(share < 0.5);
         let nothing = found == 0 && chance > SURE;
         if chance > SURE && self.sites.all[place].is_emptied(nothing, open.conversation) {
-            self.counts.emptied += 1;
-            self.sites.empty(open.site);
+            self.counts.caches_found_empty += 1;
+            self.sites.clear_cache(open.site);
             // What this turn itself left there is there.
             let (at, life) = (self.sites.all[place].clock, self.sites.all[place].life);
             if let Some(entry) = self.tails.get_mut(open.tail) {
@@ -209,7 +215,7 @@
     }
 
     /// The attempt ended without an answer: what it was to leave at its site may not be there.
-    pub fn dropped(&mut self, token: Token) {
+    pub fn attempt_failed(&mut self, token: AttemptToken) {
         let Some(open) = self.open.remove(&token) else { return };
         self.is_no_more_out(&open);
         if let Some(entry) = self.tails.get_mut(open.tail).filter(|_| open.fresh) {
@@ -221,77 +227,78 @@
     }
 
     /// The site is gone, and what it holds with it.
-    pub fn lost(&mut self, site: Site) {
-        self.sites.lost(site);
+    pub fn site_lost(&mut self, site: SiteId) {
+        self.sites.site_lost(site);
     }
 
     /// The site is there again, and holds nothing.
-    pub fn back(&mut self, now: Duration, site: Site) {
-        self.sites.back(now, site);
+    pub fn site_returned(&mut self, now: Duration, site: SiteId) {
+        self.sites.site_returned(now, site);
     }
 
-    /// The site is due this much of the load for its size: 0 to 1,000, and [`USUAL_WEIGHT`] where nothing is said.
+    /// The site is due this much of the load for its size: 0 to 1,000, and [`DEFAULT_SITE_WEIGHT`] where nothing is said.
     /// One of weight 0 is sent nothing while another is there.
-    pub fn weigh(&mut self, now: Duration, site: Site, weight: u16) {
-        self.sites.weigh(now, site, weight);
+    pub fn set_site_weight(&mut self, now: Duration, site: SiteId, weight: u16) {
+        self.sites.set_weight(now, site, weight);
     }
 
     /// These other activators are told, and heard; nobody else.
-    pub fn set_members(&mut self, now: Duration, members: impl IntoIterator<Item = Name>) {
-        let mut members: Vec<Name> = members.into_iter().filter(|f| *f != self.me).collect();
+    pub fn set_members(&mut self, now: Duration, members: impl IntoIterator<Item = ActivatorId>) {
+        let mut members: Vec<ActivatorId> = members.into_iter().filter(|f| *f != self.me).collect();
         members.sort();
         members.dedup();
         // Told of is enough: one that is not heard may be cut off, and spends its own share.
-        self.sites.shares = 1 + members.len();
+        self.sites.activator_count = 1 + members.len();
         members.truncate(1_024);
         self.members = members;
-        self.sites.forget(now, self.settings.period, &self.members);
+        self.sites.expire_peers(now, self.settings.gossip_period, &self.members);
         if self.members.is_empty() {
             self.lately.clear();
         }
     }
 
     /// Another activator has told something.
-    pub fn heard(&mut self, now: Duration, from: Name, data: &[u8], _out: &mut Vec<Out>) {
+    pub fn receive(&mut self, now: Duration, from: ActivatorId, data: &[u8], _out: &mut Vec<Output>) {
         let known = self.members.binary_search(&from).is_ok();
         let Some(told) = Told::decode(data).filter(|_| known) else {
-            self.counts.unread += 1;
+            self.counts.unreadable += 1;
             return;
         };
-        self.counts.heard += 1;
-        self.sites.told(now, from, (told.life, told.number), &told.loads);
+        self.counts.received += 1;
+        self.sites.record_peer_loads(now, from, (told.life, told.number), &told.loads);
         for p in &told.placed {
-            let site = told.loads.get(p.site as usize).and_then(|(site, ..)| self.sites.place(Site(*site)));
+            let site =
+                told.loads.get(p.site as usize).and_then(|(site, ..)| self.sites.index_of(SiteId(*site)));
             let Some(place) = site.filter(|s| self.sites.all[*s as usize].there) else { continue };
             let (at, life) = (self.sites.all[place as usize].clock, self.sites.all[place as usize].life);
             let entry = self.tails.touch(u64::from_le_bytes(p.key));
             if entry.conversation != p.conversation {
                 (entry.conversation, entry.lies, entry.extra) = (p.conversation, 0, p.extra);
             }
-            entry.depth = u16::from(p.depth).min(LONGEST_PREFIX as u16);
+            entry.depth = u16::from(p.depth).min(MAX_PREFIX_HASHES as u16);
             entry.extra = entry.extra.max(p.extra);
             entry.hold(place, at, life);
         }
     }
 
-    /// When [`Turns::wake`] or [`Turns::release`] is wanted next; never while there is nobody to tell and nothing waits.
+    /// When [`TurnRouter::wake`] or [`TurnRouter::release`] is wanted next; never while there is nobody to tell and nothing waits.
     pub fn wake_at(&self) -> Option<Duration> {
         let tell = (!self.members.is_empty()).then_some(self.tell_at);
         [tell, self.look_at()].into_iter().flatten().min()
     }
 
     /// Time has passed: tells others, within the bytes of a period.
-    pub fn wake(&mut self, now: Duration, out: &mut Vec<Out>) {
+    pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
         if self.members.is_empty() || now < self.tell_at {
             return;
         }
-        self.tell_at = now + self.settings.period;
-        self.sites.forget(now, self.settings.period * self.rounds(), &self.members);
-        let datagrams = (self.settings.told / LONGEST).max(1);
+        self.tell_at = now + self.settings.gossip_period;
+        self.sites.expire_peers(now, self.settings.gossip_period * self.rounds(), &self.members);
+        let datagrams = (self.settings.gossip_bytes / LONGEST).max(1);
         let hearers = datagrams.min(self.members.len());
         let parts = (datagrams / hearers).max(1);
         for _ in 0..parts {
-            let mut loads = self.sites.loads(now);
+            let mut loads = self.sites.own_loads(now);
             loads.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
             loads.truncate(64);
             let mut placed = Vec::new();
@@ -309,8 +316,8 @@
             }
             for k in 0..hearers {
                 let to = self.members[(self.next_member + k) % self.members.len()];
-                self.counts.told += data.len() as u64;
-                out.push(Out::Send { to, data: data.clone() });
+                self.counts.bytes_sent += data.len() as u64;
+                out.push(Output::Send { to, data: data.clone() });
             }
             if self.lately.is_empty() {
                 break;
@@ -321,7 +328,7 @@
 
     /// Periods within which every fellow is told once.
     fn rounds(&self) -> u32 {
-        let datagrams = (self.settings.told / LONGEST).max(1);
+        let datagrams = (self.settings.gossip_bytes / LONGEST).max(1);
         self.members.len().div_ceil(datagrams).max(1) as u32
     }
 }
--- a/crates/turns/src/histories.rs
+++ b/crates/turns/src/histories.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::flaws::Flaw;
+use crate::faults::Fault;
 use crate::*;
 
 const ACTIVATORS: usize = 3;
@@ -129,18 +129,18 @@
 }
 
 fn mix(a: u64, b: u64) -> u64 {
-    crate::place::root(a.rotate_left(32) ^ b)
+    crate::placement::root(a.rotate_left(32) ^ b)
 }
 
 struct World {
-    each: Vec<Turns>,
+    each: Vec<TurnRouter>,
     rng: fastrand::Rng,
     caches: Vec<HashSet<u64>>,
     there: Vec<bool>,
     lives: Vec<u32>,
     talks: Vec<Talk>,
     out: Vec<Out1>,
-    held: Vec<HashMap<Waiting, (u64, usize, Turn)>>,
+    held: Vec<HashMap<WaitingId, (u64, usize, Turn)>>,
     datagrams: Vec<(f64, usize, usize, Vec<u8>)>,
     cut: Vec<Vec<bool>>,
     /// The most load that each has told of each site, of the last telling but a few.
@@ -151,11 +151,11 @@
 }
 
 impl World {
-    fn new(seed: u64, flaw: Option<Flaw>) -> Self {
-        let settings = Settings { memory: 4 << 20, ..Settings::default() };
-        let names = (0..ACTIVATORS as u32).map(Name);
+    fn new(seed: u64, flaw: Option<Fault>) -> Self {
+        let settings = Settings { memory_bytes: 4 << 20, ..Settings::default() };
+        let names = (0..ACTIVATORS as u32).map(ActivatorId);
         let each = names.clone().map(|me| {
-            let mut turns = Turns::new(settings.clone(), me, me.0 + 1, seed, at(0.0)).unwrap();
+            let mut turns = TurnRouter::new(settings.clone(), me, me.0 + 1, seed, at(0.0)).unwrap();
             turns.flaw = flaw;
             turns.sites.flaw = flaw;
             turns.set_members(at(0.0), names.clone());
@@ -200,11 +200,16 @@
         self.lines.push((now, line));
     }
 
-    fn sites(&self) -> Vec<SiteNow> {
+    fn sites(&self) -> Vec<SiteStatus> {
         // Every lane is busy with usual turns: nothing but the budget is left for computing anew.
         let there = (0..SITES).filter(|s| self.there[*s]);
         there
-            .map(|s| SiteNow { site: Site(s as u32), capacity: LANES, in_flight: LANES, far: false })
+            .map(|s| SiteStatus {
+                site: SiteId(s as u32),
+                capacity: LANES,
+                in_flight: LANES,
+                other_zone: false,
+            })
             .collect()
     }
 
@@ -216,9 +221,9 @@
             conversation: t.number,
             tenant: t.tenant,
             prefix: t.prefix.clone(),
-            new: 1,
+            new_blocks: 1,
             worth: t.worth,
-            left: at(left),
+            time_left: at(left),
         };
         self.next += 1;
         let id = self.next;
@@ -227,13 +232,13 @@
         let sites = self.sites();
         let advice = self.each[by].place(at(now), &turn, &sites);
         if liar && !advice.choices.is_empty() {
-            let (answers, by_it) = (self.liar_answers, advice.choices[0].held > 0);
+            let (answers, by_it) = (self.liar_answers, advice.choices[0].expected_blocks > 0);
             self.say(now, Line::Steered { answers, by_it });
         }
-        match advice.then {
-            Then::Go => self.go(now, id, talk, turn, &advice),
-            Then::GiveUp => self.given_up(now, id, talk),
-            Then::Wait(waiting, until) => {
+        match advice.decision {
+            Decision::Dispatch => self.go(now, id, talk, turn, &advice),
+            Decision::Reject => self.given_up(now, id, talk),
+            Decision::Wait(waiting, until) => {
                 self.say(now, Line::Held { id, until: until.as_secs_f64() });
                 self.held[by].insert(waiting, (id, talk, turn));
                 self.release(now, by);
@@ -247,8 +252,8 @@
         let sites = self.sites();
         while let Some((waiting, advice)) = self.each[by].release(at(now), &sites) {
             let (id, talk, turn) = self.held[by].remove(&waiting).expect("it waits");
-            match advice.then {
-                Then::Go => self.go(now, id, talk, turn, &advice),
+            match advice.decision {
+                Decision::Dispatch => self.go(now, id, talk, turn, &advice),
                 _ => self.given_up(now, id, talk),
             }
         }
@@ -280,7 +285,7 @@
         self.say(now, Line::Sent { id, by, site, blocks, displaced });
         self.next += 1;
         let token = self.next;
-        self.each[by].sent(at(now), Token(token), &turn, Site(site as u32));
+        self.each[by].attempt_sent(at(now), AttemptToken(token), &turn, SiteId(site as u32));
         let fails = !choices.is_empty() && self.rng.f64() < 0.15;
         let done = now + if fails { 0.02 } else { 0.05 };
         let life = self.lives[site];
@@ -290,7 +295,7 @@
     fn done(&mut self, now: f64, out: Out1) {
         let by = self.talks[out.talk].by;
         if out.fails {
-            self.each[by].dropped(Token(out.token));
+            self.each[by].attempt_failed(AttemptToken(out.token));
             let choices: Vec<usize> = out.choices.into_iter().filter(|s| self.there[*s]).collect();
             if choices.is_empty() {
                 self.talks[out.talk].out = false;
@@ -298,7 +303,7 @@
             }
             return self.send(now, out.id, out.talk, out.turn, choices);
         }
-        self.each[by].answered(at(now), Token(out.token), Some(out.found as u32), at(0.05));
+        self.each[by].attempt_answered(at(now), AttemptToken(out.token), Some(out.found as u32), at(0.05));
         let t = &mut self.talks[out.talk];
         (t.out, t.next) = (false, now + 0.5 + self.rng.f64() * 2.0 * TALKS as f64 / RATE);
         (t.site, t.displaced) = (Some(out.site), out.life != self.lives[out.site]);
@@ -308,7 +313,7 @@
             return;
         }
         let more = t.prefix.len() as u64;
-        if t.prefix.len() < LONGEST_PREFIX {
+        if t.prefix.len() < MAX_PREFIX_HASHES {
             t.prefix.push(mix(t.number, more));
         }
         t.left = t.left.saturating_sub(1);
@@ -322,13 +327,13 @@
         (self.there[site], self.lives[site]) = (false, self.lives[site] + 1);
         self.caches[site].clear();
         self.talks.iter_mut().filter(|t| t.site == Some(site)).for_each(|t| t.displaced = true);
-        self.each.iter_mut().for_each(|t| t.lost(Site(site as u32)));
+        self.each.iter_mut().for_each(|t| t.site_lost(SiteId(site as u32)));
         self.say(now, Line::Lost { site });
     }
 
     fn back(&mut self, now: f64, site: usize) {
         self.there[site] = true;
-        self.each.iter_mut().for_each(|t| t.back(at(now), Site(site as u32)));
+        self.each.iter_mut().for_each(|t| t.site_returned(at(now), SiteId(site as u32)));
         self.say(now, Line::Back { site });
     }
 
@@ -338,7 +343,7 @@
             self.each[from].wake(at(now), &mut out);
             if !out.is_empty() {
                 for site in 0..SITES {
-                    let own = self.each[from].sites.loads(at(now));
+                    let own = self.each[from].sites.own_loads(at(now));
                     let load =
                         own.iter().find(|(s, ..)| *s == site as u32).map_or(0.0, |(_, l, _)| f64::from(*l));
                     let own = &mut self.own[from][site];
@@ -346,7 +351,7 @@
                     own.retain(|(at, _)| now - at < 6.0);
                 }
             }
-            for Out::Send { to, data } in out {
+            for Output::Send { to, data } in out {
                 let to = to.0 as usize;
                 if self.cut[from][to] || self.rng.f64() < 0.05 {
                     continue;
@@ -359,12 +364,12 @@
         }
         let due: Vec<_> = self.datagrams.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, from, to, data) in due {
-            self.each[to].heard(at(now), Name(from as u32), &data, &mut Vec::new());
+            self.each[to].receive(at(now), ActivatorId(from as u32), &data, &mut Vec::new());
             for site in 0..SITES {
                 let told = |all: &[(f64, f64)]| all.iter().map(|(_, l)| *l).fold(0.0, f64::max);
                 let most = (0..ACTIVATORS).filter(|a| *a != to).map(|a| told(&self.own[a][site])).sum();
-                let Some(place) = self.each[to].sites.place(Site(site as u32)) else { continue };
-                let told = self.each[to].sites.all[place as usize].told();
+                let Some(place) = self.each[to].sites.index_of(SiteId(site as u32)) else { continue };
+                let told = self.each[to].sites.all[place as usize].peer_load();
                 self.lines.push((now, Line::Books { by: to, site, told, most }));
             }
         }
@@ -419,14 +424,14 @@
                         conversation: t.number,
                         tenant: t.tenant,
                         prefix: t.prefix.clone(),
-                        new: 0,
+                        new_blocks: 0,
                         worth: 1.0,
-                        left: at(1.0),
+                        time_left: at(1.0),
                     };
                     self.next += 1;
-                    let token = Token(self.next);
-                    self.each[rusher].sent(at(now), token, &turn, Site(lost as u32));
-                    self.each[rusher].answered(at(now), token, Some(0), at(0.01));
+                    let token = AttemptToken(self.next);
+                    self.each[rusher].attempt_sent(at(now), token, &turn, SiteId(lost as u32));
+                    self.each[rusher].attempt_answered(at(now), token, Some(0), at(0.01));
                 }
             }
             if falls(GONE.0) {
@@ -543,7 +548,7 @@
                 }
             }
             Line::Waiting { by, n } => {
-                if *n > MOST_WAITING {
+                if *n > MAX_WAITING_TURNS {
                     return broken(Rule::Bounded, format!("{n} turns wait at {by} at {now:.3} s"));
                 }
             }
@@ -553,8 +558,8 @@
         return broken(Rule::Ends, format!("turn {id} has no end"));
     }
     // In any window each site computes no more anew than the budget of all and the slack that the design note states.
-    let rate = settings.anew * LANES / settings.block.as_secs_f64();
-    let slack = rate + (LONGEST_PREFIX * ACTIVATORS) as f64;
+    let rate = settings.recompute_share * LANES / settings.block_cost.as_secs_f64();
+    let slack = rate + (MAX_PREFIX_HASHES * ACTIVATORS) as f64;
     for (site, all) in anew.iter().enumerate() {
         for (i, (from, _)) in all.iter().enumerate() {
             let mut sum = 0.0;
@@ -618,15 +623,15 @@
 #[test]
 fn planted_flaws_are_found() {
     let flaws = [
-        (Flaw::SharesNoBudget, Rule::Budget),
-        (Flaw::SecondSiteIsFree, Rule::Budget),
-        (Flaw::AdvisesLostSites, Rule::LostSite),
-        (Flaw::ReturnsWithNothing, Rule::Flood),
-        (Flaw::BelievesLiars, Rule::Liar),
-        (Flaw::AddsWhatIsToldTwice, Rule::Books),
-        (Flaw::WaitsBeyondItsTime, Rule::Wait),
-        (Flaw::LeastFirst, Rule::Starved),
-        (Flaw::WaitsWithoutBound, Rule::Bounded),
+        (Fault::SharesNoBudget, Rule::Budget),
+        (Fault::SecondSiteIsFree, Rule::Budget),
+        (Fault::AdvisesLostSites, Rule::LostSite),
+        (Fault::ReturnsWithNothing, Rule::Flood),
+        (Fault::BelievesLiars, Rule::Liar),
+        (Fault::AddsWhatIsToldTwice, Rule::Books),
+        (Fault::WaitsBeyondItsTime, Rule::Wait),
+        (Fault::LeastFirst, Rule::Starved),
+        (Fault::WaitsWithoutBound, Rule::Bounded),
     ];
     for (flaw, rule) in flaws {
         let mut seeds = SEEDS;
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -14,24 +14,25 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod anew;
 #[cfg(test)]
-mod flaws;
+mod faults;
+mod feedback;
 #[cfg(test)]
 mod histories;
-mod learn;
-mod place;
+mod placement;
+mod recompute;
 mod sites;
 mod sketch;
 mod table;
-mod terms;
 mod trust;
+mod types;
 mod view;
 mod wire;
 
-pub use place::Turns;
-pub use terms::{
-    Advice, BadTurn, Choice, Name, Out, Reason, Settings, SettingsError, Site, SiteNow, Then, Token, Turn,
-    Waiting, LONGEST_PREFIX, MOST_CHOICES, MOST_SITES, MOST_WAITING, USUAL_WEIGHT,
+pub use placement::TurnRouter;
+pub use types::{
+    ActivatorId, Advice, AttemptToken, Choice, Decision, Output, Reason, Settings, SettingsError, SiteId,
+    SiteStatus, Turn, TurnParseError, WaitingId, DEFAULT_SITE_WEIGHT, MAX_CHOICES, MAX_PREFIX_HASHES,
+    MAX_SITES, MAX_WAITING_TURNS,
 };
 pub use view::{SiteView, View};
--- a/crates/turns/src/place.rs
+++ b/crates/turns/src/placement.rs
@@ -6,13 +6,13 @@
 
 use siphasher::sip::SipHasher13;
 
-use crate::anew::Anew;
-use crate::learn::Open;
+use crate::feedback::Open;
+use crate::recompute::RecomputeQueue;
 use crate::sites::{Sites, LOAD_MEMORY};
 use crate::sketch::{Sketch, Talks};
 use crate::table::{Entry, Table};
-use crate::terms::*;
 use crate::trust::Trust;
+use crate::types::*;
 use crate::wire::Placed;
 
 /// Sites at which one conversation is known to lie: where it is now, and where it was.
@@ -92,28 +92,28 @@
 }
 
 /// Decides where turns go. See the page of the crate.
-pub struct Turns {
+pub struct TurnRouter {
     pub(crate) settings: Settings,
-    pub(crate) me: Name,
+    pub(crate) me: ActivatorId,
     pub(crate) life: u32,
     pub(crate) sites: Sites,
     pub(crate) tails: Table<OF_ONE>,
     pub(crate) commons: Table<OF_MANY>,
     pub(crate) sketch: Sketch,
     pub(crate) trust: Trust,
-    pub(crate) open: BTreeMap<Token, Open>,
-    pub(crate) order: VecDeque<(Duration, Token)>,
+    pub(crate) open: BTreeMap<AttemptToken, Open>,
+    pub(crate) order: VecDeque<(Duration, AttemptToken)>,
     /// Time that a turn takes at a site, in seconds, learnt from answers.
     pub(crate) usual: f64,
-    pub(crate) members: Vec<Name>,
+    pub(crate) members: Vec<ActivatorId>,
     pub(crate) next_member: usize,
-    pub(crate) lately: VecDeque<(Placed, Site)>,
+    pub(crate) lately: VecDeque<(Placed, SiteId)>,
     pub(crate) number: u32,
     pub(crate) tell_at: Duration,
-    pub(crate) anew: Anew,
+    pub(crate) recompute: RecomputeQueue,
     pub(crate) talks: Talks,
     #[cfg(test)]
-    pub(crate) flaw: Option<crate::flaws::Flaw>,
+    pub(crate) flaw: Option<crate::faults::Fault>,
     pub(crate) counts: Counts,
 }
 
@@ -124,17 +124,17 @@
     pub for_held: u64,
     pub for_common: u64,
     pub for_load: u64,
-    pub anew: u64,
-    pub held_back: u64,
-    pub given_up: u64,
+    pub for_recompute: u64,
+    pub queued: u64,
+    pub rejected: u64,
     pub expected: u64,
     pub found: u64,
     pub asked: u64,
     pub misses: u64,
-    pub emptied: u64,
-    pub told: u64,
-    pub heard: u64,
-    pub unread: u64,
+    pub caches_found_empty: u64,
+    pub bytes_sent: u64,
+    pub received: u64,
+    pub unreadable: u64,
 }
 
 /// A part of a conversation's number, by which its own entries are known.
@@ -150,28 +150,28 @@
 }
 
 /// In 0 to 1, the same at every activator.
-fn draw(key: u64, site: Site) -> f64 {
+fn draw(key: u64, site: SiteId) -> f64 {
     let mut hasher = SipHasher13::new_with_keys(key, 0x7369_7465);
     hasher.write_u32(site.0);
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-impl Turns {
+impl TurnRouter {
     /// Knows nothing yet. `life` tells this process from one before it of the same name.
     pub fn new(
         settings: Settings,
-        me: Name,
+        me: ActivatorId,
         life: u32,
         seed: u64,
         now: Duration,
     ) -> Result<Self, SettingsError> {
         settings.check()?;
-        let common = settings.memory / COMMON_PART;
+        let common = settings.memory_bytes / COMMON_PART;
         Ok(Self {
-            tails: Table::new(settings.memory - common),
+            tails: Table::new(settings.memory_bytes - common),
             commons: Table::new(common),
             // Not all that begin together tell together.
-            tell_at: now + settings.period.mul_f64(fastrand::Rng::with_seed(seed).f64()),
+            tell_at: now + settings.gossip_period.mul_f64(fastrand::Rng::with_seed(seed).f64()),
             settings,
             me,
             life,
@@ -185,7 +185,7 @@
             next_member: 0,
             lately: VecDeque::new(),
             number: 0,
-            anew: Anew::default(),
+            recompute: RecomputeQueue::default(),
             talks: Talks::new(now),
             #[cfg(test)]
             flaw: None,
@@ -194,11 +194,11 @@
     }
 
     /// Takes other settings up. What was learnt stays, but for a table of another size.
-    pub fn retune(&mut self, settings: Settings) -> Result<(), SettingsError> {
+    pub fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
-        if settings.memory != self.settings.memory {
-            let common = settings.memory / COMMON_PART;
-            (self.tails, self.commons) = (Table::new(settings.memory - common), Table::new(common));
+        if settings.memory_bytes != self.settings.memory_bytes {
+            let common = settings.memory_bytes / COMMON_PART;
+            (self.tails, self.commons) = (Table::new(settings.memory_bytes - common), Table::new(common));
         }
         self.settings = settings;
         Ok(())
@@ -209,7 +209,7 @@
         let mut known = Known::default();
         let mark = mark(turn.conversation);
         let trust = self.believes(turn.tenant);
-        let len = turn.prefix.len().min(LONGEST_PREFIX) as u16;
+        let len = turn.prefix.len().min(MAX_PREFIX_HASHES) as u16;
         for depth in (0..=len).rev() {
             let key = match depth {
                 0 => root(turn.conversation),
@@ -247,7 +247,7 @@
     /// How far the tenant's hashes are believed, 0 to 1.
     pub(crate) fn believes(&self, tenant: u32) -> f64 {
         #[cfg(test)]
-        if self.flaw == Some(crate::flaws::Flaw::BelievesLiars) {
+        if self.flaw == Some(crate::faults::Fault::BelievesLiars) {
             return 1.0;
         }
         self.trust.of(tenant)
@@ -284,14 +284,14 @@
 
     /// What stands for the turn's whole prefix.
     pub(crate) fn tail(&self, turn: &Turn) -> u64 {
-        let len = turn.prefix.len().min(LONGEST_PREFIX);
+        let len = turn.prefix.len().min(MAX_PREFIX_HASHES);
         turn.prefix[..len].last().copied().unwrap_or_else(|| root(turn.conversation))
     }
 
     /// The sites that are chosen from, with their places.
-    pub(crate) fn stand(&mut self, now: Duration, sites: &[SiteNow]) -> Vec<(SiteNow, u16)> {
-        let fit = |s: &&SiteNow| s.capacity > 0.0 && s.capacity.is_finite() && s.in_flight >= 0.0;
-        let stand = |s: &SiteNow| Some((*s, self.sites.stand(now, s, &self.settings)?));
+    pub(crate) fn stand(&mut self, now: Duration, sites: &[SiteStatus]) -> Vec<(SiteStatus, u16)> {
+        let fit = |s: &&SiteStatus| s.capacity > 0.0 && s.capacity.is_finite() && s.in_flight >= 0.0;
+        let stand = |s: &SiteStatus| Some((*s, self.sites.update(now, s, &self.settings)?));
         let places: Vec<_> = sites.iter().filter(fit).filter_map(stand).collect();
         // One of weight 0 is sent nothing while another is there.
         let shut = |p: &u16| self.sites.all[*p as usize].weight <= 0.0;
@@ -302,7 +302,7 @@
     }
 
     /// Where the turn should go, of these sites, and whether it goes now.
-    pub fn place(&mut self, now: Duration, turn: &Turn, sites: &[SiteNow]) -> Advice {
+    pub fn place(&mut self, now: Duration, turn: &Turn, sites: &[SiteStatus]) -> Advice {
         let places = self.stand(now, sites);
         self.advise(now, turn, &places, false)
     }
@@ -312,7 +312,7 @@
         &mut self,
         now: Duration,
         turn: &Turn,
-        places: &[(SiteNow, u16)],
+        places: &[(SiteStatus, u16)],
         waited: bool,
     ) -> Advice {
         #[cfg(test)]
@@ -325,15 +325,16 @@
         let known = self.know(turn);
         let lacks = Self::lacks(&known);
         if let Some(lacks) = lacks.filter(|_| !waited) {
-            let then = self.weigh_anew(now, turn, &known, lacks, places);
-            self.counts.held_back += u64::from(matches!(then, Then::Wait(..)));
-            self.counts.given_up += u64::from(then == Then::GiveUp);
-            if then != Then::Go {
-                return Advice { choices: Vec::new(), then };
+            let decision = self.weigh_anew(now, turn, &known, lacks, places);
+            self.counts.queued += u64::from(matches!(decision, Decision::Wait(..)));
+            self.counts.rejected += u64::from(decision == Decision::Reject);
+            if decision != Decision::Dispatch {
+                return Advice { choices: Vec::new(), decision };
             }
         }
-        let (block, cross) = (self.settings.block.as_secs_f64(), self.settings.cross.as_secs_f64());
-        let len = turn.prefix.len().min(LONGEST_PREFIX) as f64;
+        let (block, cross) =
+            (self.settings.block_cost.as_secs_f64(), self.settings.cross_zone_cost.as_secs_f64());
+        let len = turn.prefix.len().min(MAX_PREFIX_HASHES) as f64;
         let weight = |place: u16| self.sites.all[place as usize].weight.max(1e-6);
         let size: f64 = places.iter().map(|(s, p)| s.capacity * weight(*p)).sum();
         let load: f64 = places.iter().map(|(_, p)| self.sites.load(now, *p)).sum();
@@ -343,12 +344,12 @@
         let talks = self.talks.about(now) * count / own_count.max(1.0);
         let counted = talks >= FEW * places.len() as f64;
         let out: f64 = places.iter().map(|(s, _)| s.in_flight).sum();
-        let left = turn.left.as_secs_f64();
+        let left = turn.time_left.as_secs_f64();
         let best = known.held.iter().map(Held::expected).fold(0.0, f64::max);
         // New conversations of one preamble turn to the same sites; one that is known keeps its own order.
         let key = turn.prefix.first().copied().filter(|_| known.common > 0 && known.own.is_none());
         let key = key.unwrap_or_else(|| root(turn.conversation));
-        let bound = self.settings.bound.max(CALLS);
+        let bound = self.settings.load_bound.max(CALLS);
         // As in bounded-load hashing: no site has more than so many times its due, for whatever it holds.
         let mut ranked: Vec<(Room, f64, Choice)> = places
             .iter()
@@ -360,23 +361,23 @@
                 let shared = (f64::from(known.common) - expected).max(0.0);
                 // A copy of what is common serves others after this turn: each of them pays its part.
                 let shared = shared / (1.0 + known.uses / (known.copies as f64 + 1.0));
-                let work = (own + shared + f64::from(turn.new)) * block;
+                let work = (own + shared + f64::from(turn.new_blocks)) * block;
                 let here = self.sites.load(now, *place);
                 let due = load * part;
                 let behind = (s.in_flight + 1.0 - s.capacity).max(0.0) / s.capacity * self.usual.max(work);
                 let full = s.capacity * weight(*place).max(0.01) * LOAD_MEMORY / block;
                 let level = here / full * LEVELLING * self.usual.max(block);
-                let cost = behind + work + level + if s.far { cross } else { 0.0 };
-                let takes = behind + (own + f64::from(turn.new)) * block;
+                let cost = behind + work + level + if s.other_zone { cross } else { 0.0 };
+                let takes = behind + (own + f64::from(turn.new_blocks)) * block;
                 let late = (takes - left).max(0.0) * LATE * turn.worth.clamp(0.0, 1e3);
                 // As in weighted rendezvous hashing: of equal sites each is first as often as it is due.
                 let lot = -(1.0 - draw(key, s.site)).ln() / (part * places.len() as f64);
                 let cost = cost + late + lot.min(MOST_APART) * APART * block;
                 let idle = IDLE * full;
-                let turn_work = len + f64::from(turn.new) + 1.0;
+                let turn_work = len + f64::from(turn.new_blocks) + 1.0;
                 let fits = here + turn_work - expected
-                    <= (self.settings.bound * (due + turn_work * part)).max(idle).max(SLACK);
-                let share = (self.settings.bound * (out + 1.0) * part).ceil().max(QUEUE * s.capacity);
+                    <= (self.settings.load_bound * (due + turn_work * part)).max(idle).max(SLACK);
+                let share = (self.settings.load_bound * (out + 1.0) * part).ceil().max(QUEUE * s.capacity);
                 let calls = (bound * (count + 1.0) * part).ceil();
                 // Turns that are cheap to move lean away first, so that few dear ones have to at the bound.
                 let calls_due = ((count + 1.0) * part).max(1.0);
@@ -387,9 +388,9 @@
                 let many = counted && self.sites.count(*place) + 1.0 > calls;
                 let over = many || !(fits || here <= due) || s.in_flight + 1.0 > share.max(1.0);
                 let reason = match held {
-                    Some(h) if h.expected() >= 0.5 && !h.common => Reason::Holds,
-                    Some(h) if h.expected() >= 0.5 => Reason::Common,
-                    _ if known.displaced > 0 && best < 0.5 => Reason::Anew,
+                    Some(h) if h.expected() >= 0.5 && !h.common => Reason::ConversationCached,
+                    Some(h) if h.expected() >= 0.5 => Reason::PrefixCached,
+                    _ if known.displaced > 0 && best < 0.5 => Reason::Recompute,
                     _ => Reason::Load,
                 };
                 let room = match lacks {
@@ -397,44 +398,44 @@
                     _ if over => Room::None,
                     _ => Room::Some,
                 };
-                (room, cost, Choice { site: s.site, held: expected.round() as u16, reason })
+                (room, cost, Choice { site: s.site, expected_blocks: expected.round() as u16, reason })
             })
             .collect();
         let first = |r: &(Room, f64, Choice), q: &(Room, f64, Choice)| {
             (r.0.cmp(&q.0)).then(r.1.total_cmp(&q.1)).then(r.2.site.cmp(&q.2.site))
         };
         // Three of many: no need to order the rest.
-        if ranked.len() > MOST_CHOICES {
-            ranked.select_nth_unstable_by(MOST_CHOICES - 1, first);
-            ranked.truncate(MOST_CHOICES);
+        if ranked.len() > MAX_CHOICES {
+            ranked.select_nth_unstable_by(MAX_CHOICES - 1, first);
+            ranked.truncate(MAX_CHOICES);
         }
         ranked.sort_by(first);
         // Where none has room, one is as good as another for that: the least dear stands alone.
         let with_room = ranked.iter().take_while(|r| r.0 == Room::Some).count().max(1);
         let choices: Vec<Choice> = ranked.into_iter().take(with_room).map(|r| r.2).collect();
         if lacks.is_some() {
-            if let Some(place) = self.sites.place(choices[0].site) {
+            if let Some(place) = self.sites.index_of(choices[0].site) {
                 let held = known.held.iter().find(|h| h.site == place).map_or(0.0, Held::expected);
                 self.grant(now, turn, place, (len - held).max(0.0));
             }
         }
         self.counts.placed += 1;
         *match choices[0].reason {
-            Reason::Holds => &mut self.counts.for_held,
-            Reason::Common => &mut self.counts.for_common,
+            Reason::ConversationCached => &mut self.counts.for_held,
+            Reason::PrefixCached => &mut self.counts.for_common,
             Reason::Load => &mut self.counts.for_load,
-            Reason::Anew => &mut self.counts.anew,
+            Reason::Recompute => &mut self.counts.for_recompute,
         } += 1;
-        Advice { choices, then: Then::Go }
+        Advice { choices, decision: Decision::Dispatch }
     }
 
     /// With what a planted flaw adds.
     #[cfg(test)]
-    fn with_lost(&self, places: &[(SiteNow, u16)]) -> Vec<(SiteNow, u16)> {
+    fn with_lost(&self, places: &[(SiteStatus, u16)]) -> Vec<(SiteStatus, u16)> {
         let mut all = places.to_vec();
-        if self.flaw == Some(crate::flaws::Flaw::AdvisesLostSites) {
+        if self.flaw == Some(crate::faults::Fault::AdvisesLostSites) {
             let lost = self.sites.all.iter().enumerate().filter(|(_, s)| !s.there);
-            let now = |site| SiteNow { site, capacity: 4.0, in_flight: 0.0, far: false };
+            let now = |site| SiteStatus { site, capacity: 4.0, in_flight: 0.0, other_zone: false };
             all.extend(lost.map(|(place, s)| (now(s.site), place as u16)));
         }
         all
--- a/crates/turns/src/anew/tests.rs
+++ b/crates/turns/src/recompute/tests.rs
@@ -4,25 +4,25 @@
 
 #[test]
 fn grants_are_bounded_and_end() {
-    let mut turns = Turns::new(Settings::default(), Name(1), 1, 1, Duration::ZERO).unwrap();
-    let place = turns.sites.meet(Duration::ZERO, Site(1)).unwrap();
+    let mut turns = TurnRouter::new(Settings::default(), ActivatorId(1), 1, 1, Duration::ZERO).unwrap();
+    let place = turns.sites.get_or_insert(Duration::ZERO, SiteId(1)).unwrap();
     let turn = |i: u64| Turn {
         conversation: i,
         tenant: 0,
         prefix: vec![i + 1],
-        new: 0,
+        new_blocks: 0,
         worth: 1.0,
-        left: Duration::from_secs(1),
+        time_left: Duration::from_secs(1),
     };
     for i in 0..3 * MOST_GRANTS as u64 {
         turns.grant(Duration::from_millis(i), &turn(i), place, 1.0);
     }
-    assert_eq!((turns.anew.grants.len(), turns.anew.order.len()), (MOST_GRANTS, MOST_GRANTS));
+    assert_eq!((turns.recompute.grants.len(), turns.recompute.order.len()), (MOST_GRANTS, MOST_GRANTS));
     // The same one over and over is one, and an old one of it does not end the newer.
     for i in 0..3 * MOST_GRANTS as u64 {
         turns.grant(Duration::from_secs(100) + Duration::from_millis(i), &turn(7), place, 1.0);
     }
-    assert!(turns.anew.grants.len() == 1 && turns.anew.order.len() <= MOST_GRANTS);
+    assert!(turns.recompute.grants.len() == 1 && turns.recompute.order.len() <= MOST_GRANTS);
     turns.grant(Duration::from_secs(1_000), &turn(8), place, 1.0);
-    assert_eq!((turns.anew.grants.len(), turns.anew.order.len()), (1, 1));
+    assert_eq!((turns.recompute.grants.len(), turns.recompute.order.len()), (1, 1));
 }
--- a/crates/turns/src/sites.rs
+++ b/crates/turns/src/sites.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::terms::{Name, Settings, Site, SiteNow, MOST_SITES, USUAL_WEIGHT};
+use crate::types::{ActivatorId, Settings, SiteId, SiteStatus, DEFAULT_SITE_WEIGHT, MAX_SITES};
 
 /// Blocks that a site is taken to keep before anything was seen of it: too many, as a wrong belief costs one miss.
 const FIRST_HORIZON: f64 = 1_048_576.0;
@@ -33,8 +33,8 @@
 const MOST_PEERS: usize = 1024;
 
 /// One site.
-pub(crate) struct State {
-    pub site: Site,
+pub(crate) struct SiteState {
+    pub site: SiteId,
     /// It was not lost since it was last told to be there.
     pub there: bool,
     /// It was chosen from since then, the first time at this time.
@@ -56,7 +56,7 @@
     slots: [u32; SLOTS],
     count: u32,
     slot: u64,
-    told_count: f64,
+    peer_turn_count: f64,
     /// Blocks that this activator may have computed anew there just now, as of when, and how fast that grows.
     budget: f64,
     budget_at: Duration,
@@ -71,8 +71,8 @@
     pub turns: u64,
 }
 
-impl State {
-    fn new(site: Site, now: Duration) -> Self {
+impl SiteState {
+    fn new(site: SiteId, now: Duration) -> Self {
         Self {
             site,
             there: true,
@@ -90,7 +90,7 @@
             slots: [0; SLOTS],
             count: 0,
             slot: now.as_secs(),
-            told_count: 0.0,
+            peer_turn_count: 0.0,
             budget: 0.0,
             budget_at: now,
             rate: 0.0,
@@ -150,7 +150,7 @@
 
     /// Load that others told of.
     #[cfg(test)]
-    pub fn told(&self) -> f64 {
+    pub fn peer_load(&self) -> f64 {
         self.told
     }
 
@@ -186,72 +186,72 @@
 /// All sites.
 #[derive(Default)]
 pub(crate) struct Sites {
-    pub all: Vec<State>,
-    places: BTreeMap<Site, u16>,
-    peers: BTreeMap<Name, Peer>,
+    pub all: Vec<SiteState>,
+    places: BTreeMap<SiteId, u16>,
+    peers: BTreeMap<ActivatorId, Peer>,
     /// Blocks computed at all of them.
     pub clock: u32,
     /// Activators that share the sites, as far as was told, whether they are heard or not; 0 and 1 for this one alone.
-    pub shares: usize,
+    pub activator_count: usize,
     #[cfg(test)]
-    pub flaw: Option<crate::flaws::Flaw>,
+    pub flaw: Option<crate::faults::Fault>,
 }
 
 impl Sites {
     /// The place of a site, which is met with that; none where there are too many.
-    pub fn meet(&mut self, now: Duration, site: Site) -> Option<u16> {
+    pub fn get_or_insert(&mut self, now: Duration, site: SiteId) -> Option<u16> {
         if let Some(place) = self.places.get(&site) {
             return Some(*place);
         }
-        let place = if self.all.len() < MOST_SITES {
-            self.all.push(State::new(site, now));
+        let place = if self.all.len() < MAX_SITES {
+            self.all.push(SiteState::new(site, now));
             self.all.len() - 1
         } else {
             // One that is gone makes room, with all that was believed of it.
             let place = self.all.iter().position(|s| !s.there)?;
             let life = self.all[place].life.wrapping_add(1);
             self.places.remove(&self.all[place].site);
-            self.all[place] = State { life, ..State::new(site, now) };
+            self.all[place] = SiteState { life, ..SiteState::new(site, now) };
             place
         };
         self.places.insert(site, place as u16);
         Some(place as u16)
     }
 
-    pub fn place(&self, site: Site) -> Option<u16> {
+    pub fn index_of(&self, site: SiteId) -> Option<u16> {
         self.places.get(&site).copied()
     }
 
-    pub fn weigh(&mut self, now: Duration, site: Site, weight: u16) {
-        if let Some(place) = self.meet(now, site) {
-            self.all[place as usize].weight = f64::from(weight.min(1_000)) / f64::from(USUAL_WEIGHT);
+    pub fn set_weight(&mut self, now: Duration, site: SiteId, weight: u16) {
+        if let Some(place) = self.get_or_insert(now, site) {
+            self.all[place as usize].weight = f64::from(weight.min(1_000)) / f64::from(DEFAULT_SITE_WEIGHT);
         }
     }
 
     /// What the site held is gone.
-    pub fn empty(&mut self, site: u16) {
+    pub fn clear_cache(&mut self, site: u16) {
         let s = &mut self.all[site as usize];
         (s.life, s.born) = (s.life.wrapping_add(1), s.clock);
     }
 
-    pub fn lost(&mut self, site: Site) {
-        if let Some(place) = self.place(site).filter(|p| self.all[*p as usize].there) {
-            self.empty(place);
+    pub fn site_lost(&mut self, site: SiteId) {
+        if let Some(place) = self.index_of(site).filter(|p| self.all[*p as usize].there) {
+            self.clear_cache(place);
             let s = &mut self.all[place as usize];
             (s.there, s.stands) = (false, false);
         }
     }
 
     /// It is there again, and what it is sent begins when it is first chosen from.
-    pub fn back(&mut self, now: Duration, site: Site) {
-        if let Some(place) = self.meet(now, site) {
+    pub fn site_returned(&mut self, now: Duration, site: SiteId) {
+        if let Some(place) = self.get_or_insert(now, site) {
             self.all[place as usize].there = true;
         }
     }
 
     /// It is one of those that are chosen from now; its place.
-    pub fn stand(&mut self, now: Duration, site: &SiteNow, settings: &Settings) -> Option<u16> {
-        let place = self.meet(now, site.site)?;
+    pub fn update(&mut self, now: Duration, site: &SiteStatus, settings: &Settings) -> Option<u16> {
+        let place = self.get_or_insert(now, site.site)?;
         let s = &mut self.all[place as usize];
         s.capacity = site.capacity;
         s.there = true;
@@ -275,7 +275,7 @@
             }
         }
         #[cfg(test)]
-        if self.flaw == Some(crate::flaws::Flaw::ReturnsWithNothing) {
+        if self.flaw == Some(crate::faults::Fault::ReturnsWithNothing) {
             size = 0.0;
         }
         let s = &mut self.all[usize::from(place)];
@@ -290,7 +290,7 @@
     }
 
     /// It is made to compute so many blocks, one of them for the turn itself.
-    pub fn sent(&mut self, now: Duration, site: u16, blocks: f64) {
+    pub fn record_sent(&mut self, now: Duration, site: u16, blocks: f64) {
         let s = &mut self.all[site as usize];
         s.fade(now);
         s.slide(now);
@@ -303,7 +303,7 @@
     }
 
     /// It computed so many blocks more than it was believed to.
-    pub fn missed(&mut self, now: Duration, site: u16, blocks: f64) {
+    pub fn record_missed(&mut self, now: Duration, site: u16, blocks: f64) {
         let s = &mut self.all[site as usize];
         s.fade(now);
         s.load += blocks;
@@ -319,7 +319,7 @@
     /// Turns sent there within the last seconds, by this activator and, as they told, by the others.
     pub fn count(&self, site: u16) -> f64 {
         let s = &self.all[site as usize];
-        f64::from(s.count) + s.told_count
+        f64::from(s.count) + s.peer_turn_count
     }
 
     /// Of these turns, what this activator sent itself.
@@ -328,7 +328,7 @@
     }
 
     /// What this one has to tell of loads.
-    pub fn loads(&mut self, now: Duration) -> Vec<(u32, f32, u16)> {
+    pub fn own_loads(&mut self, now: Duration) -> Vec<(u32, f32, u16)> {
         self.all.iter_mut().for_each(|s| s.slide(now));
         let there = self.all.iter().filter(|s| s.there);
         let loads =
@@ -337,18 +337,24 @@
     }
 
     /// Another activator told of its loads; older word of the same life is passed over.
-    pub fn told(&mut self, now: Duration, from: Name, (life, number): (u32, u32), loads: &[(u32, f32, u16)]) {
+    pub fn record_peer_loads(
+        &mut self,
+        now: Duration,
+        from: ActivatorId,
+        (life, number): (u32, u32),
+        loads: &[(u32, f32, u16)],
+    ) {
         if self.peers.len() >= MOST_PEERS && !self.peers.contains_key(&from) {
             return;
         }
         let known = |(site, load, count): &(u32, f32, u16)| {
             let load = if load.is_finite() { load.clamp(0.0, 1e9) } else { 0.0 };
-            Some((self.place(Site(*site))?, load, *count))
+            Some((self.index_of(SiteId(*site))?, load, *count))
         };
         #[allow(unused_mut, reason = "a planted flaw of the tests adds to it")]
         let mut loads: Vec<(u16, f32, u16)> = loads.iter().filter_map(known).collect();
         #[cfg(test)]
-        if self.flaw == Some(crate::flaws::Flaw::AddsWhatIsToldTwice) {
+        if self.flaw == Some(crate::faults::Fault::AddsWhatIsToldTwice) {
             loads.extend(self.peers.remove(&from).into_iter().flat_map(|p| p.loads).take(256));
         }
         let old = |p: &Peer| p.life == life && (p.number.wrapping_sub(number) as i32) >= 0;
@@ -359,7 +365,7 @@
     }
 
     /// Forgets what was told long ago, and by those that are no members any more.
-    pub fn forget(&mut self, now: Duration, period: Duration, members: &[Name]) {
+    pub fn expire_peers(&mut self, now: Duration, period: Duration, members: &[ActivatorId]) {
         self.peers.retain(|name, p| now < p.at + period * TOLD_FOR && members.contains(name));
         self.sum(now);
     }
@@ -367,19 +373,19 @@
     /// Sums up what others told. Of a site that came just now they may not know yet: what such a one says of the others
     /// stands for it, or it would look empty until then, and the others as loaded above their due.
     fn sum(&mut self, now: Duration) {
-        self.all.iter_mut().for_each(|s| (s.told, s.told_count) = (0.0, 0.0));
+        self.all.iter_mut().for_each(|s| (s.told, s.peer_turn_count) = (0.0, 0.0));
         let fresh: Vec<usize> = (0..self.all.len())
             .filter(|i| self.all[*i].stands && now < self.all[*i].began + FRESH_FOR)
             .collect();
         #[cfg(test)]
         let fresh =
-            if self.flaw == Some(crate::flaws::Flaw::ReturnsWithNothing) { Vec::new() } else { fresh };
+            if self.flaw == Some(crate::faults::Fault::ReturnsWithNothing) { Vec::new() } else { fresh };
         for peer in self.peers.values() {
             let (mut size, mut sum) = (0.0, (0.0, 0.0));
             for (site, load, count) in &peer.loads {
                 let Some(s) = self.all.get_mut(*site as usize) else { continue };
                 let told = (f64::from(*load), f64::from(*count));
-                (s.told, s.told_count) = (s.told + told.0, s.told_count + told.1);
+                (s.told, s.peer_turn_count) = (s.told + told.0, s.peer_turn_count + told.1);
                 size += s.size();
                 sum = (sum.0 + told.0, sum.1 + told.1);
             }
@@ -387,7 +393,7 @@
             for i in fresh.iter().filter(untold).filter(|_| size > 0.0) {
                 let s = &mut self.all[*i];
                 let part = s.size() / size;
-                (s.told, s.told_count) = (s.told + sum.0 * part, s.told_count + sum.1 * part);
+                (s.told, s.peer_turn_count) = (s.told + sum.0 * part, s.peer_turn_count + sum.1 * part);
             }
         }
     }
@@ -410,16 +416,17 @@
         // Of lanes' time each activator is due the same part, and what it leaves unused is its own: so neither needs
         // word from another, and those cut off from each other don't spend it twice.
         let spare = SPARE * s.capacity - busy * shares;
-        s.rate = (settings.anew * s.capacity).max(spare) / settings.block.as_secs_f64() / shares;
+        s.rate =
+            (settings.recompute_share * s.capacity).max(spare) / settings.block_cost.as_secs_f64() / shares;
         s.budget = (s.budget + past * s.rate).min(s.rate * BUDGET_FOR);
     }
 
     fn shares(&self) -> f64 {
         #[cfg(test)]
-        if self.flaw == Some(crate::flaws::Flaw::SharesNoBudget) {
+        if self.flaw == Some(crate::faults::Fault::SharesNoBudget) {
             return 1.0;
         }
-        self.shares.max(1) as f64
+        self.activator_count.max(1) as f64
     }
 
     /// Blocks that this activator may have computed anew there now, and how many more a second.
@@ -429,7 +436,7 @@
     }
 
     /// How full the budget is, 0 to 1.
-    pub fn fill(&self, site: u16) -> f64 {
+    pub fn budget_fill(&self, site: u16) -> f64 {
         let s = &self.all[site as usize];
         (s.budget / (s.rate * BUDGET_FOR).max(1e-9)).clamp(0.0, 1.0)
     }
--- a/crates/turns/src/sites/tests.rs
+++ b/crates/turns/src/sites/tests.rs
@@ -6,7 +6,7 @@
 fn a_horizon_is_learnt_whatever_it_is_and_follows_when_it_changes() {
     for seed in 0..8 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut s = State::new(Site(1), Duration::ZERO);
+        let mut s = SiteState::new(SiteId(1), Duration::ZERO);
         s.clock = 10_000_000;
         for horizon in [3_000.0, 200.0, 50_000.0, 900.0] {
             for _ in 0..1_500 {
@@ -24,19 +24,19 @@
 fn a_site_back_has_the_others_load_and_what_it_held_is_void() {
     let (mut sites, now) = (Sites::default(), Duration::from_secs(1));
     let settings = Settings::default();
-    let of = |i: u32| SiteNow { site: Site(i), capacity: 4.0, in_flight: 0.0, far: false };
-    let places: Vec<u16> = (0..3).map(|i| sites.stand(now, &of(i), &settings).unwrap()).collect();
-    places.iter().for_each(|p| sites.sent(now, *p, 100.0));
-    sites.lost(Site(1));
-    sites.lost(Site(1));
+    let of = |i: u32| SiteStatus { site: SiteId(i), capacity: 4.0, in_flight: 0.0, other_zone: false };
+    let places: Vec<u16> = (0..3).map(|i| sites.update(now, &of(i), &settings).unwrap()).collect();
+    places.iter().for_each(|p| sites.record_sent(now, *p, 100.0));
+    sites.site_lost(SiteId(1));
+    sites.site_lost(SiteId(1));
     assert_eq!(sites.all[1].life, 1);
     let later = now + Duration::from_secs(20);
-    sites.sent(later, 0, 90.0);
-    sites.sent(later, 2, 110.0);
-    (0..5).for_each(|_| sites.sent(later, 0, 0.0));
-    (0..3).for_each(|_| sites.sent(later, 2, 0.0));
-    sites.back(later, Site(1));
-    sites.stand(later, &of(1), &settings);
+    sites.record_sent(later, 0, 90.0);
+    sites.record_sent(later, 2, 110.0);
+    (0..5).for_each(|_| sites.record_sent(later, 0, 0.0));
+    (0..3).for_each(|_| sites.record_sent(later, 2, 0.0));
+    sites.site_returned(later, SiteId(1));
+    sites.update(later, &of(1), &settings);
     assert_eq!((sites.count(0), sites.count(1), sites.count(2)), (6.0, 5.0, 4.0));
     let mean = (sites.load(later, 0) + sites.load(later, 2)) / 2.0;
     assert!(mean > 100.0 && (sites.load(later, 1) - mean).abs() < 1.0, "{} and {mean}", sites.load(later, 1));
@@ -45,20 +45,20 @@
 #[test]
 fn sites_and_members_are_bounded() {
     let (mut sites, now) = (Sites::default(), Duration::ZERO);
-    let met = (0..1_000).filter(|i| sites.meet(now, Site(*i)).is_some()).count();
-    assert_eq!((met, sites.all.len()), (MOST_SITES, MOST_SITES));
-    sites.lost(Site(7));
-    assert!(sites.meet(now, Site(5_000)).is_some() && sites.place(Site(7)).is_none());
-    assert!(sites.meet(now, Site(5_001)).is_none());
+    let met = (0..1_000).filter(|i| sites.get_or_insert(now, SiteId(*i)).is_some()).count();
+    assert_eq!((met, sites.all.len()), (MAX_SITES, MAX_SITES));
+    sites.site_lost(SiteId(7));
+    assert!(sites.get_or_insert(now, SiteId(5_000)).is_some() && sites.index_of(SiteId(7)).is_none());
+    assert!(sites.get_or_insert(now, SiteId(5_001)).is_none());
     for i in 0..3_000 {
-        sites.told(now, Name(i), (1, 1), &[(3, f32::NAN, 7), (4, 2.0, 1)]);
+        sites.record_peer_loads(now, ActivatorId(i), (1, 1), &[(3, f32::NAN, 7), (4, 2.0, 1)]);
     }
     assert_eq!((sites.peers.len(), sites.load(now, 3)), (MOST_PEERS, 0.0));
     assert_eq!(sites.load(now, 4), 2.0 * MOST_PEERS as f64);
     // Older word, and doubled word, changes nothing.
-    sites.told(now, Name(1), (1, 1), &[(4, 50.0, 9)]);
+    sites.record_peer_loads(now, ActivatorId(1), (1, 1), &[(4, 50.0, 9)]);
     assert_eq!(sites.load(now, 4), 2.0 * MOST_PEERS as f64);
     assert_eq!((sites.count(3), sites.count(4)), (7.0 * MOST_PEERS as f64, MOST_PEERS as f64));
-    sites.forget(now, Duration::from_secs(1), &[Name(1)]);
+    sites.expire_peers(now, Duration::from_secs(1), &[ActivatorId(1)]);
     assert_eq!((sites.activators(), sites.load(now, 4)), (2, 2.0));
 }
--- a/crates/turns/src/trust.rs
+++ b/crates/turns/src/trust.rs
@@ -51,7 +51,7 @@
     }
 
     /// Tenants that are not believed, or half.
-    pub fn doubted(&self) -> usize {
+    pub fn distrusted(&self) -> usize {
         self.shares.iter().filter(|s| **s / self.all.max(LEAST) < WHOLE).count()
     }
 }
--- a/crates/turns/src/trust/tests.rs
+++ b/crates/turns/src/trust/tests.rs
@@ -9,7 +9,7 @@
         trust.learn(1, 0.0);
         trust.learn(2, 1.0);
     }
-    assert_eq!((trust.of(1), trust.of(2), trust.doubted()), (0.0, 1.0, 1));
+    assert_eq!((trust.of(1), trust.of(2), trust.distrusted()), (0.0, 1.0, 1));
     (0..40).for_each(|_| trust.learn(1, 1.0));
     assert_eq!(trust.of(1), 1.0);
     // A fleet that finds 4 in 10 everywhere: nobody is doubted for it.
--- a/crates/turns/src/view.rs
+++ b/crates/turns/src/view.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use crate::place::Turns;
-use crate::terms::Site;
+use crate::placement::TurnRouter;
+use crate::types::SiteId;
 
 /// One site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteView {
     /// Which.
-    pub site: Site,
+    pub site: SiteId,
     /// It is there, as far as was told.
-    pub there: bool,
+    pub present: bool,
     /// Its weight, 1 for the usual.
     pub weight: f64,
     /// Blocks that it is believed to compute before it lets go of what it was sent.
@@ -21,9 +21,9 @@
     /// Turns sent there by this activator.
     pub turns: u64,
     /// Blocks that this activator may have computed anew there now, and how many more a second.
-    pub anew: (f64, f64),
+    pub recompute_budget: (f64, f64),
     /// Times that its cache was lost.
-    pub lost: u16,
+    pub cache_losses: u16,
 }
 
 /// What this activator believes and has done.
@@ -32,17 +32,17 @@
     /// Every site met.
     pub sites: Vec<SiteView>,
     /// Conversations and common prefixes known; those that made room for others.
-    pub known: (usize, usize),
+    pub entries: (usize, usize),
     /// Entries that made room for others.
-    pub pushed: u64,
+    pub evicted: u64,
     /// Bytes that the tables take.
     pub bytes: usize,
     /// Turns placed, and of these for what is held, for what is common, for load, and anew.
     pub placed: [u64; 5],
     /// Turns that were held back for the budget of computing anew, and those that were given up for it.
-    pub held_back: u64,
-    /// See [`View::held_back`].
-    pub given_up: u64,
+    pub queued: u64,
+    /// See [`View::queued`].
+    pub rejected: u64,
     /// Turns that wait now.
     pub waiting: usize,
     /// Blocks asked for in answered turns that told of them, expected to be found, and found.
@@ -50,51 +50,51 @@
     /// Turns that found less than half of what was expected.
     pub misses: u64,
     /// Sites whose cache was found to be gone.
-    pub emptied: u64,
+    pub caches_found_empty: u64,
     /// Tenants that are not wholly believed.
-    pub doubted: usize,
+    pub distrusted_tenants: usize,
     /// Activators that share the sites, this one among them.
     pub activators: usize,
     /// Bytes told; datagrams heard, and those that could not be read.
-    pub told: [u64; 3],
+    pub gossip: [u64; 3],
     /// Attempts that are out.
-    pub open: usize,
+    pub open_attempts: usize,
 }
 
-impl Turns {
+impl TurnRouter {
     /// What is believed and was done so far.
     pub fn view(&self, now: Duration) -> View {
         let there: Vec<u16> =
             (0..self.sites.all.len() as u16).filter(|i| self.sites.all[*i as usize].there).collect();
         let mean = there.iter().map(|i| self.sites.load(now, *i)).sum::<f64>() / there.len().max(1) as f64;
-        let site = |(i, s): (usize, &crate::sites::State)| SiteView {
+        let site = |(i, s): (usize, &crate::sites::SiteState)| SiteView {
             site: s.site,
-            there: s.there,
+            present: s.there,
             weight: s.weight,
             horizon: s.horizon(),
             load: self.sites.load(now, i as u16) / mean.max(1e-9),
             turns: s.turns,
-            anew: self.sites.budget(i as u16),
-            lost: s.life,
+            recompute_budget: self.sites.budget(i as u16),
+            cache_losses: s.life,
         };
         let (c, (tails, pushed), (commons, pushed_too)) =
             (&self.counts, self.tails.counts(), self.commons.counts());
         View {
             sites: self.sites.all.iter().enumerate().map(site).collect(),
-            known: (tails, commons),
-            pushed: pushed + pushed_too,
+            entries: (tails, commons),
+            evicted: pushed + pushed_too,
             bytes: self.tails.bytes() + self.commons.bytes(),
-            placed: [c.placed, c.for_held, c.for_common, c.for_load, c.anew],
-            held_back: c.held_back,
-            given_up: c.given_up,
-            waiting: self.anew.waiting(),
+            placed: [c.placed, c.for_held, c.for_common, c.for_load, c.for_recompute],
+            queued: c.queued,
+            rejected: c.rejected,
+            waiting: self.recompute.waiting(),
             blocks: [c.asked, c.expected, c.found],
             misses: c.misses,
-            emptied: c.emptied,
-            doubted: self.trust.doubted(),
-            activators: self.sites.shares.max(self.sites.activators()),
-            told: [c.told, c.heard, c.unread],
-            open: self.open.len(),
+            caches_found_empty: c.caches_found_empty,
+            distrusted_tenants: self.trust.distrusted(),
+            activators: self.sites.activator_count.max(self.sites.activators()),
+            gossip: [c.bytes_sent, c.received, c.unreadable],
+            open_attempts: self.open.len(),
         }
     }
 }
--- a/crates/turns/tests/properties.rs
+++ b/crates/turns/tests/properties.rs
@@ -60,36 +60,44 @@
         conversation: u64::from(talk),
         tenant: u32::from(talk % 3),
         prefix,
-        new,
+        new_blocks: new,
         worth: 1.0,
-        left: Duration::from_millis(500),
+        time_left: Duration::from_millis(500),
     }
 }
 
 /// Plays a history; all that came out.
 fn play(steps: &[Step], seed: u64) -> Result<Vec<String>, TestCaseError> {
-    let settings = Settings { memory: 64 << 10, ..Settings::default() };
-    let mut turns = Turns::new(settings, Name(1), 7, seed, at(0.0)).unwrap();
-    turns.set_members(at(0.0), [Name(2), Name(3)]);
+    let settings = Settings { memory_bytes: 64 << 10, ..Settings::default() };
+    let mut turns = TurnRouter::new(settings, ActivatorId(1), 7, seed, at(0.0)).unwrap();
+    turns.set_members(at(0.0), [ActivatorId(2), ActivatorId(3)]);
     let (mut now, mut next, mut said) = (0.0, 0u64, Vec::new());
     let mut there: BTreeSet<u32> = (0..SITES).collect();
     let mut weights: BTreeMap<u32, u16> = BTreeMap::new();
     let mut open: Vec<(u64, u32)> = Vec::new();
-    let mut held: BTreeMap<Waiting, Duration> = BTreeMap::new();
+    let mut held: BTreeMap<WaitingId, Duration> = BTreeMap::new();
     for step in steps {
         match step {
             Step::Turn { talk, len, new, common, fork } => {
                 let turn = turn(*talk, *len, *new, *common, *fork);
                 let out = |s: u32| open.iter().filter(|(_, at)| *at == s).count() as f64;
-                let sites: Vec<SiteNow> = there
+                let sites: Vec<SiteStatus> = there
                     .iter()
-                    .map(|s| SiteNow { site: Site(*s), capacity: 4.0, in_flight: out(*s), far: s % 2 == 1 })
+                    .map(|s| SiteStatus {
+                        site: SiteId(*s),
+                        capacity: 4.0,
+                        in_flight: out(*s),
+                        other_zone: s % 2 == 1,
+                    })
                     .collect();
                 let advice = turns.place(at(now), &turn, &sites);
-                prop_assert_eq!(advice.choices.is_empty(), there.is_empty() || advice.then != Then::Go);
-                prop_assert!(advice.choices.len() <= MOST_CHOICES);
-                if let Then::Wait(waiting, until) = advice.then {
-                    prop_assert!(until <= at(now) + turn.left.mul_f64(0.3));
+                prop_assert_eq!(
+                    advice.choices.is_empty(),
+                    there.is_empty() || advice.decision != Decision::Dispatch
+                );
+                prop_assert!(advice.choices.len() <= MAX_CHOICES);
+                if let Decision::Wait(waiting, until) = advice.decision {
+                    prop_assert!(until <= at(now) + turn.time_left.mul_f64(0.3));
                     held.insert(waiting, until);
                 }
                 let named: BTreeSet<u32> = advice.choices.iter().map(|c| c.site.0).collect();
@@ -98,7 +106,7 @@
                 prop_assert!(advice
                     .choices
                     .iter()
-                    .all(|c| usize::from(c.held) <= turn.prefix.len().min(LONGEST_PREFIX)));
+                    .all(|c| usize::from(c.expected_blocks) <= turn.prefix.len().min(MAX_PREFIX_HASHES)));
                 // Weight 0: nothing while another is there.
                 let shut = |s: &u32| weights.get(s) == Some(&0);
                 if there.iter().any(|s| !shut(s) && out(*s) < 4.0) {
@@ -112,58 +120,63 @@
                 said.push(format!("{advice:?}"));
                 if let Some(first) = advice.choices.first() {
                     next += 1;
-                    turns.sent(at(now), Token(next), &turn, first.site);
+                    turns.attempt_sent(at(now), AttemptToken(next), &turn, first.site);
                     open.push((next, first.site.0));
                 }
             }
             Step::Answer { which, found } if !open.is_empty() => {
                 let (token, _) = open.remove(usize::from(*which) % open.len());
-                turns.answered(at(now), Token(token), *found, Duration::from_millis(30));
+                turns.attempt_answered(at(now), AttemptToken(token), *found, Duration::from_millis(30));
                 // Told twice, or of one that never was: nothing.
-                turns.answered(at(now), Token(token), *found, Duration::from_millis(30));
-                turns.dropped(Token(token + 1_000_000));
+                turns.attempt_answered(at(now), AttemptToken(token), *found, Duration::from_millis(30));
+                turns.attempt_failed(AttemptToken(token + 1_000_000));
             }
             Step::Drop { which } if !open.is_empty() => {
-                turns.dropped(Token(open.remove(usize::from(*which) % open.len()).0));
+                turns.attempt_failed(AttemptToken(open.remove(usize::from(*which) % open.len()).0));
             }
             Step::Answer { .. } | Step::Drop { .. } => {}
             Step::Lost(s) => {
                 there.remove(s);
-                turns.lost(Site(*s));
+                turns.site_lost(SiteId(*s));
             }
             Step::Back(s) => {
                 there.insert(*s);
-                turns.back(at(now), Site(*s));
+                turns.site_returned(at(now), SiteId(*s));
             }
             Step::Weigh(s, w) => {
                 weights.insert(*s, *w);
-                turns.weigh(at(now), Site(*s), *w);
+                turns.set_site_weight(at(now), SiteId(*s), *w);
             }
-            Step::Noise(data) => turns.heard(at(now), Name(2), data, &mut Vec::new()),
+            Step::Noise(data) => turns.receive(at(now), ActivatorId(2), data, &mut Vec::new()),
             Step::Wait(us) => {
                 now += f64::from(*us) / 1e6;
                 let mut out = Vec::new();
                 turns.wake(at(now), &mut out);
-                let sites: Vec<SiteNow> = there
+                let sites: Vec<SiteStatus> = there
                     .iter()
-                    .map(|s| SiteNow { site: Site(*s), capacity: 4.0, in_flight: 0.0, far: false })
+                    .map(|s| SiteStatus {
+                        site: SiteId(*s),
+                        capacity: 4.0,
+                        in_flight: 0.0,
+                        other_zone: false,
+                    })
                     .collect();
                 while let Some((waiting, advice)) = turns.release(at(now), &sites) {
                     prop_assert!(held.remove(&waiting).is_some(), "released and not held");
-                    prop_assert_eq!(advice.choices.is_empty(), advice.then == Then::GiveUp);
+                    prop_assert_eq!(advice.choices.is_empty(), advice.decision == Decision::Reject);
                     said.push(format!("{advice:?}"));
                 }
                 prop_assert!(held.values().all(|until| *until > at(now)), "held beyond its time");
-                let bytes: usize = out.iter().map(|Out::Send { data, .. }| data.len()).sum();
+                let bytes: usize = out.iter().map(|Output::Send { data, .. }| data.len()).sum();
                 prop_assert!(bytes <= 9_600, "{} bytes told", bytes);
-                let fits = out.iter().all(|Out::Send { data, to }| data.len() <= 1_194 && to.0 != 1);
+                let fits = out.iter().all(|Output::Send { data, to }| data.len() <= 1_194 && to.0 != 1);
                 prop_assert!(fits, "too long, or to itself");
                 said.push(format!("{out:?}"));
             }
         }
         let view = turns.view(at(now));
-        prop_assert!(view.bytes <= 64 << 10 && view.open == open.len());
-        prop_assert!(view.waiting == held.len() && held.len() <= MOST_WAITING);
+        prop_assert!(view.bytes <= 64 << 10 && view.open_attempts == open.len());
+        prop_assert!(view.waiting == held.len() && held.len() <= MAX_WAITING_TURNS);
         prop_assert!(view.sites.iter().all(|s| s.load.is_finite() && s.horizon >= 7.9 && s.horizon <= 4.1e9));
     }
     said.push(format!("{:?}", turns.view(at(now))));
@@ -187,49 +200,49 @@
     fn activators_that_disagree_converge(
         len in 1..20u8, a in 0..SITES, b in 0..SITES, seed in any::<u64>(), doubled in any::<bool>()
     ) {
-        let mut each: Vec<Turns> =
-            (1..=2).map(|i| Turns::new(Settings::default(), Name(i), i, seed, at(0.0)).unwrap()).collect();
-        let sites: Vec<SiteNow> = (0..SITES)
-            .map(|s| SiteNow { site: Site(s), capacity: 4.0, in_flight: 0.0, far: false })
+        let mut each: Vec<TurnRouter> =
+            (1..=2).map(|i| TurnRouter::new(Settings::default(), ActivatorId(i), i, seed, at(0.0)).unwrap()).collect();
+        let sites: Vec<SiteStatus> = (0..SITES)
+            .map(|s| SiteStatus { site: SiteId(s), capacity: 4.0, in_flight: 0.0, other_zone: false })
             .collect();
         let one = turn(3, len, 2, false, false);
         for (i, (turns, site)) in each.iter_mut().zip([a, b]).enumerate() {
-            turns.set_members(at(0.0), [Name(1), Name(2)]);
+            turns.set_members(at(0.0), [ActivatorId(1), ActivatorId(2)]);
             turns.place(at(0.1), &turn(9, 4, 1, false, false), &sites);
-            turns.sent(at(0.1), Token(1), &one, Site(site));
-            turns.answered(at(0.2), Token(1), Some(if i == 0 { 0 } else { u32::from(len) }), Duration::from_millis(40));
+            turns.attempt_sent(at(0.1), AttemptToken(1), &one, SiteId(site));
+            turns.attempt_answered(at(0.2), AttemptToken(1), Some(if i == 0 { 0 } else { u32::from(len) }), Duration::from_millis(40));
         }
         for (from, to) in [(0, 1), (1, 0)] {
             let mut out = Vec::new();
             each[from].wake(at(1.0), &mut out);
             prop_assert!(!out.is_empty());
-            for Out::Send { data, .. } in &out {
+            for Output::Send { data, .. } in &out {
                 for _ in 0..1 + u8::from(doubled) {
-                    each[to].heard(at(1.1), Name(from as u32 + 1), data, &mut Vec::new());
+                    each[to].receive(at(1.1), ActivatorId(from as u32 + 1), data, &mut Vec::new());
                 }
             }
         }
         let next = turn(3, len + 2, 1, false, false);
-        let picks: Vec<Site> =
+        let picks: Vec<SiteId> =
             each.iter_mut().map(|t| t.place(at(2.0), &next, &sites).choices[0].site).collect();
         prop_assert_eq!(picks[0], picks[1]);
-        prop_assert!(picks[0] == Site(a) || picks[0] == Site(b));
+        prop_assert!(picks[0] == SiteId(a) || picks[0] == SiteId(b));
     }
 }
 
-fn sites(n: u32) -> Vec<SiteNow> {
-    (0..n).map(|s| SiteNow { site: Site(s), capacity: 4.0, in_flight: 0.0, far: false }).collect()
+fn sites(n: u32) -> Vec<SiteStatus> {
+    (0..n).map(|s| SiteStatus { site: SiteId(s), capacity: 4.0, in_flight: 0.0, other_zone: false }).collect()
 }
 
-fn alone(settings: Settings) -> Turns {
-    Turns::new(settings, Name(1), 1, 5, at(0.0)).unwrap()
+fn alone(settings: Settings) -> TurnRouter {
+    TurnRouter::new(settings, ActivatorId(1), 1, 5, at(0.0)).unwrap()
 }
 
 /// Serves a turn where the advice says, with this count found; the site.
-fn serve(turns: &mut Turns, now: f64, token: u64, turn: &Turn, n: u32, found: u32) -> Site {
+fn serve(turns: &mut TurnRouter, now: f64, token: u64, turn: &Turn, n: u32, found: u32) -> SiteId {
     let site = turns.place(at(now), turn, &sites(n)).choices[0].site;
-    turns.sent(at(now), Token(token), turn, site);
-    turns.answered(at(now + 0.03), Token(token), Some(found), Duration::from_millis(30));
+    turns.attempt_sent(at(now), AttemptToken(token), turn, site);
+    turns.attempt_answered(at(now + 0.03), AttemptToken(token), Some(found), Duration::from_millis(30));
     site
 }
 
@@ -255,13 +268,13 @@
         serve(&mut turns, i as f64 * 0.05, 2 * i + 1, &liar, 4, 0);
     }
     let view = turns.view(at(21.0));
-    assert_eq!(view.doubted, 1);
+    assert_eq!(view.distrusted_tenants, 1);
     assert!(view.sites.iter().all(|s| s.horizon > 500.0), "a liar taught sites' horizons: {:?}", view.sites);
     let liar = Turn { tenant: 2, ..turn(200, 12, 0, false, false) };
     let advice = turns.place(at(21.0), &liar, &sites(4));
-    assert!(advice.choices.iter().all(|c| c.held == 0), "{advice:?}");
+    assert!(advice.choices.iter().all(|c| c.expected_blocks == 0), "{advice:?}");
     let honest = Turn { tenant: 1, ..turn(7, 12, 0, false, false) };
-    assert!(turns.place(at(21.0), &honest, &sites(4)).choices[0].held > 8);
+    assert!(turns.place(at(21.0), &honest, &sites(4)).choices[0].expected_blocks > 8);
 }
 
 /// Two turns of one conversation at once, an older one late, and one repeated: the longest stands.
@@ -270,26 +283,31 @@
     let mut turns = alone(Settings::default());
     let home = serve(&mut turns, 1.0, 1, &turn(1, 10, 2, false, false), 4, 0);
     let (short, long) = (turn(1, 12, 2, false, false), turn(1, 14, 2, false, false));
-    turns.sent(at(2.0), Token(2), &long, home);
-    turns.sent(at(2.0), Token(3), &short, home);
-    turns.answered(at(2.1), Token(2), Some(12), Duration::from_millis(30));
-    turns.answered(at(2.2), Token(3), Some(12), Duration::from_millis(30));
-    turns.sent(at(2.3), Token(4), &short, home);
-    turns.sent(at(2.3), Token(4), &short, home);
-    turns.answered(at(2.4), Token(4), Some(12), Duration::from_millis(30));
+    turns.attempt_sent(at(2.0), AttemptToken(2), &long, home);
+    turns.attempt_sent(at(2.0), AttemptToken(3), &short, home);
+    turns.attempt_answered(at(2.1), AttemptToken(2), Some(12), Duration::from_millis(30));
+    turns.attempt_answered(at(2.2), AttemptToken(3), Some(12), Duration::from_millis(30));
+    turns.attempt_sent(at(2.3), AttemptToken(4), &short, home);
+    turns.attempt_sent(at(2.3), AttemptToken(4), &short, home);
+    turns.attempt_answered(at(2.4), AttemptToken(4), Some(12), Duration::from_millis(30));
     let choice = turns.place(at(3.0), &turn(1, 16, 1, false, false), &sites(4)).choices[0];
-    assert_eq!((choice.site, choice.held), (home, 16));
+    assert_eq!((choice.site, choice.expected_blocks), (home, 16));
     assert_eq!(turns.view(at(3.0)).misses, 0);
 }
 
 /// 240 conversations of 4 to 60 blocks, of which their only site is lost at 10 s.
-fn with_a_lost_site(settings: Settings) -> Turns {
+fn with_a_lost_site(settings: Settings) -> TurnRouter {
     let mut turns = alone(settings);
     for i in 0..240u64 {
-        turns.sent(at(1.0 + i as f64 * 0.01), Token(i), &of_lost(i), Site(0));
-        turns.answered(at(1.1 + i as f64 * 0.01), Token(i), Some(0), Duration::from_millis(30));
+        turns.attempt_sent(at(1.0 + i as f64 * 0.01), AttemptToken(i), &of_lost(i), SiteId(0));
+        turns.attempt_answered(
+            at(1.1 + i as f64 * 0.01),
+            AttemptToken(i),
+            Some(0),
+            Duration::from_millis(30),
+        );
     }
-    turns.lost(Site(0));
+    turns.site_lost(SiteId(0));
     turns
 }
 
@@ -298,49 +316,49 @@
 }
 
 /// The three sites that are left, every lane busy with usual turns.
-fn full() -> Vec<SiteNow> {
-    sites(4).into_iter().skip(1).map(|s| SiteNow { in_flight: 4.0, ..s }).collect()
+fn full() -> Vec<SiteStatus> {
+    sites(4).into_iter().skip(1).map(|s| SiteStatus { in_flight: 4.0, ..s }).collect()
 }
 
 /// What is lost with a site is computed anew within a budget: the longest-lived and worthiest first, the others wait
 /// and are given up when their time is over, at once and never later.
 #[test]
 fn a_lost_sites_conversations_come_back_the_worthiest_first() {
-    let mut turns = with_a_lost_site(Settings { anew: 1.0, ..Settings::default() });
+    let mut turns = with_a_lost_site(Settings { recompute_share: 1.0, ..Settings::default() });
     turns.place(at(9.0), &turn(250, 0, 1, false, false), &full());
-    let mut waiting: BTreeMap<Waiting, (u64, Duration)> = BTreeMap::new();
+    let mut waiting: BTreeMap<WaitingId, (u64, Duration)> = BTreeMap::new();
     // By length: sent, and given up.
     let mut of: BTreeMap<u64, (u32, u32)> = BTreeMap::new();
     let (mut blocks, mut next) = (0, 1_000);
-    let mut go = |turns: &mut Turns, now, i: u64, choices: &[Choice]| {
-        assert_ne!(choices[0].site, Site(0));
+    let mut go = |turns: &mut TurnRouter, now, i: u64, choices: &[Choice]| {
+        assert_ne!(choices[0].site, SiteId(0));
         next += 1;
         blocks += of_lost(i).prefix.len();
-        turns.sent(now, Token(next), &of_lost(i), choices[0].site);
+        turns.attempt_sent(now, AttemptToken(next), &of_lost(i), choices[0].site);
     };
     for step in 0..400u64 {
         let now = at(10.0 + step as f64 * 0.001);
         if step < 240 {
             let advice = turns.place(now, &of_lost(step), &full());
-            match advice.then {
-                Then::Go => {
+            match advice.decision {
+                Decision::Dispatch => {
                     of.entry(step % 5).or_default().0 += 1;
                     go(&mut turns, now, step, &advice.choices);
                 }
-                Then::Wait(id, until) => drop(waiting.insert(id, (step, until))),
-                Then::GiveUp => of.entry(step % 5).or_default().1 += 1,
+                Decision::Wait(id, until) => drop(waiting.insert(id, (step, until))),
+                Decision::Reject => of.entry(step % 5).or_default().1 += 1,
             }
         }
         while let Some((id, advice)) = turns.release(now, &full()) {
             let (i, until) = waiting.remove(&id).expect("it waits");
             assert!(now <= until + Duration::from_millis(1), "released at {now:?}, its time was {until:?}");
-            match advice.then {
-                Then::Go => {
+            match advice.decision {
+                Decision::Dispatch => {
                     of.entry(i % 5).or_default().0 += 1;
                     go(&mut turns, now, i, &advice.choices);
                 }
-                Then::GiveUp => of.entry(i % 5).or_default().1 += 1,
-                Then::Wait(..) => panic!("it waits twice"),
+                Decision::Reject => of.entry(i % 5).or_default().1 += 1,
+                Decision::Wait(..) => panic!("it waits twice"),
             }
         }
     }
@@ -360,57 +378,61 @@
 #[case::idle(0.0, true)]
 #[case::busy(4.0, false)]
 fn lanes_left_unused_compute_anew_what_is_lost(#[case] in_flight: f64, #[case] goes: bool) {
-    let mut turns = with_a_lost_site(Settings { anew: 0.0, ..Settings::default() });
-    let rest: Vec<SiteNow> = full().into_iter().map(|s| SiteNow { in_flight, ..s }).collect();
+    let mut turns = with_a_lost_site(Settings { recompute_share: 0.0, ..Settings::default() });
+    let rest: Vec<SiteStatus> = full().into_iter().map(|s| SiteStatus { in_flight, ..s }).collect();
     (0..50)
         .for_each(|i| drop(turns.place(at(4.0 + f64::from(i) * 0.1), &turn(250, 0, 1, false, false), &rest)));
     let advice = turns.place(at(10.0), &of_lost(4), &rest);
-    assert_eq!(advice.then, if goes { Then::Go } else { Then::GiveUp });
+    assert_eq!(advice.decision, if goes { Decision::Dispatch } else { Decision::Reject });
 }
 
 /// Nothing waits for what cannot come: without a budget and without a time to wait it is given up at once. And a turn that was
 /// set aside for and not sent leaves its share to others.
 #[test]
 fn a_turn_that_cannot_be_served_in_its_time_is_given_up_at_once() {
-    let mut turns = with_a_lost_site(Settings { anew: 1.0, hold: 0.0, ..Settings::default() });
+    let mut turns =
+        with_a_lost_site(Settings { recompute_share: 1.0, max_wait_share: 0.0, ..Settings::default() });
     turns.place(at(9.0), &turn(250, 0, 1, false, false), &full());
-    let budget = |turns: &Turns| -> f64 { turns.view(at(10.0)).sites.iter().skip(1).map(|s| s.anew.0).sum() };
+    let budget = |turns: &TurnRouter| -> f64 {
+        turns.view(at(10.0)).sites.iter().skip(1).map(|s| s.recompute_budget.0).sum()
+    };
     turns.place(at(9.5), &turn(251, 0, 1, false, false), &full());
     let before = budget(&turns);
-    assert_eq!(turns.place(at(9.5), &of_lost(4), &full()).then, Then::Go);
+    assert_eq!(turns.place(at(9.5), &of_lost(4), &full()).decision, Decision::Dispatch);
     assert_eq!(budget(&turns), before - 60.0);
-    turns.forgo(&of_lost(4));
-    turns.forgo(&of_lost(4));
+    turns.cancel_grant(&of_lost(4));
+    turns.cancel_grant(&of_lost(4));
     assert_eq!(budget(&turns), before, "given back once");
     let mut given_up = 0;
     for i in 0..240 {
         let advice = turns.place(at(9.5), &of_lost(i), &full());
-        assert!(!matches!(advice.then, Then::Wait(..)));
-        given_up += u64::from(advice.then == Then::GiveUp);
+        assert!(!matches!(advice.decision, Decision::Wait(..)));
+        given_up += u64::from(advice.decision == Decision::Reject);
     }
-    assert!(given_up > 100 && turns.view(at(9.5)).given_up == given_up);
+    assert!(given_up > 100 && turns.view(at(9.5)).rejected == given_up);
 }
 
 /// Those that wait are bounded: the least worthy are pushed out and told so, and a client that left makes room.
 #[test]
 fn a_bounded_number_waits_and_the_worthiest_stay() {
-    let mut turns = with_a_lost_site(Settings { anew: 0.02, hold: 0.9, ..Settings::default() });
+    let mut turns =
+        with_a_lost_site(Settings { recompute_share: 0.02, max_wait_share: 0.9, ..Settings::default() });
     turns.place(at(9.0), &turn(250, 0, 1, false, false), &full());
     let (mut waiting, mut most) = (BTreeMap::new(), 0);
     for i in 0..2_000u64 {
-        let t = Turn { worth: (1 + i % 97) as f64, left: Duration::from_secs(100), ..of_lost(i % 240) };
-        if let Then::Wait(id, _) = turns.place(at(10.0), &t, &full()).then {
+        let t = Turn { worth: (1 + i % 97) as f64, time_left: Duration::from_secs(100), ..of_lost(i % 240) };
+        if let Decision::Wait(id, _) = turns.place(at(10.0), &t, &full()).decision {
             waiting.insert(id, t.worth * t.prefix.len() as f64);
         }
         most = most.max(turns.view(at(10.0)).waiting);
         while let Some((id, advice)) = turns.release(at(10.0), &full()) {
-            assert_eq!(advice.then, Then::GiveUp, "there is no budget");
+            assert_eq!(advice.decision, Decision::Reject, "there is no budget");
             let value = waiting.remove(&id).expect("it waited");
             let least = waiting.values().fold(f64::MAX, |a, b| a.min(*b));
             assert!(value <= least, "{value} was pushed out before {least}");
         }
     }
-    assert_eq!((most, waiting.len()), (MOST_WAITING, MOST_WAITING));
+    assert_eq!((most, waiting.len()), (MAX_WAITING_TURNS, MAX_WAITING_TURNS));
     waiting.keys().for_each(|id| turns.withdraw(*id));
     assert_eq!((turns.view(at(10.0)).waiting, turns.release(at(500.0), &full())), (0, None));
 }
@@ -426,9 +448,9 @@
             t.prefix = (0..6).map(|k| mix(999, k)).chain((0..4).map(|k| mix(i + 50, k))).collect();
             let now = i as f64 * every;
             let site = turns.place(at(now), &t, &sites(6)).choices[0].site;
-            turns.sent(at(now), Token(i), &t, site);
+            turns.attempt_sent(at(now), AttemptToken(i), &t, site);
             let found = if at_sites.insert(site) { 0 } else { 6 };
-            turns.answered(at(now + 0.05), Token(i), Some(found), Duration::from_millis(50));
+            turns.attempt_answered(at(now + 0.05), AttemptToken(i), Some(found), Duration::from_millis(50));
         }
         at_sites.len()
     };
--- a/crates/turns/tests/sim/mod.rs
+++ b/crates/turns/tests/sim/mod.rs
@@ -134,7 +134,7 @@
             loss: 0.02,
             moves: 0.2,
             weights: Vec::new(),
-            settings: Settings { memory: 4 << 20, ..Settings::default() },
+            settings: Settings { memory_bytes: 4 << 20, ..Settings::default() },
         }
     }
 }
@@ -207,12 +207,12 @@
 pub struct Fleet {
     pub day: Day,
     pub sites: Vec<Cache>,
-    pub each: Vec<Turns>,
+    pub each: Vec<TurnRouter>,
     /// Turns out at each site, by activator: each knows its own.
     out: Vec<Vec<f64>>,
     counts: Vec<f64>,
     calls_mean: (f64, f64),
-    held: Vec<HashMap<Waiting, Box<Held>>>,
+    held: Vec<HashMap<WaitingId, Box<Held>>>,
     /// Where conversations lay when a site was lost, and blocks computed anew for its within this second.
     homes: HashMap<u64, usize>,
     displaced: HashMap<u64, ()>,
@@ -237,13 +237,13 @@
 
 impl Fleet {
     pub fn new(day: Day) -> Self {
-        let names = (0..day.activators as u32).map(Name);
+        let names = (0..day.activators as u32).map(ActivatorId);
         let each = names.clone().map(|me| {
             let seed = mix(day.seed, u64::from(me.0));
-            let mut turns = Turns::new(day.settings.clone(), me, me.0 + 1, seed, at(0.0)).unwrap();
+            let mut turns = TurnRouter::new(day.settings.clone(), me, me.0 + 1, seed, at(0.0)).unwrap();
             turns.set_members(at(0.0), names.clone());
             for (site, weight) in &day.weights {
-                turns.weigh(at(0.0), Site(*site as u32), *weight);
+                turns.set_site_weight(at(0.0), SiteId(*site as u32), *weight);
             }
             turns
         });
@@ -338,9 +338,14 @@
                 self.out[by][site] -= 1.0;
                 let begun = Instant::now();
                 if life == self.lives[site] {
-                    self.each[by].answered(at(now), Token(token), Some(found as u32), at(took));
+                    self.each[by].attempt_answered(
+                        at(now),
+                        AttemptToken(token),
+                        Some(found as u32),
+                        at(took),
+                    );
                 } else {
-                    self.each[by].dropped(Token(token));
+                    self.each[by].attempt_failed(AttemptToken(token));
                 }
                 self.spent += begun.elapsed();
             }
@@ -349,7 +354,7 @@
                 let begun = Instant::now();
                 self.each[i].wake(at(now), &mut out);
                 self.spent += begun.elapsed();
-                for Out::Send { to, data } in out {
+                for Output::Send { to, data } in out {
                     self.bytes += data.len() as f64;
                     if self.rng.f64() >= self.day.loss {
                         let late = self.rng.f64() * 0.02;
@@ -362,7 +367,7 @@
             }
             Due::Datagram(from, to, data) => {
                 let begun = Instant::now();
-                self.each[to].heard(at(now), Name(from as u32), &data, &mut Vec::new());
+                self.each[to].receive(at(now), ActivatorId(from as u32), &data, &mut Vec::new());
                 self.spent += begun.elapsed();
             }
             Due::Window => {
@@ -381,7 +386,7 @@
             Due::Count => {
                 let weight = |site: usize| {
                     let own = self.day.weights.iter().find(|(s, _)| *s == site);
-                    own.map_or(1.0, |(_, w)| f64::from(*w) / f64::from(USUAL_WEIGHT))
+                    own.map_or(1.0, |(_, w)| f64::from(*w) / f64::from(DEFAULT_SITE_WEIGHT))
                 };
                 let there: Vec<usize> = (0..self.sites.len()).filter(|i| self.sites[*i].there).collect();
                 let unit = self.counts.iter().sum::<f64>() / there.iter().map(|i| weight(*i)).sum::<f64>();
@@ -402,11 +407,11 @@
                     self.homes.iter().filter(|(_, site)| **site == 0).map(|(talk, _)| (*talk, ())).collect();
                 (self.sites[0].there, self.lives[0]) = (false, self.lives[0] + 1);
                 self.sites[0].clear();
-                self.each.iter_mut().for_each(|t| t.lost(Site(0)));
+                self.each.iter_mut().for_each(|t| t.site_lost(SiteId(0)));
             }
             Due::Back => {
                 self.sites[0].there = true;
-                self.each.iter_mut().for_each(|t| t.back(at(now), Site(0)));
+                self.each.iter_mut().for_each(|t| t.site_returned(at(now), SiteId(0)));
             }
         }
     }
@@ -414,7 +419,7 @@
     fn turn(&mut self, now: f64, mut talk: Talk) {
         let new: Vec<u64> =
             (0..self.rng.u64(1..=4)).map(|i| mix(talk.number, talk.prefix.len() as u64 + i)).collect();
-        if talk.prefix.len() + new.len() > LONGEST_PREFIX {
+        if talk.prefix.len() + new.len() > MAX_PREFIX_HASHES {
             return;
         }
         if self.rng.f64() < self.day.moves {
@@ -424,22 +429,22 @@
             conversation: talk.number,
             tenant: (talk.number % 7) as u32,
             prefix: talk.prefix.clone(),
-            new: new.len() as u16,
+            new_blocks: new.len() as u16,
             worth: 1.0,
-            left: at(AIM),
+            time_left: at(AIM),
         };
         let by = talk.home;
         self.place(now, talk, turn, new, by);
     }
 
     /// The sites as an activator knows them: what it has out itself; hosts' own reports are not told here.
-    fn sites_now(&self, by: usize) -> Vec<SiteNow> {
+    fn sites_now(&self, by: usize) -> Vec<SiteStatus> {
         let there = (0..self.sites.len()).filter(|i| self.sites[*i].there);
-        let now = |i: usize| SiteNow {
-            site: Site(i as u32),
+        let now = |i: usize| SiteStatus {
+            site: SiteId(i as u32),
             capacity: self.day.lanes as f64,
             in_flight: self.out[by][i],
-            far: false,
+            other_zone: false,
         };
         there.map(now).collect()
     }
@@ -453,13 +458,13 @@
             let Some((waiting, advice)) = released else { break };
             let (talk, turn, new, began) = *self.held[by].remove(&waiting).expect("it waits");
             assert!(now <= began + AIM * 0.3 + 1e-6, "held beyond its time");
-            match advice.then {
-                Then::Go => {
+            match advice.decision {
+                Decision::Dispatch => {
                     let site = advice.choices[0].site.0 as usize;
                     self.send(now, talk, turn, new, began, by, site);
                 }
-                Then::GiveUp => self.give_up(now, talk),
-                Then::Wait(..) => panic!("it waits again"),
+                Decision::Reject => self.give_up(now, talk),
+                Decision::Wait(..) => panic!("it waits again"),
             }
         }
         if let Some(next) = self.each[by].wake_at().filter(|_| !self.held[by].is_empty()) {
@@ -486,16 +491,16 @@
                 let begun = Instant::now();
                 let advice = self.each[by].place(at(now), &turn, &sites);
                 self.spent += begun.elapsed();
-                match advice.then {
-                    Then::Go => {}
-                    Then::GiveUp => return self.give_up(now, talk),
-                    Then::Wait(waiting, until) => {
+                match advice.decision {
+                    Decision::Dispatch => {}
+                    Decision::Reject => return self.give_up(now, talk),
+                    Decision::Wait(waiting, until) => {
                         self.result.held_back += 1;
                         self.held[by].insert(waiting, Box::new((talk, turn, new, now)));
                         return self.at(until.as_secs_f64().min(now + 0.01), Due::Release(by));
                     }
                 }
-                assert!(advice.choices.len() <= MOST_CHOICES && !advice.choices.is_empty());
+                assert!(advice.choices.len() <= MAX_CHOICES && !advice.choices.is_empty());
                 assert!(
                     advice.choices.iter().all(|c| self.sites[c.site.0 as usize].there),
                     "advice names a lost site"
@@ -514,7 +519,8 @@
                     let s = &self.sites[*i];
                     let wait = s.lanes.iter().fold(f64::MAX, |a, l| a.min(*l)) - now;
                     let work = BLOCK * (turn.prefix.len() - s.holds(&turn.prefix)) as f64;
-                    let over = self.load(now, *i) + work + BASE > self.day.settings.bound * mean.max(0.05);
+                    let over =
+                        self.load(now, *i) + work + BASE > self.day.settings.load_bound * mean.max(0.05);
                     (over, wait.max(0.0) + work + self.load(now, *i) / mean.max(0.05) * BASE)
                 };
                 let pick = |a: &&usize, b: &&usize| {
@@ -533,7 +539,7 @@
         let token = self.next;
         if self.day.way == Way::Turns {
             let begun = Instant::now();
-            self.each[by].sent(at(now), Token(token), &turn, Site(site as u32));
+            self.each[by].attempt_sent(at(now), AttemptToken(token), &turn, SiteId(site as u32));
             self.spent += begun.elapsed();
         }
         self.out[by][site] += 1.0;
--- a/node/src/config/turns.rs
+++ b/node/src/config/turns.rs
@@ -88,14 +88,14 @@
 
     pub fn settings(&self) -> Settings {
         Settings {
-            block: Duration::from_micros(self.block_us),
-            cross: Duration::from_micros(self.cross_us),
-            bound: self.bound,
-            memory: self.memory_mb << 20,
-            period: Duration::from_millis(self.period_ms),
-            told: self.told_bytes,
-            anew: self.anew,
-            hold: self.hold,
+            block_cost: Duration::from_micros(self.block_us),
+            cross_zone_cost: Duration::from_micros(self.cross_us),
+            load_bound: self.bound,
+            memory_bytes: self.memory_mb << 20,
+            gossip_period: Duration::from_millis(self.period_ms),
+            gossip_bytes: self.told_bytes,
+            recompute_share: self.anew,
+            max_wait_share: self.hold,
         }
     }
 }
--- a/node/src/ipc/more.rs
+++ b/node/src/ipc/more.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use wheellink::LoadReport;
 use wheellink_drafts::Draft;
-use wheellink_turns::{Turn, MOST_CHOICES};
+use wheellink_turns::{Turn, MAX_CHOICES};
 
 /// Fields of one word; more than this version writes, as a later one may have others.
 pub const MOST_FIELDS: usize = 16;
@@ -39,7 +39,7 @@
     pub turn: Option<(u64, u16, Vec<u64>)>,
     /// What it is to draft.
     pub draft: Option<Draft>,
-    /// Where its turn is best served, the best first; at most [`MOST_CHOICES`].
+    /// Where its turn is best served, the best first; at most [`MAX_CHOICES`].
     pub places: Vec<Place>,
 }
 
@@ -95,7 +95,7 @@
         if let Some(draft) = self.draft {
             more.put("draft", draft.to_string());
         }
-        for place in self.places.iter().take(MOST_CHOICES) {
+        for place in self.places.iter().take(MAX_CHOICES) {
             match place {
                 Place::Cell(cell) => more.put("cell", cell.to_string()),
                 Place::Zone(name) if name.len() <= LONGEST_NAME => more.put("zone", name.clone()),
@@ -137,7 +137,7 @@
             Place::Cell(_) => false,
             Place::Zone(name) | Place::Host(name) => name.len() > LONGEST_NAME,
         };
-        if self.places.len() >= MOST_CHOICES || long {
+        if self.places.len() >= MAX_CHOICES || long {
             return Err("more than an advice has".into());
         }
         self.places.push(place);
--- a/node/src/ipc/more/tests.rs
+++ b/node/src/ipc/more/tests.rs
@@ -98,7 +98,7 @@
 fn the_longest_is_within_its_bound() {
     let name = "z".repeat(LONGEST_NAME);
     let given = Given {
-        turn: Some((u64::MAX, u16::MAX, vec![u64::MAX; wheellink_turns::LONGEST_PREFIX])),
+        turn: Some((u64::MAX, u16::MAX, vec![u64::MAX; wheellink_turns::MAX_PREFIX_HASHES])),
         draft: Some(Draft { drafter: 255, length: 8 }),
         places: vec![Place::Host(name.clone()), Place::Zone(name.clone()), Place::Host(name)],
     };
@@ -146,7 +146,7 @@
         ("turn|draft|cell|zone|host|found|accepted|held|other", "[0-9a-f:;,. -]{0,40}"), 0..24)) {
         let more = More(fields);
         let (given, faults) = Given::read(&more);
-        prop_assert!(given.places.len() <= MOST_CHOICES);
+        prop_assert!(given.places.len() <= MAX_CHOICES);
         if more.0.len() > MOST_FIELDS {
             prop_assert_eq!((&given, faults.len()), (&Given::default(), 1));
         }
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -78,7 +78,7 @@
         let (mut given, mut offer) = (Given::default(), None);
         if self.gradual.protocol >= ipc::WITH_MORE {
             offer = self.offer_draft(pending);
-            given.turn = turn.map(|t| (t.conversation, t.new, t.prefix.clone()));
+            given.turn = turn.map(|t| (t.conversation, t.new_blocks, t.prefix.clone()));
             given.draft = offer.as_ref().map(|offer| offer.draft);
             given.places = advice.iter().filter_map(|spot| self.place(spot)).collect();
         }
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -8,7 +8,10 @@
 use siphasher::sip::SipHasher13;
 use wheellink::engine::AttemptEnd;
 use wheellink::{Condition, Loaded};
-use wheellink_turns::{Advice, Name, Out, Site, SiteNow, Then, Token, Turns, Waiting, USUAL_WEIGHT};
+use wheellink_turns::{
+    ActivatorId, Advice, AttemptToken, Decision, Output, SiteId, SiteStatus, TurnRouter, WaitingId,
+    DEFAULT_SITE_WEIGHT,
+};
 
 use super::*;
 use crate::config::turns::{By, Setup};
@@ -25,7 +28,7 @@
 
 /// A host, as far as its site needs it.
 struct Place {
-    site: Site,
+    site: SiteId,
     size: f64,
     zone: u32,
     up: bool,
@@ -35,7 +38,7 @@
 
 /// A site as it stands, summed over its hosts that are up.
 struct Sum {
-    now: SiteNow,
+    now: SiteStatus,
     hosts: Vec<WorkerId>,
 }
 
@@ -60,42 +63,42 @@
 /// See the module's page.
 pub(super) struct Turning {
     setup: Setup,
-    turns: Turns,
+    turns: TurnRouter,
     /// Times of turns run from here, on a clock that nobody sets.
     origin: Instant,
     hosts: BTreeMap<WorkerId, Place>,
-    sums: BTreeMap<Site, Sum>,
-    resident: HashMap<(Site, FunctionId), Micros>,
+    sums: BTreeMap<SiteId, Sum>,
+    resident: HashMap<(SiteId, FunctionId), Micros>,
     /// This activator's own zone.
     zone: u32,
     /// Names of sites, and their spots for the engine.
-    labels: BTreeMap<Site, (String, Spot)>,
+    labels: BTreeMap<SiteId, (String, Spot)>,
     weights: BTreeMap<String, u16>,
     calls: HashMap<Ticket, Carried>,
     attempts: HashMap<AttemptId, (WorkerId, Micros)>,
-    parked: BTreeMap<Waiting, Parked>,
+    parked: BTreeMap<WaitingId, Parked>,
 }
 
 /// What stands for a site's name at every activator.
-fn number(label: &str) -> Site {
+fn number(label: &str) -> SiteId {
     let mut hasher = SipHasher13::new_with_keys(0, 0x7369_7465);
     hasher.write(label.as_bytes());
-    Site(hasher.finish() as u32)
+    SiteId(hasher.finish() as u32)
 }
 
 /// Tickets of passed calls are told by their highest bit, which stays: the engine counts its own from 1 as well.
-fn token(attempt: AttemptId) -> Token {
+fn token(attempt: AttemptId) -> AttemptToken {
     let passed = attempt.ticket.0 & 1 << 63;
-    Token(passed | attempt.ticket.0 << 8 | u64::from(attempt.number & 0xff))
+    AttemptToken(passed | attempt.ticket.0 << 8 | u64::from(attempt.number & 0xff))
 }
 
 impl Turning {
-    fn new(setup: &Setup, me: Name, zone: u32, seed: u64) -> Result<Self, String> {
+    fn new(setup: &Setup, me: ActivatorId, zone: u32, seed: u64) -> Result<Self, String> {
         let origin = Instant::now();
         // Another process of this name is told apart by chance.
         let life = fastrand::u32(..);
         let turns =
-            Turns::new(setup.settings(), me, life, seed, origin.elapsed()).map_err(|e| e.to_string())?;
+            TurnRouter::new(setup.settings(), me, life, seed, origin.elapsed()).map_err(|e| e.to_string())?;
         Ok(Self {
             setup: setup.clone(),
             turns,
@@ -117,7 +120,7 @@
     }
 
     /// A host's site, by what shares a cache here.
-    fn site(&mut self, host: &WorkerId, zone: u32, cell: i64, zones: &[String]) -> Site {
+    fn site(&mut self, host: &WorkerId, zone: u32, cell: i64, zones: &[String]) -> SiteId {
         let (label, spot) = match self.setup.site {
             By::Cell if cell >= 0 => (cell.to_string(), Spot::Cell(cell)),
             By::Zone => {
@@ -127,13 +130,13 @@
             By::Cell | By::Host => (host.0.to_string(), Spot::Worker(host.clone())),
         };
         let site = number(&label);
-        if self.labels.len() >= 4 * wheellink_turns::MOST_SITES {
-            let used: HashSet<Site> = self.hosts.values().map(|p| p.site).collect();
+        if self.labels.len() >= 4 * wheellink_turns::MAX_SITES {
+            let used: HashSet<SiteId> = self.hosts.values().map(|p| p.site).collect();
             self.labels.retain(|site, _| used.contains(site));
         }
         if !self.labels.contains_key(&site) {
-            let weight = self.weights.get(&label).copied().unwrap_or(USUAL_WEIGHT);
-            self.turns.weigh(self.origin.elapsed(), site, weight);
+            let weight = self.weights.get(&label).copied().unwrap_or(DEFAULT_SITE_WEIGHT);
+            self.turns.set_site_weight(self.origin.elapsed(), site, weight);
             self.labels.insert(site, (label, spot));
         }
         site
@@ -166,10 +169,10 @@
         for (site, restarted) in touched {
             let up = self.hosts.values().filter(|p| p.site == site && p.up).count();
             if up == 0 || (restarted && up == 1) {
-                self.turns.lost(site);
+                self.turns.site_lost(site);
             }
             if up > 0 {
-                self.turns.back(now, site);
+                self.turns.site_returned(now, site);
             }
         }
     }
@@ -178,12 +181,12 @@
     fn sum(&mut self) {
         self.sums.clear();
         for (id, p) in self.hosts.iter().filter(|(_, p)| p.up) {
-            let fresh = SiteNow { site: p.site, capacity: 0.0, in_flight: 0.0, far: true };
+            let fresh = SiteStatus { site: p.site, capacity: 0.0, in_flight: 0.0, other_zone: true };
             let sum = self.sums.entry(p.site).or_insert_with(|| Sum { now: fresh, hosts: Vec::new() });
             sum.hosts.push(id.clone());
             sum.now.capacity += p.size * f64::from(self.setup.lanes);
             sum.now.in_flight += f64::from(p.in_flight);
-            sum.now.far &= p.zone != self.zone && self.zone != u32::MAX;
+            sum.now.other_zone &= p.zone != self.zone && self.zone != u32::MAX;
         }
         self.resident.clear();
     }
@@ -192,7 +195,7 @@
     fn residents(
         &mut self,
         now: Micros,
-        sites: impl Iterator<Item = Site>,
+        sites: impl Iterator<Item = SiteId>,
         function: &FunctionId,
         lanes: u32,
     ) -> Vec<Loaded> {
@@ -225,7 +228,7 @@
         loaded
     }
 
-    fn sites(&self) -> Vec<SiteNow> {
+    fn sites(&self) -> Vec<SiteStatus> {
         self.sums.values().map(|s| s.now).collect()
     }
 
@@ -241,7 +244,7 @@
         self.attempts.insert(attempt, (host.clone(), now));
         let at = self.now();
         if let Some(call) = self.calls.get(&attempt.ticket) {
-            self.turns.sent(at, token(attempt), &call.turn, site);
+            self.turns.attempt_sent(at, token(attempt), &call.turn, site);
         }
     }
 
@@ -255,45 +258,45 @@
             });
         }
         if end.outcome != Outcome::Done {
-            return self.turns.dropped(token(attempt));
+            return self.turns.attempt_failed(token(attempt));
         }
         let found = fields.iter().find(|(name, _)| name == "found").and_then(|(_, n)| n.parse::<u32>().ok());
         if let Some(call) = self.calls.get_mut(&attempt.ticket) {
             call.found = found.map(|n| n.min(call.turn.prefix.len() as u32));
         }
         let took = Duration::from_micros((now - since).max(0) as u64);
-        self.turns.answered(self.now(), token(attempt), found, took);
+        self.turns.attempt_answered(self.now(), token(attempt), found, took);
     }
 
     fn weigh(&mut self, label: &str, weight: u16) {
         if self.weights.len() < MOST_WEIGHTS || self.weights.contains_key(label) {
             self.weights.insert(label.to_string(), weight);
         }
-        self.turns.weigh(self.now(), number(label), weight);
+        self.turns.set_site_weight(self.now(), number(label), weight);
     }
 
     fn show(&self) -> Value {
         let view = self.turns.view(self.now());
-        let known: BTreeMap<Site, &str> = self.labels.iter().map(|(s, (l, _))| (*s, l.as_str())).collect();
+        let known: BTreeMap<SiteId, &str> = self.labels.iter().map(|(s, (l, _))| (*s, l.as_str())).collect();
         let sites: Vec<Value> = view
             .sites
             .iter()
             .filter_map(|s| {
                 let name = known.get(&s.site)?;
-                Some(json!({"site": name, "there": s.there, "weight": s.weight, "keeps_blocks": s.horizon as u64,
-                    "load": (s.load * 1000.0).round() / 1000.0, "turns": s.turns, "lost": s.lost,
-                    "anew": {"blocks": s.anew.0 as i64, "a_second": s.anew.1 as u64}}))
+                Some(json!({"site": name, "there": s.present, "weight": s.weight, "keeps_blocks": s.horizon as u64,
+                    "load": (s.load * 1000.0).round() / 1000.0, "turns": s.turns, "lost": s.cache_losses,
+                    "anew": {"blocks": s.recompute_budget.0 as i64, "a_second": s.recompute_budget.1 as u64}}))
             })
             .collect();
         let [placed, held, common, load, anew] = view.placed;
         let [asked, expected, found] = view.blocks;
-        let [told, heard, unread] = view.told;
-        json!({"sites": sites, "activators": view.activators, "conversations": view.known.0,
-            "common_prefixes": view.known.1, "made_room": view.pushed, "bytes": view.bytes,
+        let [told, heard, unread] = view.gossip;
+        json!({"sites": sites, "activators": view.activators, "conversations": view.entries.0,
+            "common_prefixes": view.entries.1, "made_room": view.evicted, "bytes": view.bytes,
             "placed": {"all": placed, "held": held, "common": common, "load": load, "anew": anew},
-            "held_back": {"so_far": view.held_back, "now": self.parked.len(), "given_up": view.given_up},
+            "held_back": {"so_far": view.queued, "now": self.parked.len(), "given_up": view.rejected},
             "blocks": {"asked": asked, "expected": expected, "found": found}, "misses": view.misses,
-            "emptied": view.emptied, "doubted_tenants": view.doubted, "open": view.open,
+            "emptied": view.caches_found_empty, "doubted_tenants": view.distrusted_tenants, "open": view.open_attempts,
             "told": {"bytes": told, "heard": heard, "unread": unread}})
     }
 }
@@ -311,11 +314,11 @@
             Some(turning) => {
                 (turning.setup, turning.zone) = (setup.clone(), self.config.deployment.settings.zone);
                 turning.sum();
-                turning.turns.retune(setup.settings()).map_err(|e| e.to_string())
+                turning.turns.update_settings(setup.settings()).map_err(|e| e.to_string())
             }
             None => {
                 self.release_all_parked();
-                let me = self.membership.as_ref().map_or(Name(0), |f| Name(f.roster().0 .0));
+                let me = self.membership.as_ref().map_or(ActivatorId(0), |f| ActivatorId(f.roster().0 .0));
                 let zone = self.config.deployment.settings.zone;
                 Turning::new(&setup, me, zone, self.config.seed).map(|mut turning| {
                     let listed: Vec<ListEntry> = self.listed.values().cloned().collect();
@@ -358,10 +361,10 @@
 
     /// Tells and hears the membership as they are now.
     pub(super) fn meet_turns(&mut self) {
-        let names: Vec<Name> = self
+        let names: Vec<ActivatorId> = self
             .membership
             .as_ref()
-            .map(|f| f.roster().1.map(|(n, _)| Name(n.0)).collect())
+            .map(|f| f.roster().1.map(|(n, _)| ActivatorId(n.0)).collect())
             .unwrap_or_default();
         if let Some(t) = &mut self.turning {
             let now = t.origin.elapsed();
@@ -386,24 +389,24 @@
             conversation,
             tenant: incoming.tenant.map_or(u32::MAX, |t| t as u32),
             prefix,
-            new,
+            new_blocks: new,
             worth: class.map_or(1.0, |c| c.worth),
-            left: Duration::from_micros(
+            time_left: Duration::from_micros(
                 class.map_or(incoming.timeout, |c| c.aim.min(incoming.timeout)).max(0) as u64,
             ),
         };
         let sites = t.sites();
         let at = t.now();
         let advice = t.turns.place(at, &turn, &sites);
-        match advice.then {
-            Then::Go => Some((origin, self.advised(now, incoming, turn, &advice))),
-            Then::Wait(waiting, _) => {
+        match advice.decision {
+            Decision::Dispatch => Some((origin, self.advised(now, incoming, turn, &advice))),
+            Decision::Wait(waiting, _) => {
                 t.parked.insert(waiting, Parked { since: now, conn, origin, incoming, turn });
                 // It may have pushed out another, which is answered now.
                 self.release_parked();
                 None
             }
-            Then::GiveUp => {
+            Decision::Reject => {
                 self.refuse_turn(now, &origin);
                 None
             }
@@ -434,7 +437,7 @@
     /// The call was placed and is not let in: what was set aside for its turn is for others.
     pub(super) fn forgo_turn(&mut self, turn: Option<&Turn>) {
         if let (Some(t), Some(turn)) = (&mut self.turning, turn) {
-            t.turns.forgo(turn);
+            t.turns.cancel_grant(turn);
         }
     }
 
@@ -450,7 +453,7 @@
             let Some(Parked { since, conn, origin, mut incoming, turn }) = t.parked.remove(&waiting) else {
                 continue;
             };
-            if advice.then == Then::GiveUp {
+            if advice.decision == Decision::Reject {
                 self.refuse_turn(now, &origin);
                 continue;
             }
@@ -548,7 +551,7 @@
         let mut out = Vec::new();
         if let Some(t) = &mut self.turning {
             let now = t.now();
-            t.turns.heard(now, Name(from), data, &mut out);
+            t.turns.receive(now, ActivatorId(from), data, &mut out);
         }
         self.tell_of_turns(out);
     }
@@ -564,9 +567,9 @@
         self.tell_of_turns(out);
     }
 
-    fn tell_of_turns(&self, out: Vec<Out>) {
+    fn tell_of_turns(&self, out: Vec<Output>) {
         let Some(membership) = &self.membership else { return };
-        for Out::Send { to, data } in out {
+        for Output::Send { to, data } in out {
             membership.send(wheellink_members::Name(to.0), Kind::Turns, &data);
         }
     }
