--- a/crates/turns/src/faults.rs
+++ b/crates/turns/src/faults.rs
@@ -1,24 +1,25 @@
-//! Flaws that tests plant, to see that the checker of histories finds them. No build but that of the tests has them.
+//! Faults that tests inject into the router, to show that the history checker (`histories.rs`) detects them. They
+//! exist in test builds only.
 
-/// One of them.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Each activator takes the whole budget for its own.
-    SharesNoBudget,
-    /// A lost site is chosen from.
-    AdvisesLostSites,
-    /// A site that is back has nothing in the books.
-    ReturnsWithNothing,
-    /// A tenant whose hashes are never found is believed.
-    BelievesLiars,
-    /// What an activator tells is added to what it told before.
-    AddsWhatIsToldTwice,
-    /// A turn waits on when its time is over.
-    WaitsBeyondItsTime,
-    /// A turn's attempt at another site than the one that it was let go to costs nothing.
-    SecondSiteIsFree,
-    /// Of those that wait the least worthy goes first.
-    LeastFirst,
-    /// More wait than there is room for.
-    WaitsWithoutBound,
+    /// Each activator uses the whole recomputation budget as its own.
+    BudgetNotShared,
+    /// A lost site is advised.
+    LostSiteAdvised,
+    /// A returned site starts with zero load and counts.
+    UnseededReturn,
+    /// A tenant whose hashes are never found is trusted.
+    LyingTenantTrusted,
+    /// A peer's load report is added to its previous one instead of replacing it.
+    PeerLoadsAddedTwice,
+    /// A turn keeps waiting after its deadline.
+    WaitDeadlineIgnored,
+    /// An attempt at another site than the one that granted the budget is not charged.
+    RetryNotCharged,
+    /// The waiting turn of the lowest value is sent first.
+    LowestValueFirst,
+    /// The number of waiting turns is not bounded.
+    WaitQueueUnbounded,
 }
--- a/crates/turns/src/feedback.rs
+++ b/crates/turns/src/feedback.rs
@@ -1,121 +1,124 @@
-//! What is learnt: from what was sent, from answers, and from what other activators tell.
+//! Feedback: updates the tables and the site model from sent attempts, answers and other activators' messages.
 
 use std::time::Duration;
 
-use crate::placement::{mark, TurnRouter};
-use crate::recompute::LEAST;
+use crate::placement::{conversation_tag, TurnRouter};
+use crate::recompute::MIN_LOST_BLOCKS;
 use crate::types::*;
-use crate::wire::{Placed, Told, LONGEST};
+use crate::wire::{Message, PlacementRecord, MAX_DATAGRAM_BYTES};
 
-/// Turns out at once whose answers teach something; of more, what was sent is noted and the answer passed over.
-const MOST_OPEN: usize = 65_536;
-/// An answer after this time teaches nothing.
-const OPEN_FOR: Duration = Duration::from_secs(120);
-/// Placements kept to be told: what comes faster than they are told pushes the oldest out.
-const MOST_LATELY: usize = 1_024;
-/// Weight of one answer in the usual time.
-const PACE: f64 = 0.02;
-/// Levels of a common prefix that one new conversation makes known: the deepest, and those where it becomes rarer.
-const MOST_LEVELS: usize = 4;
-/// Above this chance it is a surprise that a prefix is not found.
-const SURE: f64 = 0.7;
+/// Attempts tracked at once. Beyond this, a sent attempt is still recorded in the tables, but its answer is ignored.
+const MAX_OPEN_ATTEMPTS: usize = 65_536;
+/// An answer after this time is ignored.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(120);
+/// Placements queued for the next messages; when they come faster than they can be sent, the oldest are dropped.
+const MAX_UNSENT_PLACEMENTS: usize = 1_024;
+/// Weight of one answer in the mean turn time.
+const TURN_TIME_WEIGHT: f64 = 0.02;
+/// Common prefixes recorded per new conversation: the longest, and shorter ones that are at least twice as common.
+const MAX_COMMON_LEVELS: usize = 4;
+/// Above this probability, a prefix that is not found counts as evidence against the tenant or the site.
+const CONFIDENT: f64 = 0.7;
 
-/// An attempt that is out.
+/// An attempt that was sent and has not ended.
 #[derive(Debug)]
-pub(crate) struct Open {
+pub(crate) struct Attempt {
     site: u16,
-    tail: u64,
-    old: Option<u64>,
-    /// What it was expected to find, were it kept: blocks, chance and age.
-    held: Option<(u16, f64, u32)>,
-    len: u16,
+    tail_key: u64,
+    previous_key: Option<u64>,
+    /// The prefix expected at the site: length in blocks, probability, and the site's clock when it was sent there.
+    expected: Option<(u16, f64, u32)>,
+    prefix_len: u16,
     tenant: u32,
     conversation: u64,
-    /// Its belief was not there before.
-    fresh: bool,
-    prefix_at: Vec<u64>,
-    /// It is computed anew within a budget.
-    anew: bool,
+    /// The table had no entry for the turn's prefix before.
+    new_entry: bool,
+    prefix: Vec<u64>,
+    /// The attempt recomputes a lost prefix on the recomputation budget.
+    paid: bool,
 }
 
 impl TurnRouter {
-    /// An attempt of a turn has been sent to a site. One of [`TurnRouter::attempt_answered`] and [`TurnRouter::attempt_failed`] ends it.
-    pub fn attempt_sent(&mut self, now: Duration, token: AttemptToken, turn: &Turn, site: SiteId) {
-        let Some(place) = self.sites.get_or_insert(now, site) else { return };
-        let known = self.know(turn);
-        let held = known.held.iter().find(|h| h.site == place);
-        let len = turn.prefix.len().min(MAX_PREFIX_HASHES) as u16;
-        let missing = f64::from(len) - held.map_or(0.0, |h| h.expected());
-        let anew = self.pay(turn, known.displaced > 0 && missing >= LEAST, place, missing.max(0.0));
-        self.talks.count(now, turn.conversation);
-        let expects = held.map(|h| (h.depth, h.chance, h.at));
-        self.sites.record_sent(now, place, missing.max(0.0) + f64::from(turn.new_blocks) + 1.0);
-        let (at, life) = (self.sites.all[place as usize].clock, self.sites.all[place as usize].life);
-        let tail = self.tail(turn);
-        let fresh = self.tails.get(tail).is_none();
-        let entry = self.tails.touch(tail);
-        if entry.conversation != mark(turn.conversation) {
-            (entry.conversation, entry.extra) = (mark(turn.conversation), turn.new_blocks);
+    /// Records that an attempt of a turn was sent to a site. Either [`TurnRouter::on_answered`] or
+    /// [`TurnRouter::on_failed`] ends it.
+    pub fn on_sent(&mut self, now: Duration, id: AttemptToken, turn: &Turn, site: SiteId) {
+        let Some(index) = self.sites.get_or_insert(now, site) else { return };
+        let known = self.estimate(turn);
+        let cached = known.sites.iter().find(|h| h.site == index);
+        let len = turn.prefix.len().min(MAX_HASHES) as u16;
+        let missing = f64::from(len) - cached.map_or(0.0, |h| h.expected());
+        let paid = self.charge(turn, known.lost > 0 && missing >= MIN_LOST_BLOCKS, index, missing.max(0.0));
+        self.conversation_counter.count(now, turn.conversation);
+        let expected = cached.map(|h| (h.depth, h.probability, h.clock));
+        self.sites.record_sent(now, index, missing.max(0.0) + f64::from(turn.new_blocks) + 1.0);
+        let (clock, epoch) = (self.sites.all[index as usize].clock, self.sites.all[index as usize].epoch);
+        let tail_key = self.tail_key(turn);
+        let new_entry = self.conversations.get(tail_key).is_none();
+        let entry = self.conversations.touch(tail_key);
+        if entry.conversation != conversation_tag(turn.conversation) {
+            (entry.conversation, entry.added) = (conversation_tag(turn.conversation), turn.new_blocks);
         }
-        // Two at once, or an older one late: what is known to be longest stands.
-        (entry.depth, entry.extra) = (len, entry.extra.max(turn.new_blocks));
-        entry.lies = known.lies;
-        entry.hold(place, at, life);
-        self.tell_of(tail, turn, len, site);
-        self.hold_common(turn, place, known.own.is_none() || known.displaced > 0);
-        if self.open.len() >= MOST_OPEN {
+        // With two concurrent turns, or a late older one, the larger number of new blocks stays.
+        (entry.depth, entry.added) = (len, entry.added.max(turn.new_blocks));
+        entry.misses = known.misses;
+        entry.add_holder(index, clock, epoch);
+        self.queue_placement(tail_key, turn, len, site);
+        self.record_common_prefixes(turn, index, known.own_key.is_none() || known.lost > 0);
+        if self.open.len() >= MAX_OPEN_ATTEMPTS {
             return;
         }
-        let open = Open {
-            site: place,
-            tail,
-            old: known.own.filter(|old| *old != tail),
-            held: expects,
-            len,
+        let open = Attempt {
+            site: index,
+            tail_key,
+            previous_key: known.own_key.filter(|previous| *previous != tail_key),
+            expected,
+            prefix_len: len,
             tenant: turn.tenant,
             conversation: turn.conversation,
-            fresh,
-            prefix_at: Vec::new(),
-            anew,
+            new_entry,
+            prefix: Vec::new(),
+            paid,
         };
         let open =
-            Open { prefix_at: if expects.is_none() { turn.prefix.clone() } else { Vec::new() }, ..open };
-        self.sites.all[place as usize].anew_out += u32::from(anew);
-        if let Some(before) = self.open.insert(token, open) {
-            self.is_no_more_out(&before);
+            Attempt { prefix: if expected.is_none() { turn.prefix.clone() } else { Vec::new() }, ..open };
+        self.sites.all[index as usize].recomputing += u32::from(paid);
+        if let Some(replaced) = self.open.insert(id, open) {
+            self.close_attempt(&replaced);
         }
-        self.order.push_back((now, token));
-        // One entry a token that is out, and no more: those that have ended lie here until their time.
-        while let Some((since, token)) = self.order.front().copied() {
-            let over = now >= since + OPEN_FOR || self.order.len() > 2 * MOST_OPEN;
-            if !over && self.open.contains_key(&token) {
+        self.open_order.push_back((now, id));
+        // The queue holds one entry per open attempt; entries of ended attempts are removed when they reach the
+        // front.
+        while let Some((since, id)) = self.open_order.front().copied() {
+            let expired = now >= since + OPEN_TIMEOUT || self.open_order.len() > 2 * MAX_OPEN_ATTEMPTS;
+            if !expired && self.open.contains_key(&id) {
                 break;
             }
-            self.order.pop_front();
-            if let Some(open) = self.open.remove(&token) {
-                self.is_no_more_out(&open);
+            self.open_order.pop_front();
+            if let Some(open) = self.open.remove(&id) {
+                self.close_attempt(&open);
             }
         }
     }
 
-    fn is_no_more_out(&mut self, open: &Open) {
-        let out = &mut self.sites.all[open.site as usize].anew_out;
-        *out = out.saturating_sub(u32::from(open.anew));
+    fn close_attempt(&mut self, open: &Attempt) {
+        let recomputing = &mut self.sites.all[open.site as usize].recomputing;
+        *recomputing = recomputing.saturating_sub(u32::from(open.paid));
     }
 
-    /// Common prefixes of the turn lie where it goes; a new conversation shows which are common.
-    fn hold_common(&mut self, turn: &Turn, place: u16, asks: bool) {
-        let (at, life) = (self.sites.all[place as usize].clock, self.sites.all[place as usize].life);
-        let fleet = self.sites.clock;
+    /// Records that the site holds the turn's common prefixes. A new conversation (`is_new`) also counts towards which
+    /// prefixes are common.
+    fn record_common_prefixes(&mut self, turn: &Turn, index: u16, is_new: bool) {
+        let (clock, epoch) = (self.sites.all[index as usize].clock, self.sites.all[index as usize].epoch);
+        let fleet_clock = self.sites.clock;
         let mut levels = Vec::new();
-        if asks {
+        if is_new {
             let mut deeper = 1;
-            for (i, key) in turn.prefix.iter().take(MAX_PREFIX_HASHES).enumerate().rev() {
+            for (i, key) in turn.prefix.iter().take(MAX_HASHES).enumerate().rev() {
                 let count = self.sketch.count(*key);
-                // Twice as many as one block further down: there conversations part.
+                // At least twice as common as the next longer recorded prefix: conversations branch here.
                 if count >= 2
                     && (levels.is_empty() || u16::from(count) >= 2 * deeper)
-                    && levels.len() < MOST_LEVELS
+                    && levels.len() < MAX_COMMON_LEVELS
                 {
                     levels.push((i as u16 + 1, *key));
                     deeper = u16::from(count);
@@ -123,212 +126,212 @@
             }
         }
         for (depth, key) in &levels {
-            self.commons.touch(*key).depth = *depth;
+            self.common.touch(*key).depth = *depth;
         }
-        let mut deepest = asks;
-        for key in turn.prefix.iter().take(MAX_PREFIX_HASHES).rev() {
-            let Some(faded) = self.commons.get(*key).map(|e| e.faded) else { continue };
-            let fading = self.fading(fleet.wrapping_sub(faded));
-            let entry = self.commons.touch(*key);
-            entry.hold(place, at, life);
+        let mut deepest = is_new;
+        for key in turn.prefix.iter().take(MAX_HASHES).rev() {
+            let Some(uses_updated_at) = self.common.get(*key).map(|e| e.uses_updated_at) else {
+                continue;
+            };
+            let decay = self.use_decay(fleet_clock.wrapping_sub(uses_updated_at));
+            let entry = self.common.touch(*key);
+            entry.add_holder(index, clock, epoch);
             if std::mem::take(&mut deepest) {
-                (entry.uses, entry.faded) = (entry.uses * fading as f32 + 1.0, fleet);
+                (entry.uses, entry.uses_updated_at) = (entry.uses * decay as f32 + 1.0, fleet_clock);
             }
         }
     }
 
-    fn tell_of(&mut self, key: u64, turn: &Turn, depth: u16, site: SiteId) {
+    fn queue_placement(&mut self, key: u64, turn: &Turn, depth: u16, site: SiteId) {
         if self.members.is_empty() {
             return;
         }
-        let placed = Placed {
+        let placement = PlacementRecord {
             key: key.to_le_bytes(),
-            conversation: mark(turn.conversation),
+            conversation: conversation_tag(turn.conversation),
             site: 0,
             depth: depth as u8,
-            extra: turn.new_blocks,
+            added: turn.new_blocks,
         };
-        if self.lately.len() >= MOST_LATELY {
-            self.lately.pop_front();
+        if self.unsent_placements.len() >= MAX_UNSENT_PLACEMENTS {
+            self.unsent_placements.pop_front();
         }
-        self.lately.push_back((placed, site));
+        self.unsent_placements.push_back((placement, site));
     }
 
-    /// The attempt was served after `took`, and its site had found so many blocks of its prefix, where it said so.
-    pub fn attempt_answered(
-        &mut self,
-        now: Duration,
-        token: AttemptToken,
-        found: Option<u32>,
-        took: Duration,
-    ) {
-        let Some(open) = self.open.remove(&token) else { return };
-        self.is_no_more_out(&open);
-        self.usual += (took.as_secs_f64().min(60.0) - self.usual) * if self.usual > 0.0 { PACE } else { 1.0 };
-        // It went on from its last turn, which is needed no more: one entry a conversation.
-        if let Some(old) = open.old {
-            self.tails.remove(old);
+    /// Records that the attempt was answered after `took`. `found` is the number of prefix blocks that the site had
+    /// cached, if the host reported it.
+    pub fn on_answered(&mut self, now: Duration, id: AttemptToken, found: Option<u32>, took: Duration) {
+        let Some(open) = self.open.remove(&id) else { return };
+        self.close_attempt(&open);
+        self.mean_secs += (took.as_secs_f64().min(60.0) - self.mean_secs)
+            * if self.mean_secs > 0.0 { TURN_TIME_WEIGHT } else { 1.0 };
+        // The conversation has moved on from its previous turn: the table keeps one entry per conversation.
+        if let Some(previous) = open.previous_key {
+            self.conversations.remove(previous);
         }
         let Some(found) = found else { return };
-        // More than it asked for cannot be.
-        let found = found.min(u32::from(open.len)) as u16;
-        self.counts.asked += u64::from(open.len);
+        // A host cannot find more blocks than the turn asked for.
+        let found = found.min(u32::from(open.prefix_len)) as u16;
+        self.counts.requested += u64::from(open.prefix_len);
         self.counts.found += u64::from(found);
-        let place = open.site as usize;
-        let Some((depth, chance, at)) = open.held.filter(|(depth, ..)| *depth > 0) else {
-            // Nothing was known and something lay there: others have sent it, so it is common.
-            if let (Some(key), true) = (open.prefix_at.get(usize::from(found).wrapping_sub(1)), found > 0) {
-                let (at, life) = (self.sites.all[place].clock, self.sites.all[place].life);
-                let entry = self.commons.touch(*key);
+        let index = open.site as usize;
+        let Some((depth, probability, clock)) = open.expected.filter(|(depth, ..)| *depth > 0) else {
+            // No blocks were expected and some were found: other conversations sent them, so the prefix is common.
+            if let (Some(key), true) = (open.prefix.get(usize::from(found).wrapping_sub(1)), found > 0) {
+                let (clock, epoch) = (self.sites.all[index].clock, self.sites.all[index].epoch);
+                let entry = self.common.touch(*key);
                 entry.depth = found;
-                entry.hold(open.site, at, life);
+                entry.add_holder(open.site, clock, epoch);
             }
             return;
         };
         self.counts.expected += u64::from(depth);
-        // It was sent less work than it had: the bound of load must know.
-        let missing = f64::from(depth) * chance - f64::from(found);
+        // The site computed more blocks than expected: add them to its load.
+        let missing = f64::from(depth) * probability - f64::from(found);
         if missing >= 1.0 {
             self.sites.record_missed(now, open.site, missing);
         }
         let share = f64::from(found.min(depth)) / f64::from(depth);
-        let trust = self.believes(open.tenant);
-        // The chance as the site has it: that of a tenant that is not believed says nothing of the site.
-        if self.sites.all[place].keeps(at) > SURE {
-            self.trust.learn(open.tenant, share as f32);
+        let trust = self.tenant_trust(open.tenant);
+        // Uses the site's own probability: the one lowered by distrust of the tenant says nothing about the site.
+        if self.sites.all[index].retention(clock) > CONFIDENT {
+            self.trust.record_found(open.tenant, share as f32);
         }
-        self.sites.all[place].learn(at, share, trust);
-        if let Some(entry) = self.tails.get_mut(open.tail) {
-            entry.lies = if share >= 0.25 || chance < 0.1 { 0 } else { (entry.lies + 1).min(8) };
+        self.sites.all[index].learn(clock, share, trust);
+        if let Some(entry) = self.conversations.get_mut(open.tail_key) {
+            entry.misses = if share >= 0.25 || probability < 0.1 { 0 } else { (entry.misses + 1).min(8) };
         }
         self.counts.misses += u64::from(share < 0.5);
-        let nothing = found == 0 && chance > SURE;
-        if chance > SURE && self.sites.all[place].is_emptied(nothing, open.conversation) {
+        let nothing = found == 0 && probability > CONFIDENT;
+        if probability > CONFIDENT && self.sites.all[index].detect_cleared(nothing, open.conversation) {
             self.counts.caches_found_empty += 1;
             self.sites.clear_cache(open.site);
-            // What this turn itself left there is there.
-            let (at, life) = (self.sites.all[place].clock, self.sites.all[place].life);
-            if let Some(entry) = self.tails.get_mut(open.tail) {
-                entry.hold(open.site, at, life);
+            // The prefix of this turn itself is in the cache.
+            let (clock, epoch) = (self.sites.all[index].clock, self.sites.all[index].epoch);
+            if let Some(entry) = self.conversations.get_mut(open.tail_key) {
+                entry.add_holder(open.site, clock, epoch);
             }
         }
     }
 
-    /// The attempt ended without an answer: what it was to leave at its site may not be there.
-    pub fn attempt_failed(&mut self, token: AttemptToken) {
-        let Some(open) = self.open.remove(&token) else { return };
-        self.is_no_more_out(&open);
-        if let Some(entry) = self.tails.get_mut(open.tail).filter(|_| open.fresh) {
-            entry.lose(open.site);
-            if entry.held().next().is_none() {
-                self.tails.remove(open.tail);
+    /// Records that the attempt ended without an answer: the site may not hold the turn's prefix.
+    pub fn on_failed(&mut self, id: AttemptToken) {
+        let Some(open) = self.open.remove(&id) else { return };
+        self.close_attempt(&open);
+        if let Some(entry) = self.conversations.get_mut(open.tail_key).filter(|_| open.new_entry) {
+            entry.remove_holder(open.site);
+            if entry.holders().next().is_none() {
+                self.conversations.remove(open.tail_key);
             }
         }
     }
 
-    /// The site is gone, and what it holds with it.
+    /// Records that the site is gone, with everything in its cache.
     pub fn site_lost(&mut self, site: SiteId) {
         self.sites.site_lost(site);
     }
 
-    /// The site is there again, and holds nothing.
+    /// Records that the site is available again, with an empty cache.
     pub fn site_returned(&mut self, now: Duration, site: SiteId) {
         self.sites.site_returned(now, site);
     }
 
-    /// The site is due this much of the load for its size: 0 to 1,000, and [`DEFAULT_SITE_WEIGHT`] where nothing is said.
-    /// One of weight 0 is sent nothing while another is there.
+    /// Sets the site's share of the load relative to its capacity: 0 to 1,000, by default [`DEFAULT_WEIGHT`]. A
+    /// site of weight 0 gets no turns while a site of another weight is available.
     pub fn set_site_weight(&mut self, now: Duration, site: SiteId, weight: u16) {
         self.sites.set_weight(now, site, weight);
     }
 
-    /// These other activators are told, and heard; nobody else.
+    /// Sets the other activators that messages are sent to and accepted from.
     pub fn set_members(&mut self, now: Duration, members: impl IntoIterator<Item = ActivatorId>) {
-        let mut members: Vec<ActivatorId> = members.into_iter().filter(|f| *f != self.me).collect();
+        let mut members: Vec<ActivatorId> = members.into_iter().filter(|f| *f != self.own_id).collect();
         members.sort();
         members.dedup();
-        // Told of is enough: one that is not heard may be cut off, and spends its own share.
+        // Counts every configured member: one that is not heard from may be partitioned and still spends its share of
+        // the recomputation budget.
         self.sites.activator_count = 1 + members.len();
         members.truncate(1_024);
         self.members = members;
         self.sites.expire_peers(now, self.settings.gossip_period, &self.members);
         if self.members.is_empty() {
-            self.lately.clear();
+            self.unsent_placements.clear();
         }
     }
 
-    /// Another activator has told something.
+    /// Handles a message from another activator.
     pub fn receive(&mut self, now: Duration, from: ActivatorId, data: &[u8], _out: &mut Vec<Output>) {
-        let known = self.members.binary_search(&from).is_ok();
-        let Some(told) = Told::decode(data).filter(|_| known) else {
+        let is_member = self.members.binary_search(&from).is_ok();
+        let Some(message) = Message::decode(data).filter(|_| is_member) else {
             self.counts.unreadable += 1;
             return;
         };
         self.counts.received += 1;
-        self.sites.record_peer_loads(now, from, (told.life, told.number), &told.loads);
-        for p in &told.placed {
-            let site =
-                told.loads.get(p.site as usize).and_then(|(site, ..)| self.sites.index_of(SiteId(*site)));
-            let Some(place) = site.filter(|s| self.sites.all[*s as usize].there) else { continue };
-            let (at, life) = (self.sites.all[place as usize].clock, self.sites.all[place as usize].life);
-            let entry = self.tails.touch(u64::from_le_bytes(p.key));
+        self.sites.set_loads(now, from, (message.run_id, message.seq), &message.loads);
+        for p in &message.placed {
+            let site = message.loads.get(p.site as usize).and_then(|(s, ..)| self.sites.index(SiteId(*s)));
+            let Some(index) = site.filter(|s| self.sites.all[*s as usize].present) else { continue };
+            let (clock, epoch) = (self.sites.all[index as usize].clock, self.sites.all[index as usize].epoch);
+            let entry = self.conversations.touch(u64::from_le_bytes(p.key));
             if entry.conversation != p.conversation {
-                (entry.conversation, entry.lies, entry.extra) = (p.conversation, 0, p.extra);
+                (entry.conversation, entry.misses, entry.added) = (p.conversation, 0, p.added);
             }
-            entry.depth = u16::from(p.depth).min(MAX_PREFIX_HASHES as u16);
-            entry.extra = entry.extra.max(p.extra);
-            entry.hold(place, at, life);
+            entry.depth = u16::from(p.depth).min(MAX_HASHES as u16);
+            entry.added = entry.added.max(p.added);
+            entry.add_holder(index, clock, epoch);
         }
     }
 
-    /// When [`TurnRouter::wake`] or [`TurnRouter::release`] is wanted next; never while there is nobody to tell and nothing waits.
+    /// When [`TurnRouter::wake`] or [`TurnRouter::release`] must be called next; `None` if there are no members and
+    /// no waiting turns.
     pub fn wake_at(&self) -> Option<Duration> {
-        let tell = (!self.members.is_empty()).then_some(self.tell_at);
-        [tell, self.look_at()].into_iter().flatten().min()
+        let gossip = (!self.members.is_empty()).then_some(self.next_gossip_at);
+        [gossip, self.next_check()].into_iter().flatten().min()
     }
 
-    /// Time has passed: tells others, within the bytes of a period.
+    /// Sends loads and recent placements to other activators if the gossip period is over, within the bytes allowed
+    /// per period.
     pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
-        if self.members.is_empty() || now < self.tell_at {
+        if self.members.is_empty() || now < self.next_gossip_at {
             return;
         }
-        self.tell_at = now + self.settings.gossip_period;
-        self.sites.expire_peers(now, self.settings.gossip_period * self.rounds(), &self.members);
-        let datagrams = (self.settings.gossip_bytes / LONGEST).max(1);
-        let hearers = datagrams.min(self.members.len());
-        let parts = (datagrams / hearers).max(1);
+        self.next_gossip_at = now + self.settings.gossip_period;
+        self.sites.expire_peers(now, self.settings.gossip_period * self.periods_per_round(), &self.members);
+        let datagrams = (self.settings.gossip_bytes / MAX_DATAGRAM_BYTES).max(1);
+        let receivers = datagrams.min(self.members.len());
+        let parts = (datagrams / receivers).max(1);
         for _ in 0..parts {
             let mut loads = self.sites.own_loads(now);
             loads.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
             loads.truncate(64);
-            let mut placed = Vec::new();
+            let mut placements = Vec::new();
             let mut from = Vec::new();
-            // The newest first: of an older one its conversation may have gone on.
-            for (i, (p, site)) in self.lately.iter().enumerate().rev().take(128) {
-                let Some(at) = loads.iter().position(|(s, ..)| *s == site.0) else { continue };
-                placed.push(Placed { site: at as u8, ..*p });
+            // Newest first: the conversations of older placements may have moved on.
+            for (i, (p, site)) in self.unsent_placements.iter().enumerate().rev().take(128) {
+                let Some(site) = loads.iter().position(|(s, ..)| *s == site.0) else { continue };
+                placements.push(PlacementRecord { site: site as u8, ..*p });
                 from.push(i);
             }
-            self.number = self.number.wrapping_add(1);
-            let (data, taken) = Told::new(self.life, self.number, loads).encode(&placed);
+            self.message_number = self.message_number.wrapping_add(1);
+            let (data, taken) = Message::new(self.run_id, self.message_number, loads).encode(&placements);
             for i in &from[..taken] {
-                self.lately.remove(*i);
+                self.unsent_placements.remove(*i);
             }
-            for k in 0..hearers {
+            for k in 0..receivers {
                 let to = self.members[(self.next_member + k) % self.members.len()];
                 self.counts.bytes_sent += data.len() as u64;
                 out.push(Output::Send { to, data: data.clone() });
             }
-            if self.lately.is_empty() {
+            if self.unsent_placements.is_empty() {
                 break;
             }
         }
-        self.next_member = (self.next_member + hearers) % self.members.len();
+        self.next_member = (self.next_member + receivers) % self.members.len();
     }
 
-    /// Periods within which every fellow is told once.
-    fn rounds(&self) -> u32 {
-        let datagrams = (self.settings.gossip_bytes / LONGEST).max(1);
+    /// Periods after which every member has received a message.
+    fn periods_per_round(&self) -> u32 {
+        let datagrams = (self.settings.gossip_bytes / MAX_DATAGRAM_BYTES).max(1);
         self.members.len().div_ceil(datagrams).max(1) as u32
     }
 }
--- a/crates/turns/src/histories.rs
+++ b/crates/turns/src/histories.rs
@@ -129,7 +129,7 @@
 }
 
 fn mix(a: u64, b: u64) -> u64 {
-    crate::placement::root(a.rotate_left(32) ^ b)
+    crate::placement::empty_prefix_key(a.rotate_left(32) ^ b)
 }
 
 struct World {
@@ -151,13 +151,13 @@
 }
 
 impl World {
-    fn new(seed: u64, flaw: Option<Fault>) -> Self {
-        let settings = Settings { memory_bytes: 4 << 20, ..Settings::default() };
+    fn new(seed: u64, fault: Option<Fault>) -> Self {
+        let settings = Settings { table_bytes: 4 << 20, ..Settings::default() };
         let names = (0..ACTIVATORS as u32).map(ActivatorId);
         let each = names.clone().map(|me| {
             let mut turns = TurnRouter::new(settings.clone(), me, me.0 + 1, seed, at(0.0)).unwrap();
-            turns.flaw = flaw;
-            turns.sites.flaw = flaw;
+            turns.fault = fault;
+            turns.sites.fault = fault;
             turns.set_members(at(0.0), names.clone());
             turns
         });
@@ -204,12 +204,7 @@
         // Every lane is busy with usual turns: nothing but the budget is left for computing anew.
         let there = (0..SITES).filter(|s| self.there[*s]);
         there
-            .map(|s| SiteStatus {
-                site: SiteId(s as u32),
-                capacity: LANES,
-                in_flight: LANES,
-                other_zone: false,
-            })
+            .map(|s| SiteStatus { site: SiteId(s as u32), capacity: LANES, in_flight: LANES, remote: false })
             .collect()
     }
 
@@ -236,7 +231,7 @@
             self.say(now, Line::Steered { answers, by_it });
         }
         match advice.decision {
-            Decision::Dispatch => self.go(now, id, talk, turn, &advice),
+            Decision::Send => self.go(now, id, talk, turn, &advice),
             Decision::Reject => self.given_up(now, id, talk),
             Decision::Wait(waiting, until) => {
                 self.say(now, Line::Held { id, until: until.as_secs_f64() });
@@ -253,7 +248,7 @@
         while let Some((waiting, advice)) = self.each[by].release(at(now), &sites) {
             let (id, talk, turn) = self.held[by].remove(&waiting).expect("it waits");
             match advice.decision {
-                Decision::Dispatch => self.go(now, id, talk, turn, &advice),
+                Decision::Send => self.go(now, id, talk, turn, &advice),
                 _ => self.given_up(now, id, talk),
             }
         }
@@ -285,7 +280,7 @@
         self.say(now, Line::Sent { id, by, site, blocks, displaced });
         self.next += 1;
         let token = self.next;
-        self.each[by].attempt_sent(at(now), AttemptToken(token), &turn, SiteId(site as u32));
+        self.each[by].on_sent(at(now), AttemptToken(token), &turn, SiteId(site as u32));
         let fails = !choices.is_empty() && self.rng.f64() < 0.15;
         let done = now + if fails { 0.02 } else { 0.05 };
         let life = self.lives[site];
@@ -295,7 +290,7 @@
     fn done(&mut self, now: f64, out: Out1) {
         let by = self.talks[out.talk].by;
         if out.fails {
-            self.each[by].attempt_failed(AttemptToken(out.token));
+            self.each[by].on_failed(AttemptToken(out.token));
             let choices: Vec<usize> = out.choices.into_iter().filter(|s| self.there[*s]).collect();
             if choices.is_empty() {
                 self.talks[out.talk].out = false;
@@ -303,7 +298,7 @@
             }
             return self.send(now, out.id, out.talk, out.turn, choices);
         }
-        self.each[by].attempt_answered(at(now), AttemptToken(out.token), Some(out.found as u32), at(0.05));
+        self.each[by].on_answered(at(now), AttemptToken(out.token), Some(out.found as u32), at(0.05));
         let t = &mut self.talks[out.talk];
         (t.out, t.next) = (false, now + 0.5 + self.rng.f64() * 2.0 * TALKS as f64 / RATE);
         (t.site, t.displaced) = (Some(out.site), out.life != self.lives[out.site]);
@@ -313,7 +308,7 @@
             return;
         }
         let more = t.prefix.len() as u64;
-        if t.prefix.len() < MAX_PREFIX_HASHES {
+        if t.prefix.len() < MAX_HASHES {
             t.prefix.push(mix(t.number, more));
         }
         t.left = t.left.saturating_sub(1);
@@ -368,7 +363,7 @@
             for site in 0..SITES {
                 let told = |all: &[(f64, f64)]| all.iter().map(|(_, l)| *l).fold(0.0, f64::max);
                 let most = (0..ACTIVATORS).filter(|a| *a != to).map(|a| told(&self.own[a][site])).sum();
-                let Some(place) = self.each[to].sites.index_of(SiteId(site as u32)) else { continue };
+                let Some(place) = self.each[to].sites.index(SiteId(site as u32)) else { continue };
                 let told = self.each[to].sites.all[place as usize].peer_load();
                 self.lines.push((now, Line::Books { by: to, site, told, most }));
             }
@@ -430,8 +425,8 @@
                     };
                     self.next += 1;
                     let token = AttemptToken(self.next);
-                    self.each[rusher].attempt_sent(at(now), token, &turn, SiteId(lost as u32));
-                    self.each[rusher].attempt_answered(at(now), token, Some(0), at(0.01));
+                    self.each[rusher].on_sent(at(now), token, &turn, SiteId(lost as u32));
+                    self.each[rusher].on_answered(at(now), token, Some(0), at(0.01));
                 }
             }
             if falls(GONE.0) {
@@ -559,7 +554,7 @@
     }
     // In any window each site computes no more anew than the budget of all and the slack that the design note states.
     let rate = settings.recompute_share * LANES / settings.block_cost.as_secs_f64();
-    let slack = rate + (MAX_PREFIX_HASHES * ACTIVATORS) as f64;
+    let slack = rate + (MAX_HASHES * ACTIVATORS) as f64;
     for (site, all) in anew.iter().enumerate() {
         for (i, (from, _)) in all.iter().enumerate() {
             let mut sum = 0.0;
@@ -623,21 +618,21 @@
 #[test]
 fn planted_flaws_are_found() {
     let flaws = [
-        (Fault::SharesNoBudget, Rule::Budget),
-        (Fault::SecondSiteIsFree, Rule::Budget),
-        (Fault::AdvisesLostSites, Rule::LostSite),
-        (Fault::ReturnsWithNothing, Rule::Flood),
-        (Fault::BelievesLiars, Rule::Liar),
-        (Fault::AddsWhatIsToldTwice, Rule::Books),
-        (Fault::WaitsBeyondItsTime, Rule::Wait),
-        (Fault::LeastFirst, Rule::Starved),
-        (Fault::WaitsWithoutBound, Rule::Bounded),
+        (Fault::BudgetNotShared, Rule::Budget),
+        (Fault::RetryNotCharged, Rule::Budget),
+        (Fault::LostSiteAdvised, Rule::LostSite),
+        (Fault::UnseededReturn, Rule::Flood),
+        (Fault::LyingTenantTrusted, Rule::Liar),
+        (Fault::PeerLoadsAddedTwice, Rule::Books),
+        (Fault::WaitDeadlineIgnored, Rule::Wait),
+        (Fault::LowestValueFirst, Rule::Starved),
+        (Fault::WaitQueueUnbounded, Rule::Bounded),
     ];
-    for (flaw, rule) in flaws {
+    for (fault, rule) in flaws {
         let mut seeds = SEEDS;
-        let found = seeds.find_map(|seed| Some((seed, check(&World::new(seed, Some(flaw)).play()).err()?)));
-        let (seed, broken) = found.unwrap_or_else(|| panic!("{flaw:?} is not found"));
-        println!("{flaw:?}: seed {seed}: {broken}");
-        assert_eq!(broken.0, rule, "{flaw:?}, seed {seed}: {broken}");
+        let found = seeds.find_map(|seed| Some((seed, check(&World::new(seed, Some(fault)).play()).err()?)));
+        let (seed, broken) = found.unwrap_or_else(|| panic!("{fault:?} is not found"));
+        println!("{fault:?}: seed {seed}: {broken}");
+        assert_eq!(broken.0, rule, "{fault:?}, seed {seed}: {broken}");
     }
 }
--- a/crates/turns/src/recompute.rs
+++ b/crates/turns/src/recompute.rs
@@ -1,297 +1,298 @@
-//! What was lost with a site is computed anew within a budget: who goes, who waits, and who is given up. See
-//! docs/design/turns.md, "A budget that holds".
+//! Recomputation budget: decides which turns that lost their cached prefix with a site are sent, wait, or are
+//! rejected. See docs/design/turns.md, "A budget that holds".
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::placement::{Known, TurnRouter};
+use crate::placement::{Candidate, Estimate, TurnRouter};
 use crate::types::*;
 
-/// Turns of lost sites whose rank is remembered, to know which of them come first.
-const RECENT: usize = 64;
-/// Memory of how much is asked to be computed anew, in seconds.
-const DEMAND_MEMORY: f64 = 1.0;
-/// Turns that were let go and whose attempts may still go elsewhere; of more the oldest is forgotten.
-const MOST_GRANTS: usize = 4_096;
-/// For so long after it was let go, an attempt of a turn pays wherever it goes.
-const GRANT_FOR: Duration = Duration::from_secs(120);
-/// Between two looks at those that wait, at the least.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// What is missing by less than this many blocks is not worth a budget.
-pub(crate) const LEAST: f64 = 1.0;
+/// Number of recent turns of lost sites whose value is kept, to rank a new turn among them.
+const MAX_RECENT_VALUES: usize = 64;
+/// Time constant with which the demand for recomputation decays, in seconds.
+const DEMAND_DECAY_SECS: f64 = 1.0;
+/// Grants kept for admitted turns whose attempts may still go to another site; beyond this, the oldest is forgotten.
+const MAX_GRANTS: usize = 4_096;
+/// An attempt sent within this time after the grant is charged to the budget of whichever site it goes to.
+const GRANT_TIMEOUT: Duration = Duration::from_secs(120);
+/// Shortest time between two checks of the waiting turns.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// A turn that misses fewer blocks than this needs no budget.
+pub(crate) const MIN_LOST_BLOCKS: f64 = 1.0;
 
-/// The order of turns that wait: by worth times length, and of equals the first that came.
+/// Order of the waiting turns: by value (worth times blocks); among equals the oldest ranks highest.
 type Rank = (u64, Reverse<u64>);
 
-/// A turn that waits.
+/// A turn that waits for recomputation budget.
 #[derive(Debug)]
-struct Held {
+struct WaitingTurn {
     turn: Turn,
-    until: Duration,
+    deadline: Duration,
     blocks: f64,
-    /// Of the lately displaced ones, this part came before it.
-    place: f64,
+    /// The fraction of recent turns of lost sites that ranked above this one when it came.
+    rank_fraction: f64,
 }
 
-/// A turn that was let go.
+/// Budget that was charged for an admitted turn.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     at: Duration,
     site: u16,
     blocks: f64,
-    /// An attempt of it was sent.
+    /// Whether an attempt of the turn was sent.
     used: bool,
 }
 
-/// See the module's page.
+/// The waiting turns, the grants of admitted ones, and the recent demand.
 #[derive(Debug, Default)]
 pub(crate) struct RecomputeQueue {
-    held: BTreeMap<Rank, Held>,
+    waiting: BTreeMap<Rank, WaitingTurn>,
     ranks: BTreeMap<WaitingId, Rank>,
-    ends: BTreeSet<(Duration, WaitingId)>,
-    next: u64,
-    /// Pushed out by worthier ones, to be told with the next release.
-    pushed: VecDeque<WaitingId>,
+    deadlines: BTreeSet<(Duration, WaitingId)>,
+    last_id: u64,
+    /// Waiting turns that were pushed out by more valuable ones; the next release rejects them.
+    evicted: VecDeque<WaitingId>,
     grants: BTreeMap<u64, Grant>,
-    order: VecDeque<(Duration, u64)>,
-    recent: VecDeque<u64>,
+    grant_order: VecDeque<(Duration, u64)>,
+    recent_values: VecDeque<u64>,
     demand: f64,
-    demand_at: Duration,
-    look_at: Duration,
+    demand_updated_at: Duration,
+    next_check: Duration,
 }
 
-/// Worth times length, as a number that sorts like it.
-fn value(turn: &Turn, known: &Known) -> u64 {
-    // Positive floats sort as their bits do.
-    (turn.worth.clamp(0.0, 1e3) * f64::from(known.displaced)).to_bits()
+/// The turn's worth times its lost blocks, as an integer with the same order.
+fn turn_value(turn: &Turn, known: &Estimate) -> u64 {
+    // The bit patterns of positive floats have the same order as the floats.
+    (turn.worth.clamp(0.0, 1e3) * f64::from(known.lost)).to_bits()
 }
 
 impl RecomputeQueue {
-    /// Turns that wait.
-    pub fn waiting(&self) -> usize {
+    /// Number of turns that wait.
+    pub fn len(&self) -> usize {
         self.ranks.len()
     }
 
-    fn remove(&mut self, waiting: WaitingId) -> Option<Held> {
-        let held = self.held.remove(&self.ranks.remove(&waiting)?)?;
-        self.ends.remove(&(held.until, waiting));
-        Some(held)
+    fn remove(&mut self, waiting: WaitingId) -> Option<WaitingTurn> {
+        let waiting_turn = self.waiting.remove(&self.ranks.remove(&waiting)?)?;
+        self.deadlines.remove(&(waiting_turn.deadline, waiting));
+        Some(waiting_turn)
     }
 
-    /// Part of the lately displaced turns that come before this one; it is one of them from now on.
-    fn place_of(&mut self, value: u64) -> f64 {
-        let above = self.recent.iter().filter(|v| **v > value).count() as f64;
-        let place = above / (self.recent.len() as f64 + 1.0);
-        if self.recent.len() >= RECENT {
-            self.recent.pop_front();
+    /// Returns the fraction of recent turns of lost sites that rank above this value, and adds the value to them.
+    fn rank_fraction(&mut self, value: u64) -> f64 {
+        let above = self.recent_values.iter().filter(|v| **v > value).count() as f64;
+        let rank_fraction = above / (self.recent_values.len() as f64 + 1.0);
+        if self.recent_values.len() >= MAX_RECENT_VALUES {
+            self.recent_values.pop_front();
         }
-        self.recent.push_back(value);
-        place
+        self.recent_values.push_back(value);
+        rank_fraction
     }
 
-    fn asked(&mut self, now: Duration, blocks: f64) {
-        let past = now.saturating_sub(self.demand_at).as_secs_f64();
-        self.demand = self.demand * (-past / DEMAND_MEMORY).exp() + blocks / DEMAND_MEMORY;
-        self.demand_at = self.demand_at.max(now);
+    fn add_demand(&mut self, now: Duration, blocks: f64) {
+        let past = now.saturating_sub(self.demand_updated_at).as_secs_f64();
+        self.demand = self.demand * (-past / DEMAND_DECAY_SECS).exp() + blocks / DEMAND_DECAY_SECS;
+        self.demand_updated_at = self.demand_updated_at.max(now);
     }
 }
 
 impl TurnRouter {
-    /// Blocks that a turn lacks wherever it goes because what held it is lost; none where it lacks none.
-    pub(crate) fn lacks(known: &Known) -> Option<f64> {
-        let best = known.held.iter().map(|h| h.expected()).fold(0.0, f64::max);
-        let lacks = f64::from(known.displaced) - best;
-        (lacks >= LEAST).then_some(lacks)
+    /// Blocks that no site is expected to hold because the site that held them was lost; `None` if there are none.
+    pub(crate) fn missing_blocks(known: &Estimate) -> Option<f64> {
+        let best = known.sites.iter().map(|h| h.expected()).fold(0.0, f64::max);
+        let missing = f64::from(known.lost) - best;
+        (missing >= MIN_LOST_BLOCKS).then_some(missing)
     }
 
-    /// Whether this activator may have a block more computed anew at the site now.
-    pub(crate) fn affords(&self, place: u16) -> bool {
-        self.sites.budget(place).0 > 0.0
+    /// Whether this activator has recomputation budget left for the site.
+    pub(crate) fn has_budget(&self, site: u16) -> bool {
+        self.sites.budget(site).0 > 0.0
     }
 
-    /// Whether a turn that lacks so much goes now, waits, or is given up.
-    pub(crate) fn weigh_anew(
+    /// Decides whether a turn that misses `blocks` is sent now, waits or is rejected.
+    pub(crate) fn admit_recompute(
         &mut self,
         now: Duration,
         turn: &Turn,
-        known: &Known,
-        lacks: f64,
-        places: &[(SiteStatus, u16)],
+        known: &Estimate,
+        blocks: f64,
+        candidates: &[Candidate],
     ) -> Decision {
-        self.recompute.asked(now, lacks);
-        let value = value(turn, known);
-        let place = self.recompute.place_of(value);
-        let first = self.recompute.held.last_key_value().is_none_or(|((v, _), _)| value > *v);
-        if first && self.goes(place, places) {
-            return Decision::Dispatch;
+        self.queue.add_demand(now, blocks);
+        let value = turn_value(turn, known);
+        let rank_fraction = self.queue.rank_fraction(value);
+        let ahead = self.queue.waiting.last_key_value().is_none_or(|((v, _), _)| value > *v);
+        if ahead && self.is_admitted(rank_fraction, candidates) {
+            return Decision::Send;
         }
-        let until = now + turn.time_left.mul_f64(self.settings.max_wait_share);
-        if until <= now || !self.is_served_by(now, until, value, places) {
+        let deadline = now + turn.time_left.mul_f64(self.settings.max_wait_share);
+        if deadline <= now || !self.fits_by(now, deadline, value, candidates) {
             return Decision::Reject;
         }
-        self.recompute.next += 1;
-        let (waiting, rank) = (WaitingId(self.recompute.next), (value, Reverse(self.recompute.next)));
-        let full = self.recompute.ranks.len() >= MAX_WAITING_TURNS;
+        self.queue.last_id += 1;
+        let (waiting, rank) = (WaitingId(self.queue.last_id), (value, Reverse(self.queue.last_id)));
+        let full = self.queue.ranks.len() >= MAX_WAITING_TURNS;
         #[cfg(test)]
-        let full = full && self.flaw != Some(crate::faults::Fault::WaitsWithoutBound);
+        let full = full && self.fault != Some(crate::faults::Fault::WaitQueueUnbounded);
         if full {
-            let Some((lowest, _)) =
-                self.recompute.held.first_key_value().filter(|(lowest, _)| **lowest < rank)
-            else {
+            let Some((lowest, _)) = self.queue.waiting.first_key_value().filter(|(l, _)| **l < rank) else {
                 return Decision::Reject;
             };
             let lowest = WaitingId(lowest.1 .0);
-            self.recompute.remove(lowest);
-            self.recompute.pushed.push_back(lowest);
-            self.recompute.look_at = now;
+            self.queue.remove(lowest);
+            self.queue.evicted.push_back(lowest);
+            self.queue.next_check = now;
         }
-        self.recompute.held.insert(rank, Held { turn: turn.clone(), until, blocks: lacks, place });
-        self.recompute.ranks.insert(waiting, rank);
-        self.recompute.ends.insert((until, waiting));
-        self.recompute.look_at = self.recompute.look_at.max(now).min(now + LOOK_EVERY);
-        Decision::Wait(waiting, until)
+        self.queue.waiting.insert(rank, WaitingTurn { turn: turn.clone(), deadline, blocks, rank_fraction });
+        self.queue.ranks.insert(waiting, rank);
+        self.queue.deadlines.insert((deadline, waiting));
+        self.queue.next_check = self.queue.next_check.max(now).min(now + MIN_CHECK_INTERVAL);
+        Decision::Wait(waiting, deadline)
     }
 
-    /// Whether one goes of which this part of the others come first: as large a part goes as the budget is of what is
-    /// asked, and a larger one the fuller the buckets are.
-    fn goes(&self, place: f64, places: &[(SiteStatus, u16)]) -> bool {
-        let mut with = places.iter().filter(|(_, p)| self.affords(*p)).peekable();
-        if with.peek().is_none() {
+    /// Whether a turn is admitted when the fraction `rank_fraction` of the recent turns of lost sites
+    /// ranks above it. The admitted fraction is the ratio of budget rate to demand, or the fill level of the fullest token bucket if that is
+    /// larger.
+    fn is_admitted(&self, rank_fraction: f64, candidates: &[Candidate]) -> bool {
+        let mut with_budget = candidates.iter().filter(|(_, p)| self.has_budget(*p)).peekable();
+        if with_budget.peek().is_none() {
             return false;
         }
-        let fill = with.map(|(_, p)| self.sites.budget_fill(*p)).fold(0.0, f64::max);
-        let rate: f64 = places.iter().map(|(_, p)| self.sites.budget(*p).1).sum();
-        place <= (rate / self.recompute.demand.max(1e-9)).max(fill)
+        let fill = with_budget.map(|(_, p)| self.sites.budget_fill(*p)).fold(0.0, f64::max);
+        let rate: f64 = candidates.iter().map(|(_, p)| self.sites.budget(*p).1).sum();
+        rank_fraction <= (rate / self.queue.demand.max(1e-9)).max(fill)
     }
 
-    /// Whether budgets will have room by then for a turn of this value, after those that come first. If not, its
-    /// client had better know now.
-    fn is_served_by(&self, now: Duration, until: Duration, value: u64, places: &[(SiteStatus, u16)]) -> bool {
-        let wait = until.saturating_sub(now).as_secs_f64();
-        let by_then = |(_, p): &(SiteStatus, u16)| {
+    /// Whether the budgets will have room by `deadline` for a turn of this value, after the waiting turns that rank
+    /// above it. If not, the turn is rejected at once, so that its client does not wait in vain.
+    fn fits_by(&self, now: Duration, deadline: Duration, value: u64, candidates: &[Candidate]) -> bool {
+        let wait_secs = deadline.saturating_sub(now).as_secs_f64();
+        let by_then = |(_, p): &Candidate| {
             let (budget, rate) = self.sites.budget(*p);
-            (budget + rate * wait).max(0.0)
+            (budget + rate * wait_secs).max(0.0)
         };
-        let room: f64 = places.iter().map(by_then).sum();
-        let first = self.recompute.held.range((value, Reverse(u64::MAX))..);
-        room > first.map(|(_, h)| h.blocks).sum::<f64>()
+        let room: f64 = candidates.iter().map(by_then).sum();
+        let ahead = self.queue.waiting.range((value, Reverse(u64::MAX))..);
+        room > ahead.map(|(_, h)| h.blocks).sum::<f64>()
     }
 
-    /// The next turn that waits no longer, and where it goes; none when all others wait on. To be asked until it says so, at
-    /// [`TurnRouter::wake_at`] and whenever turns ended.
+    /// Returns the next turn that stops waiting and where it goes, or `None` when all others keep waiting. Call it
+    /// until it returns `None`, at [`TurnRouter::wake_at`] and whenever turns have ended.
     pub fn release(&mut self, now: Duration, sites: &[SiteStatus]) -> Option<(WaitingId, Advice)> {
-        let given_up = Advice { choices: Vec::new(), decision: Decision::Reject };
-        if let Some(pushed) = self.recompute.pushed.pop_front() {
+        let rejection = Advice { choices: Vec::new(), decision: Decision::Reject };
+        if let Some(evicted) = self.queue.evicted.pop_front() {
             self.counts.rejected += 1;
-            return Some((pushed, given_up));
+            return Some((evicted, rejection));
         }
-        if self.recompute.ranks.is_empty() {
+        if self.queue.ranks.is_empty() {
             return None;
         }
-        let places = self.stand(now, sites);
-        let affords = places.iter().any(|(_, p)| self.affords(*p));
-        let over = self.recompute.ends.first().copied().filter(|(until, _)| *until <= now);
-        let best =
-            self.recompute.held.last_key_value().map(|(rank, held)| (WaitingId(rank.1 .0), held.place));
+        let candidates = self.eligible_sites(now, sites);
+        let has_budget = candidates.iter().any(|(_, p)| self.has_budget(*p));
+        let expired = self.queue.deadlines.first().copied().filter(|(deadline, _)| *deadline <= now);
+        let best = self.queue.waiting.last_key_value().map(|(r, w)| (WaitingId(r.1 .0), w.rank_fraction));
         #[cfg(test)]
-        let best = match self.flaw {
-            Some(crate::faults::Fault::LeastFirst) => {
-                self.recompute.held.first_key_value().map(|(rank, held)| (WaitingId(rank.1 .0), held.place))
+        let best = match self.fault {
+            Some(crate::faults::Fault::LowestValueFirst) => {
+                self.queue.waiting.first_key_value().map(|(r, w)| (WaitingId(r.1 .0), w.rank_fraction))
             }
             _ => best,
         };
-        // If the time of one is over and there is budget, the best goes before it: nobody is given up for a lesser one.
-        let goes = best.filter(|(_, place)| affords && (over.is_some() || self.goes(*place, &places)));
-        if let Some((best, _)) = goes {
-            let held = self.recompute.remove(best)?;
-            return Some((best, self.advise(now, &held.turn, &places, true)));
+        // If a deadline has passed and there is budget, the most valuable turn is sent before the expired one is
+        // handled: no turn is rejected while a less valuable one is sent.
+        let next =
+            best.filter(|(_, f)| has_budget && (expired.is_some() || self.is_admitted(*f, &candidates)));
+        if let Some((best, _)) = next {
+            let waiting_turn = self.queue.remove(best)?;
+            return Some((best, self.decide(now, &waiting_turn.turn, &candidates, true)));
         }
         #[cfg(test)]
-        if self.flaw == Some(crate::faults::Fault::WaitsBeyondItsTime) {
-            let over = over.filter(|(until, _)| *until + Duration::from_secs(1) > now);
-            if over.is_some() {
+        if self.fault == Some(crate::faults::Fault::WaitDeadlineIgnored) {
+            let expired = expired.filter(|(deadline, _)| *deadline + Duration::from_secs(1) > now);
+            if expired.is_some() {
                 return None;
             }
         }
-        if let Some((_, waiting)) = over {
-            // A site may hold it by now: another turn of its conversation went there.
-            let held = self.recompute.remove(waiting)?;
-            let displaced = Self::lacks(&self.know(&held.turn)).is_some();
-            if !displaced && !places.is_empty() {
-                return Some((waiting, self.advise(now, &held.turn, &places, true)));
+        if let Some((_, waiting)) = expired {
+            // A site may hold the prefix by now: another turn of the same conversation may have been sent there.
+            let waiting_turn = self.queue.remove(waiting)?;
+            let lost_prefix = Self::missing_blocks(&self.estimate(&waiting_turn.turn)).is_some();
+            if !lost_prefix && !candidates.is_empty() {
+                return Some((waiting, self.decide(now, &waiting_turn.turn, &candidates, true)));
             }
             self.counts.rejected += 1;
-            return Some((waiting, given_up));
+            return Some((waiting, rejection));
         }
-        let soon = |(_, p): &(SiteStatus, u16)| {
+        let refill_wait = |(_, p): &Candidate| {
             let (budget, rate) = self.sites.budget(*p);
             Duration::try_from_secs_f64((-budget).max(0.0) / rate.max(1e-9)).ok()
         };
-        let soon = places.iter().filter_map(soon).min().unwrap_or(Duration::MAX).max(LOOK_EVERY);
-        self.recompute.look_at = now.saturating_add(soon);
+        let refill_wait =
+            candidates.iter().filter_map(refill_wait).min().unwrap_or(Duration::MAX).max(MIN_CHECK_INTERVAL);
+        self.queue.next_check = now.saturating_add(refill_wait);
         None
     }
 
-    /// When [`TurnRouter::release`] is wanted next; never while nothing waits.
-    pub(crate) fn look_at(&self) -> Option<Duration> {
-        if !self.recompute.pushed.is_empty() {
+    /// When [`TurnRouter::release`] must be called next; `None` if no turn waits.
+    pub(crate) fn next_check(&self) -> Option<Duration> {
+        if !self.queue.evicted.is_empty() {
             return Some(Duration::ZERO);
         }
-        self.recompute.ends.first().map(|(until, _)| (*until).min(self.recompute.look_at))
+        self.queue.deadlines.first().map(|(deadline, _)| (*deadline).min(self.queue.next_check))
     }
 
-    /// The client of a turn that waits is gone, or it is sent without advice.
+    /// Removes a waiting turn, because its client is gone or because it is sent without advice.
     pub fn withdraw(&mut self, waiting: WaitingId) {
-        self.recompute.remove(waiting);
+        self.queue.remove(waiting);
     }
 
-    /// A turn that was placed and is not to be sent: what was set aside for it is for others.
+    /// Returns the budget that was charged for a turn that was placed and will not be sent.
     pub fn cancel_grant(&mut self, turn: &Turn) {
-        let key = self.tail(turn);
-        if let Some(grant) = self.recompute.grants.get(&key).copied().filter(|g| !g.used) {
+        let key = self.tail_key(turn);
+        if let Some(grant) = self.queue.grants.get(&key).copied().filter(|g| !g.used) {
             self.sites.spend(grant.site, -grant.blocks);
-            self.recompute.grants.remove(&key);
+            self.queue.grants.remove(&key);
         }
     }
 
-    /// A turn that lacks so much at this site is let go there, which pays for it now.
+    /// Admits a turn that misses `blocks` at this site, and charges the site's budget.
     pub(crate) fn grant(&mut self, now: Duration, turn: &Turn, site: u16, blocks: f64) {
-        let key = self.tail(turn);
+        let key = self.tail_key(turn);
         self.cancel_grant(turn);
         self.sites.spend(site, blocks);
-        self.recompute.grants.insert(key, Grant { at: now, site, blocks, used: false });
-        self.recompute.order.push_back((now, key));
-        while let Some((at, key)) = self.recompute.order.front().copied() {
-            let old = self.recompute.order.len() > MOST_GRANTS || now >= at + GRANT_FOR;
+        self.queue.grants.insert(key, Grant { at: now, site, blocks, used: false });
+        self.queue.grant_order.push_back((now, key));
+        while let Some((at, key)) = self.queue.grant_order.front().copied() {
+            let old = self.queue.grant_order.len() > MAX_GRANTS || now >= at + GRANT_TIMEOUT;
             if !old {
                 break;
             }
-            self.recompute.order.pop_front();
-            if self.recompute.grants.get(&key).is_some_and(|g| g.at == at) {
-                self.recompute.grants.remove(&key);
+            self.queue.grant_order.pop_front();
+            if self.queue.grants.get(&key).is_some_and(|g| g.at == at) {
+                self.queue.grants.remove(&key);
             }
         }
     }
 
-    /// An attempt is sent that misses so much at this site: if it is computed anew, the site's budget pays, unless it
-    /// has paid when the turn was let go. Whether it is.
-    pub(crate) fn pay(&mut self, turn: &Turn, displaced: bool, site: u16, missing: f64) -> bool {
-        let key = self.tail(turn);
-        let Some(grant) = self.recompute.grants.get_mut(&key) else {
-            if displaced {
+    /// Charges the site's budget for an attempt that misses `missing` blocks there and recomputes them, unless the
+    /// grant has already paid for it. Returns whether the attempt is a recomputation.
+    pub(crate) fn charge(&mut self, turn: &Turn, lost: bool, site: u16, missing: f64) -> bool {
+        let key = self.tail_key(turn);
+        let Some(grant) = self.queue.grants.get_mut(&key) else {
+            if lost {
                 self.sites.spend(site, missing);
             }
-            return displaced;
+            return lost;
         };
         let before = *grant;
         grant.used = true;
         #[cfg(test)]
-        if self.flaw == Some(crate::faults::Fault::SecondSiteIsFree) {
+        if self.fault == Some(crate::faults::Fault::RetryNotCharged) {
             return true;
         }
-        // The module may choose another site than the one advised. Then both pay: were the first one given its own back, it
-        // could be set aside again and again for turns that all go to the other.
+        // The caller may choose another site than the advised one. Both sites are charged then: if the first one were
+        // refunded, its budget could be granted again and again to turns that all go to the other site.
         let paid = if !before.used && before.site == site { before.blocks } else { 0.0 };
         self.sites.spend(site, missing - paid);
         true
--- a/crates/turns/src/recompute/tests.rs
+++ b/crates/turns/src/recompute/tests.rs
@@ -14,15 +14,15 @@
         worth: 1.0,
         time_left: Duration::from_secs(1),
     };
-    for i in 0..3 * MOST_GRANTS as u64 {
+    for i in 0..3 * MAX_GRANTS as u64 {
         turns.grant(Duration::from_millis(i), &turn(i), place, 1.0);
     }
-    assert_eq!((turns.recompute.grants.len(), turns.recompute.order.len()), (MOST_GRANTS, MOST_GRANTS));
+    assert_eq!((turns.queue.grants.len(), turns.queue.grant_order.len()), (MAX_GRANTS, MAX_GRANTS));
     // The same one over and over is one, and an old one of it does not end the newer.
-    for i in 0..3 * MOST_GRANTS as u64 {
+    for i in 0..3 * MAX_GRANTS as u64 {
         turns.grant(Duration::from_secs(100) + Duration::from_millis(i), &turn(7), place, 1.0);
     }
-    assert!(turns.recompute.grants.len() == 1 && turns.recompute.order.len() <= MOST_GRANTS);
+    assert!(turns.queue.grants.len() == 1 && turns.queue.grant_order.len() <= MAX_GRANTS);
     turns.grant(Duration::from_secs(1_000), &turn(8), place, 1.0);
-    assert_eq!((turns.recompute.grants.len(), turns.recompute.order.len()), (1, 1));
+    assert_eq!((turns.queue.grants.len(), turns.queue.grant_order.len()), (1, 1));
 }
--- a/crates/turns/src/sites.rs
+++ b/crates/turns/src/sites.rs
@@ -1,73 +1,78 @@
-//! What is known of each site: how long it keeps what it was sent, its load, its budget of computing anew.
+//! The model of each site: how long its cache keeps blocks, its load, and its recomputation budget.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::types::{ActivatorId, Settings, SiteId, SiteStatus, DEFAULT_SITE_WEIGHT, MAX_SITES};
-
-/// Blocks that a site is taken to keep before anything was seen of it: too many, as a wrong belief costs one miss.
-const FIRST_HORIZON: f64 = 1_048_576.0;
-/// Bounds of what is learnt, in blocks.
-const HORIZONS: (f64, f64) = (8.0, 4e9);
-/// How sharply the share that is still held falls with age: (age / horizon) to this power to one.
-const SHARPNESS: f64 = 4.0;
-/// Weight of an answer in a site's horizon: the first ones, and at last.
-const PACES: (f64, f64) = (0.5, 0.04);
-/// Load is remembered for about so many seconds: long enough that the chance of few turns is not held for load.
-pub(crate) const LOAD_MEMORY: f64 = 10.0;
-/// Turns are counted for so many seconds, one slot each.
-pub(crate) const SLOTS: usize = 10;
-/// Of lanes' time, what is left unused up to this share may be used for computing anew.
-const SPARE: f64 = 0.8;
-/// For so long after a site came, others may not have told of it.
-const FRESH_FOR: Duration = Duration::from_secs(10);
-/// Seconds of its rate that a budget holds at most.
-const BUDGET_FOR: f64 = 1.0;
-/// So many conversations one after another that lost all where nearly all was expected tell that a cache is gone.
-const EMPTY_AFTER: u8 = 6;
-/// A cache is taken to be filling until it computed this multiple of its horizon.
-const FILLING: f64 = 2.0;
-/// What other activators told of loads is forgotten after so many periods.
-const TOLD_FOR: u32 = 8;
-/// Other activators whose word is kept.
-const MOST_PEERS: usize = 1024;
-
-/// One site.
+use crate::types::{ActivatorId, Settings, SiteId, SiteStatus, DEFAULT_WEIGHT, MAX_SITES};
+use crate::wire::SiteLoad;
+
+/// Blocks that a site is assumed to keep before the first observations. It is set high because a wrong expectation
+/// costs only one miss.
+const INITIAL_HORIZON_BLOCKS: f64 = 1_048_576.0;
+/// Range of the learned horizon, in blocks.
+const HORIZON_RANGE_BLOCKS: (f64, f64) = (8.0, 4e9);
+/// Steepness with which the retention probability falls with age: 1 / (1 + (age / horizon)^steepness).
+const RETENTION_STEEPNESS: f64 = 4.0;
+/// Weight of one answer in a site's horizon: of the first answers, and the lower limit after many.
+const LEARNING_RATES: (f64, f64) = (0.5, 0.04);
+/// Time constant with which load decays, in seconds: long enough that random variation of few turns does not count as
+/// load.
+pub(crate) const LOAD_DECAY_SECS: f64 = 10.0;
+/// Turns are counted over this many seconds, with one slot per second.
+pub(crate) const COUNT_SLOTS: usize = 10;
+/// Lane time that is unused, up to this total utilization, may be used for recomputation.
+const MAX_SPARE_UTILIZATION: f64 = 0.8;
+/// For this long after a site came, other activators may not yet have reported loads for it.
+const NEW_SITE_PERIOD: Duration = Duration::from_secs(10);
+/// Capacity of the budget's token bucket, in seconds of its refill rate.
+const BUDGET_BURST_SECS: f64 = 1.0;
+/// After this many turns in a row, of different conversations, that found nothing where nearly everything was
+/// expected, the cache counts as cleared.
+const MISSES_UNTIL_CLEARED: u8 = 6;
+/// A cache counts as filling until it has computed this multiple of its horizon.
+const FILL_HORIZONS: f64 = 2.0;
+/// Loads reported by another activator expire after this many periods.
+const PEER_PERIODS: u32 = 8;
+/// Largest number of other activators whose loads are kept.
+const MAX_PEERS: usize = 1024;
+
+/// The state of one site.
 pub(crate) struct SiteState {
     pub site: SiteId,
-    /// It was not lost since it was last told to be there.
-    pub there: bool,
-    /// It was chosen from since then, the first time at this time.
-    stands: bool,
-    began: Duration,
+    /// The site has not been reported lost since it was last reported present.
+    pub present: bool,
+    /// The site has been a candidate for turns since it became present, and since when.
+    eligible: bool,
+    since: Duration,
     pub weight: f64,
-    /// Blocks that it was made to compute by this activator: the age of what it holds is counted in them.
+    /// Blocks that this activator's turns made the site compute. The age of cached blocks is measured with this
+    /// clock.
     pub clock: u32,
-    /// Counts the times that its cache was lost, and its clock when that was last.
-    pub life: u16,
-    born: u32,
+    /// Number of times that the site's cache was lost, and the clock at the last loss.
+    pub epoch: u16,
+    epoch_start: u32,
     ln_horizon: f64,
-    seen: f64,
-    /// Blocks a second, fading, times the memory of it.
+    observations: f64,
+    /// Exponentially decaying sum of computed blocks, with time constant [`LOAD_DECAY_SECS`].
     load: f64,
-    load_at: Duration,
-    told: f64,
-    /// Turns sent there in each of the last seconds, their sum, and the second of the last slot.
-    slots: [u32; SLOTS],
-    count: u32,
-    slot: u64,
-    peer_turn_count: f64,
-    /// Blocks that this activator may have computed anew there just now, as of when, and how fast that grows.
+    load_updated_at: Duration,
+    peer_load: f64,
+    /// Turns sent there in each of the last seconds, their sum, and the second of the newest slot.
+    slots: [u32; COUNT_SLOTS],
+    turn_count: u32,
+    current_second: u64,
+    peer_count: f64,
+    /// Token bucket of the blocks that this activator may have recomputed there, its last refill and its refill rate.
     budget: f64,
-    budget_at: Duration,
+    budget_updated_at: Duration,
     rate: f64,
     capacity: f64,
-    /// Lanes that its turns kept busy lately, less those computed anew; none before the first look.
+    /// Smoothed number of lanes that turns other than recomputations keep busy; `None` before the first observation.
     busy: Option<f64>,
-    /// Turns computed anew that are out.
-    pub anew_out: u32,
-    missing: u8,
-    missed: u64,
+    /// Recomputing turns that are in flight.
+    pub recomputing: u32,
+    empty_streak: u8,
+    last_empty_conversation: u64,
     pub turns: u64,
 }
 
@@ -75,373 +80,378 @@
     fn new(site: SiteId, now: Duration) -> Self {
         Self {
             site,
-            there: true,
-            stands: false,
-            began: now,
+            present: true,
+            eligible: false,
+            since: now,
             weight: 1.0,
             clock: 0,
-            life: 0,
-            born: 0,
-            ln_horizon: FIRST_HORIZON.ln(),
-            seen: 0.0,
+            epoch: 0,
+            epoch_start: 0,
+            ln_horizon: INITIAL_HORIZON_BLOCKS.ln(),
+            observations: 0.0,
             load: 0.0,
-            load_at: now,
-            told: 0.0,
-            slots: [0; SLOTS],
-            count: 0,
-            slot: now.as_secs(),
-            peer_turn_count: 0.0,
+            load_updated_at: now,
+            peer_load: 0.0,
+            slots: [0; COUNT_SLOTS],
+            turn_count: 0,
+            current_second: now.as_secs(),
+            peer_count: 0.0,
             budget: 0.0,
-            budget_at: now,
+            budget_updated_at: now,
             rate: 0.0,
             capacity: 1.0,
             busy: None,
-            anew_out: 0,
-            missing: 0,
-            missed: 0,
+            recomputing: 0,
+            empty_streak: 0,
+            last_empty_conversation: 0,
             turns: 0,
         }
     }
 
-    /// Blocks that it is believed to compute before it lets go of what it was sent.
+    /// Blocks that the site is expected to compute before it evicts a block.
     pub fn horizon(&self) -> f64 {
         self.ln_horizon.exp()
     }
 
-    /// The chance that it still holds what it was sent at this age.
-    pub fn keeps(&self, at: u32) -> f64 {
+    /// The probability that the site still holds blocks sent to it when its clock was `at`.
+    pub fn retention(&self, at: u32) -> f64 {
         let age = f64::from(self.clock.wrapping_sub(at)).max(1.0);
-        1.0 / (1.0 + (SHARPNESS * (age.ln() - self.ln_horizon)).exp())
+        1.0 / (1.0 + (RETENTION_STEEPNESS * (age.ln() - self.ln_horizon)).exp())
     }
 
-    /// A share of what it was sent at this age was found, told by somebody believed as far as `trust`.
+    /// Learns from an answer: `share` of the blocks sent when the clock was `at` was found. The answer counts in
+    /// proportion to the `trust` in its tenant.
     pub fn learn(&mut self, at: u32, share: f64, trust: f64) {
-        let chance = self.keeps(at);
-        // An empty cache keeps all until it is full: that tells nothing of how long it keeps things.
-        let filling = f64::from(self.clock.wrapping_sub(self.born)) < FILLING * self.horizon();
-        if share > chance && filling {
+        let probability = self.retention(at);
+        // A cache that is still filling evicts nothing: a hit there says nothing about the horizon.
+        let filling = f64::from(self.clock.wrapping_sub(self.epoch_start)) < FILL_HORIZONS * self.horizon();
+        if share > probability && filling {
             return;
         }
-        self.seen += trust;
-        let pace = (PACES.0 / (1.0 + self.seen / 16.0)).max(PACES.1) * trust;
-        self.ln_horizon += pace * (share - chance) * (SHARPNESS / 2.0);
-        self.ln_horizon = self.ln_horizon.clamp(HORIZONS.0.ln(), HORIZONS.1.ln());
+        self.observations += trust;
+        let rate = (LEARNING_RATES.0 / (1.0 + self.observations / 16.0)).max(LEARNING_RATES.1) * trust;
+        self.ln_horizon += rate * (share - probability) * (RETENTION_STEEPNESS / 2.0);
+        self.ln_horizon = self.ln_horizon.clamp(HORIZON_RANGE_BLOCKS.0.ln(), HORIZON_RANGE_BLOCKS.1.ln());
     }
 
-    /// Notes whether a turn that had to find nearly all found nothing; whether the site's cache is gone by that.
-    pub fn is_emptied(&mut self, found_nothing: bool, conversation: u64) -> bool {
+    /// Records whether a turn that should have found nearly all its blocks found nothing. Returns whether the site's
+    /// cache counts as cleared by that.
+    pub fn detect_cleared(&mut self, found_nothing: bool, conversation: u64) -> bool {
         if !found_nothing {
-            self.missing = 0;
-        } else if self.missing == 0 || self.missed != conversation {
-            (self.missing, self.missed) = (self.missing + 1, conversation);
+            self.empty_streak = 0;
+        } else if self.empty_streak == 0 || self.last_empty_conversation != conversation {
+            (self.empty_streak, self.last_empty_conversation) = (self.empty_streak + 1, conversation);
         }
-        let emptied = self.missing >= EMPTY_AFTER;
+        let emptied = self.empty_streak >= MISSES_UNTIL_CLEARED;
         if emptied {
-            self.missing = 0;
+            self.empty_streak = 0;
         }
         emptied
     }
 
-    fn fade(&mut self, now: Duration) {
-        let past = now.saturating_sub(self.load_at).as_secs_f64();
-        self.load *= (-past / LOAD_MEMORY).exp();
-        self.load_at = self.load_at.max(now);
+    fn decay_load(&mut self, now: Duration) {
+        let past = now.saturating_sub(self.load_updated_at).as_secs_f64();
+        self.load *= (-past / LOAD_DECAY_SECS).exp();
+        self.load_updated_at = self.load_updated_at.max(now);
     }
 
-    /// Load that others told of.
+    /// Load reported by other activators.
     #[cfg(test)]
     pub fn peer_load(&self) -> f64 {
-        self.told
+        self.peer_load
     }
 
-    /// Lets go of what was counted too long ago.
-    fn slide(&mut self, now: Duration) {
+    /// Drops the counts of seconds outside the window.
+    fn advance(&mut self, now: Duration) {
         let second = now.as_secs();
-        for _ in 0..second.saturating_sub(self.slot).min(SLOTS as u64) {
-            self.slot += 1;
-            let oldest = &mut self.slots[self.slot as usize % SLOTS];
-            self.count -= std::mem::take(oldest);
+        for _ in 0..second.saturating_sub(self.current_second).min(COUNT_SLOTS as u64) {
+            self.current_second += 1;
+            let oldest = &mut self.slots[self.current_second as usize % COUNT_SLOTS];
+            self.turn_count -= std::mem::take(oldest);
         }
-        self.slot = self.slot.max(second);
+        self.current_second = self.current_second.max(second);
     }
 
-    /// What it is due of the load, over that of a site of size 1 and the usual weight.
+    /// The site's fair share of the load, relative to a site of capacity 1 and default weight.
     fn size(&self) -> f64 {
         self.capacity * self.weight
     }
 
-    fn load_now(&self, now: Duration) -> f64 {
-        self.load * (-now.saturating_sub(self.load_at).as_secs_f64() / LOAD_MEMORY).exp()
+    fn own_load(&self, now: Duration) -> f64 {
+        self.load * (-now.saturating_sub(self.load_updated_at).as_secs_f64() / LOAD_DECAY_SECS).exp()
     }
 }
 
-/// What another activator told of loads.
+/// The last load report of another activator.
 struct Peer {
-    life: u32,
-    number: u32,
+    run_id: u32,
+    seq: u32,
     at: Duration,
     loads: Vec<(u16, f32, u16)>,
 }
 
-/// All sites.
+/// All known sites.
 #[derive(Default)]
 pub(crate) struct Sites {
     pub all: Vec<SiteState>,
-    places: BTreeMap<SiteId, u16>,
+    indexes: BTreeMap<SiteId, u16>,
     peers: BTreeMap<ActivatorId, Peer>,
-    /// Blocks computed at all of them.
+    /// Blocks computed at all sites.
     pub clock: u32,
-    /// Activators that share the sites, as far as was told, whether they are heard or not; 0 and 1 for this one alone.
+    /// Number of activators that share the sites, reachable or not; 0 and 1 both mean that this one is alone.
     pub activator_count: usize,
     #[cfg(test)]
-    pub flaw: Option<crate::faults::Fault>,
+    pub fault: Option<crate::faults::Fault>,
 }
 
 impl Sites {
-    /// The place of a site, which is met with that; none where there are too many.
+    /// Returns the index of a site, adding the site if it is new; `None` if there are too many sites.
     pub fn get_or_insert(&mut self, now: Duration, site: SiteId) -> Option<u16> {
-        if let Some(place) = self.places.get(&site) {
-            return Some(*place);
+        if let Some(index) = self.indexes.get(&site) {
+            return Some(*index);
         }
-        let place = if self.all.len() < MAX_SITES {
+        let index = if self.all.len() < MAX_SITES {
             self.all.push(SiteState::new(site, now));
             self.all.len() - 1
         } else {
-            // One that is gone makes room, with all that was believed of it.
-            let place = self.all.iter().position(|s| !s.there)?;
-            let life = self.all[place].life.wrapping_add(1);
-            self.places.remove(&self.all[place].site);
-            self.all[place] = SiteState { life, ..SiteState::new(site, now) };
-            place
+            // The new site takes the index of a lost one, whose state is dropped.
+            let index = self.all.iter().position(|s| !s.present)?;
+            let epoch = self.all[index].epoch.wrapping_add(1);
+            self.indexes.remove(&self.all[index].site);
+            self.all[index] = SiteState { epoch, ..SiteState::new(site, now) };
+            index
         };
-        self.places.insert(site, place as u16);
-        Some(place as u16)
+        self.indexes.insert(site, index as u16);
+        Some(index as u16)
     }
 
-    pub fn index_of(&self, site: SiteId) -> Option<u16> {
-        self.places.get(&site).copied()
+    pub fn index(&self, site: SiteId) -> Option<u16> {
+        self.indexes.get(&site).copied()
     }
 
     pub fn set_weight(&mut self, now: Duration, site: SiteId, weight: u16) {
-        if let Some(place) = self.get_or_insert(now, site) {
-            self.all[place as usize].weight = f64::from(weight.min(1_000)) / f64::from(DEFAULT_SITE_WEIGHT);
+        if let Some(index) = self.get_or_insert(now, site) {
+            self.all[index as usize].weight = f64::from(weight.min(1_000)) / f64::from(DEFAULT_WEIGHT);
         }
     }
 
-    /// What the site held is gone.
+    /// Invalidates everything that the site is recorded to hold.
     pub fn clear_cache(&mut self, site: u16) {
         let s = &mut self.all[site as usize];
-        (s.life, s.born) = (s.life.wrapping_add(1), s.clock);
+        (s.epoch, s.epoch_start) = (s.epoch.wrapping_add(1), s.clock);
     }
 
     pub fn site_lost(&mut self, site: SiteId) {
-        if let Some(place) = self.index_of(site).filter(|p| self.all[*p as usize].there) {
-            self.clear_cache(place);
-            let s = &mut self.all[place as usize];
-            (s.there, s.stands) = (false, false);
+        if let Some(index) = self.index(site).filter(|p| self.all[*p as usize].present) {
+            self.clear_cache(index);
+            let s = &mut self.all[index as usize];
+            (s.present, s.eligible) = (false, false);
         }
     }
 
-    /// It is there again, and what it is sent begins when it is first chosen from.
+    /// Marks the site as present. Its counts are seeded when it first becomes a candidate.
     pub fn site_returned(&mut self, now: Duration, site: SiteId) {
-        if let Some(place) = self.get_or_insert(now, site) {
-            self.all[place as usize].there = true;
+        if let Some(index) = self.get_or_insert(now, site) {
+            self.all[index as usize].present = true;
         }
     }
 
-    /// It is one of those that are chosen from now; its place.
+    /// Updates a site that is a candidate for a turn, and returns its index.
     pub fn update(&mut self, now: Duration, site: &SiteStatus, settings: &Settings) -> Option<u16> {
-        let place = self.get_or_insert(now, site.site)?;
-        let s = &mut self.all[place as usize];
+        let index = self.get_or_insert(now, site.site)?;
+        let s = &mut self.all[index as usize];
         s.capacity = site.capacity;
-        s.there = true;
-        if !std::mem::replace(&mut s.stands, true) {
-            self.begin(now, place);
+        s.present = true;
+        if !std::mem::replace(&mut s.eligible, true) {
+            self.seed_from_others(now, index);
         }
-        self.all[place as usize].slide(now);
-        self.grow(now, place, site.in_flight, settings);
-        Some(place)
+        self.all[index as usize].advance(now);
+        self.refill_budget(now, index, site.in_flight, settings);
+        Some(index)
     }
 
-    /// A site that comes has in the books what the others have by size: having nothing, it would be sent all that is
-    /// new, and having a share that fades, all that is new a little later.
-    fn begin(&mut self, now: Duration, place: u16) {
-        let (mut size, mut load, mut slots, mut busy) = (0.0, 0.0, [0.0; SLOTS], 0.0);
+    /// Seeds a new site with the other sites' load and counts, in proportion to weighted capacity. Starting from
+    /// zero, it would get every new conversation; starting from values that only decay, it would get them a little
+    /// later.
+    fn seed_from_others(&mut self, now: Duration, index: u16) {
+        let (mut size, mut load, mut slots, mut busy) = (0.0, 0.0, [0.0; COUNT_SLOTS], 0.0);
         for (i, s) in self.all.iter_mut().enumerate() {
-            if i != usize::from(place) && s.there && s.stands {
-                s.slide(now);
-                (size, load, busy) = (size + s.size(), load + s.load_now(now), busy + s.busy.unwrap_or(0.0));
+            if i != usize::from(index) && s.present && s.eligible {
+                s.advance(now);
+                (size, load, busy) = (size + s.size(), load + s.own_load(now), busy + s.busy.unwrap_or(0.0));
                 slots.iter_mut().zip(s.slots).for_each(|(sum, n)| *sum += f64::from(n));
             }
         }
         #[cfg(test)]
-        if self.flaw == Some(crate::faults::Fault::ReturnsWithNothing) {
+        if self.fault == Some(crate::faults::Fault::UnseededReturn) {
             size = 0.0;
         }
-        let s = &mut self.all[usize::from(place)];
-        let part = if size > 0.0 { s.size() / size } else { 0.0 };
-        s.slots = slots.map(|n| (n * part).round() as u32);
-        s.count = s.slots.iter().sum();
-        (s.slot, s.load, s.load_at) = (now.as_secs(), load * part, now);
-        (s.budget, s.budget_at, s.rate) = (0.0, now, 0.0);
-        s.busy = (size > 0.0).then_some(busy * part);
-        s.began = now;
-        self.sum(now);
-    }
-
-    /// It is made to compute so many blocks, one of them for the turn itself.
+        let s = &mut self.all[usize::from(index)];
+        let share = if size > 0.0 { s.size() / size } else { 0.0 };
+        s.slots = slots.map(|n| (n * share).round() as u32);
+        s.turn_count = s.slots.iter().sum();
+        (s.current_second, s.load, s.load_updated_at) = (now.as_secs(), load * share, now);
+        (s.budget, s.budget_updated_at, s.rate) = (0.0, now, 0.0);
+        s.busy = (size > 0.0).then_some(busy * share);
+        s.since = now;
+        self.sum_peer_loads(now);
+    }
+
+    /// Records a turn that makes the site compute `blocks`, one of them for the turn itself.
     pub fn record_sent(&mut self, now: Duration, site: u16, blocks: f64) {
         let s = &mut self.all[site as usize];
-        s.fade(now);
-        s.slide(now);
-        s.slots[s.slot as usize % SLOTS] += 1;
-        s.count += 1;
+        s.decay_load(now);
+        s.advance(now);
+        s.slots[s.current_second as usize % COUNT_SLOTS] += 1;
+        s.turn_count += 1;
         s.load += blocks;
         s.turns += 1;
         s.clock = s.clock.wrapping_add(blocks as u32);
         self.clock = self.clock.wrapping_add(blocks as u32);
     }
 
-    /// It computed so many blocks more than it was believed to.
+    /// Records that the site computed `blocks` more than expected.
     pub fn record_missed(&mut self, now: Duration, site: u16, blocks: f64) {
         let s = &mut self.all[site as usize];
-        s.fade(now);
+        s.decay_load(now);
         s.load += blocks;
         s.clock = s.clock.wrapping_add(blocks as u32);
     }
 
-    /// Load of a site by this activator and, as they told, by the others.
+    /// The site's load from this activator and, as reported, from the others.
     pub fn load(&self, now: Duration, site: u16) -> f64 {
         let s = &self.all[site as usize];
-        s.load_now(now) + s.told
+        s.own_load(now) + s.peer_load
     }
 
-    /// Turns sent there within the last seconds, by this activator and, as they told, by the others.
+    /// Turns sent there within the counting window by this activator and, as reported, by the others.
     pub fn count(&self, site: u16) -> f64 {
         let s = &self.all[site as usize];
-        f64::from(s.count) + s.peer_turn_count
+        f64::from(s.turn_count) + s.peer_count
     }
 
-    /// Of these turns, what this activator sent itself.
+    /// Turns sent there within the counting window by this activator.
     pub fn own_count(&self, site: u16) -> f64 {
-        f64::from(self.all[site as usize].count)
+        f64::from(self.all[site as usize].turn_count)
     }
 
-    /// What this one has to tell of loads.
-    pub fn own_loads(&mut self, now: Duration) -> Vec<(u32, f32, u16)> {
-        self.all.iter_mut().for_each(|s| s.slide(now));
-        let there = self.all.iter().filter(|s| s.there);
+    /// The loads that this activator reports to others.
+    pub fn own_loads(&mut self, now: Duration) -> Vec<SiteLoad> {
+        self.all.iter_mut().for_each(|s| s.advance(now));
+        let present = self.all.iter().filter(|s| s.present);
         let loads =
-            there.map(|s| (s.site.0, s.load_now(now) as f32, s.count.min(u32::from(u16::MAX)) as u16));
+            present.map(|s| (s.site.0, s.own_load(now) as f32, s.turn_count.min(u32::from(u16::MAX)) as u16));
         loads.filter(|(_, load, count)| *load >= 0.5 || *count > 0).collect()
     }
 
-    /// Another activator told of its loads; older word of the same life is passed over.
-    pub fn record_peer_loads(
+    /// Records the loads reported by another activator. An older report of the same run_id is ignored.
+    pub fn set_loads(
         &mut self,
         now: Duration,
         from: ActivatorId,
-        (life, number): (u32, u32),
-        loads: &[(u32, f32, u16)],
+        (run, seq): (u32, u32),
+        loads: &[SiteLoad],
     ) {
-        if self.peers.len() >= MOST_PEERS && !self.peers.contains_key(&from) {
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&from) {
             return;
         }
-        let known = |(site, load, count): &(u32, f32, u16)| {
+        let known = |(site, load, count): &SiteLoad| {
             let load = if load.is_finite() { load.clamp(0.0, 1e9) } else { 0.0 };
-            Some((self.index_of(SiteId(*site))?, load, *count))
+            Some((self.index(SiteId(*site))?, load, *count))
         };
-        #[allow(unused_mut, reason = "a planted flaw of the tests adds to it")]
+        #[allow(unused_mut, reason = "an injected fault of the tests adds to it")]
         let mut loads: Vec<(u16, f32, u16)> = loads.iter().filter_map(known).collect();
         #[cfg(test)]
-        if self.flaw == Some(crate::faults::Fault::AddsWhatIsToldTwice) {
+        if self.fault == Some(crate::faults::Fault::PeerLoadsAddedTwice) {
             loads.extend(self.peers.remove(&from).into_iter().flat_map(|p| p.loads).take(256));
         }
-        let old = |p: &Peer| p.life == life && (p.number.wrapping_sub(number) as i32) >= 0;
-        if !self.peers.get(&from).is_some_and(old) {
-            self.peers.insert(from, Peer { life, number, at: now, loads });
-            self.sum(now);
+        let is_old = |p: &Peer| p.run_id == run && (p.seq.wrapping_sub(seq) as i32) >= 0;
+        if !self.peers.get(&from).is_some_and(is_old) {
+            self.peers.insert(from, Peer { run_id: run, seq, at: now, loads });
+            self.sum_peer_loads(now);
         }
     }
 
-    /// Forgets what was told long ago, and by those that are no members any more.
+    /// Drops reports that have expired and those of activators that are no longer members.
     pub fn expire_peers(&mut self, now: Duration, period: Duration, members: &[ActivatorId]) {
-        self.peers.retain(|name, p| now < p.at + period * TOLD_FOR && members.contains(name));
-        self.sum(now);
+        self.peers.retain(|id, p| now < p.at + period * PEER_PERIODS && members.contains(id));
+        self.sum_peer_loads(now);
     }
 
-    /// Sums up what others told. Of a site that came just now they may not know yet: what such a one says of the others
-    /// stands for it, or it would look empty until then, and the others as loaded above their due.
-    fn sum(&mut self, now: Duration) {
-        self.all.iter_mut().for_each(|s| (s.told, s.peer_turn_count) = (0.0, 0.0));
-        let fresh: Vec<usize> = (0..self.all.len())
-            .filter(|i| self.all[*i].stands && now < self.all[*i].began + FRESH_FOR)
+    /// Sums the loads that other activators reported. An activator may not know a new site yet: its report for the
+    /// other sites, scaled by weighted capacity, stands in for the new one. Otherwise the new site would look empty
+    /// and the others overloaded.
+    fn sum_peer_loads(&mut self, now: Duration) {
+        self.all.iter_mut().for_each(|s| (s.peer_load, s.peer_count) = (0.0, 0.0));
+        let new_sites: Vec<usize> = (0..self.all.len())
+            .filter(|i| self.all[*i].eligible && now < self.all[*i].since + NEW_SITE_PERIOD)
             .collect();
         #[cfg(test)]
-        let fresh =
-            if self.flaw == Some(crate::faults::Fault::ReturnsWithNothing) { Vec::new() } else { fresh };
+        let new_sites =
+            if self.fault == Some(crate::faults::Fault::UnseededReturn) { Vec::new() } else { new_sites };
         for peer in self.peers.values() {
             let (mut size, mut sum) = (0.0, (0.0, 0.0));
             for (site, load, count) in &peer.loads {
                 let Some(s) = self.all.get_mut(*site as usize) else { continue };
-                let told = (f64::from(*load), f64::from(*count));
-                (s.told, s.peer_turn_count) = (s.told + told.0, s.peer_turn_count + told.1);
+                let reported = (f64::from(*load), f64::from(*count));
+                (s.peer_load, s.peer_count) = (s.peer_load + reported.0, s.peer_count + reported.1);
                 size += s.size();
-                sum = (sum.0 + told.0, sum.1 + told.1);
+                sum = (sum.0 + reported.0, sum.1 + reported.1);
             }
-            let untold = |i: &&usize| peer.loads.iter().all(|(site, ..)| usize::from(*site) != **i);
-            for i in fresh.iter().filter(untold).filter(|_| size > 0.0) {
+            let unreported = |i: &&usize| peer.loads.iter().all(|(site, ..)| usize::from(*site) != **i);
+            for i in new_sites.iter().filter(unreported).filter(|_| size > 0.0) {
                 let s = &mut self.all[*i];
-                let part = s.size() / size;
-                (s.told, s.peer_turn_count) = (s.told + sum.0 * part, s.peer_turn_count + sum.1 * part);
+                let share = s.size() / size;
+                (s.peer_load, s.peer_count) = (s.peer_load + sum.0 * share, s.peer_count + sum.1 * share);
             }
         }
     }
 
-    /// Activators that share the sites: this one and those that were heard.
+    /// Activators that share the sites: this one and those with a current load report.
     pub fn activators(&self) -> usize {
         1 + self.peers.len()
     }
 
-    /// Time has passed: what this activator may have it compute anew has grown.
-    fn grow(&mut self, now: Duration, site: u16, in_flight: f64, settings: &Settings) {
-        let shares = self.shares();
+    /// Refills the site's recomputation budget for the time since the last refill.
+    fn refill_budget(&mut self, now: Duration, site: u16, in_flight: f64, settings: &Settings) {
+        let parts = self.budget_shares();
         let s = &mut self.all[site as usize];
-        let past = now.saturating_sub(s.budget_at).as_secs_f64();
-        s.budget_at = s.budget_at.max(now);
-        let usual = (in_flight - f64::from(s.anew_out)).max(0.0);
-        let before = s.busy.unwrap_or(usual);
-        let busy = before + (usual - before) * (1.0 - (-past / LOAD_MEMORY).exp());
+        let past = now.saturating_sub(s.budget_updated_at).as_secs_f64();
+        s.budget_updated_at = s.budget_updated_at.max(now);
+        let other_turns = (in_flight - f64::from(s.recomputing)).max(0.0);
+        let before = s.busy.unwrap_or(other_turns);
+        let busy = before + (other_turns - before) * (1.0 - (-past / LOAD_DECAY_SECS).exp());
         s.busy = Some(busy);
-        // Of lanes' time each activator is due the same part, and what it leaves unused is its own: so neither needs
-        // word from another, and those cut off from each other don't spend it twice.
-        let spare = SPARE * s.capacity - busy * shares;
+        // Each activator gets an equal share of the lane time, and may use what it leaves unused of its own share.
+        // This needs no messages, and activators that are partitioned from each other do not spend the same lane time
+        // twice.
+        let spare = MAX_SPARE_UTILIZATION * s.capacity - busy * parts;
         s.rate =
-            (settings.recompute_share * s.capacity).max(spare) / settings.block_cost.as_secs_f64() / shares;
-        s.budget = (s.budget + past * s.rate).min(s.rate * BUDGET_FOR);
+            (settings.recompute_share * s.capacity).max(spare) / settings.block_cost.as_secs_f64() / parts;
+        s.budget = (s.budget + past * s.rate).min(s.rate * BUDGET_BURST_SECS);
     }
 
-    fn shares(&self) -> f64 {
+    fn budget_shares(&self) -> f64 {
         #[cfg(test)]
-        if self.flaw == Some(crate::faults::Fault::SharesNoBudget) {
+        if self.fault == Some(crate::faults::Fault::BudgetNotShared) {
             return 1.0;
         }
         self.activator_count.max(1) as f64
     }
 
-    /// Blocks that this activator may have computed anew there now, and how many more a second.
+    /// Blocks that this activator may have recomputed there now, and the refill rate in blocks per second.
     pub fn budget(&self, site: u16) -> (f64, f64) {
         let s = &self.all[site as usize];
         (s.budget, s.rate)
     }
 
-    /// How full the budget is, 0 to 1.
+    /// Fill level of the budget, 0 to 1.
     pub fn budget_fill(&self, site: u16) -> f64 {
         let s = &self.all[site as usize];
-        (s.budget / (s.rate * BUDGET_FOR).max(1e-9)).clamp(0.0, 1.0)
+        (s.budget / (s.rate * BUDGET_BURST_SECS).max(1e-9)).clamp(0.0, 1.0)
     }
 
-    /// So many blocks are computed anew there; fewer than none are given back.
+    /// Charges `blocks` to the budget; a negative number is a refund.
     pub fn spend(&mut self, site: u16, blocks: f64) {
         self.all[site as usize].budget -= blocks;
     }
--- a/crates/turns/src/sites/tests.rs
+++ b/crates/turns/src/sites/tests.rs
@@ -24,12 +24,12 @@
 fn a_site_back_has_the_others_load_and_what_it_held_is_void() {
     let (mut sites, now) = (Sites::default(), Duration::from_secs(1));
     let settings = Settings::default();
-    let of = |i: u32| SiteStatus { site: SiteId(i), capacity: 4.0, in_flight: 0.0, other_zone: false };
-    let places: Vec<u16> = (0..3).map(|i| sites.update(now, &of(i), &settings).unwrap()).collect();
-    places.iter().for_each(|p| sites.record_sent(now, *p, 100.0));
+    let of = |i: u32| SiteStatus { site: SiteId(i), capacity: 4.0, in_flight: 0.0, remote: false };
+    let indexes: Vec<u16> = (0..3).map(|i| sites.update(now, &of(i), &settings).unwrap()).collect();
+    indexes.iter().for_each(|p| sites.record_sent(now, *p, 100.0));
     sites.site_lost(SiteId(1));
     sites.site_lost(SiteId(1));
-    assert_eq!(sites.all[1].life, 1);
+    assert_eq!(sites.all[1].epoch, 1);
     let later = now + Duration::from_secs(20);
     sites.record_sent(later, 0, 90.0);
     sites.record_sent(later, 2, 110.0);
@@ -48,17 +48,17 @@
     let met = (0..1_000).filter(|i| sites.get_or_insert(now, SiteId(*i)).is_some()).count();
     assert_eq!((met, sites.all.len()), (MAX_SITES, MAX_SITES));
     sites.site_lost(SiteId(7));
-    assert!(sites.get_or_insert(now, SiteId(5_000)).is_some() && sites.index_of(SiteId(7)).is_none());
+    assert!(sites.get_or_insert(now, SiteId(5_000)).is_some() && sites.index(SiteId(7)).is_none());
     assert!(sites.get_or_insert(now, SiteId(5_001)).is_none());
     for i in 0..3_000 {
-        sites.record_peer_loads(now, ActivatorId(i), (1, 1), &[(3, f32::NAN, 7), (4, 2.0, 1)]);
+        sites.set_loads(now, ActivatorId(i), (1, 1), &[(3, f32::NAN, 7), (4, 2.0, 1)]);
     }
-    assert_eq!((sites.peers.len(), sites.load(now, 3)), (MOST_PEERS, 0.0));
-    assert_eq!(sites.load(now, 4), 2.0 * MOST_PEERS as f64);
+    assert_eq!((sites.peers.len(), sites.load(now, 3)), (MAX_PEERS, 0.0));
+    assert_eq!(sites.load(now, 4), 2.0 * MAX_PEERS as f64);
     // Older word, and doubled word, changes nothing.
-    sites.record_peer_loads(now, ActivatorId(1), (1, 1), &[(4, 50.0, 9)]);
-    assert_eq!(sites.load(now, 4), 2.0 * MOST_PEERS as f64);
-    assert_eq!((sites.count(3), sites.count(4)), (7.0 * MOST_PEERS as f64, MOST_PEERS as f64));
+    sites.set_loads(now, ActivatorId(1), (1, 1), &[(4, 50.0, 9)]);
+    assert_eq!(sites.load(now, 4), 2.0 * MAX_PEERS as f64);
+    assert_eq!((sites.count(3), sites.count(4)), (7.0 * MAX_PEERS as f64, MAX_PEERS as f64));
     sites.expire_peers(now, Duration::from_secs(1), &[ActivatorId(1)]);
     assert_eq!((sites.activators(), sites.load(now, 4)), (2, 2.0));
 }
--- a/crates/turns/src/sketch.rs
+++ b/crates/turns/src/sketch.rs
@@ -1,15 +1,17 @@
-//! Which prefixes are common to many conversations, and how many conversations there are: counts of fixed size that fade.
+//! Fixed-size, decaying counters: how often each prefix is asked for (to find common prefixes), and how many
+//! conversations there are.
 
 use std::time::Duration;
 
-/// Rows, each a count under a hash of its own: the least of them is the best bound.
+/// Rows of the count-min sketch, each with its own hash: the smallest of a key's counters is the best upper bound.
 const ROWS: usize = 4;
-/// Counts in a row: so many new hashes as are counted between two halvings stand one in four of them.
+/// Counters per row: twice the number of hashes counted between two halvings, so that on average about one in four
+/// counters is in use.
 const WIDTH: usize = 1 << 15;
-/// After so many counted hashes all counts halve.
+/// After this many counted hashes, all counters are halved.
 const HALVE_AFTER: u32 = 1 << 14;
 
-/// See the module's page.
+/// A count-min sketch of prefix hashes.
 pub(crate) struct Sketch {
     counts: Vec<u8>,
     counted: u32,
@@ -29,7 +31,8 @@
         })
     }
 
-    /// Counts it once more; how often it was counted, which may be too much and never too little but for fading.
+    /// Counts the key and returns how often it has been counted. The result may be too high; it is too low only by
+    /// halving.
     pub fn count(&mut self, key: u64) -> u8 {
         self.counted += 1;
         if self.counted >= HALVE_AFTER {
@@ -38,7 +41,7 @@
         }
         let places = Self::places(key);
         let least = places.iter().map(|p| self.counts[*p]).min().unwrap_or(0);
-        // Only the least ones grow: what shares a place with others is over-counted less.
+        // Only the smallest counters grow (conservative update): keys that share a counter are over-counted less.
         for place in places {
             self.counts[place] = self.counts[place].max(least.saturating_add(1));
         }
@@ -46,47 +49,47 @@
     }
 }
 
-/// Bits in which conversations are counted: a few thousand are told apart.
-const BITS: usize = 4_096;
-/// Conversations are counted over windows of so long.
+/// Bits of the conversation counter, enough to count a few thousand conversations.
+const CONVERSATION_BITS: usize = 4_096;
+/// Conversations are counted over windows of this length.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// About how many conversations there were lately: one bit for each (linear counting, Whang et al. 1990).
-pub(crate) struct Talks {
+/// Estimates the number of recent conversations with one bit per conversation (linear counting, Whang et al. 1990).
+pub(crate) struct ConversationCounter {
     bits: Vec<u64>,
-    set: u32,
-    began: Duration,
-    /// In the window before.
-    before: f64,
+    bits_set: u32,
+    window_start: Duration,
+    /// The estimate for the previous window.
+    previous: f64,
 }
 
-impl Talks {
+impl ConversationCounter {
     pub fn new(now: Duration) -> Self {
-        Self { bits: vec![0; BITS / 64], set: 0, began: now, before: 0.0 }
+        Self { bits: vec![0; CONVERSATION_BITS / 64], bits_set: 0, window_start: now, previous: 0.0 }
     }
 
-    fn here(&self) -> f64 {
-        let bits = BITS as f64;
-        -bits * ((bits - f64::from(self.set)).max(1.0) / bits).ln()
+    fn estimate_window(&self) -> f64 {
+        let bits = CONVERSATION_BITS as f64;
+        -bits * ((bits - f64::from(self.bits_set)).max(1.0) / bits).ln()
     }
 
-    /// A turn of this one was sent.
+    /// Records a turn of the conversation.
     pub fn count(&mut self, now: Duration, conversation: u64) {
-        if now >= self.began + WINDOW {
-            self.before = if now >= self.began + 2 * WINDOW { 0.0 } else { self.here() };
+        if now >= self.window_start + WINDOW {
+            self.previous = if now >= self.window_start + 2 * WINDOW { 0.0 } else { self.estimate_window() };
             self.bits.fill(0);
-            (self.set, self.began) = (0, now);
+            (self.bits_set, self.window_start) = (0, now);
         }
-        let bit = (conversation.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52) as usize % BITS;
+        let bit = (conversation.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52) as usize % CONVERSATION_BITS;
         let word = &mut self.bits[bit / 64];
-        self.set += u32::from(*word & 1 << (bit % 64) == 0);
+        self.bits_set += u32::from(*word & 1 << (bit % 64) == 0);
         *word |= 1 << (bit % 64);
     }
 
-    /// About how many there were in the last window, or in this one.
-    pub fn about(&self, now: Duration) -> f64 {
-        let before = if now >= self.began + 2 * WINDOW { 0.0 } else { self.before };
-        self.here().max(before)
+    /// Estimated number of conversations in the previous window or, if larger, in the current one.
+    pub fn estimate_recent(&self, now: Duration) -> f64 {
+        let before = if now >= self.window_start + 2 * WINDOW { 0.0 } else { self.previous };
+        self.estimate_window().max(before)
     }
 }
 
--- a/crates/turns/src/sketch/tests.rs
+++ b/crates/turns/src/sketch/tests.rs
@@ -19,14 +19,14 @@
 
 #[test]
 fn conversations_are_counted_once_each_and_forgotten() {
-    let mut talks = Talks::new(Duration::ZERO);
+    let mut talks = ConversationCounter::new(Duration::ZERO);
     for i in 0..2_000u64 {
         talks.count(Duration::from_millis(i), (i % 300).wrapping_mul(0xD6E8_FEB8_6659_FD93));
     }
-    let about = talks.about(Duration::from_secs(2));
+    let about = talks.estimate_recent(Duration::from_secs(2));
     assert!((270.0..330.0).contains(&about), "{about} of 300");
     talks.count(Duration::from_secs(15), 1);
-    assert_eq!(talks.about(Duration::from_secs(15)), about);
+    assert_eq!(talks.estimate_recent(Duration::from_secs(15)), about);
     talks.count(Duration::from_secs(60), 1);
-    assert!(talks.about(Duration::from_secs(60)) < 2.0);
+    assert!(talks.estimate_recent(Duration::from_secs(60)) < 2.0);
 }
--- a/crates/turns/src/table.rs
+++ b/crates/turns/src/table.rs
@@ -1,156 +1,156 @@
-//! Which prefix lies at which sites: a table of fixed size, in sets of a few places, where the one touched longest ago
-//! makes room. No lookup grows with what is in it.
+//! Which sites hold which prefix: a set-associative table of fixed size with least-recently-used replacement within a
+//! set. The cost of a lookup does not depend on the number of entries.
 
-/// Places of one set.
+/// Entries per set.
 const WAYS: usize = 8;
-/// No site.
-const NONE: u16 = u16::MAX;
+/// Marks an unused holder slot.
+const NO_SITE: u16 = u16::MAX;
 
-/// That a site holds a prefix.
+/// A site that holds a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Holder {
-    /// The site's place among the sites.
+    /// The site's index in `Sites::all`.
     pub site: u16,
-    /// The site's age in blocks when it was last told to hold it.
-    pub at: u32,
-    /// Which life of the site's cache that was.
-    pub life: u16,
+    /// The site's clock when it was last recorded to hold the prefix.
+    pub clock: u32,
+    /// The epoch of the site's cache at that time.
+    pub epoch: u16,
 }
 
-const NOBODY: Holder = Holder { site: NONE, at: 0, life: 0 };
+const EMPTY_HOLDER: Holder = Holder { site: NO_SITE, clock: 0, epoch: 0 };
 
-/// What is known of one prefix.
+/// The entry of one prefix.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Entry<const N: usize> {
     pub key: u64,
-    /// When it was last touched, in touches of the table.
-    touched: u32,
-    /// A part of the conversation's number; 0 where it is common to many.
+    /// Value of the table's touch counter when the entry was last touched.
+    last_touched: u32,
+    /// Tag of the conversation (see `conversation_tag`); 0 for a common prefix.
     pub conversation: u16,
-    /// Blocks of the prefix.
+    /// Length of the prefix in blocks.
     pub depth: u16,
-    /// Blocks that its conversation added to it there.
-    pub extra: u16,
-    /// Turns in a row that it was expected and not found.
-    pub lies: u8,
-    /// Turns that used it, fading; told apart from others by [`Entry::used`].
+    /// Blocks that the conversation's turn added to the prefix there.
+    pub added: u16,
+    /// Number of turns in a row that expected the prefix and did not find it.
+    pub misses: u8,
+    /// Decaying count of the turns that used the prefix.
     pub uses: f32,
-    /// When that was last faded, in blocks of the fleet.
-    pub faded: u32,
+    /// The clock of all sites when `uses` was last decayed.
+    pub uses_updated_at: u32,
     pub holders: [Holder; N],
 }
 
 impl<const N: usize> Entry<N> {
     const EMPTY: Self = Self {
         key: 0,
-        touched: 0,
+        last_touched: 0,
         conversation: 0,
         depth: 0,
-        extra: 0,
-        lies: 0,
+        added: 0,
+        misses: 0,
         uses: 0.0,
-        faded: 0,
-        holders: [NOBODY; N],
+        uses_updated_at: 0,
+        holders: [EMPTY_HOLDER; N],
     };
 
-    pub fn held(&self) -> impl Iterator<Item = &Holder> {
-        self.holders.iter().filter(|h| h.site != NONE)
+    pub fn holders(&self) -> impl Iterator<Item = &Holder> {
+        self.holders.iter().filter(|h| h.site != NO_SITE)
     }
 
-    /// The site holds it from now on; the one that was told so longest ago makes room.
-    pub fn hold(&mut self, site: u16, at: u32, life: u16) {
-        let fresh = Holder { site, at, life };
-        let place = self.holders.iter().position(|h| h.site == site);
-        let place = place.or_else(|| self.holders.iter().position(|h| h.site == NONE));
-        let oldest = || (0..N).max_by_key(|i| at.wrapping_sub(self.holders[*i].at));
-        if let Some(place) = place.or_else(oldest) {
-            self.holders[place] = fresh;
+    /// Records the site as a holder. If there is no room, it replaces the holder recorded longest ago.
+    pub fn add_holder(&mut self, site: u16, clock: u32, epoch: u16) {
+        let fresh = Holder { site, clock, epoch };
+        let index = self.holders.iter().position(|h| h.site == site);
+        let index = index.or_else(|| self.holders.iter().position(|h| h.site == NO_SITE));
+        let oldest = || (0..N).max_by_key(|i| clock.wrapping_sub(self.holders[*i].clock));
+        if let Some(index) = index.or_else(oldest) {
+            self.holders[index] = fresh;
         }
     }
 
-    /// The site does not hold it.
-    pub fn lose(&mut self, site: u16) {
-        self.holders.iter_mut().filter(|h| h.site == site).for_each(|h| *h = NOBODY);
+    /// Removes the site from the holders.
+    pub fn remove_holder(&mut self, site: u16) {
+        self.holders.iter_mut().filter(|h| h.site == site).for_each(|h| *h = EMPTY_HOLDER);
     }
 }
 
-/// See the module's page.
+/// The table; see the module documentation.
 pub(crate) struct Table<const N: usize> {
     sets: Vec<[Entry<N>; WAYS]>,
     touches: u32,
-    held: usize,
-    pushed: u64,
+    len: usize,
+    evicted: u64,
 }
 
 impl<const N: usize> Table<N> {
-    /// As many places as fit into so many bytes, and one set at least.
+    /// Creates a table with as many sets as fit into `bytes`, and at least one.
     pub fn new(bytes: usize) -> Self {
         let sets = (bytes / size_of::<[Entry<N>; WAYS]>()).max(1);
-        Self { sets: vec![[Entry::EMPTY; WAYS]; sets], touches: 0, held: 0, pushed: 0 }
+        Self { sets: vec![[Entry::EMPTY; WAYS]; sets], touches: 0, len: 0, evicted: 0 }
     }
 
-    /// Bytes that it takes, however full it is.
+    /// Memory of the table in bytes, independent of the number of entries.
     pub fn bytes(&self) -> usize {
         self.sets.len() * size_of::<[Entry<N>; WAYS]>()
     }
 
-    /// Prefixes known, and those that made room so far.
+    /// Number of entries, and of entries evicted so far.
     pub fn counts(&self) -> (usize, u64) {
-        (self.held, self.pushed)
+        (self.len, self.evicted)
     }
 
-    /// Zero stands for an empty place.
-    fn key(key: u64) -> u64 {
+    /// Maps key 0 to 1, since 0 marks an empty entry.
+    fn nonzero_key(key: u64) -> u64 {
         key.max(1)
     }
 
-    fn set(&self, key: u64) -> usize {
-        // Clients' hashes need not be spread well over any part of their bits.
+    fn set_index(&self, key: u64) -> usize {
+        // Spreads the key: clients' hashes need not be uniform in any part of their bits.
         let spread = key.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
         (spread as usize * self.sets.len()) >> 32
     }
 
     pub fn get(&self, key: u64) -> Option<&Entry<N>> {
-        let key = Self::key(key);
-        self.sets[self.set(key)].iter().find(|e| e.key == key)
+        let key = Self::nonzero_key(key);
+        self.sets[self.set_index(key)].iter().find(|e| e.key == key)
     }
 
     pub fn get_mut(&mut self, key: u64) -> Option<&mut Entry<N>> {
-        let key = Self::key(key);
-        let set = self.set(key);
+        let key = Self::nonzero_key(key);
+        let set = self.set_index(key);
         self.sets[set].iter_mut().find(|e| e.key == key)
     }
 
-    /// The entry, made if it is not there, in the place of the one of its set that was touched longest ago.
+    /// Returns the entry of the key. If there is none, it replaces the least recently used entry of the set.
     pub fn touch(&mut self, key: u64) -> &mut Entry<N> {
-        let key = Self::key(key);
-        let set = self.set(key);
+        let key = Self::nonzero_key(key);
+        let set = self.set_index(key);
         self.touches = self.touches.wrapping_add(1);
         let now = self.touches;
         let set = &mut self.sets[set];
         let rank = |e: &Entry<N>| match e.key {
             k if k == key => u64::MAX,
             0 => u64::MAX - 1,
-            _ => u64::from(now.wrapping_sub(e.touched)),
+            _ => u64::from(now.wrapping_sub(e.last_touched)),
         };
-        let place = (0..WAYS).max_by_key(|i| rank(&set[*i])).unwrap_or(0);
-        let entry = &mut set[place];
+        let index = (0..WAYS).max_by_key(|i| rank(&set[*i])).unwrap_or(0);
+        let entry = &mut set[index];
         if entry.key != key {
             if entry.key == 0 {
-                self.held += 1;
+                self.len += 1;
             } else {
-                self.pushed += 1;
+                self.evicted += 1;
             }
             *entry = Entry { key, ..Entry::EMPTY };
         }
-        entry.touched = now;
+        entry.last_touched = now;
         entry
     }
 
     pub fn remove(&mut self, key: u64) {
         if let Some(entry) = self.get_mut(key) {
             *entry = Entry::EMPTY;
-            self.held -= 1;
+            self.len -= 1;
         }
     }
 }
--- a/crates/turns/src/table/tests.rs
+++ b/crates/turns/src/table/tests.rs
@@ -7,13 +7,13 @@
     let mut table = Table::<2>::new(1 << 20);
     let bytes = table.bytes();
     for i in 1..=10_000_000u64 {
-        table.touch(i.wrapping_mul(0xD6E8_FEB8_6659_FD93)).hold(1, i as u32, 0);
+        table.touch(i.wrapping_mul(0xD6E8_FEB8_6659_FD93)).add_holder(1, i as u32, 0);
     }
-    let (held, pushed) = table.counts();
+    let (len, evicted) = table.counts();
     assert!(bytes <= 1 << 20 && table.bytes() == bytes);
-    assert_eq!(held as u64 + pushed, 10_000_000);
-    assert!(held * size_of::<Entry<2>>() <= bytes && held * size_of::<Entry<2>>() * 10 > bytes * 9);
-    let newest = 10_000_000 - held as u64 / 4..=10_000_000;
+    assert_eq!(len as u64 + evicted, 10_000_000);
+    assert!(len * size_of::<Entry<2>>() <= bytes && len * size_of::<Entry<2>>() * 10 > bytes * 9);
+    let newest = 10_000_000 - len as u64 / 4..=10_000_000;
     let all = newest.clone().count();
     let kept = newest.filter(|i| table.get(i.wrapping_mul(0xD6E8_FEB8_6659_FD93)).is_some()).count();
     assert!(kept * 10 >= all * 9, "{kept} of the {all} newest are known");
@@ -33,10 +33,10 @@
 #[test]
 fn the_holder_told_longest_ago_makes_room_over_the_turn_of_the_count() {
     let mut entry = Entry::<2>::EMPTY;
-    entry.hold(1, u32::MAX - 5, 0);
-    entry.hold(2, 3, 0);
-    entry.hold(3, 9, 0);
-    assert_eq!(entry.held().map(|h| h.site).collect::<Vec<_>>(), [3, 2]);
-    entry.lose(3);
-    assert_eq!(entry.held().count(), 1);
+    entry.add_holder(1, u32::MAX - 5, 0);
+    entry.add_holder(2, 3, 0);
+    entry.add_holder(3, 9, 0);
+    assert_eq!(entry.holders().map(|h| h.site).collect::<Vec<_>>(), [3, 2]);
+    entry.remove_holder(3);
+    assert_eq!(entry.holders().count(), 1);
 }
--- a/crates/turns/src/types.rs
+++ b/crates/turns/src/types.rs
@@ -1,60 +1,60 @@
-//! The words of this crate: turns, sites, advice, settings.
+//! Public types: turns, sites, advice and settings.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Hashes that a turn may carry: more would not fit one line of a call to a host.
-pub const MAX_PREFIX_HASHES: usize = 64;
-/// Sites that an advice names at most.
+/// Largest number of hashes that a turn may carry: more would not fit one line of a call to a host.
+pub const MAX_HASHES: usize = 64;
+/// Largest number of sites in an advice.
 pub const MAX_CHOICES: usize = 3;
-/// Sites that are told apart at most: each placement looks at every one of them.
+/// Largest number of sites tracked: each placement looks at every one of them.
 pub const MAX_SITES: usize = 256;
-/// Turns that wait at once at most for a share of what sites may compute anew.
+/// Largest number of turns that wait for recomputation budget at once.
 pub const MAX_WAITING_TURNS: usize = 256;
-/// The weight of a site of which nothing was said.
-pub const DEFAULT_SITE_WEIGHT: u16 = 100;
+/// The weight of a site for which none was set.
+pub const DEFAULT_WEIGHT: u16 = 100;
 
-/// An activator, by the number that its members know.
+/// An activator, by its number in the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ActivatorId(pub u32);
 
-/// A site: hosts that share a cache. The number is the same at every activator, as a hash of its name is.
+/// A site: hosts that share a cache. The number is a hash of the site's name, and so is the same at every activator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SiteId(pub u32);
 
-/// What stands for one attempt of one turn, from [`crate::TurnRouter::attempt_sent`] to its end; the caller's own numbers.
+/// Identifies one attempt of one turn, from [`crate::TurnRouter::on_sent`] to its end; chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptToken(pub u64);
 
 /// A turn of a conversation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Turn {
-    /// The conversation, in the client's numbering.
+    /// The conversation, as numbered by the client.
     pub conversation: u64,
-    /// Whose it is: who tells falsehoods is told apart by it.
+    /// The tenant that sent the turn. Trust in reported hashes is kept per tenant.
     pub tenant: u32,
-    /// Hashes of ever longer prefixes, the longest last; each stands for one block more than the one before.
+    /// Hashes of prefixes of increasing length, the longest last. Each covers one block more than the one before.
     pub prefix: Vec<u64>,
     /// Blocks that the turn adds to its prefix.
     pub new_blocks: u16,
-    /// What an answer in time earns, against other turns; 1 for the usual.
+    /// Value of an answer in time, relative to other turns; 1 by default.
     pub worth: f64,
-    /// Time left until its answer is late.
+    /// Time left until the answer is late.
     pub time_left: Duration,
 }
 
-/// Why a line is no turn.
+/// Why the text of a turn cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnParseError {
-    /// It has not three parts, CONVERSATION;NEW;HASH,HASH,...
+    /// It does not have the three parts CONVERSATION;NEW;HASH,HASH,...
     Parts,
     /// The conversation is not 1 to 16 hex digits.
     Conversation,
-    /// The new blocks are no number from 0 to 65,535.
+    /// The number of new blocks is not a number from 0 to 65,535.
     NewBlocks,
     /// A hash is not 1 to 16 hex digits.
     Hash,
-    /// More hashes than [`MAX_PREFIX_HASHES`].
+    /// There are more hashes than [`MAX_HASHES`].
     TooLong,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Turn {
-    /// Reads CONVERSATION;NEW;HASH,HASH,... The list of hashes may be empty: a conversation's first turn.
+    /// Parses CONVERSATION;NEW;HASH,HASH,... The list of hashes is empty for a conversation's first turn.
     pub fn parse(text: &str) -> Result<(u64, u16, Vec<u64>), TurnParseError> {
         let mut parts = text.split(';').map(str::trim);
         let (Some(conversation), Some(new), Some(hashes), None) =
@@ -92,7 +92,7 @@
         if hashes.is_empty() {
             return Ok((conversation, new, Vec::new()));
         }
-        if hashes.bytes().filter(|b| *b == b',').count() >= MAX_PREFIX_HASHES {
+        if hashes.bytes().filter(|b| *b == b',').count() >= MAX_HASHES {
             return Err(TurnParseError::TooLong);
         }
         let prefix: Option<Vec<u64>> = hashes.split(',').map(|h| hex(h.trim())).collect();
@@ -100,88 +100,90 @@
     }
 }
 
-/// A site as it stands when a turn is placed. Sites that are not told are not there.
+/// The current state of a site, when a turn is placed. Sites that are not listed are unavailable.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteStatus {
-    /// Which.
+    /// The site.
     pub site: SiteId,
-    /// Turns that it runs at once without one waiting for another; above 0.
+    /// Turns that the site runs in parallel; above 0.
     pub capacity: f64,
-    /// Turns that it is known to hold now.
+    /// Turns known to be in flight there.
     pub in_flight: f64,
-    /// It is in another zone than the caller: what it is sent costs [`Settings::cross`] more.
-    pub other_zone: bool,
+    /// The site is in another zone than the activator: sending a turn there costs [`Settings::zone_cost`] more.
+    pub remote: bool,
 }
 
 /// Why a site is advised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It is believed to hold the conversation.
+    /// It is expected to hold the conversation's prefix.
     ConversationCached,
-    /// It is believed to hold what the conversation has in common with others.
+    /// It is expected to hold a prefix that the conversation has in common with others.
     PrefixCached,
-    /// Nothing that helps is believed to lie anywhere, or not where there is room: the least dear one.
+    /// No site with room is expected to hold anything that helps: this one has the lowest cost.
     Load,
-    /// What held it is gone: it is computed anew, within what this site may compute so.
+    /// The site that held the prefix is gone: this one recomputes it, within its recomputation budget.
     Recompute,
 }
 
 /// One advised site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// Which.
+    /// The site.
     pub site: SiteId,
-    /// Blocks that it is believed to hold.
+    /// Blocks of the prefix that it is expected to hold.
     pub expected_blocks: u16,
-    /// Why it stands here.
+    /// Why it is advised.
     pub reason: Reason,
 }
 
-/// What stands for a turn that waits for a share of what sites may compute anew.
+/// Identifies a turn that waits for recomputation budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaitingId(pub u64);
 
-/// What becomes of a turn now.
+/// What happens to a turn now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Decision {
-    /// It goes to one of the sites advised.
+    /// It is sent to one of the advised sites.
     #[default]
-    Dispatch,
-    /// What held it is lost, and sites may compute no more anew just now: it waits until [`crate::TurnRouter::release`]
-    /// names it, and no longer than until this time, which is [`Settings::hold`] of its time left at most.
+    Send,
+    /// Its cached prefix is lost and the recomputation budgets are exhausted. It waits until
+    /// [`crate::TurnRouter::release`] names it, at the latest until this time: [`Settings::max_wait_share`] of its
+    /// time left.
     Wait(WaitingId, Duration),
-    /// Sites may not compute it anew within its time: it is to be answered at once, and was not sent.
+    /// The budgets do not allow a recomputation in time: the caller answers the client at once, without sending the
+    /// turn.
     Reject,
 }
 
 /// Where a turn should go.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Advice {
-    /// Best first, at most [`MAX_CHOICES`]; empty where nothing is known of any site, and unless it goes now.
+    /// The sites, best first, at most [`MAX_CHOICES`]. Empty if no site is available or the turn is not sent now.
     pub choices: Vec<Choice>,
-    /// Whether it goes there now.
+    /// Whether the turn is sent now.
     pub decision: Decision,
 }
 
-/// What a fleet's turns are like. Everything that differs between installations.
+/// Settings that differ between installations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Time of one lane of a site for computing one block anew.
+    /// Time that one lane of a site takes to compute one block.
     pub block_cost: Duration,
-    /// What a call across zones costs, as time.
-    pub cross_zone_cost: Duration,
-    /// A site's load over the mean load above which it is not chosen for what it holds; 1.05 to 4.
-    pub load_bound: f64,
-    /// Bytes for what is believed of prefixes; 64 KiB to 4 GiB.
-    pub memory_bytes: usize,
-    /// Between two tellings to other activators; 50 ms to 60 s.
+    /// Cost of a call to another zone, as time.
+    pub zone_cost: Duration,
+    /// Largest load of a site, relative to its fair share, at which it is still chosen for what it holds; 1.05 to 4.
+    pub bound: f64,
+    /// Bytes for the tables of prefixes; 64 KiB to 4 GiB.
+    pub table_bytes: usize,
+    /// Time between two messages to other activators; 50 ms to 60 s.
     pub gossip_period: Duration,
-    /// Bytes told to all others together within a period.
+    /// Bytes sent to all other activators together within a period.
     pub gossip_bytes: usize,
-    /// Share of sites' capacity for computing anew what a lost site held, all activators together; 0 to 1. Lanes'
-    /// time that is left unused may be used for that besides.
+    /// Share of the sites' capacity that all activators together may spend on recomputing the prefixes of a lost
+    /// site; 0 to 1. Unused lane time may be spent on it in addition.
     pub recompute_share: f64,
-    /// Share of the time left that a turn may wait for that before it is given up; 0 to 0.9.
+    /// Share of its time left that a turn may wait for recomputation budget before it is rejected; 0 to 0.9.
     pub max_wait_share: f64,
 }
 
@@ -189,9 +191,9 @@
     fn default() -> Self {
         Self {
             block_cost: Duration::from_millis(5),
-            cross_zone_cost: Duration::from_millis(2),
-            load_bound: 1.2,
-            memory_bytes: 16 << 20,
+            zone_cost: Duration::from_millis(2),
+            bound: 1.2,
+            table_bytes: 16 << 20,
             gossip_period: Duration::from_millis(500),
             gossip_bytes: 9_600,
             recompute_share: 0.3,
@@ -200,7 +202,7 @@
     }
 }
 
-/// A setting that cannot be.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub &'static str);
 
@@ -213,7 +215,7 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// What is wrong with them.
+    /// Checks that every setting is within its range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let wrong = |wrong: bool, what| if wrong { Err(SettingsError(what)) } else { Ok(()) };
         let second = Duration::from_secs(1);
@@ -221,31 +223,25 @@
             self.block_cost.is_zero() || self.block_cost > 10 * second,
             "the price of a block is above 0 and up to 10 s",
         )?;
-        wrong(self.cross_zone_cost > 10 * second, "the price across zones is up to 10 s")?;
-        wrong(!(1.05..=4.0).contains(&self.load_bound), "the bound of load is 1.05 to 4 times the mean")?;
-        wrong(
-            !(64 << 10..=4 << 30).contains(&self.memory_bytes),
-            "the memory of prefixes is 64 KiB to 4 GiB",
-        )?;
+        wrong(self.zone_cost > 10 * second, "the price across zones is up to 10 s")?;
+        wrong(!(1.05..=4.0).contains(&self.bound), "the bound of load is 1.05 to 4 times the mean")?;
+        wrong(!(64 << 10..=4 << 30).contains(&self.table_bytes), "the table memory is 64 KiB to 4 GiB")?;
         let period = Duration::from_millis(50)..=60 * second;
         wrong(!period.contains(&self.gossip_period), "the period is 50 ms to 60 s")?;
-        wrong(
-            !(1_200..=1 << 20).contains(&self.gossip_bytes),
-            "bytes told within a period are 1,200 to 1 MiB",
-        )?;
+        wrong(!(1_200..=1 << 20).contains(&self.gossip_bytes), "bytes told per period are 1,200 to 1 MiB")?;
         wrong(!(0.0..=1.0).contains(&self.recompute_share), "the share for computing anew is 0 to 1")?;
         wrong(!(0.0..=0.9).contains(&self.max_wait_share), "the share of time for holding a turn is 0 to 0.9")
     }
 }
 
-/// What is to be done for the crate.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// One datagram to another activator; it may be lost, doubled, late, reordered.
+    /// Send one datagram to another activator. It may be lost, duplicated, delayed or reordered.
     Send {
-        /// To whom.
+        /// The receiver.
         to: ActivatorId,
-        /// At most 1,194 bytes.
+        /// The payload, at most 1,194 bytes.
         data: Vec<u8>,
     },
 }
--- a/crates/turns/src/view.rs
+++ b/crates/turns/src/view.rs
@@ -1,4 +1,4 @@
-//! What staff see.
+//! The view that operators see.
 
 use std::time::Duration;
 
@@ -8,93 +8,93 @@
 /// One site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteView {
-    /// Which.
+    /// The site.
     pub site: SiteId,
-    /// It is there, as far as was told.
+    /// Whether the site is available, as last reported.
     pub present: bool,
-    /// Its weight, 1 for the usual.
+    /// Its weight, 1 by default.
     pub weight: f64,
-    /// Blocks that it is believed to compute before it lets go of what it was sent.
+    /// Blocks that the site is expected to compute before it evicts a block.
     pub horizon: f64,
-    /// Load of all activators over the mean of the sites that are there, before weights.
+    /// Load from all activators relative to the mean of the available sites, not adjusted for weights.
     pub load: f64,
     /// Turns sent there by this activator.
     pub turns: u64,
-    /// Blocks that this activator may have computed anew there now, and how many more a second.
+    /// Blocks that this activator may have recomputed there now, and the refill rate in blocks per second.
     pub recompute_budget: (f64, f64),
-    /// Times that its cache was lost.
+    /// Number of times that its cache was lost.
     pub cache_losses: u16,
 }
 
-/// What this activator believes and has done.
+/// The state and the counters of this activator's router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
-    /// Every site met.
+    /// All known sites.
     pub sites: Vec<SiteView>,
-    /// Conversations and common prefixes known; those that made room for others.
+    /// Entries in the tables of conversations and of common prefixes.
     pub entries: (usize, usize),
-    /// Entries that made room for others.
+    /// Entries evicted from both tables.
     pub evicted: u64,
-    /// Bytes that the tables take.
+    /// Memory of the tables in bytes.
     pub bytes: usize,
-    /// Turns placed, and of these for what is held, for what is common, for load, and anew.
+    /// Turns placed: all, for a cached conversation, for a cached common prefix, for load, and to be recomputed.
     pub placed: [u64; 5],
-    /// Turns that were held back for the budget of computing anew, and those that were given up for it.
+    /// Turns that had to wait for recomputation budget.
     pub queued: u64,
-    /// See [`View::queued`].
+    /// Turns rejected for lack of recomputation budget.
     pub rejected: u64,
     /// Turns that wait now.
     pub waiting: usize,
-    /// Blocks asked for in answered turns that told of them, expected to be found, and found.
+    /// In answered turns whose hosts reported cache hits: blocks requested, expected to be cached, and found.
     pub blocks: [u64; 3],
-    /// Turns that found less than half of what was expected.
+    /// Turns that found less than half of the expected blocks.
     pub misses: u64,
-    /// Sites whose cache was found to be gone.
+    /// Number of times that a site's cache was found to be cleared.
     pub caches_found_empty: u64,
-    /// Tenants that are not wholly believed.
+    /// Tenants that are not fully trusted.
     pub distrusted_tenants: usize,
-    /// Activators that share the sites, this one among them.
+    /// Activators that share the sites, including this one.
     pub activators: usize,
-    /// Bytes told; datagrams heard, and those that could not be read.
+    /// Bytes sent, datagrams received, and datagrams that were not readable or not from a member.
     pub gossip: [u64; 3],
-    /// Attempts that are out.
-    pub open_attempts: usize,
+    /// Attempts in flight.
+    pub open: usize,
 }
 
 impl TurnRouter {
-    /// What is believed and was done so far.
+    /// The current state and the counters since the start.
     pub fn view(&self, now: Duration) -> View {
         let there: Vec<u16> =
-            (0..self.sites.all.len() as u16).filter(|i| self.sites.all[*i as usize].there).collect();
+            (0..self.sites.all.len() as u16).filter(|i| self.sites.all[*i as usize].present).collect();
         let mean = there.iter().map(|i| self.sites.load(now, *i)).sum::<f64>() / there.len().max(1) as f64;
         let site = |(i, s): (usize, &crate::sites::SiteState)| SiteView {
             site: s.site,
-            present: s.there,
+            present: s.present,
             weight: s.weight,
             horizon: s.horizon(),
             load: self.sites.load(now, i as u16) / mean.max(1e-9),
             turns: s.turns,
             recompute_budget: self.sites.budget(i as u16),
-            cache_losses: s.life,
+            cache_losses: s.epoch,
         };
         let (c, (tails, pushed), (commons, pushed_too)) =
-            (&self.counts, self.tails.counts(), self.commons.counts());
+            (&self.counts, self.conversations.counts(), self.common.counts());
         View {
             sites: self.sites.all.iter().enumerate().map(site).collect(),
             entries: (tails, commons),
             evicted: pushed + pushed_too,
-            bytes: self.tails.bytes() + self.commons.bytes(),
-            placed: [c.placed, c.for_held, c.for_common, c.for_load, c.for_recompute],
+            bytes: self.conversations.bytes() + self.common.bytes(),
+            placed: [c.placed, c.for_conversation, c.for_common_prefix, c.for_load, c.for_recompute],
             queued: c.queued,
             rejected: c.rejected,
-            waiting: self.recompute.waiting(),
-            blocks: [c.asked, c.expected, c.found],
+            waiting: self.queue.len(),
+            blocks: [c.requested, c.expected, c.found],
             misses: c.misses,
             caches_found_empty: c.caches_found_empty,
             distrusted_tenants: self.trust.distrusted(),
             activators: self.sites.activator_count.max(self.sites.activators()),
             gossip: [c.bytes_sent, c.received, c.unreadable],
-            open_attempts: self.open.len(),
+            open: self.open.len(),
         }
     }
 }
--- a/crates/turns/src/wire.rs
+++ b/crates/turns/src/wire.rs
@@ -1,65 +1,68 @@
-//! What activators tell each other of turns: loads they made, and where prefixes were sent lately.
+//! Messages between activators: loads per site, and where prefixes were sent recently.
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of one datagram: 1,200, less what says whose it is.
-pub(crate) const LONGEST: usize = 1_194;
-/// Placements that one datagram holds at most.
-const MOST: usize = 128;
-/// Of the form of what is told; forms not known are dropped.
-const FORM: u8 = 2;
-/// The form before, in which no turns are counted: it is read, and not told.
-const FORM_BEFORE: u8 = 1;
+/// Largest payload of a datagram: 1,200 bytes less the envelope that names the sender.
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_194;
+/// Largest number of placements in one datagram.
+const MAX_PLACEMENTS: usize = 128;
+/// Version of the message format; messages of unknown formats are dropped.
+const FORMAT: u8 = 2;
+/// The previous format, without turn counts: it is read, but no longer sent.
+const PREVIOUS_FORMAT: u8 = 1;
 
-/// That a prefix was sent to a site.
+/// A site's id, the sender's load there, and the turns that it sent there recently.
+pub(crate) type SiteLoad = (u32, f32, u16);
+
+/// A prefix was sent to a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Placed {
-    /// The hash, as bytes: it would take ten as a number.
+pub(crate) struct PlacementRecord {
+    /// The hash as bytes: as a postcard integer it could take ten.
     pub key: [u8; 8],
     pub conversation: u16,
-    /// The site's place in the datagram's list.
+    /// The site's index in the message's list of loads.
     pub site: u8,
     pub depth: u8,
-    pub extra: u16,
+    pub added: u16,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Told {
-    form: u8,
-    /// Of the teller's process, and the number of the telling.
-    pub life: u32,
-    pub number: u32,
-    /// All sites that are named, with the load that the teller made there, and the turns that it sent there lately.
-    pub loads: Vec<(u32, f32, u16)>,
-    pub placed: Vec<Placed>,
+pub(crate) struct Message {
+    format: u8,
+    /// Incarnation of the sending process, and the number of the message.
+    pub run_id: u32,
+    pub seq: u32,
+    /// The loads of every site that the message refers to.
+    pub loads: Vec<SiteLoad>,
+    pub placed: Vec<PlacementRecord>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct ToldBefore {
-    form: u8,
-    life: u32,
-    number: u32,
+struct PreviousMessage {
+    format: u8,
+    run_id: u32,
+    seq: u32,
     loads: Vec<(u32, f32)>,
-    placed: Vec<Placed>,
+    placed: Vec<PlacementRecord>,
 }
 
-impl Told {
-    pub fn new(life: u32, number: u32, loads: Vec<(u32, f32, u16)>) -> Self {
-        Self { form: FORM, life, number, loads, placed: Vec::new() }
+impl Message {
+    pub fn new(run_id: u32, seq: u32, loads: Vec<SiteLoad>) -> Self {
+        Self { format: FORMAT, run_id, seq, loads, placed: Vec::new() }
     }
 
-    /// The datagram, with as many of the placements as fit, first ones first; and how many those were.
-    pub fn encode(mut self, placed: &[Placed]) -> (Vec<u8>, usize) {
+    /// Encodes the message with as many placements as fit, in order, and returns their number as well.
+    pub fn encode(mut self, placed: &[PlacementRecord]) -> (Vec<u8>, usize) {
         self.loads.truncate(64);
-        let empty = postcard::to_stdvec(&self).map_or(LONGEST, |b| b.len());
-        let mut left = LONGEST.saturating_sub(empty + 1);
-        for p in placed.iter().take(MOST) {
-            // Fixed parts, and numbers of 1 to 3 bytes.
+        let empty = postcard::to_stdvec(&self).map_or(MAX_DATAGRAM_BYTES, |b| b.len());
+        let mut left = MAX_DATAGRAM_BYTES.saturating_sub(empty + 1);
+        for p in placed.iter().take(MAX_PLACEMENTS) {
+            // Fixed-size fields, and integers of 1 to 3 bytes.
             let size = 8
                 + 1
                 + 1
-                + short(p.conversation)
-                + short(p.extra)
+                + varint_bytes(p.conversation)
+                + varint_bytes(p.added)
                 + usize::from(p.depth > 127)
                 + usize::from(p.site > 127);
             if size > left {
@@ -72,27 +75,27 @@
         (postcard::to_stdvec(&self).unwrap_or_default(), taken)
     }
 
-    /// Reads one; none where it is no whole datagram of this form.
+    /// Decodes a message; `None` if the data is not exactly one message of a known format.
     pub fn decode(data: &[u8]) -> Option<Self> {
-        if data.len() > LONGEST {
+        if data.len() > MAX_DATAGRAM_BYTES {
             return None;
         }
-        let (told, rest) = match *data.first()? {
-            FORM => postcard::take_from_bytes::<Self>(data).ok()?,
-            FORM_BEFORE => {
-                let (t, rest) = postcard::take_from_bytes::<ToldBefore>(data).ok()?;
+        let (message, rest) = match *data.first()? {
+            FORMAT => postcard::take_from_bytes::<Self>(data).ok()?,
+            PREVIOUS_FORMAT => {
+                let (t, rest) = postcard::take_from_bytes::<PreviousMessage>(data).ok()?;
                 let loads = t.loads.into_iter().map(|(site, load)| (site, load, 0)).collect();
-                (Self { form: t.form, life: t.life, number: t.number, loads, placed: t.placed }, rest)
+                (Self { format: t.format, run_id: t.run_id, seq: t.seq, loads, placed: t.placed }, rest)
             }
             _ => return None,
         };
-        let fits = rest.is_empty() && told.placed.len() <= MOST && told.loads.len() <= 256;
-        fits.then_some(told)
+        let fits = rest.is_empty() && message.placed.len() <= MAX_PLACEMENTS && message.loads.len() <= 256;
+        fits.then_some(message)
     }
 }
 
-/// Bytes of a number on the way.
-fn short(n: u16) -> usize {
+/// Bytes of the integer in postcard's varint encoding.
+fn varint_bytes(n: u16) -> usize {
     match n {
         0..=127 => 1,
         128..=16_383 => 2,
--- a/crates/turns/tests/properties.rs
+++ b/crates/turns/tests/properties.rs
@@ -68,7 +68,7 @@
 
 /// Plays a history; all that came out.
 fn play(steps: &[Step], seed: u64) -> Result<Vec<String>, TestCaseError> {
-    let settings = Settings { memory_bytes: 64 << 10, ..Settings::default() };
+    let settings = Settings { table_bytes: 64 << 10, ..Settings::default() };
     let mut turns = TurnRouter::new(settings, ActivatorId(1), 7, seed, at(0.0)).unwrap();
     turns.set_members(at(0.0), [ActivatorId(2), ActivatorId(3)]);
     let (mut now, mut next, mut said) = (0.0, 0u64, Vec::new());
@@ -87,13 +87,13 @@
                         site: SiteId(*s),
                         capacity: 4.0,
                         in_flight: out(*s),
-                        other_zone: s % 2 == 1,
+                        remote: s % 2 == 1,
                     })
                     .collect();
                 let advice = turns.place(at(now), &turn, &sites);
                 prop_assert_eq!(
                     advice.choices.is_empty(),
-                    there.is_empty() || advice.decision != Decision::Dispatch
+                    there.is_empty() || advice.decision != Decision::Send
                 );
                 prop_assert!(advice.choices.len() <= MAX_CHOICES);
                 if let Decision::Wait(waiting, until) = advice.decision {
@@ -106,7 +106,7 @@
                 prop_assert!(advice
                     .choices
                     .iter()
-                    .all(|c| usize::from(c.expected_blocks) <= turn.prefix.len().min(MAX_PREFIX_HASHES)));
+                    .all(|c| usize::from(c.expected_blocks) <= turn.prefix.len().min(MAX_HASHES)));
                 // Weight 0: nothing while another is there.
                 let shut = |s: &u32| weights.get(s) == Some(&0);
                 if there.iter().any(|s| !shut(s) && out(*s) < 4.0) {
@@ -120,19 +120,19 @@
                 said.push(format!("{advice:?}"));
                 if let Some(first) = advice.choices.first() {
                     next += 1;
-                    turns.attempt_sent(at(now), AttemptToken(next), &turn, first.site);
+                    turns.on_sent(at(now), AttemptToken(next), &turn, first.site);
                     open.push((next, first.site.0));
                 }
             }
             Step::Answer { which, found } if !open.is_empty() => {
                 let (token, _) = open.remove(usize::from(*which) % open.len());
-                turns.attempt_answered(at(now), AttemptToken(token), *found, Duration::from_millis(30));
+                turns.on_answered(at(now), AttemptToken(token), *found, Duration::from_millis(30));
                 // Told twice, or of one that never was: nothing.
-                turns.attempt_answered(at(now), AttemptToken(token), *found, Duration::from_millis(30));
-                turns.attempt_failed(AttemptToken(token + 1_000_000));
+                turns.on_answered(at(now), AttemptToken(token), *found, Duration::from_millis(30));
+                turns.on_failed(AttemptToken(token + 1_000_000));
             }
             Step::Drop { which } if !open.is_empty() => {
-                turns.attempt_failed(AttemptToken(open.remove(usize::from(*which) % open.len()).0));
+                turns.on_failed(AttemptToken(open.remove(usize::from(*which) % open.len()).0));
             }
             Step::Answer { .. } | Step::Drop { .. } => {}
             Step::Lost(s) => {
@@ -154,12 +154,7 @@
                 turns.wake(at(now), &mut out);
                 let sites: Vec<SiteStatus> = there
                     .iter()
-                    .map(|s| SiteStatus {
-                        site: SiteId(*s),
-                        capacity: 4.0,
-                        in_flight: 0.0,
-                        other_zone: false,
-                    })
+                    .map(|s| SiteStatus { site: SiteId(*s), capacity: 4.0, in_flight: 0.0, remote: false })
                     .collect();
                 while let Some((waiting, advice)) = turns.release(at(now), &sites) {
                     prop_assert!(held.remove(&waiting).is_some(), "released and not held");
@@ -175,7 +170,7 @@
             }
         }
         let view = turns.view(at(now));
-        prop_assert!(view.bytes <= 64 << 10 && view.open_attempts == open.len());
+        prop_assert!(view.bytes <= 64 << 10 && view.open == open.len());
         prop_assert!(view.waiting == held.len() && held.len() <= MAX_WAITING_TURNS);
         prop_assert!(view.sites.iter().all(|s| s.load.is_finite() && s.horizon >= 7.9 && s.horizon <= 4.1e9));
     }
@@ -203,14 +198,14 @@
         let mut each: Vec<TurnRouter> =
             (1..=2).map(|i| TurnRouter::new(Settings::default(), ActivatorId(i), i, seed, at(0.0)).unwrap()).collect();
         let sites: Vec<SiteStatus> = (0..SITES)
-            .map(|s| SiteStatus { site: SiteId(s), capacity: 4.0, in_flight: 0.0, other_zone: false })
+            .map(|s| SiteStatus { site: SiteId(s), capacity: 4.0, in_flight: 0.0, remote: false })
             .collect();
         let one = turn(3, len, 2, false, false);
         for (i, (turns, site)) in each.iter_mut().zip([a, b]).enumerate() {
             turns.set_members(at(0.0), [ActivatorId(1), ActivatorId(2)]);
             turns.place(at(0.1), &turn(9, 4, 1, false, false), &sites);
-            turns.attempt_sent(at(0.1), AttemptToken(1), &one, SiteId(site));
-            turns.attempt_answered(at(0.2), AttemptToken(1), Some(if i == 0 { 0 } else { u32::from(len) }), Duration::from_millis(40));
+            turns.on_sent(at(0.1), AttemptToken(1), &one, SiteId(site));
+            turns.on_answered(at(0.2), AttemptToken(1), Some(if i == 0 { 0 } else { u32::from(len) }), Duration::from_millis(40));
         }
         for (from, to) in [(0, 1), (1, 0)] {
             let mut out = Vec::new();
@@ -231,7 +226,7 @@
 }
 
 fn sites(n: u32) -> Vec<SiteStatus> {
-    (0..n).map(|s| SiteStatus { site: SiteId(s), capacity: 4.0, in_flight: 0.0, other_zone: false }).collect()
+    (0..n).map(|s| SiteStatus { site: SiteId(s), capacity: 4.0, in_flight: 0.0, remote: false }).collect()
 }
 
 fn alone(settings: Settings) -> TurnRouter {
@@ -241,8 +236,8 @@
 /// Serves a turn where the advice says, with this count found; the site.
 fn serve(turns: &mut TurnRouter, now: f64, token: u64, turn: &Turn, n: u32, found: u32) -> SiteId {
     let site = turns.place(at(now), turn, &sites(n)).choices[0].site;
-    turns.attempt_sent(at(now), AttemptToken(token), turn, site);
-    turns.attempt_answered(at(now + 0.03), AttemptToken(token), Some(found), Duration::from_millis(30));
+    turns.on_sent(at(now), AttemptToken(token), turn, site);
+    turns.on_answered(at(now + 0.03), AttemptToken(token), Some(found), Duration::from_millis(30));
     site
 }
 
@@ -283,13 +278,13 @@
     let mut turns = alone(Settings::default());
     let home = serve(&mut turns, 1.0, 1, &turn(1, 10, 2, false, false), 4, 0);
     let (short, long) = (turn(1, 12, 2, false, false), turn(1, 14, 2, false, false));
-    turns.attempt_sent(at(2.0), AttemptToken(2), &long, home);
-    turns.attempt_sent(at(2.0), AttemptToken(3), &short, home);
-    turns.attempt_answered(at(2.1), AttemptToken(2), Some(12), Duration::from_millis(30));
-    turns.attempt_answered(at(2.2), AttemptToken(3), Some(12), Duration::from_millis(30));
-    turns.attempt_sent(at(2.3), AttemptToken(4), &short, home);
-    turns.attempt_sent(at(2.3), AttemptToken(4), &short, home);
-    turns.attempt_answered(at(2.4), AttemptToken(4), Some(12), Duration::from_millis(30));
+    turns.on_sent(at(2.0), AttemptToken(2), &long, home);
+    turns.on_sent(at(2.0), AttemptToken(3), &short, home);
+    turns.on_answered(at(2.1), AttemptToken(2), Some(12), Duration::from_millis(30));
+    turns.on_answered(at(2.2), AttemptToken(3), Some(12), Duration::from_millis(30));
+    turns.on_sent(at(2.3), AttemptToken(4), &short, home);
+    turns.on_sent(at(2.3), AttemptToken(4), &short, home);
+    turns.on_answered(at(2.4), AttemptToken(4), Some(12), Duration::from_millis(30));
     let choice = turns.place(at(3.0), &turn(1, 16, 1, false, false), &sites(4)).choices[0];
     assert_eq!((choice.site, choice.expected_blocks), (home, 16));
     assert_eq!(turns.view(at(3.0)).misses, 0);
@@ -299,13 +294,8 @@
 fn with_a_lost_site(settings: Settings) -> TurnRouter {
     let mut turns = alone(settings);
     for i in 0..240u64 {
-        turns.attempt_sent(at(1.0 + i as f64 * 0.01), AttemptToken(i), &of_lost(i), SiteId(0));
-        turns.attempt_answered(
-            at(1.1 + i as f64 * 0.01),
-            AttemptToken(i),
-            Some(0),
-            Duration::from_millis(30),
-        );
+        turns.on_sent(at(1.0 + i as f64 * 0.01), AttemptToken(i), &of_lost(i), SiteId(0));
+        turns.on_answered(at(1.1 + i as f64 * 0.01), AttemptToken(i), Some(0), Duration::from_millis(30));
     }
     turns.site_lost(SiteId(0));
     turns
@@ -334,14 +324,14 @@
         assert_ne!(choices[0].site, SiteId(0));
         next += 1;
         blocks += of_lost(i).prefix.len();
-        turns.attempt_sent(now, AttemptToken(next), &of_lost(i), choices[0].site);
+        turns.on_sent(now, AttemptToken(next), &of_lost(i), choices[0].site);
     };
     for step in 0..400u64 {
         let now = at(10.0 + step as f64 * 0.001);
         if step < 240 {
             let advice = turns.place(now, &of_lost(step), &full());
             match advice.decision {
-                Decision::Dispatch => {
+                Decision::Send => {
                     of.entry(step % 5).or_default().0 += 1;
                     go(&mut turns, now, step, &advice.choices);
                 }
@@ -353,7 +343,7 @@
             let (i, until) = waiting.remove(&id).expect("it waits");
             assert!(now <= until + Duration::from_millis(1), "released at {now:?}, its time was {until:?}");
             match advice.decision {
-                Decision::Dispatch => {
+                Decision::Send => {
                     of.entry(i % 5).or_default().0 += 1;
                     go(&mut turns, now, i, &advice.choices);
                 }
@@ -383,7 +373,7 @@
     (0..50)
         .for_each(|i| drop(turns.place(at(4.0 + f64::from(i) * 0.1), &turn(250, 0, 1, false, false), &rest)));
     let advice = turns.place(at(10.0), &of_lost(4), &rest);
-    assert_eq!(advice.decision, if goes { Decision::Dispatch } else { Decision::Reject });
+    assert_eq!(advice.decision, if goes { Decision::Send } else { Decision::Reject });
 }
 
 /// Nothing waits for what cannot come: without a budget and without a time to wait it is given up at once. And a turn that was
@@ -398,7 +388,7 @@
     };
     turns.place(at(9.5), &turn(251, 0, 1, false, false), &full());
     let before = budget(&turns);
-    assert_eq!(turns.place(at(9.5), &of_lost(4), &full()).decision, Decision::Dispatch);
+    assert_eq!(turns.place(at(9.5), &of_lost(4), &full()).decision, Decision::Send);
     assert_eq!(budget(&turns), before - 60.0);
     turns.cancel_grant(&of_lost(4));
     turns.cancel_grant(&of_lost(4));
@@ -448,9 +438,9 @@
             t.prefix = (0..6).map(|k| mix(999, k)).chain((0..4).map(|k| mix(i + 50, k))).collect();
             let now = i as f64 * every;
             let site = turns.place(at(now), &t, &sites(6)).choices[0].site;
-            turns.attempt_sent(at(now), AttemptToken(i), &t, site);
+            turns.on_sent(at(now), AttemptToken(i), &t, site);
             let found = if at_sites.insert(site) { 0 } else { 6 };
-            turns.attempt_answered(at(now + 0.05), AttemptToken(i), Some(found), Duration::from_millis(50));
+            turns.on_answered(at(now + 0.05), AttemptToken(i), Some(found), Duration::from_millis(50));
         }
         at_sites.len()
     };
--- a/crates/turns/tests/sim/mod.rs
+++ b/crates/turns/tests/sim/mod.rs
@@ -134,7 +134,7 @@
             loss: 0.02,
             moves: 0.2,
             weights: Vec::new(),
-            settings: Settings { memory_bytes: 4 << 20, ..Settings::default() },
+            settings: Settings { table_bytes: 4 << 20, ..Settings::default() },
         }
     }
 }
@@ -338,14 +338,9 @@
                 self.out[by][site] -= 1.0;
                 let begun = Instant::now();
                 if life == self.lives[site] {
-                    self.each[by].attempt_answered(
-                        at(now),
-                        AttemptToken(token),
-                        Some(found as u32),
-                        at(took),
-                    );
+                    self.each[by].on_answered(at(now), AttemptToken(token), Some(found as u32), at(took));
                 } else {
-                    self.each[by].attempt_failed(AttemptToken(token));
+                    self.each[by].on_failed(AttemptToken(token));
                 }
                 self.spent += begun.elapsed();
             }
@@ -386,7 +381,7 @@
             Due::Count => {
                 let weight = |site: usize| {
                     let own = self.day.weights.iter().find(|(s, _)| *s == site);
-                    own.map_or(1.0, |(_, w)| f64::from(*w) / f64::from(DEFAULT_SITE_WEIGHT))
+                    own.map_or(1.0, |(_, w)| f64::from(*w) / f64::from(DEFAULT_WEIGHT))
                 };
                 let there: Vec<usize> = (0..self.sites.len()).filter(|i| self.sites[*i].there).collect();
                 let unit = self.counts.iter().sum::<f64>() / there.iter().map(|i| weight(*i)).sum::<f64>();
@@ -419,7 +414,7 @@
     fn turn(&mut self, now: f64, mut talk: Talk) {
         let new: Vec<u64> =
             (0..self.rng.u64(1..=4)).map(|i| mix(talk.number, talk.prefix.len() as u64 + i)).collect();
-        if talk.prefix.len() + new.len() > MAX_PREFIX_HASHES {
+        if talk.prefix.len() + new.len() > MAX_HASHES {
             return;
         }
         if self.rng.f64() < self.day.moves {
@@ -444,7 +439,7 @@
             site: SiteId(i as u32),
             capacity: self.day.lanes as f64,
             in_flight: self.out[by][i],
-            other_zone: false,
+            remote: false,
         };
         there.map(now).collect()
     }
@@ -459,7 +454,7 @@
             let (talk, turn, new, began) = *self.held[by].remove(&waiting).expect("it waits");
             assert!(now <= began + AIM * 0.3 + 1e-6, "held beyond its time");
             match advice.decision {
-                Decision::Dispatch => {
+                Decision::Send => {
                     let site = advice.choices[0].site.0 as usize;
                     self.send(now, talk, turn, new, began, by, site);
                 }
@@ -492,7 +487,7 @@
                 let advice = self.each[by].place(at(now), &turn, &sites);
                 self.spent += begun.elapsed();
                 match advice.decision {
-                    Decision::Dispatch => {}
+                    Decision::Send => {}
                     Decision::Reject => return self.give_up(now, talk),
                     Decision::Wait(waiting, until) => {
                         self.result.held_back += 1;
@@ -519,8 +514,7 @@
                     let s = &self.sites[*i];
                     let wait = s.lanes.iter().fold(f64::MAX, |a, l| a.min(*l)) - now;
                     let work = BLOCK * (turn.prefix.len() - s.holds(&turn.prefix)) as f64;
-                    let over =
-                        self.load(now, *i) + work + BASE > self.day.settings.load_bound * mean.max(0.05);
+                    let over = self.load(now, *i) + work + BASE > self.day.settings.bound * mean.max(0.05);
                     (over, wait.max(0.0) + work + self.load(now, *i) / mean.max(0.05) * BASE)
                 };
                 let pick = |a: &&usize, b: &&usize| {
@@ -539,7 +533,7 @@
         let token = self.next;
         if self.day.way == Way::Turns {
             let begun = Instant::now();
-            self.each[by].attempt_sent(at(now), AttemptToken(token), &turn, SiteId(site as u32));
+            self.each[by].on_sent(at(now), AttemptToken(token), &turn, SiteId(site as u32));
             self.spent += begun.elapsed();
         }
         self.out[by][site] += 1.0;
--- a/node/src/config/turns.rs
+++ b/node/src/config/turns.rs
@@ -89,9 +89,9 @@
     pub fn settings(&self) -> Settings {
         Settings {
             block_cost: Duration::from_micros(self.block_us),
-            cross_zone_cost: Duration::from_micros(self.cross_us),
-            load_bound: self.bound,
-            memory_bytes: self.memory_mb << 20,
+            zone_cost: Duration::from_micros(self.cross_us),
+            bound: self.bound,
+            table_bytes: self.memory_mb << 20,
             gossip_period: Duration::from_millis(self.period_ms),
             gossip_bytes: self.told_bytes,
             recompute_share: self.anew,
--- a/node/src/ipc/more/tests.rs
+++ b/node/src/ipc/more/tests.rs
@@ -98,7 +98,7 @@
 fn the_longest_is_within_its_bound() {
     let name = "z".repeat(LONGEST_NAME);
     let given = Given {
-        turn: Some((u64::MAX, u16::MAX, vec![u64::MAX; wheellink_turns::MAX_PREFIX_HASHES])),
+        turn: Some((u64::MAX, u16::MAX, vec![u64::MAX; wheellink_turns::MAX_HASHES])),
         draft: Some(Draft { drafter: 255, length: 8 }),
         places: vec![Place::Host(name.clone()), Place::Zone(name.clone()), Place::Host(name)],
     };
--- a/node/src/node/together.rs
+++ b/node/src/node/together.rs
@@ -45,7 +45,7 @@
     fn weigh_sites(&mut self, sites: BTreeMap<String, u32>) {
         let before = std::mem::replace(&mut self.weighed, sites.clone());
         for label in before.keys().filter(|label| !sites.contains_key(*label)) {
-            self.weigh_site(label, wheellink_turns::DEFAULT_SITE_WEIGHT);
+            self.weigh_site(label, wheellink_turns::DEFAULT_WEIGHT);
         }
         sites.iter().for_each(|(label, weight)| self.weigh_site(label, *weight as u16));
     }
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -10,7 +10,7 @@
 use wheellink::{Condition, Loaded};
 use wheellink_turns::{
     ActivatorId, Advice, AttemptToken, Decision, Output, SiteId, SiteStatus, TurnRouter, WaitingId,
-    DEFAULT_SITE_WEIGHT,
+    DEFAULT_WEIGHT,
 };
 
 use super::*;
@@ -135,7 +135,7 @@
             self.labels.retain(|site, _| used.contains(site));
         }
         if !self.labels.contains_key(&site) {
-            let weight = self.weights.get(&label).copied().unwrap_or(DEFAULT_SITE_WEIGHT);
+            let weight = self.weights.get(&label).copied().unwrap_or(DEFAULT_WEIGHT);
             self.turns.set_site_weight(self.origin.elapsed(), site, weight);
             self.labels.insert(site, (label, spot));
         }
@@ -181,12 +181,12 @@
     fn sum(&mut self) {
         self.sums.clear();
         for (id, p) in self.hosts.iter().filter(|(_, p)| p.up) {
-            let fresh = SiteStatus { site: p.site, capacity: 0.0, in_flight: 0.0, other_zone: true };
+            let fresh = SiteStatus { site: p.site, capacity: 0.0, in_flight: 0.0, remote: true };
             let sum = self.sums.entry(p.site).or_insert_with(|| Sum { now: fresh, hosts: Vec::new() });
             sum.hosts.push(id.clone());
             sum.now.capacity += p.size * f64::from(self.setup.lanes);
             sum.now.in_flight += f64::from(p.in_flight);
-            sum.now.other_zone &= p.zone != self.zone && self.zone != u32::MAX;
+            sum.now.remote &= p.zone != self.zone && self.zone != u32::MAX;
         }
         self.resident.clear();
     }
@@ -244,7 +244,7 @@
         self.attempts.insert(attempt, (host.clone(), now));
         let at = self.now();
         if let Some(call) = self.calls.get(&attempt.ticket) {
-            self.turns.attempt_sent(at, token(attempt), &call.turn, site);
+            self.turns.on_sent(at, token(attempt), &call.turn, site);
         }
     }
 
@@ -258,14 +258,14 @@
             });
         }
         if end.outcome != Outcome::Done {
-            return self.turns.attempt_failed(token(attempt));
+            return self.turns.on_failed(token(attempt));
         }
         let found = fields.iter().find(|(name, _)| name == "found").and_then(|(_, n)| n.parse::<u32>().ok());
         if let Some(call) = self.calls.get_mut(&attempt.ticket) {
             call.found = found.map(|n| n.min(call.turn.prefix.len() as u32));
         }
         let took = Duration::from_micros((now - since).max(0) as u64);
-        self.turns.attempt_answered(self.now(), token(attempt), found, took);
+        self.turns.on_answered(self.now(), token(attempt), found, took);
     }
 
     fn weigh(&mut self, label: &str, weight: u16) {
@@ -296,7 +296,7 @@
             "placed": {"all": placed, "held": held, "common": common, "load": load, "anew": anew},
             "held_back": {"so_far": view.queued, "now": self.parked.len(), "given_up": view.rejected},
             "blocks": {"asked": asked, "expected": expected, "found": found}, "misses": view.misses,
-            "emptied": view.caches_found_empty, "doubted_tenants": view.distrusted_tenants, "open": view.open_attempts,
+            "emptied": view.caches_found_empty, "doubted_tenants": view.distrusted_tenants, "open": view.open,
             "told": {"bytes": told, "heard": heard, "unread": unread}})
     }
 }
@@ -399,7 +399,7 @@
         let at = t.now();
         let advice = t.turns.place(at, &turn, &sites);
         match advice.decision {
-            Decision::Dispatch => Some((origin, self.advised(now, incoming, turn, &advice))),
+            Decision::Send => Some((origin, self.advised(now, incoming, turn, &advice))),
             Decision::Wait(waiting, _) => {
                 t.parked.insert(waiting, Parked { since: now, conn, origin, incoming, turn });
                 // It may have pushed out another, which is answered now.
