--- a/crates/turns/src/feedback.rs
+++ b/crates/turns/src/feedback.rs
@@ -130,9 +130,7 @@
         }
         let mut deepest = is_new;
         for key in turn.prefix.iter().take(MAX_HASHES).rev() {
-            let Some(uses_updated_at) = self.common.get(*key).map(|e| e.uses_updated_at) else {
-                continue;
-            };
+            let Some(uses_updated_at) = self.common.get(*key).map(|e| e.uses_updated_at) else { continue };
             let decay = self.use_decay(fleet_clock.wrapping_sub(uses_updated_at));
             let entry = self.common.touch(*key);
             entry.add_holder(index, clock, epoch);
@@ -267,7 +265,7 @@
             return;
         };
         self.counts.received += 1;
-        self.sites.set_loads(now, from, (message.run_id, message.seq), &message.loads);
+        self.sites.on_loads(now, from, (message.run_id, message.seq), &message.loads);
         for p in &message.placed {
             let site = message.loads.get(p.site as usize).and_then(|(s, ..)| self.sites.index(SiteId(*s)));
             let Some(index) = site.filter(|s| self.sites.all[*s as usize].present) else { continue };
--- a/crates/turns/src/recompute.rs
+++ b/crates/turns/src/recompute.rs
@@ -126,7 +126,7 @@
         if ahead && self.is_admitted(rank_fraction, candidates) {
             return Decision::Send;
         }
-        let deadline = now + turn.time_left.mul_f64(self.settings.max_wait_share);
+        let deadline = now + turn.time_left.mul_f64(self.settings.wait_share);
         if deadline <= now || !self.fits_by(now, deadline, value, candidates) {
             return Decision::Reject;
         }
@@ -224,13 +224,12 @@
             self.counts.rejected += 1;
             return Some((waiting, rejection));
         }
-        let refill_wait = |(_, p): &Candidate| {
+        let wait = |(_, p): &Candidate| {
             let (budget, rate) = self.sites.budget(*p);
             Duration::try_from_secs_f64((-budget).max(0.0) / rate.max(1e-9)).ok()
         };
-        let refill_wait =
-            candidates.iter().filter_map(refill_wait).min().unwrap_or(Duration::MAX).max(MIN_CHECK_INTERVAL);
-        self.queue.next_check = now.saturating_add(refill_wait);
+        let wait = candidates.iter().filter_map(wait).min().unwrap_or(Duration::MAX).max(MIN_CHECK_INTERVAL);
+        self.queue.next_check = now.saturating_add(wait);
         None
     }
 
--- a/crates/turns/src/recompute/tests.rs
+++ b/crates/turns/src/recompute/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `anew` that need its private state.
+//! Tests of `recompute` that need its private state.
 
 use super::*;
 
 #[test]
-fn grants_are_bounded_and_end() {
+fn grants_are_bounded_and_expire() {
     let mut turns = TurnRouter::new(Settings::default(), ActivatorId(1), 1, 1, Duration::ZERO).unwrap();
     let place = turns.sites.get_or_insert(Duration::ZERO, SiteId(1)).unwrap();
     let turn = |i: u64| Turn {
@@ -18,7 +18,7 @@
         turns.grant(Duration::from_millis(i), &turn(i), place, 1.0);
     }
     assert_eq!((turns.queue.grants.len(), turns.queue.grant_order.len()), (MAX_GRANTS, MAX_GRANTS));
-    // The same one over and over is one, and an old one of it does not end the newer.
+    // Repeated grants of the same turn count once, and the expiry of an old one does not remove the newer one.
     for i in 0..3 * MAX_GRANTS as u64 {
         turns.grant(Duration::from_secs(100) + Duration::from_millis(i), &turn(7), place, 1.0);
     }
--- a/crates/turns/src/sites.rs
+++ b/crates/turns/src/sites.rs
@@ -345,13 +345,7 @@
     }
 
     /// Records the loads reported by another activator. An older report of the same run_id is ignored.
-    pub fn set_loads(
-        &mut self,
-        now: Duration,
-        from: ActivatorId,
-        (run, seq): (u32, u32),
-        loads: &[SiteLoad],
-    ) {
+    pub fn on_loads(&mut self, now: Duration, from: ActivatorId, (run, seq): (u32, u32), loads: &[SiteLoad]) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&from) {
             return;
         }
@@ -413,7 +407,7 @@
     }
 
     /// Refills the site's recomputation budget for the time since the last refill.
-    fn refill_budget(&mut self, now: Duration, site: u16, in_flight: f64, settings: &Settings) {
+    fn refill_budget(&mut self, now: Duration, site: u16, in_flight: f64, conf: &Settings) {
         let parts = self.budget_shares();
         let s = &mut self.all[site as usize];
         let past = now.saturating_sub(s.budget_updated_at).as_secs_f64();
@@ -426,8 +420,7 @@
         // This needs no messages, and activators that are partitioned from each other do not spend the same lane time
         // twice.
         let spare = MAX_SPARE_UTILIZATION * s.capacity - busy * parts;
-        s.rate =
-            (settings.recompute_share * s.capacity).max(spare) / settings.block_cost.as_secs_f64() / parts;
+        s.rate = (conf.recompute_share * s.capacity).max(spare) / conf.block_cost.as_secs_f64() / parts;
         s.budget = (s.budget + past * s.rate).min(s.rate * BUDGET_BURST_SECS);
     }
 
--- a/crates/turns/src/sites/tests.rs
+++ b/crates/turns/src/sites/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 #[test]
-fn a_horizon_is_learnt_whatever_it_is_and_follows_when_it_changes() {
+fn the_horizon_is_learned_and_follows_changes() {
     for seed in 0..8 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut s = SiteState::new(SiteId(1), Duration::ZERO);
         s.clock = 10_000_000;
         for horizon in [3_000.0, 200.0, 50_000.0, 900.0] {
             for _ in 0..1_500 {
-                // Ages as a router has them: mostly of what it holds for likely there.
+                // Ages as in a router: mostly of blocks that the site probably still holds.
                 let age = s.horizon() * 4.0 * rng.f64().powi(2);
                 s.learn(s.clock - age as u32, f64::from(u8::from(age < horizon)), 1.0);
             }
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_site_back_has_the_others_load_and_what_it_held_is_void() {
+fn a_returned_site_gets_the_others_load_and_an_empty_cache() {
     let (mut sites, now) = (Sites::default(), Duration::from_secs(1));
     let settings = Settings::default();
     let of = |i: u32| SiteStatus { site: SiteId(i), capacity: 4.0, in_flight: 0.0, remote: false };
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn sites_and_members_are_bounded() {
+fn sites_and_peers_are_bounded() {
     let (mut sites, now) = (Sites::default(), Duration::ZERO);
     let met = (0..1_000).filter(|i| sites.get_or_insert(now, SiteId(*i)).is_some()).count();
     assert_eq!((met, sites.all.len()), (MAX_SITES, MAX_SITES));
@@ -51,12 +51,12 @@
     assert!(sites.get_or_insert(now, SiteId(5_000)).is_some() && sites.index(SiteId(7)).is_none());
     assert!(sites.get_or_insert(now, SiteId(5_001)).is_none());
     for i in 0..3_000 {
-        sites.set_loads(now, ActivatorId(i), (1, 1), &[(3, f32::NAN, 7), (4, 2.0, 1)]);
+        sites.on_loads(now, ActivatorId(i), (1, 1), &[(3, f32::NAN, 7), (4, 2.0, 1)]);
     }
     assert_eq!((sites.peers.len(), sites.load(now, 3)), (MAX_PEERS, 0.0));
     assert_eq!(sites.load(now, 4), 2.0 * MAX_PEERS as f64);
-    // Older word, and doubled word, changes nothing.
-    sites.set_loads(now, ActivatorId(1), (1, 1), &[(4, 50.0, 9)]);
+    // Older and repeated reports change nothing.
+    sites.on_loads(now, ActivatorId(1), (1, 1), &[(4, 50.0, 9)]);
     assert_eq!(sites.load(now, 4), 2.0 * MAX_PEERS as f64);
     assert_eq!((sites.count(3), sites.count(4)), (7.0 * MAX_PEERS as f64, MAX_PEERS as f64));
     sites.expire_peers(now, Duration::from_secs(1), &[ActivatorId(1)]);
--- a/crates/turns/src/sketch/tests.rs
+++ b/crates/turns/src/sketch/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_came_often_is_told_from_what_came_once() {
+fn frequent_keys_are_distinguished_from_unique_ones() {
     let (mut sketch, mut rng) = (Sketch::new(), fastrand::Rng::with_seed(7));
     let mut twice = 0;
     for i in 0..100_000 {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn conversations_are_counted_once_each_and_forgotten() {
+fn conversations_are_counted_once_each_and_expire() {
     let mut talks = ConversationCounter::new(Duration::ZERO);
     for i in 0..2_000u64 {
         talks.count(Duration::from_millis(i), (i % 300).wrapping_mul(0xD6E8_FEB8_6659_FD93));
--- a/crates/turns/src/table/tests.rs
+++ b/crates/turns/src/table/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn ten_million_conversations_take_no_more_than_the_table_and_the_newest_stay() {
+fn ten_million_conversations_stay_within_the_table_and_the_newest_are_kept() {
     let mut table = Table::<2>::new(1 << 20);
     let bytes = table.bytes();
     for i in 1..=10_000_000u64 {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_one_touched_longest_ago_makes_room() {
+fn the_least_recently_used_entry_is_evicted() {
     let mut table = Table::<2>::new(0);
     (1..=WAYS as u64).for_each(|k| table.touch(k).depth = k as u16);
     table.touch(1);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_holder_told_longest_ago_makes_room_over_the_turn_of_the_count() {
+fn the_oldest_holder_is_replaced_even_when_the_clock_wraps() {
     let mut entry = Entry::<2>::EMPTY;
     entry.add_holder(1, u32::MAX - 5, 0);
     entry.add_holder(2, 3, 0);
--- a/crates/turns/src/trust/tests.rs
+++ b/crates/turns/src/trust/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_liar_is_not_believed_and_all_together_are_no_liars() {
+fn a_lying_tenant_is_distrusted_but_not_all_tenants_at_once() {
     let mut trust = TenantTrust::new();
     for _ in 0..60 {
         trust.record_found(1, 0.0);
@@ -12,7 +12,7 @@
     assert_eq!((trust.get(1), trust.get(2), trust.distrusted()), (0.0, 1.0, 1));
     (0..40).for_each(|_| trust.record_found(1, 1.0));
     assert_eq!(trust.get(1), 1.0);
-    // A fleet that finds 4 in 10 everywhere: nobody is doubted for it.
+    // When all tenants find 4 in 10 blocks, none is distrusted for it.
     let mut trust = TenantTrust::new();
     (0..4_000).for_each(|i| trust.record_found(i % 50, 0.4));
     assert!((0..50).all(|tenant| trust.get(tenant) > 0.9));
--- a/crates/turns/src/types.rs
+++ b/crates/turns/src/types.rs
@@ -148,7 +148,7 @@
     #[default]
     Send,
     /// Its cached prefix is lost and the recomputation budgets are exhausted. It waits until
-    /// [`crate::TurnRouter::release`] names it, at the latest until this time: [`Settings::max_wait_share`] of its
+    /// [`crate::TurnRouter::release`] names it, at the latest until this time: [`Settings::wait_share`] of its
     /// time left.
     Wait(WaitingId, Duration),
     /// The budgets do not allow a recomputation in time: the caller answers the client at once, without sending the
@@ -184,7 +184,7 @@
     /// site; 0 to 1. Unused lane time may be spent on it in addition.
     pub recompute_share: f64,
     /// Share of its time left that a turn may wait for recomputation budget before it is rejected; 0 to 0.9.
-    pub max_wait_share: f64,
+    pub wait_share: f64,
 }
 
 impl Default for Settings {
@@ -197,7 +197,7 @@
             gossip_period: Duration::from_millis(500),
             gossip_bytes: 9_600,
             recompute_share: 0.3,
-            max_wait_share: 0.3,
+            wait_share: 0.3,
         }
     }
 }
@@ -230,7 +230,7 @@
         wrong(!period.contains(&self.gossip_period), "the period is 50 ms to 60 s")?;
         wrong(!(1_200..=1 << 20).contains(&self.gossip_bytes), "bytes told per period are 1,200 to 1 MiB")?;
         wrong(!(0.0..=1.0).contains(&self.recompute_share), "the share for computing anew is 0 to 1")?;
-        wrong(!(0.0..=0.9).contains(&self.max_wait_share), "the share of time for holding a turn is 0 to 0.9")
+        wrong(!(0.0..=0.9).contains(&self.wait_share), "the share of time for holding a turn is 0 to 0.9")
     }
 }
 
--- a/crates/turns/src/view.rs
+++ b/crates/turns/src/view.rs
@@ -21,7 +21,7 @@
     /// Turns sent there by this activator.
     pub turns: u64,
     /// Blocks that this activator may have recomputed there now, and the refill rate in blocks per second.
-    pub recompute_budget: (f64, f64),
+    pub budget: (f64, f64),
     /// Number of times that its cache was lost.
     pub cache_losses: u16,
 }
@@ -74,7 +74,7 @@
             horizon: s.horizon(),
             load: self.sites.load(now, i as u16) / mean.max(1e-9),
             turns: s.turns,
-            recompute_budget: self.sites.budget(i as u16),
+            budget: self.sites.budget(i as u16),
             cache_losses: s.epoch,
         };
         let (c, (tails, pushed), (commons, pushed_too)) =
--- a/crates/turns/src/wire/tests.rs
+++ b/crates/turns/src/wire/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_datagram_never_is_too_long_and_comes_back_as_it_was() {
+fn a_message_fits_a_datagram_and_decodes_to_the_same() {
     let mut rng = fastrand::Rng::with_seed(3);
     for round in 0..200 {
         let loads = (0..rng.usize(..300)).map(|_| (rng.u32(..), rng.f32() * 1e6, rng.u16(..))).collect();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_form_before_is_read_as_if_no_turns_were_counted() {
+fn the_previous_format_is_read_with_zero_turn_counts() {
     let placed = PlacementRecord { key: [7; 8], conversation: 3, site: 0, depth: 5, added: 2 };
     let before = PreviousMessage {
         format: PREVIOUS_FORMAT,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn noise_is_no_datagram() {
+fn random_bytes_never_decode_beyond_the_bounds() {
     let mut rng = fastrand::Rng::with_seed(4);
     for _ in 0..20_000 {
         let noise: Vec<u8> = (0..rng.usize(..1_300)).map(|_| rng.u8(..)).collect();
--- a/crates/turns/tests/measure.rs
+++ b/crates/turns/tests/measure.rs
@@ -1,4 +1,4 @@
-//! `make measure WHAT=turns`: one figure a line.
+//! `make measure WHAT=turns`: prints one figure per line.
 
 mod sim;
 
@@ -7,8 +7,9 @@
 #[test]
 #[ignore = "a measurement, of minutes"]
 fn turns() {
-    let days = 3;
-    // `full` is as full as sites bear that lose one of twelve, and `over` fuller than that. The last ones have few calls.
+    let seeds = 3;
+    // `full` is the highest load at which the sites bear the loss of one in twelve, and `over` is above it. The last
+    // ones have few calls.
     let lost = Some((150.0, 210.0));
     let half = || vec![(0, 50)];
     let kinds = [
@@ -22,37 +23,41 @@
         ("few", 12.0, lost, half()),
     ];
     for (name, rate, lost, weights) in kinds {
-        let mut sees_all = 0.0;
-        for way in [Way::SeesAll, Way::Turns, Way::LeastLoaded, Way::Hashing] {
-            let mut sum = Result::default();
+        let mut oracle_found = 0.0;
+        for policy in [Policy::Oracle, Policy::Router, Policy::LeastLoaded, Policy::Hashing] {
+            let mut sum = Metrics::default();
             let (mut load, mut spent, mut calls) = (0.0f64, 0.0, 0);
-            for seed in 0..days {
-                let (r, fleet) =
-                    Fleet::new(Day { lost, rate, weights: weights.clone(), ..Day::new(4711 + seed, way) })
-                        .play();
-                let n = days as f64;
+            for seed in 0..seeds {
+                let (r, fleet) = Fleet::new(Config {
+                    lost,
+                    rate,
+                    weights: weights.clone(),
+                    ..Config::new(4711 + seed, policy)
+                })
+                .play();
+                let n = seeds as f64;
                 sum.found += r.found / n;
                 sum.late += r.late / n;
-                sum.late_after += r.late_after / n;
-                sum.flood += r.flood / n;
+                sum.after_loss += r.after_loss / n;
+                sum.after_return += r.after_return / n;
                 sum.load_30s = sum.load_30s.max(r.load_30s);
                 load = load.max(r.load);
                 sum.told_bytes_s += r.told_bytes_s / n;
                 sum.misses += r.misses;
-                sum.held_back += r.held_back;
-                sum.given_up += r.given_up;
+                sum.queued += r.queued;
+                sum.rejected += r.rejected;
                 sum.calls_10s = sum.calls_10s.max(r.calls_10s);
                 sum.calls_10s_less_one = sum.calls_10s_less_one.max(r.calls_10s_less_one);
                 sum.calls_10s_mean += r.calls_10s_mean / n;
-                sum.anew_1s = sum.anew_1s.max(r.anew_1s);
+                sum.recomputed_1s = sum.recomputed_1s.max(r.recomputed_1s);
                 spent += fleet.spent.as_secs_f64();
                 calls += r.calls;
             }
-            let word = match way {
-                Way::SeesAll => "sees_all",
-                Way::Turns => "turns",
-                Way::LeastLoaded => "least_loaded",
-                Way::Hashing => "hashing",
+            let word = match policy {
+                Policy::Oracle => "sees_all",
+                Policy::Router => "turns",
+                Policy::LeastLoaded => "least_loaded",
+                Policy::Hashing => "hashing",
             };
             let say = |what: &str, value: f64, unit: &str| {
                 println!("measure turns.{name}.{word}.{what} {value:.4} {unit}")
@@ -66,19 +71,19 @@
             if lost.is_none() {
                 say("load", load, "of_mean");
             } else {
-                say("late_in_10s_after_loss", sum.late_after, "share");
-                say("anew_1s", sum.anew_1s, "blocks");
-                say("calls_in_10s_after_return", sum.flood, "of_due");
+                say("late_in_10s_after_loss", sum.after_loss, "share");
+                say("anew_1s", sum.recomputed_1s, "blocks");
+                say("calls_in_10s_after_return", sum.after_return, "of_due");
             }
-            match way {
-                Way::SeesAll => sees_all = sum.found,
-                Way::Turns => {
-                    say("found_of_sees_all", sum.found / sees_all, "share");
+            match policy {
+                Policy::Oracle => oracle_found = sum.found,
+                Policy::Router => {
+                    say("found_of_sees_all", sum.found / oracle_found, "share");
                     say("processor", spent / calls as f64 * 1e6, "us_a_call");
                     say("told", sum.told_bytes_s, "bytes_a_second");
                     say("misses", sum.misses as f64 / calls as f64, "a_call");
-                    say("held_back", sum.held_back as f64 / calls as f64, "a_call");
-                    say("given_up", sum.given_up as f64 / calls as f64, "a_call");
+                    say("held_back", sum.queued as f64 / calls as f64, "a_call");
+                    say("given_up", sum.rejected as f64 / calls as f64, "a_call");
                 }
                 _ => {}
             }
--- a/crates/turns/tests/sim/mod.rs
+++ b/crates/turns/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet: sites with lanes and a block cache that evicts what was used longest ago, clients with
-//! conversations, and ways to route their turns. Deterministic for a seed.
+//! A simulated fleet: sites with lanes and an LRU block cache, clients with conversations, and routing policies.
+//! Deterministic for a seed.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -8,10 +8,10 @@
 
 use wheellink_turns::*;
 
-/// Price of a block, and of a turn besides, in seconds.
+/// Lane time to compute a block, and fixed lane time per turn, in seconds.
 pub const BLOCK: f64 = 0.005;
 pub const BASE: f64 = 0.02;
-/// An answer after this is late.
+/// An answer after this many seconds is late.
 pub const AIM: f64 = 0.5;
 
 pub fn at(seconds: f64) -> Duration {
@@ -27,22 +27,22 @@
 
 /// A site's cache and lanes.
 pub struct Cache {
-    most: usize,
+    capacity: usize,
     clock: u64,
     blocks: HashMap<u64, u64>,
     ages: BTreeMap<u64, u64>,
-    /// When each lane is free.
+    /// When each lane becomes free.
     pub lanes: Vec<f64>,
-    pub there: bool,
-    /// Lane time used, in all and in this window.
+    pub up: bool,
+    /// Lane time used in total, and in the current window.
     pub work: f64,
     pub window: f64,
 }
 
 impl Cache {
-    pub fn new(most: usize, lanes: usize) -> Self {
+    pub fn new(capacity: usize, lanes: usize) -> Self {
         let (blocks, ages, lanes) = (HashMap::new(), BTreeMap::new(), vec![0.0; lanes]);
-        Self { most, clock: 0, blocks, ages, lanes, there: true, work: 0.0, window: 0.0 }
+        Self { capacity, clock: 0, blocks, ages, lanes, up: true, work: 0.0, window: 0.0 }
     }
 
     pub fn holds(&self, prefix: &[u64]) -> usize {
@@ -55,16 +55,16 @@
             self.ages.remove(&old);
         }
         self.ages.insert(self.clock, block);
-        if self.blocks.len() > self.most {
+        if self.blocks.len() > self.capacity {
             let (_, oldest) = self.ages.pop_first().unwrap();
             self.blocks.remove(&oldest);
         }
     }
 
-    /// Runs a turn: blocks found, and when it is done.
+    /// Runs a turn; returns the number of blocks found and the time when it is done.
     pub fn run(&mut self, now: f64, prefix: &[u64], new: &[u64]) -> (usize, f64) {
         let found = self.holds(prefix);
-        // A block is useless without those before it, which therefore go last.
+        // A block is useless without the ones before it, so the last blocks are evicted first.
         prefix.iter().chain(new).rev().for_each(|b| self.touch(*b));
         let work = BASE + BLOCK * (prefix.len() - found + new.len()) as f64;
         self.work += work;
@@ -80,47 +80,47 @@
     }
 }
 
-/// How turns are routed.
+/// Routing policies.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
-    Turns,
+pub enum Policy {
+    Router,
     LeastLoaded,
     /// Rendezvous hashing of conversations.
     Hashing,
-    /// Knows every cache and every lane, and keeps to the same bound of load.
-    SeesAll,
+    /// An oracle that knows every cache and every lane, with the same load bound.
+    Oracle,
 }
 
-/// What a day is like.
+/// The parameters of a simulated day.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Config {
     pub seed: u64,
-    pub way: Way,
+    pub policy: Policy,
     pub sites: usize,
     pub lanes: usize,
     pub blocks: usize,
     pub activators: usize,
-    /// Turns a second, and how long conversations wait between theirs.
+    /// Turns per second, and the pause between the turns of a conversation in seconds.
     pub rate: f64,
     pub think: f64,
     pub turns: f64,
     pub preambles: usize,
     pub length: f64,
-    /// A site is lost at the first and back at the second.
+    /// When a site is lost, and when it returns.
     pub lost: Option<(f64, f64)>,
     pub loss: f64,
-    /// Of these turns one comes by another activator.
+    /// Fraction of turns that arrive at a randomly chosen activator instead of the previous one.
     pub moves: f64,
-    /// Sites due another weight than the usual.
+    /// Sites with another weight than the default.
     pub weights: Vec<(usize, u16)>,
     pub settings: Settings,
 }
 
-impl Day {
-    pub fn new(seed: u64, way: Way) -> Self {
+impl Config {
+    pub fn new(seed: u64, policy: Policy) -> Self {
         Self {
             seed,
-            way,
+            policy,
             sites: 12,
             lanes: 3,
             blocks: 4_000,
@@ -139,62 +139,63 @@
     }
 }
 
-/// What came of it.
+/// What was measured.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Result {
+pub struct Metrics {
     pub calls: u64,
     pub found: f64,
     pub late: f64,
-    /// The most lane time of a site over the mean, in all and within 30 s.
+    /// Largest lane time of a site relative to the mean, in total and within 30 s.
     pub load: f64,
     pub load_30s: f64,
-    /// The most calls of a site within 10 s over its due by weight, and the mean of the windows' most.
+    /// Largest number of calls of a site within 10 s relative to its share by weight.
     pub calls_10s: f64,
-    /// ... with one call less, as one cannot be split.
+    /// The same with one call less, since a call cannot be split, and the mean over the windows of their largest
+    /// value.
     pub calls_10s_less_one: f64,
     pub calls_10s_mean: f64,
-    pub held_back: u64,
-    pub given_up: u64,
-    /// Blocks computed anew for the lost site's conversations at one site within a second, at the most.
-    pub anew_1s: f64,
+    pub queued: u64,
+    pub rejected: u64,
+    /// Largest number of blocks recomputed for the lost site's conversations at one site within a second.
+    pub recomputed_1s: f64,
     pub misses: u64,
     pub told_bytes_s: f64,
     /// Share of turns late within 10 s of the loss.
-    pub late_after: f64,
-    /// Turns at the site that is back within 10 s, over its due.
-    pub flood: f64,
+    pub after_loss: f64,
+    /// Turns at the returned site within 10 s, relative to its share.
+    pub after_return: f64,
 }
 
-struct Talk {
+struct Chat {
     number: u64,
     prefix: Vec<u64>,
     left: u32,
-    home: usize,
+    activator: usize,
 }
 
-/// A turn that waits: its conversation, what it adds, and since when.
-type Held = (Talk, Turn, Vec<u64>, f64);
+/// A waiting turn: its conversation, the blocks it adds, and since when it waits.
+type WaitingChat = (Chat, Turn, Vec<u64>, f64);
 
 #[derive(PartialEq)]
-struct At(f64);
+struct Time(f64);
 
-impl Eq for At {}
-impl PartialOrd for At {
+impl Eq for Time {}
+impl PartialOrd for Time {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for At {
+impl Ord for Time {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-enum Due {
+enum Event {
     Begin,
-    Turn(Box<Talk>),
+    Turn(Box<Chat>),
     Release(usize),
-    Done { token: u64, site: usize, by: usize, found: usize, took: f64, life: u32 },
+    Done { token: u64, site: usize, by: usize, found: usize, took: f64, epoch: u32 },
     Wake(usize),
     Datagram(usize, usize, Vec<u8>),
     Window,
@@ -203,105 +204,106 @@
     Back,
 }
 
-/// See the module's page.
+/// The simulated fleet.
 pub struct Fleet {
-    pub day: Day,
+    pub cfg: Config,
     pub sites: Vec<Cache>,
-    pub each: Vec<TurnRouter>,
-    /// Turns out at each site, by activator: each knows its own.
+    pub routers: Vec<TurnRouter>,
+    /// Turns in flight at each site, by activator: each knows only its own.
     out: Vec<Vec<f64>>,
     counts: Vec<f64>,
     calls_mean: (f64, f64),
-    held: Vec<HashMap<WaitingId, Box<Held>>>,
-    /// Where conversations lay when a site was lost, and blocks computed anew for its within this second.
+    waiting: Vec<HashMap<WaitingId, Box<WaitingChat>>>,
+    /// The site that each conversation was served at last, the conversations whose site was lost, and the blocks
+    /// recomputed for these within the current second, by site.
     homes: HashMap<u64, usize>,
     displaced: HashMap<u64, ()>,
-    anew: (f64, Vec<f64>),
+    recomputed: (f64, Vec<f64>),
     loads: Vec<(f64, f64)>,
-    lives: Vec<u32>,
+    epochs: Vec<u32>,
     rng: fastrand::Rng,
-    queue: BinaryHeap<Reverse<(At, u64)>>,
-    what: HashMap<u64, Due>,
+    queue: BinaryHeap<Reverse<(Time, u64)>>,
+    events: HashMap<u64, Event>,
     next: u64,
-    talks: u64,
+    chats: u64,
     asked: f64,
     found: f64,
     late: f64,
     bytes: f64,
-    pub result: Result,
-    /// Processor time in the crate.
+    pub result: Metrics,
+    /// Processor time spent in the crate.
     pub spent: Duration,
     after: (f64, f64),
     back: (f64, f64),
 }
 
 impl Fleet {
-    pub fn new(day: Day) -> Self {
-        let names = (0..day.activators as u32).map(ActivatorId);
-        let each = names.clone().map(|me| {
-            let seed = mix(day.seed, u64::from(me.0));
-            let mut turns = TurnRouter::new(day.settings.clone(), me, me.0 + 1, seed, at(0.0)).unwrap();
+    pub fn new(cfg: Config) -> Self {
+        let names = (0..cfg.activators as u32).map(ActivatorId);
+        let routers = names.clone().map(|me| {
+            let seed = mix(cfg.seed, u64::from(me.0));
+            let mut turns = TurnRouter::new(cfg.settings.clone(), me, me.0 + 1, seed, at(0.0)).unwrap();
             turns.set_members(at(0.0), names.clone());
-            for (site, weight) in &day.weights {
+            for (site, weight) in &cfg.weights {
                 turns.set_site_weight(at(0.0), SiteId(*site as u32), *weight);
             }
             turns
         });
         let mut fleet = Self {
-            sites: (0..day.sites).map(|_| Cache::new(day.blocks, day.lanes)).collect(),
-            each: each.collect(),
-            out: vec![vec![0.0; day.sites]; day.activators],
-            counts: vec![0.0; day.sites],
+            sites: (0..cfg.sites).map(|_| Cache::new(cfg.blocks, cfg.lanes)).collect(),
+            routers: routers.collect(),
+            out: vec![vec![0.0; cfg.sites]; cfg.activators],
+            counts: vec![0.0; cfg.sites],
             calls_mean: (0.0, 0.0),
-            held: (0..day.activators).map(|_| HashMap::new()).collect(),
+            waiting: (0..cfg.activators).map(|_| HashMap::new()).collect(),
             homes: HashMap::new(),
             displaced: HashMap::new(),
-            anew: (0.0, vec![0.0; day.sites]),
-            loads: vec![(0.0, 0.0); day.sites],
-            lives: vec![0; day.sites],
-            rng: fastrand::Rng::with_seed(day.seed),
+            recomputed: (0.0, vec![0.0; cfg.sites]),
+            loads: vec![(0.0, 0.0); cfg.sites],
+            epochs: vec![0; cfg.sites],
+            rng: fastrand::Rng::with_seed(cfg.seed),
             queue: BinaryHeap::new(),
-            what: HashMap::new(),
+            events: HashMap::new(),
             next: 0,
-            talks: 0,
+            chats: 0,
             asked: 0.0,
             found: 0.0,
             late: 0.0,
             bytes: 0.0,
-            result: Result::default(),
+            result: Metrics::default(),
             spent: Duration::ZERO,
             after: (0.0, 0.0),
             back: (0.0, 0.0),
-            day,
+            cfg,
         };
-        fleet.at(0.0, Due::Begin);
-        (0..fleet.day.activators).for_each(|i| fleet.at(0.01, Due::Wake(i)));
-        fleet.at(30.0, Due::Window);
-        fleet.at(10.0, Due::Count);
-        if let Some((lose, back)) = fleet.day.lost {
-            fleet.at(lose, Due::Lose);
-            fleet.at(back, Due::Back);
+        fleet.at(0.0, Event::Begin);
+        (0..fleet.cfg.activators).for_each(|i| fleet.at(0.01, Event::Wake(i)));
+        fleet.at(30.0, Event::Window);
+        fleet.at(10.0, Event::Count);
+        if let Some((lose, back)) = fleet.cfg.lost {
+            fleet.at(lose, Event::Lose);
+            fleet.at(back, Event::Back);
         }
         fleet
     }
 
-    fn at(&mut self, time: f64, due: Due) {
+    fn at(&mut self, time: f64, event: Event) {
         self.next += 1;
-        self.what.insert(self.next, due);
-        self.queue.push(Reverse((At(time), self.next)));
+        self.events.insert(self.next, event);
+        self.queue.push(Reverse((Time(time), self.next)));
     }
 
     fn pause(&mut self, mean: f64) -> f64 {
         -(1.0 - self.rng.f64()).ln() * mean
     }
 
-    pub fn play(mut self) -> (Result, Self) {
-        while let Some(Reverse((At(now), id))) = self.queue.pop() {
-            if now > self.day.length {
+    pub fn play(mut self) -> (Metrics, Self) {
+        while let Some(Reverse((Time(now), id))) = self.queue.pop() {
+            if now > self.cfg.length {
                 break;
             }
-            let due = self.what.remove(&id).unwrap();
-            self.step(now, due);
+            let event = self.events.remove(&id).unwrap();
+            self.step(now, event);
         }
         let total: f64 = self.sites.iter().map(|s| s.work).sum();
         let mean = total / self.sites.len() as f64;
@@ -309,258 +311,260 @@
         r.found = self.found / self.asked.max(1.0);
         r.late = self.late / r.calls.max(1) as f64;
         r.load = self.sites.iter().map(|s| s.work / mean).fold(0.0, f64::max);
-        r.told_bytes_s = self.bytes / self.day.length / self.day.activators as f64;
-        r.late_after = self.after.0 / self.after.1.max(1.0);
-        r.flood = self.back.0 / (self.back.1 / self.day.sites as f64).max(1.0);
+        r.told_bytes_s = self.bytes / self.cfg.length / self.cfg.activators as f64;
+        r.after_loss = self.after.0 / self.after.1.max(1.0);
+        r.after_return = self.back.0 / (self.back.1 / self.cfg.sites as f64).max(1.0);
         r.calls_10s_mean = self.calls_mean.0 / self.calls_mean.1.max(1.0);
-        r.misses = self.each.iter().map(|t| t.view(at(self.day.length)).misses).sum();
+        r.misses = self.routers.iter().map(|t| t.view(at(self.cfg.length)).misses).sum();
         let result = self.result.clone();
         (result, self)
     }
 
-    fn step(&mut self, now: f64, due: Due) {
-        match due {
-            Due::Begin => {
-                self.talks += 1;
-                let number = mix(self.day.seed, self.talks);
-                // A few preambles are most of the conversations'.
-                let which = (self.rng.f64().powi(2) * self.day.preambles as f64) as u64;
+    fn step(&mut self, now: f64, event: Event) {
+        match event {
+            Event::Begin => {
+                self.chats += 1;
+                let number = mix(self.cfg.seed, self.chats);
+                // A few preambles are used by most of the conversations.
+                let which = (self.rng.f64().powi(2) * self.cfg.preambles as f64) as u64;
                 let prefix = (0..8).map(|i| mix(which + 1, i + 1_000_000)).collect();
-                let left = 1 + self.pause(self.day.turns - 1.0) as u32;
-                let home = self.rng.usize(..self.day.activators);
-                self.turn(now, Talk { number, prefix, left, home });
-                let pause = self.pause(self.day.turns / self.day.rate);
-                self.at(now + pause, Due::Begin);
+                let left = 1 + self.pause(self.cfg.turns - 1.0) as u32;
+                let activator = self.rng.usize(..self.cfg.activators);
+                self.turn(now, Chat { number, prefix, left, activator });
+                let pause = self.pause(self.cfg.turns / self.cfg.rate);
+                self.at(now + pause, Event::Begin);
             }
-            Due::Turn(talk) => self.turn(now, *talk),
-            Due::Release(by) => self.release(now, by),
-            Due::Done { token, site, by, found, took, life } => {
+            Event::Turn(chat) => self.turn(now, *chat),
+            Event::Release(by) => self.release(now, by),
+            Event::Done { token, site, by, found, took, epoch } => {
                 self.out[by][site] -= 1.0;
-                let begun = Instant::now();
-                if life == self.lives[site] {
-                    self.each[by].on_answered(at(now), AttemptToken(token), Some(found as u32), at(took));
+                let started = Instant::now();
+                if epoch == self.epochs[site] {
+                    self.routers[by].on_answered(at(now), AttemptToken(token), Some(found as u32), at(took));
                 } else {
-                    self.each[by].on_failed(AttemptToken(token));
+                    self.routers[by].on_failed(AttemptToken(token));
                 }
-                self.spent += begun.elapsed();
+                self.spent += started.elapsed();
             }
-            Due::Wake(i) => {
+            Event::Wake(i) => {
                 let mut out = Vec::new();
-                let begun = Instant::now();
-                self.each[i].wake(at(now), &mut out);
-                self.spent += begun.elapsed();
+                let started = Instant::now();
+                self.routers[i].wake(at(now), &mut out);
+                self.spent += started.elapsed();
                 for Output::Send { to, data } in out {
                     self.bytes += data.len() as f64;
-                    if self.rng.f64() >= self.day.loss {
+                    if self.rng.f64() >= self.cfg.loss {
                         let late = self.rng.f64() * 0.02;
-                        self.at(now + late, Due::Datagram(i, to.0 as usize, data));
+                        self.at(now + late, Event::Datagram(i, to.0 as usize, data));
                     }
                 }
                 self.release(now, i);
-                let next = self.each[i].wake_at().map_or(1e9, |d| d.as_secs_f64());
-                self.at(next.max(now + 0.001), Due::Wake(i));
+                let next = self.routers[i].wake_at().map_or(1e9, |d| d.as_secs_f64());
+                self.at(next.max(now + 0.001), Event::Wake(i));
             }
-            Due::Datagram(from, to, data) => {
-                let begun = Instant::now();
-                self.each[to].receive(at(now), ActivatorId(from as u32), &data, &mut Vec::new());
-                self.spent += begun.elapsed();
+            Event::Datagram(from, to, data) => {
+                let started = Instant::now();
+                self.routers[to].receive(at(now), ActivatorId(from as u32), &data, &mut Vec::new());
+                self.spent += started.elapsed();
             }
-            Due::Window => {
-                let there = self.sites.iter().filter(|s| s.there).count() as f64;
-                let mean = self.sites.iter().map(|s| s.window).sum::<f64>() / there;
-                let most = self.sites.iter().map(|s| s.window / mean).fold(0.0, f64::max);
-                // The first minute fills caches; a window with a loss in it has no mean.
-                let torn =
-                    self.day.lost.is_some_and(|(a, b)| [a, b].iter().any(|t| (now - 30.0..now).contains(t)));
-                if now > 60.0 && !torn {
-                    self.result.load_30s = self.result.load_30s.max(most);
+            Event::Window => {
+                let up = self.sites.iter().filter(|s| s.up).count() as f64;
+                let mean = self.sites.iter().map(|s| s.window).sum::<f64>() / up;
+                let largest = self.sites.iter().map(|s| s.window / mean).fold(0.0, f64::max);
+                // The first minute fills the caches; a window that contains a loss or a return has no meaningful
+                // mean.
+                let skip =
+                    self.cfg.lost.is_some_and(|(a, b)| [a, b].iter().any(|t| (now - 30.0..now).contains(t)));
+                if now > 60.0 && !skip {
+                    self.result.load_30s = self.result.load_30s.max(largest);
                 }
                 self.sites.iter_mut().for_each(|s| s.window = 0.0);
-                self.at(now + 30.0, Due::Window);
+                self.at(now + 30.0, Event::Window);
             }
-            Due::Count => {
+            Event::Count => {
                 let weight = |site: usize| {
-                    let own = self.day.weights.iter().find(|(s, _)| *s == site);
+                    let own = self.cfg.weights.iter().find(|(s, _)| *s == site);
                     own.map_or(1.0, |(_, w)| f64::from(*w) / f64::from(DEFAULT_WEIGHT))
                 };
-                let there: Vec<usize> = (0..self.sites.len()).filter(|i| self.sites[*i].there).collect();
-                let unit = self.counts.iter().sum::<f64>() / there.iter().map(|i| weight(*i)).sum::<f64>();
-                let most = there.iter().map(|i| self.counts[*i] / (unit * weight(*i))).fold(0.0, f64::max);
-                let torn =
-                    self.day.lost.is_some_and(|(a, b)| [a, b].iter().any(|t| (now - 10.0..=now).contains(t)));
-                if now > 60.0 && !torn {
-                    self.result.calls_10s = self.result.calls_10s.max(most);
-                    let less = there.iter().map(|i| (self.counts[*i] - 1.0) / (unit * weight(*i)));
+                let up: Vec<usize> = (0..self.sites.len()).filter(|i| self.sites[*i].up).collect();
+                let unit = self.counts.iter().sum::<f64>() / up.iter().map(|i| weight(*i)).sum::<f64>();
+                let largest = up.iter().map(|i| self.counts[*i] / (unit * weight(*i))).fold(0.0, f64::max);
+                let skip =
+                    self.cfg.lost.is_some_and(|(a, b)| [a, b].iter().any(|t| (now - 10.0..=now).contains(t)));
+                if now > 60.0 && !skip {
+                    self.result.calls_10s = self.result.calls_10s.max(largest);
+                    let less = up.iter().map(|i| (self.counts[*i] - 1.0) / (unit * weight(*i)));
                     self.result.calls_10s_less_one = less.fold(self.result.calls_10s_less_one, f64::max);
-                    self.calls_mean = (self.calls_mean.0 + most, self.calls_mean.1 + 1.0);
+                    self.calls_mean = (self.calls_mean.0 + largest, self.calls_mean.1 + 1.0);
                 }
                 self.counts.fill(0.0);
-                self.at(now + 10.0, Due::Count);
+                self.at(now + 10.0, Event::Count);
             }
-            Due::Lose => {
+            Event::Lose => {
                 self.displaced =
-                    self.homes.iter().filter(|(_, site)| **site == 0).map(|(talk, _)| (*talk, ())).collect();
-                (self.sites[0].there, self.lives[0]) = (false, self.lives[0] + 1);
+                    self.homes.iter().filter(|(_, site)| **site == 0).map(|(chat, _)| (*chat, ())).collect();
+                (self.sites[0].up, self.epochs[0]) = (false, self.epochs[0] + 1);
                 self.sites[0].clear();
-                self.each.iter_mut().for_each(|t| t.site_lost(SiteId(0)));
+                self.routers.iter_mut().for_each(|t| t.site_lost(SiteId(0)));
             }
-            Due::Back => {
-                self.sites[0].there = true;
-                self.each.iter_mut().for_each(|t| t.site_returned(at(now), SiteId(0)));
+            Event::Back => {
+                self.sites[0].up = true;
+                self.routers.iter_mut().for_each(|t| t.site_returned(at(now), SiteId(0)));
             }
         }
     }
 
-    fn turn(&mut self, now: f64, mut talk: Talk) {
+    fn turn(&mut self, now: f64, mut chat: Chat) {
         let new: Vec<u64> =
-            (0..self.rng.u64(1..=4)).map(|i| mix(talk.number, talk.prefix.len() as u64 + i)).collect();
-        if talk.prefix.len() + new.len() > MAX_HASHES {
+            (0..self.rng.u64(1..=4)).map(|i| mix(chat.number, chat.prefix.len() as u64 + i)).collect();
+        if chat.prefix.len() + new.len() > MAX_HASHES {
             return;
         }
-        if self.rng.f64() < self.day.moves {
-            talk.home = self.rng.usize(..self.day.activators);
+        if self.rng.f64() < self.cfg.moves {
+            chat.activator = self.rng.usize(..self.cfg.activators);
         }
         let turn = Turn {
-            conversation: talk.number,
-            tenant: (talk.number % 7) as u32,
-            prefix: talk.prefix.clone(),
+            conversation: chat.number,
+            tenant: (chat.number % 7) as u32,
+            prefix: chat.prefix.clone(),
             new_blocks: new.len() as u16,
             worth: 1.0,
             time_left: at(AIM),
         };
-        let by = talk.home;
-        self.place(now, talk, turn, new, by);
+        let by = chat.activator;
+        self.place(now, chat, turn, new, by);
     }
 
-    /// The sites as an activator knows them: what it has out itself; hosts' own reports are not told here.
+    /// The sites as an activator knows them: with its own turns in flight; hosts do not report theirs here.
     fn sites_now(&self, by: usize) -> Vec<SiteStatus> {
-        let there = (0..self.sites.len()).filter(|i| self.sites[*i].there);
+        let up = (0..self.sites.len()).filter(|i| self.sites[*i].up);
         let now = |i: usize| SiteStatus {
             site: SiteId(i as u32),
-            capacity: self.day.lanes as f64,
+            capacity: self.cfg.lanes as f64,
             in_flight: self.out[by][i],
             remote: false,
         };
-        there.map(now).collect()
+        up.map(now).collect()
     }
 
     fn release(&mut self, now: f64, by: usize) {
         loop {
             let sites = self.sites_now(by);
-            let begun = Instant::now();
-            let released = self.each[by].release(at(now), &sites);
-            self.spent += begun.elapsed();
+            let started = Instant::now();
+            let released = self.routers[by].release(at(now), &sites);
+            self.spent += started.elapsed();
             let Some((waiting, advice)) = released else { break };
-            let (talk, turn, new, began) = *self.held[by].remove(&waiting).expect("it waits");
-            assert!(now <= began + AIM * 0.3 + 1e-6, "held beyond its time");
+            let (chat, turn, new, since) =
+                *self.waiting[by].remove(&waiting).expect("released turn is waiting");
+            assert!(now <= since + AIM * 0.3 + 1e-6, "turn waits beyond its deadline");
             match advice.decision {
                 Decision::Send => {
                     let site = advice.choices[0].site.0 as usize;
-                    self.send(now, talk, turn, new, began, by, site);
+                    self.send(now, chat, turn, new, since, by, site);
                 }
-                Decision::Reject => self.give_up(now, talk),
-                Decision::Wait(..) => panic!("it waits again"),
+                Decision::Reject => self.reject(now, chat),
+                Decision::Wait(..) => panic!("released turn waits again"),
             }
         }
-        if let Some(next) = self.each[by].wake_at().filter(|_| !self.held[by].is_empty()) {
-            self.at(next.as_secs_f64().max(now + 1e-6), Due::Release(by));
+        if let Some(next) = self.routers[by].wake_at().filter(|_| !self.waiting[by].is_empty()) {
+            self.at(next.as_secs_f64().max(now + 1e-6), Event::Release(by));
         }
     }
 
-    /// Its client tries again with the same turn after a while.
-    fn give_up(&mut self, now: f64, talk: Talk) {
-        self.result.given_up += 1;
+    /// The client tries again with the same turn after a pause.
+    fn reject(&mut self, now: f64, chat: Chat) {
+        self.result.rejected += 1;
         self.result.calls += 1;
         self.late += 1.0;
-        let pause = self.pause(self.day.think);
-        self.at(now + pause, Due::Turn(Box::new(talk)));
+        let pause = self.pause(self.cfg.think);
+        self.at(now + pause, Event::Turn(Box::new(chat)));
     }
 
-    fn place(&mut self, now: f64, talk: Talk, turn: Turn, new: Vec<u64>, by: usize) {
-        let there: Vec<usize> = (0..self.sites.len()).filter(|i| self.sites[*i].there).collect();
+    fn place(&mut self, now: f64, chat: Chat, turn: Turn, new: Vec<u64>, by: usize) {
+        let up: Vec<usize> = (0..self.sites.len()).filter(|i| self.sites[*i].up).collect();
         let least =
             |s: &Self, i: &usize| s.out.iter().map(|o| o[*i]).sum::<f64>() / s.sites[*i].lanes.len() as f64;
-        let site = match self.day.way {
-            Way::Turns => {
+        let site = match self.cfg.policy {
+            Policy::Router => {
                 let sites = self.sites_now(by);
-                let begun = Instant::now();
-                let advice = self.each[by].place(at(now), &turn, &sites);
-                self.spent += begun.elapsed();
+                let started = Instant::now();
+                let advice = self.routers[by].place(at(now), &turn, &sites);
+                self.spent += started.elapsed();
                 match advice.decision {
                     Decision::Send => {}
-                    Decision::Reject => return self.give_up(now, talk),
+                    Decision::Reject => return self.reject(now, chat),
                     Decision::Wait(waiting, until) => {
-                        self.result.held_back += 1;
-                        self.held[by].insert(waiting, Box::new((talk, turn, new, now)));
-                        return self.at(until.as_secs_f64().min(now + 0.01), Due::Release(by));
+                        self.result.queued += 1;
+                        self.waiting[by].insert(waiting, Box::new((chat, turn, new, now)));
+                        return self.at(until.as_secs_f64().min(now + 0.01), Event::Release(by));
                     }
                 }
                 assert!(advice.choices.len() <= MAX_CHOICES && !advice.choices.is_empty());
                 assert!(
-                    advice.choices.iter().all(|c| self.sites[c.site.0 as usize].there),
+                    advice.choices.iter().all(|c| self.sites[c.site.0 as usize].up),
                     "advice names a lost site"
                 );
                 advice.choices[0].site.0 as usize
             }
-            Way::LeastLoaded => {
-                let tie = self.rng.usize(..there.len());
-                let order = (0..there.len()).map(|k| there[(k + tie) % there.len()]);
+            Policy::LeastLoaded => {
+                let tie = self.rng.usize(..up.len());
+                let order = (0..up.len()).map(|k| up[(k + tie) % up.len()]);
                 order.min_by(|a, b| least(self, a).total_cmp(&least(self, b))).unwrap()
             }
-            Way::Hashing => *there.iter().max_by_key(|i| mix(turn.conversation, **i as u64 + 1)).unwrap(),
-            Way::SeesAll => {
-                let mean = there.iter().map(|i| self.load(now, *i)).sum::<f64>() / there.len() as f64;
+            Policy::Hashing => *up.iter().max_by_key(|i| mix(turn.conversation, **i as u64 + 1)).unwrap(),
+            Policy::Oracle => {
+                let mean = up.iter().map(|i| self.load(now, *i)).sum::<f64>() / up.len() as f64;
                 let cost = |i: &usize| {
                     let s = &self.sites[*i];
                     let wait = s.lanes.iter().fold(f64::MAX, |a, l| a.min(*l)) - now;
                     let work = BLOCK * (turn.prefix.len() - s.holds(&turn.prefix)) as f64;
-                    let over = self.load(now, *i) + work + BASE > self.day.settings.bound * mean.max(0.05);
+                    let over = self.load(now, *i) + work + BASE > self.cfg.settings.bound * mean.max(0.05);
                     (over, wait.max(0.0) + work + self.load(now, *i) / mean.max(0.05) * BASE)
                 };
                 let pick = |a: &&usize, b: &&usize| {
                     let (a, b) = (cost(a), cost(b));
                     a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
                 };
-                *there.iter().min_by(pick).unwrap()
+                *up.iter().min_by(pick).unwrap()
             }
         };
-        self.send(now, talk, turn, new, now, by, site);
+        self.send(now, chat, turn, new, now, by, site);
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn send(&mut self, now: f64, talk: Talk, turn: Turn, new: Vec<u64>, began: f64, by: usize, site: usize) {
+    fn send(&mut self, now: f64, chat: Chat, turn: Turn, new: Vec<u64>, since: f64, by: usize, site: usize) {
         self.next += 1;
         let token = self.next;
-        if self.day.way == Way::Turns {
-            let begun = Instant::now();
-            self.each[by].on_sent(at(now), AttemptToken(token), &turn, SiteId(site as u32));
-            self.spent += begun.elapsed();
+        if self.cfg.policy == Policy::Router {
+            let started = Instant::now();
+            self.routers[by].on_sent(at(now), AttemptToken(token), &turn, SiteId(site as u32));
+            self.spent += started.elapsed();
         }
         self.out[by][site] += 1.0;
         self.counts[site] += 1.0;
         let (found, done) = self.sites[site].run(now, &turn.prefix, &new);
-        if now.floor() > self.anew.0 {
-            self.anew.0 = now.floor();
-            self.anew.1.fill(0.0);
+        if now.floor() > self.recomputed.0 {
+            self.recomputed.0 = now.floor();
+            self.recomputed.1.fill(0.0);
         }
         if self.displaced.remove(&turn.conversation).is_some() {
-            self.anew.1[site] += (turn.prefix.len() - found) as f64;
-            self.result.anew_1s = self.result.anew_1s.max(self.anew.1[site]);
+            self.recomputed.1[site] += (turn.prefix.len() - found) as f64;
+            self.result.recomputed_1s = self.result.recomputed_1s.max(self.recomputed.1[site]);
         }
         self.homes.insert(turn.conversation, site);
         let load = self.load(now, site) + BASE + BLOCK * (turn.prefix.len() - found + new.len()) as f64;
         self.loads[site] = (load, now);
         let took = done - now;
-        self.at(done, Due::Done { token, site, by, found, took, life: self.lives[site] });
+        self.at(done, Event::Done { token, site, by, found, took, epoch: self.epochs[site] });
         self.result.calls += 1;
-        let late = done - began > AIM;
+        let late = done - since > AIM;
         self.late += f64::from(u8::from(late));
-        // The first minute fills caches.
+        // The first minute fills the caches.
         if now > 60.0 {
             self.asked += turn.prefix.len() as f64;
             self.found += found as f64;
         }
-        if let Some((lose, back)) = self.day.lost {
+        if let Some((lose, back)) = self.cfg.lost {
             if (lose..lose + 10.0).contains(&now) {
                 self.after = (self.after.0 + f64::from(u8::from(late)), self.after.1 + 1.0);
             }
@@ -568,19 +572,19 @@
                 self.back = (self.back.0 + f64::from(u8::from(site == 0)), self.back.1 + 1.0);
             }
         }
-        let mut talk = talk;
-        if talk.left <= 1 {
-            self.homes.remove(&talk.number);
+        let mut chat = chat;
+        if chat.left <= 1 {
+            self.homes.remove(&chat.number);
         }
-        talk.prefix.extend(new);
-        talk.left -= 1;
-        if talk.left > 0 {
-            let pause = self.pause(self.day.think);
-            self.at(done + pause, Due::Turn(Box::new(talk)));
+        chat.prefix.extend(new);
+        chat.left -= 1;
+        if chat.left > 0 {
+            let pause = self.pause(self.cfg.think);
+            self.at(done + pause, Event::Turn(Box::new(chat)));
         }
     }
 
-    /// Lane time lately given to a site, with a memory of 5 s.
+    /// Recent lane time of a site, decaying with a time constant of 5 s.
     fn load(&self, now: f64, site: usize) -> f64 {
         let (load, since) = self.loads[site];
         load * (-(now - since) / 5.0).exp()
--- a/node/src/config/turns.rs
+++ b/node/src/config/turns.rs
@@ -95,7 +95,7 @@
             gossip_period: Duration::from_millis(self.period_ms),
             gossip_bytes: self.told_bytes,
             recompute_share: self.anew,
-            max_wait_share: self.hold,
+            wait_share: self.hold,
         }
     }
 }
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -285,7 +285,7 @@
                 let name = known.get(&s.site)?;
                 Some(json!({"site": name, "there": s.present, "weight": s.weight, "keeps_blocks": s.horizon as u64,
                     "load": (s.load * 1000.0).round() / 1000.0, "turns": s.turns, "lost": s.cache_losses,
-                    "anew": {"blocks": s.recompute_budget.0 as i64, "a_second": s.recompute_budget.1 as u64}}))
+                    "anew": {"blocks": s.budget.0 as i64, "a_second": s.budget.1 as u64}}))
             })
             .collect();
         let [placed, held, common, load, anew] = view.placed;
