--- a/crates/turns/src/histories.rs
+++ b/crates/turns/src/histories.rs
@@ -363,8 +363,9 @@
         for (_, from, to, data) in due {
             self.routers[to].receive(at(now), ActivatorId(from as u32), &data, &mut Vec::new());
             for site in 0..SITES {
-                let told = |all: &[(f64, f64)]| all.iter().map(|(_, l)| *l).fold(0.0, f64::max);
-                let most = (0..ACTIVATORS).filter(|a| *a != to).map(|a| told(&self.reported[a][site])).sum();
+                let largest = |all: &[(f64, f64)]| all.iter().map(|(_, l)| *l).fold(0.0, f64::max);
+                let most =
+                    (0..ACTIVATORS).filter(|a| *a != to).map(|a| largest(&self.reported[a][site])).sum();
                 let Some(place) = self.routers[to].sites.index(SiteId(site as u32)) else { continue };
                 let assumed = self.routers[to].sites.all[place as usize].peer_load();
                 self.events.push((now, Event::PeerLoad { by: to, site, assumed, most }));
--- a/crates/turns/src/trust.rs
+++ b/crates/turns/src/trust.rs
@@ -6,7 +6,7 @@
 /// Weight of one answer.
 const LEARNING_RATE: f32 = 0.1;
 /// Up to this share of expected blocks found, relative to the mean of all tenants, a tenant is not trusted at all.
-const MIN_TRUSTED_SHARE: f32 = 0.25;
+const ZERO_TRUST_SHARE: f32 = 0.25;
 /// From this share on, a tenant is fully trusted.
 const FULL_TRUST_SHARE: f32 = 0.6;
 
@@ -37,8 +37,8 @@
         if self.last.0 == tenant && self.last.1 >= SINGLE_TENANT_STREAK {
             return 1.0;
         }
-        let share = self.shares[Self::slot(tenant)] / self.mean_share.max(MIN_TRUSTED_SHARE);
-        f64::from(((share - MIN_TRUSTED_SHARE) / (FULL_TRUST_SHARE - MIN_TRUSTED_SHARE)).clamp(0.0, 1.0))
+        let share = self.shares[Self::slot(tenant)] / self.mean_share.max(ZERO_TRUST_SHARE);
+        f64::from(((share - ZERO_TRUST_SHARE) / (FULL_TRUST_SHARE - ZERO_TRUST_SHARE)).clamp(0.0, 1.0))
     }
 
     /// Records that a turn of the tenant, expected to find its whole prefix, found this share of it.
@@ -47,13 +47,13 @@
         let share = share.clamp(0.0, 1.0);
         let slot = &mut self.shares[Self::slot(tenant)];
         *slot += (share - *slot) * LEARNING_RATE;
-        // The mean moves slowly, so that one tenant with many turns cannot shift it quickly.
+        // The mean moves slowly, and more slowly for a distrusted tenant, so that no tenant with many turns shifts it fast.
         self.mean_share += (share - self.mean_share) * LEARNING_RATE * 0.1 * (0.1 + *slot);
     }
 
     /// Number of slots whose tenants are not fully trusted.
     pub fn distrusted(&self) -> usize {
-        self.shares.iter().filter(|s| **s / self.mean_share.max(MIN_TRUSTED_SHARE) < FULL_TRUST_SHARE).count()
+        self.shares.iter().filter(|s| **s / self.mean_share.max(ZERO_TRUST_SHARE) < FULL_TRUST_SHARE).count()
     }
 }
 
--- a/crates/turns/src/view.rs
+++ b/crates/turns/src/view.rs
@@ -64,9 +64,10 @@
 impl TurnRouter {
     /// The current state and the counters since the start.
     pub fn view(&self, now: Duration) -> View {
-        let there: Vec<u16> =
+        let present: Vec<u16> =
             (0..self.sites.all.len() as u16).filter(|i| self.sites.all[*i as usize].present).collect();
-        let mean = there.iter().map(|i| self.sites.load(now, *i)).sum::<f64>() / there.len().max(1) as f64;
+        let mean =
+            present.iter().map(|i| self.sites.load(now, *i)).sum::<f64>() / present.len().max(1) as f64;
         let site = |(i, s): (usize, &crate::sites::SiteState)| SiteView {
             site: s.site,
             present: s.present,
@@ -77,12 +78,12 @@
             budget: self.sites.budget(i as u16),
             cache_losses: s.epoch,
         };
-        let (c, (tails, pushed), (commons, pushed_too)) =
+        let (c, (conversations, evicted), (common, evicted_common)) =
             (&self.counts, self.conversations.counts(), self.common.counts());
         View {
             sites: self.sites.all.iter().enumerate().map(site).collect(),
-            entries: (tails, commons),
-            evicted: pushed + pushed_too,
+            entries: (conversations, common),
+            evicted: evicted + evicted_common,
             bytes: self.conversations.bytes() + self.common.bytes(),
             placed: [c.placed, c.for_conversation, c.for_common_prefix, c.for_load, c.for_recompute],
             queued: c.queued,
