--- a/crates/turns/src/histories.rs
+++ b/crates/turns/src/histories.rs
@@ -89,7 +89,7 @@
     PeerLoad {
         by: usize,
         site: usize,
-        assumed: f64,
+        load: f64,
         most: f64,
     },
     QueueLength {
@@ -363,12 +363,11 @@
         for (_, from, to, data) in due {
             self.routers[to].receive(at(now), ActivatorId(from as u32), &data, &mut Vec::new());
             for site in 0..SITES {
-                let largest = |all: &[(f64, f64)]| all.iter().map(|(_, l)| *l).fold(0.0, f64::max);
-                let most =
-                    (0..ACTIVATORS).filter(|a| *a != to).map(|a| largest(&self.reported[a][site])).sum();
+                let max = |all: &[(f64, f64)]| all.iter().map(|(_, l)| *l).fold(0.0, f64::max);
+                let most = (0..ACTIVATORS).filter(|a| *a != to).map(|a| max(&self.reported[a][site])).sum();
                 let Some(place) = self.routers[to].sites.index(SiteId(site as u32)) else { continue };
-                let assumed = self.routers[to].sites.all[place as usize].peer_load();
-                self.events.push((now, Event::PeerLoad { by: to, site, assumed, most }));
+                let load = self.routers[to].sites.all[place as usize].peer_load();
+                self.events.push((now, Event::PeerLoad { by: to, site, load, most }));
             }
         }
     }
@@ -474,24 +473,21 @@
     // Blocks computed at each site: the recomputed ones, one new one, and one for the turn itself.
     let mut computed: Vec<Vec<(f64, f64)>> = vec![Vec::new(); SITES];
     let mut recomputed: Vec<Vec<(f64, f64)>> = vec![Vec::new(); SITES];
-    let mut arrived: HashMap<u64, (usize, f64)> = HashMap::new();
-    let mut waiting: BTreeMap<u64, f64> = BTreeMap::new();
-    // For each waiting turn, the lowest value of a turn of its activator that was sent meanwhile.
+    let mut turns: HashMap<u64, (usize, f64)> = HashMap::new();
+    let mut queue: BTreeMap<u64, f64> = BTreeMap::new();
+    // For each queue turn, the lowest value of a turn of its activator that was sent meanwhile.
     let mut lowest: HashMap<u64, f64> = HashMap::new();
     let mut ended: HashSet<u64> = HashSet::new();
     let mut lying = (0, 0);
     for (now, event) in events {
-        let over = waiting.iter().find(|(_, until)| **until + 2.0 * STEP_SECS < *now);
+        let over = queue.iter().find(|(_, until)| **until + 2.0 * STEP_SECS < *now);
         if let Some((id, until)) = over {
-            return fail(
-                Rule::Deadline,
-                format!("turn {id} waits at {now:.3} s and its deadline was {until:.3}"),
-            );
+            return fail(Rule::Deadline, format!("turn {id} waits at {now:.3} s, past {until:.3} s"));
         }
         match event {
-            Event::Arrived { id, by, value } => drop(arrived.insert(*id, (*by, *value))),
+            Event::Arrived { id, by, value } => drop(turns.insert(*id, (*by, *value))),
             Event::Queued { id, until } => {
-                waiting.insert(*id, *until);
+                queue.insert(*id, *until);
                 lowest.insert(*id, f64::MAX);
             }
             Event::Sent { id, by, site, blocks, displaced } => {
@@ -501,17 +497,17 @@
                         format!("turn {id} was sent at {now:.3} s to {site}, lost at {since}"),
                     );
                 }
-                waiting.remove(id);
+                queue.remove(id);
                 let first = ended.insert(*id);
                 computed[*site].push((*now, *blocks as f64 + 2.0));
-                let value = arrived[id].1;
+                let value = turns[id].1;
                 if *displaced {
                     recomputed[*site].push((*now, *blocks as f64));
                 }
-                // Only the first attempt of a turn counts: a retry may go ahead of waiting turns.
+                // Only the first attempt of a turn counts: a retry may go ahead of queue turns.
                 if *displaced && first {
                     let others =
-                        lowest.iter_mut().filter(|(w, _)| waiting.contains_key(w) && arrived[w].0 == *by);
+                        lowest.iter_mut().filter(|(w, _)| queue.contains_key(w) && turns[w].0 == *by);
                     others.for_each(|(_, least)| *least = least.min(value));
                 }
             }
@@ -519,14 +515,12 @@
                 if !ended.insert(*id) {
                     return fail(Rule::OneEnd, format!("turn {id} was rejected after it was sent"));
                 }
-                waiting.remove(id);
-                let (value, least) = (arrived[id].1, lowest.get(id).copied().unwrap_or(f64::MAX));
+                queue.remove(id);
+                let (value, least) = (turns[id].1, lowest.get(id).copied().unwrap_or(f64::MAX));
                 if least < value {
                     return fail(
                         Rule::ValueOrder,
-                        format!(
-                            "turn {id} of {value} was rejected at {now:.3} s, and one of {least} was sent"
-                        ),
+                        format!("turn {id} of {value} was rejected at {now:.3} s, one of {least} sent"),
                     );
                 }
             }
@@ -540,15 +534,13 @@
                 lost.remove(site);
                 back = Some((*site, *now));
             }
-            Event::PeerLoad { by, site, assumed, most } => {
+            Event::PeerLoad { by, site, load, most } => {
                 // For a site that has just come, an activator may assume load that others have not reported.
                 let fresh = *now < 10.0 || back.is_some_and(|(s, since)| s == *site && now - since < 10.5);
-                if !fresh && *assumed > most * 1.01 + 1.0 {
+                if !fresh && *load > most * 1.01 + 1.0 {
                     return fail(
                         Rule::PeerLoads,
-                        format!(
-                            "{by} has {assumed:.0} of others at {site} at {now:.3} s; reported: {most:.0}"
-                        ),
+                        format!("{by} has {load:.0} of others at {site} at {now:.3} s; reported {most:.0}"),
                     );
                 }
             }
@@ -559,7 +551,7 @@
             }
         }
     }
-    if let Some((id, _)) = arrived.iter().find(|(id, _)| !ended.contains(id) && !waiting.contains_key(id)) {
+    if let Some((id, _)) = turns.iter().find(|(id, _)| !ended.contains(id) && !queue.contains_key(id)) {
         return fail(Rule::OneEnd, format!("turn {id} has no end"));
     }
     // In any window, no site recomputes more than the shared budget plus a fixed slack: the budget of one second, and
--- a/crates/turns/src/recompute.rs
+++ b/crates/turns/src/recompute.rs
@@ -17,7 +17,7 @@
 /// An attempt sent within this time after the grant is charged to the budget of whichever site it goes to.
 const GRANT_TIMEOUT: Duration = Duration::from_secs(120);
 /// Shortest time between two checks of the waiting turns.
-const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const MIN_CHECK_PERIOD: Duration = Duration::from_millis(10);
 /// A turn that misses fewer blocks than this needs no budget.
 pub(crate) const MIN_LOST_BLOCKS: f64 = 1.0;
 
@@ -147,13 +147,13 @@
         self.queue.waiting.insert(rank, WaitingTurn { turn: turn.clone(), deadline, blocks, rank_fraction });
         self.queue.ranks.insert(waiting, rank);
         self.queue.deadlines.insert((deadline, waiting));
-        self.queue.next_check = self.queue.next_check.max(now).min(now + MIN_CHECK_INTERVAL);
+        self.queue.next_check = self.queue.next_check.max(now).min(now + MIN_CHECK_PERIOD);
         Decision::Wait(waiting, deadline)
     }
 
-    /// Whether a turn is admitted when the fraction `rank_fraction` of the recent turns of lost sites
-    /// ranks above it. The admitted fraction is the ratio of budget rate to demand, or the fill level of the fullest token bucket if that is
-    /// larger.
+    /// Whether a turn is admitted when the fraction `rank_fraction` of the recent turns of lost sites ranks above it.
+    /// The admitted fraction is the ratio of budget rate to demand, or the fill level of the fullest token bucket if
+    /// that is larger.
     fn is_admitted(&self, rank_fraction: f64, candidates: &[Candidate]) -> bool {
         let mut with_budget = candidates.iter().filter(|(_, p)| self.has_budget(*p)).peekable();
         if with_budget.peek().is_none() {
@@ -189,7 +189,7 @@
             return None;
         }
         let candidates = self.eligible_sites(now, sites);
-        let has_budget = candidates.iter().any(|(_, p)| self.has_budget(*p));
+        let budget = candidates.iter().any(|(_, p)| self.has_budget(*p));
         let expired = self.queue.deadlines.first().copied().filter(|(deadline, _)| *deadline <= now);
         let best = self.queue.waiting.last_key_value().map(|(r, w)| (WaitingId(r.1 .0), w.rank_fraction));
         #[cfg(test)]
@@ -201,8 +201,7 @@
         };
         // If a deadline has passed and there is budget, the most valuable turn is sent before the expired one is
         // handled: no turn is rejected while a less valuable one is sent.
-        let next =
-            best.filter(|(_, f)| has_budget && (expired.is_some() || self.is_admitted(*f, &candidates)));
+        let next = best.filter(|(_, f)| budget && (expired.is_some() || self.is_admitted(*f, &candidates)));
         if let Some((best, _)) = next {
             let waiting_turn = self.queue.remove(best)?;
             return Some((best, self.decide(now, &waiting_turn.turn, &candidates, true)));
@@ -228,7 +227,7 @@
             let (budget, rate) = self.sites.budget(*p);
             Duration::try_from_secs_f64((-budget).max(0.0) / rate.max(1e-9)).ok()
         };
-        let wait = candidates.iter().filter_map(wait).min().unwrap_or(Duration::MAX).max(MIN_CHECK_INTERVAL);
+        let wait = candidates.iter().filter_map(wait).min().unwrap_or(Duration::MAX).max(MIN_CHECK_PERIOD);
         self.queue.next_check = now.saturating_add(wait);
         None
     }
--- a/crates/turns/src/view.rs
+++ b/crates/turns/src/view.rs
@@ -64,10 +64,9 @@
 impl TurnRouter {
     /// The current state and the counters since the start.
     pub fn view(&self, now: Duration) -> View {
-        let present: Vec<u16> =
+        let up: Vec<u16> =
             (0..self.sites.all.len() as u16).filter(|i| self.sites.all[*i as usize].present).collect();
-        let mean =
-            present.iter().map(|i| self.sites.load(now, *i)).sum::<f64>() / present.len().max(1) as f64;
+        let mean = up.iter().map(|i| self.sites.load(now, *i)).sum::<f64>() / up.len().max(1) as f64;
         let site = |(i, s): (usize, &crate::sites::SiteState)| SiteView {
             site: s.site,
             present: s.present,
--- a/crates/turns/tests/properties.rs
+++ b/crates/turns/tests/properties.rs
@@ -291,7 +291,8 @@
     assert_eq!(turns.view(at(3.0)).misses, 0);
 }
 
-/// A router with 240 conversations of 4 to 60 blocks, whose only site is lost.
+/// A router with 240 conversations of 4 to 60 blocks, whose only site is lost. The tests ask for them again at 9.5 or
+/// 10 s.
 fn router_after_loss(settings: Settings) -> TurnRouter {
     let mut turns = single_router(settings);
     for i in 0..240u64 {
--- a/crates/turns/tests/sim/mod.rs
+++ b/crates/turns/tests/sim/mod.rs
@@ -9,10 +9,10 @@
 use wheellink_turns::*;
 
 /// Lane time to compute a block, and fixed lane time per turn, in seconds.
-pub const BLOCK: f64 = 0.005;
-pub const BASE: f64 = 0.02;
+pub const BLOCK_SECS: f64 = 0.005;
+pub const BASE_SECS: f64 = 0.02;
 /// An answer after this many seconds is late.
-pub const AIM: f64 = 0.5;
+pub const AIM_SECS: f64 = 0.5;
 
 pub fn at(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -66,7 +66,7 @@
         let found = self.holds(prefix);
         // A block is useless without the ones before it, so the last blocks are evicted first.
         prefix.iter().chain(new).rev().for_each(|b| self.touch(*b));
-        let work = BASE + BLOCK * (prefix.len() - found + new.len()) as f64;
+        let work = BASE_SECS + BLOCK_SECS * (prefix.len() - found + new.len()) as f64;
         self.work += work;
         self.window += work;
         let lane = self.lanes.iter_mut().min_by(|a, b| a.total_cmp(b)).unwrap();
@@ -429,7 +429,7 @@
             prefix: chat.prefix.clone(),
             new_blocks: new.len() as u16,
             worth: 1.0,
-            time_left: at(AIM),
+            time_left: at(AIM_SECS),
         };
         let by = chat.activator;
         self.place(now, chat, turn, new, by);
@@ -454,9 +454,8 @@
             let released = self.routers[by].release(at(now), &sites);
             self.spent += started.elapsed();
             let Some((waiting, advice)) = released else { break };
-            let (chat, turn, new, since) =
-                *self.waiting[by].remove(&waiting).expect("released turn is waiting");
-            assert!(now <= since + AIM * 0.3 + 1e-6, "turn waits beyond its deadline");
+            let (chat, turn, new, since) = *self.waiting[by].remove(&waiting).expect("turn is waiting");
+            assert!(now <= since + AIM_SECS * 0.3 + 1e-6, "turn waits beyond its deadline");
             match advice.decision {
                 Decision::Send => {
                     let site = advice.choices[0].site.0 as usize;
@@ -517,9 +516,10 @@
                 let cost = |i: &usize| {
                     let s = &self.sites[*i];
                     let wait = s.lanes.iter().fold(f64::MAX, |a, l| a.min(*l)) - now;
-                    let work = BLOCK * (turn.prefix.len() - s.holds(&turn.prefix)) as f64;
-                    let over = self.load(now, *i) + work + BASE > self.cfg.settings.bound * mean.max(0.05);
-                    (over, wait.max(0.0) + work + self.load(now, *i) / mean.max(0.05) * BASE)
+                    let work = BLOCK_SECS * (turn.prefix.len() - s.holds(&turn.prefix)) as f64;
+                    let over =
+                        self.load(now, *i) + work + BASE_SECS > self.cfg.settings.bound * mean.max(0.05);
+                    (over, wait.max(0.0) + work + self.load(now, *i) / mean.max(0.05) * BASE_SECS)
                 };
                 let pick = |a: &&usize, b: &&usize| {
                     let (a, b) = (cost(a), cost(b));
@@ -552,12 +552,13 @@
             self.result.recomputed_1s = self.result.recomputed_1s.max(self.recomputed.1[site]);
         }
         self.homes.insert(turn.conversation, site);
-        let load = self.load(now, site) + BASE + BLOCK * (turn.prefix.len() - found + new.len()) as f64;
+        let load =
+            self.load(now, site) + BASE_SECS + BLOCK_SECS * (turn.prefix.len() - found + new.len()) as f64;
         self.loads[site] = (load, now);
         let took = done - now;
         self.at(done, Event::Done { token, site, by, found, took, epoch: self.epochs[site] });
         self.result.calls += 1;
-        let late = done - since > AIM;
+        let late = done - since > AIM_SECS;
         self.late += f64::from(u8::from(late));
         // The first minute fills the caches.
         if now > 60.0 {
