--- a/crates/turns/src/feedback.rs
+++ b/crates/turns/src/feedback.rs
@@ -33,6 +33,7 @@
     conversation: u64,
     /// The table had no entry for the turn's prefix before.
     new_entry: bool,
+    /// The turn's hashes, if nothing was expected at the site; otherwise empty.
     prefix: Vec<u64>,
     /// The attempt recomputes a lost prefix on the recomputation budget.
     paid: bool,
@@ -105,8 +106,8 @@
         *recomputing = recomputing.saturating_sub(u32::from(open.paid));
     }
 
-    /// Records that the site holds the turn's common prefixes. A new conversation (`is_new`) also counts towards which
-    /// prefixes are common.
+    /// Records that the site holds the turn's common prefixes. A conversation that is new, or whose prefix was lost
+    /// (`is_new`), also counts towards which prefixes are common.
     fn record_common_prefixes(&mut self, turn: &Turn, index: u16, is_new: bool) {
         let (clock, epoch) = (self.sites.all[index as usize].clock, self.sites.all[index as usize].epoch);
         let fleet_clock = self.sites.clock;
--- a/crates/turns/src/trust.rs
+++ b/crates/turns/src/trust.rs
@@ -47,7 +47,8 @@
         let share = share.clamp(0.0, 1.0);
         let slot = &mut self.shares[Self::slot(tenant)];
         *slot += (share - *slot) * LEARNING_RATE;
-        // The mean moves slowly, and more slowly for a distrusted tenant, so that no tenant with many turns shifts it fast.
+        // The mean moves slowly, and more slowly for a distrusted tenant, so that one tenant with many turns cannot
+        // shift it quickly.
         self.mean_share += (share - self.mean_share) * LEARNING_RATE * 0.1 * (0.1 + *slot);
     }
 
--- a/crates/turns/src/wire.rs
+++ b/crates/turns/src/wire.rs
@@ -26,6 +26,7 @@
     pub added: u16,
 }
 
+/// A message to another activator.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Message {
     format: u8,
@@ -37,6 +38,7 @@
     pub placed: Vec<PlacementRecord>,
 }
 
+/// A message of the previous format.
 #[derive(Serialize, Deserialize)]
 struct PreviousMessage {
     format: u8,
--- a/crates/turns/tests/properties.rs
+++ b/crates/turns/tests/properties.rs
@@ -206,7 +206,9 @@
             turns.set_members(at(0.0), [ActivatorId(1), ActivatorId(2)]);
             turns.place(at(0.1), &turn(9, 4, 1, false, false), &sites);
             turns.on_sent(at(0.1), AttemptToken(1), &one, SiteId(site));
-            turns.on_answered(at(0.2), AttemptToken(1), Some(if i == 0 { 0 } else { u32::from(len) }), Duration::from_millis(40));
+            turns.on_answered(
+                at(0.2), AttemptToken(1), Some(if i == 0 { 0 } else { u32::from(len) }), Duration::from_millis(40),
+            );
         }
         for (from, to) in [(0, 1), (1, 0)] {
             let mut out = Vec::new();
