--- a/crates/admission/src/adaptive.rs
+++ b/crates/admission/src/adaptive.rs
@@ -25,7 +25,7 @@
 }
 
 impl AdaptiveRules {
-    pub(crate) fn fault(&self) -> Option<&'static str> {
+    pub(crate) fn validation_error(&self) -> Option<&'static str> {
         if self.least == 0 || self.most < self.least {
             Some("least must be 1 at least and most not below it")
         } else if !(1.1..=100.0).contains(&self.tolerance) {
@@ -53,7 +53,7 @@
 
 /// Why a request is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum LimitRefusal {
     /// As many as may be are under way.
     Full,
     /// Its tenant is above its share, and what is left is others'.
@@ -75,7 +75,7 @@
 
 /// See the module's page.
 #[derive(Debug)]
-pub struct Adaptive {
+pub struct AdaptiveLimit {
     rules: AdaptiveRules,
     limit: f64,
     under: u32,
@@ -86,7 +86,7 @@
     tenants: BTreeMap<Option<usize>, Tenant>,
 }
 
-impl Adaptive {
+impl AdaptiveLimit {
     /// Begins at the most that may be.
     pub fn new(rules: AdaptiveRules) -> Self {
         let limit = f64::from(rules.most);
@@ -102,7 +102,7 @@
     }
 
     /// Other rules; what is learnt stays.
-    pub fn retune(&mut self, rules: AdaptiveRules) {
+    pub fn set_rules(&mut self, rules: AdaptiveRules) {
         self.limit = self.limit.clamp(f64::from(rules.least), f64::from(rules.most));
         self.rules = rules;
     }
@@ -120,7 +120,7 @@
         worth: f64,
         tenant: Option<usize>,
         share: f64,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), LimitRefusal> {
         if self.tenants.len() >= MOST && !self.tenants.contains_key(&tenant) {
             self.tenants.retain(|_, t| t.under > 0 || now - t.seen < PRESENT);
         }
@@ -131,7 +131,7 @@
         }
         let room = self.limit * (CHEAP + (1.0 - CHEAP) * worth.clamp(0.0, 1.0));
         if f64::from(self.under) + 1.0 > room.max(1.0) {
-            return Err(Refused::Full);
+            return Err(LimitRefusal::Full);
         }
         let here = |t: &Tenant| t.under > 0 || (now - t.seen).abs() < PRESENT;
         let sum: f64 = self.tenants.values().filter(|t| here(t)).map(|t| t.share).sum();
@@ -141,7 +141,7 @@
             let others = self.tenants.iter().filter(|(id, t)| **id != tenant && here(t));
             let kept: f64 = others.map(|(_, t)| (due(t) - f64::from(t.under)).max(0.0)).sum();
             if self.limit - f64::from(self.under) - kept < 1.0 {
-                return Err(Refused::Share);
+                return Err(LimitRefusal::Share);
             }
         }
         self.under += 1;
--- a/crates/admission/src/ledger.rs
+++ b/crates/admission/src/ledger.rs
@@ -28,7 +28,7 @@
     pub const ALL: [Owner; 5] = [Owner::Hosts, Owner::Known, Owner::Others, Owner::Operators, Owner::Own];
 
     /// As it is told to operators.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         ["hosts", "known", "others", "operators", "own"][self as usize]
     }
 
@@ -40,15 +40,15 @@
 
 /// What became of a wish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum TakeOutcome {
     /// It is the owner's.
-    Yes,
+    Granted,
     /// It is, on loan from known clients.
     Borrowed,
     /// It is due, and this owner has it on loan: it is to give it back, then ask again.
-    Owed(Owner),
+    OwedBy(Owner),
     /// There is none for this owner.
-    No,
+    Denied,
 }
 
 /// Why limits make no sense.
@@ -94,7 +94,7 @@
             reserve: [0; OWNERS],
             held: [0; OWNERS],
         };
-        ledger.bound(limit, reserve)?;
+        ledger.set_limits(limit, reserve)?;
         Ok(ledger)
     }
 
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// The reserves are more than the limit: the old limits stay.
-    pub fn bound(&mut self, limit: usize, reserve: [usize; OWNERS]) -> Result<(), LedgerError> {
+    pub fn set_limits(&mut self, limit: usize, reserve: [usize; OWNERS]) -> Result<(), LedgerError> {
         let sum = reserve.iter().try_fold(0usize, |sum, r| sum.checked_add(*r));
         match sum.filter(|sum| *sum <= limit) {
             Some(_) => {
@@ -119,7 +119,7 @@
     }
 
     /// What is held in all.
-    pub fn sum(&self) -> usize {
+    pub fn total_held(&self) -> usize {
         self.held.iter().sum()
     }
 
@@ -138,8 +138,8 @@
     }
 
     /// Takes so many units for an owner, or none.
-    pub fn take(&mut self, owner: Owner, units: usize) -> Taken {
-        let free = self.limit().saturating_sub(self.sum());
+    pub fn take(&mut self, owner: Owner, units: usize) -> TakeOutcome {
+        let free = self.limit().saturating_sub(self.total_held());
         let others = Owner::ALL.into_iter().filter(|o| *o != owner);
         let (mut kept, mut lent) = (0, 0);
         for other in others {
@@ -152,15 +152,15 @@
         // Of what nobody lends, its owner finds it free; a lender's may be out, and must not be made up for by others'.
         let due = within && units + if owner.lends() { kept } else { 0 } <= free;
         let taken = if due || units + kept + lent <= free {
-            Taken::Yes
+            TakeOutcome::Granted
         } else if units + kept <= free && !owner.lends() {
-            Taken::Borrowed
+            TakeOutcome::Borrowed
         } else {
             let excess = |o: &Owner| self.held(*o).saturating_sub(self.reserve(*o));
             let borrower = Owner::ALL.into_iter().filter(|o| *o != owner && excess(o) > 0).max_by_key(excess);
             return match borrower.filter(|_| within) {
-                Some(borrower) => Taken::Owed(borrower),
-                None => Taken::No,
+                Some(borrower) => TakeOutcome::OwedBy(borrower),
+                None => TakeOutcome::Denied,
             };
         };
         self.held[owner as usize] += units;
@@ -168,26 +168,26 @@
     }
 
     /// What an owner holds, as its keeper counts it.
-    pub fn set(&mut self, owner: Owner, units: usize) {
+    pub fn set_held(&mut self, owner: Owner, units: usize) {
         self.held[owner as usize] = units;
     }
 
     /// How many units this owner could take now, without what known clients lend.
-    pub fn room(&self, owner: Owner) -> usize {
-        let free = self.limit().saturating_sub(self.sum());
+    pub fn available(&self, owner: Owner) -> usize {
+        let free = self.limit().saturating_sub(self.total_held());
         let others = Owner::ALL.into_iter().filter(|o| *o != owner);
         let kept: usize = others.map(|o| self.unused(o)).sum();
         free.saturating_sub(kept).max(self.unused(owner).min(free))
     }
 
     /// Gives units back. Giving back more than is held is a fault of the embedder and gives back what is held.
-    pub fn give(&mut self, owner: Owner, units: usize) {
+    pub fn release(&mut self, owner: Owner, units: usize) {
         debug_assert!(self.held(owner) >= units, "{owner:?} gives back more than it holds");
         self.held[owner as usize] -= units.min(self.held(owner));
     }
 
     /// A unit changes hands: whoever held it is another owner now (a client has become known, say).
-    pub fn pass(&mut self, from: Owner, to: Owner, units: usize) {
+    pub fn transfer(&mut self, from: Owner, to: Owner, units: usize) {
         let units = units.min(self.held(from));
         self.held[from as usize] -= units;
         self.held[to as usize] += units;
@@ -195,8 +195,8 @@
 
     /// The system has no more although the limit says so: nothing beyond what is held for now, and then by and by
     /// more.
-    pub fn starved(&mut self, now: Micros) {
-        (self.ceiling, self.raised, self.step) = (self.sum(), now, 1);
+    pub fn set_exhausted(&mut self, now: Micros) {
+        (self.ceiling, self.raised, self.step) = (self.total_held(), now, 1);
     }
 
     /// Time has passed.
--- a/crates/admission/src/prefix.rs
+++ b/crates/admission/src/prefix.rs
@@ -51,12 +51,12 @@
     }
 
     /// What one client may have: an IPv4 address, or an IPv6 /64.
-    pub fn near(address: IpAddr) -> Self {
+    pub fn client(address: IpAddr) -> Self {
         Self::cut(address, 32, 64)
     }
 
     /// Its neighbourhood: an IPv4 /24, or an IPv6 /48.
-    pub fn wide(address: IpAddr) -> Self {
+    pub fn neighbourhood(address: IpAddr) -> Self {
         Self::cut(address, 24, 48)
     }
 
--- a/crates/admission/src/prefix/tests.rs
+++ b/crates/admission/src/prefix/tests.rs
@@ -22,11 +22,15 @@
 #[case("10.1.2.3", "10.1.2.3", "10.1.2.0/24")]
 #[case("2001:db8:1:2:3::4", "2001:db8:1:2::/64", "2001:db8:1::/48")]
 #[case("::ffff:10.1.2.3", "10.1.2.3", "10.1.2.0/24")]
-fn an_address_has_its_neighbourhood(#[case] address: &str, #[case] near: &str, #[case] wide: &str) {
+fn an_address_has_its_neighbourhood(
+    #[case] address: &str,
+    #[case] per_client: &str,
+    #[case] per_neighbourhood: &str,
+) {
     let address = address.parse().unwrap();
     assert_eq!(
-        (Prefix::near(address).to_string(), Prefix::wide(address).to_string()),
-        (near.into(), wide.into())
+        (Prefix::client(address).to_string(), Prefix::neighbourhood(address).to_string()),
+        (per_client.into(), per_neighbourhood.into())
     );
 }
 
--- a/crates/admission/src/rate.rs
+++ b/crates/admission/src/rate.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether the figures make sense.
-    pub fn is_sane(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let sane = |x: f64| x.is_finite() && x > 0.0;
         sane(self.per_second)
             && self.per_second >= 0.001
@@ -37,9 +37,9 @@
 
 /// The theoretical arrival time of one rate, for one address: all of its state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tat(Micros);
+pub struct RateLimiter(Micros);
 
-impl Tat {
+impl RateLimiter {
     /// Takes one, or tells how long to wait for it.
     pub fn take(&mut self, now: Micros, rate: &Rate) -> Result<(), Micros> {
         let interval = rate.interval();
@@ -62,7 +62,7 @@
     }
 
     /// Whether as many as the burst could be taken: nothing is remembered.
-    pub fn is_rested(&self, now: Micros) -> bool {
+    pub fn is_idle(&self, now: Micros) -> bool {
         self.0 <= now
     }
 }
--- a/crates/admission/src/rules.rs
+++ b/crates/admission/src/rules.rs
@@ -10,7 +10,7 @@
 use crate::rate::Rate;
 
 /// Prefixes that may be known or trusted by the file, or blocked by hand, each.
-pub const MOST_PREFIXES: usize = 4_096;
+pub const MAX_PREFIXES: usize = 4_096;
 
 /// Caps of one address or neighbourhood, or of one tenant. What is absent is not capped.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -130,7 +130,7 @@
             [("address", &self.address), ("neighbourhood", &self.neighbourhood), ("tenant", &self.tenant)];
         for (level, caps) in levels {
             for (name, rate) in [("connect_rate", &caps.connect_rate), ("request_rate", &caps.request_rate)] {
-                let sane = rate.is_none_or(|r| r.is_sane());
+                let sane = rate.is_none_or(|r| r.is_valid());
                 wrong(!sane, format!("{level}.{name}: per_second above 0 and burst of 1 at least"))?;
             }
             let none = [caps.connections, caps.open].contains(&Some(0)) || caps.open_bytes == Some(0);
@@ -146,9 +146,9 @@
         wrong(p.refusals == 0 || p.window_ms == 0, "penalty: refusals and window_ms must be above 0".into())?;
         let times = p.first_ms == 0 || p.longest_ms < p.first_ms || p.longest_ms > 86_400_000;
         wrong(times, "penalty: first_ms above 0, longest_ms not below it and a day at most".into())?;
-        let many = self.known.len().max(self.proxies.len()) > MOST_PREFIXES;
-        wrong(many, format!("more than {MOST_PREFIXES} prefixes"))?;
-        let bad = self.adaptive.as_ref().and_then(|a| a.fault());
+        let many = self.known.len().max(self.proxies.len()) > MAX_PREFIXES;
+        wrong(many, format!("more than {MAX_PREFIXES} prefixes"))?;
+        let bad = self.adaptive.as_ref().and_then(|a| a.validation_error());
         wrong(bad.is_some(), format!("adaptive: {}", bad.unwrap_or_default()))
     }
 
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -9,7 +9,7 @@
 use wheellink::Micros;
 
 use crate::prefix::Prefix;
-use crate::rate::Tat;
+use crate::rate::RateLimiter;
 
 /// Weights count half after this.
 const HALF: f64 = 600_000_000.0;
@@ -18,7 +18,7 @@
 
 /// What is remembered of one address or neighbourhood.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Entry {
+pub struct AddressEntry {
     /// Connections that it holds.
     pub connections: u32,
     /// Requests that are open.
@@ -26,9 +26,9 @@
     /// Bytes of their bodies.
     pub bytes: u64,
     /// New connections against their rate.
-    pub connect: Tat,
+    pub connect: RateLimiter,
     /// Requests against theirs.
-    pub request: Tat,
+    pub request: RateLimiter,
     /// Refusals since it came into the table.
     pub refused: u64,
     /// Refusals within the penalty's window, and when that began.
@@ -51,16 +51,16 @@
     error: i64,
 }
 
-impl Entry {
+impl AddressEntry {
     fn is_active(&self) -> bool {
         self.connections > 0 || self.open > 0
     }
 }
 
 /// See the module's page.
-pub struct Table {
+pub struct AddressTable {
     most: usize,
-    entries: HashMap<Prefix, Entry>,
+    entries: HashMap<Prefix, AddressEntry>,
     /// Those that may be pushed out, lightest first.
     idle: BTreeSet<(i64, Prefix)>,
     /// Entries that were pushed out.
@@ -77,7 +77,7 @@
     high + (low - high).exp2().ln_1p() / std::f64::consts::LN_2
 }
 
-impl Table {
+impl AddressTable {
     /// With room for so many, one at least.
     pub fn new(most: usize) -> Self {
         Self { most: most.max(1), entries: HashMap::new(), idle: BTreeSet::new(), pushed_out: 0 }
@@ -94,7 +94,7 @@
     }
 
     /// Room for so many from now on; what is too much goes, lightest first, unless it is active.
-    pub fn bound(&mut self, most: usize) {
+    pub fn set_capacity(&mut self, most: usize) {
         self.most = most.max(1);
         while self.entries.len() > self.most && self.push_out().is_some() {}
     }
@@ -107,25 +107,25 @@
     }
 
     /// An entry as it is.
-    pub fn get(&self, key: &Prefix) -> Option<&Entry> {
+    pub fn get(&self, key: &Prefix) -> Option<&AddressEntry> {
         self.entries.get(key)
     }
 
     /// Adds weight to an entry, which is made where there is none: in the lightest one's place if need be. `None`
     /// where all are active: they are as many as there is room for. Then lets it be changed.
-    pub fn change<T>(
+    pub fn update<T>(
         &mut self,
         now: Micros,
         key: Prefix,
         weight: f64,
-        change: impl FnOnce(&mut Entry) -> T,
+        change: impl FnOnce(&mut AddressEntry) -> T,
     ) -> Option<T> {
         if !self.entries.contains_key(&key) {
             let error = match self.entries.len() >= self.most {
                 true => self.push_out()?,
                 false => i64::MIN,
             };
-            self.entries.insert(key, Entry { score: error, error, ..Entry::default() });
+            self.entries.insert(key, AddressEntry { score: error, error, ..AddressEntry::default() });
         }
         let entry = self.entries.get_mut(&key)?;
         self.idle.remove(&(entry.score, key));
@@ -142,7 +142,7 @@
     }
 
     /// The heaviest, heaviest first, with how much of their weight may be others'.
-    pub fn heaviest(&self, now: Micros, most: usize) -> Vec<(Prefix, f64, f64, &Entry)> {
+    pub fn heaviest(&self, now: Micros, most: usize) -> Vec<(Prefix, f64, f64, &AddressEntry)> {
         let weight = |score: i64| match score {
             i64::MIN => 0.0,
             score => (score as f64 / STEP - now as f64 / HALF).exp2(),
@@ -153,7 +153,7 @@
     }
 
     /// Entries with something worth telling a successor.
-    pub fn iter(&self) -> impl Iterator<Item = (&Prefix, &Entry)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Prefix, &AddressEntry)> {
         self.entries.iter()
     }
 }
--- a/crates/drafts/src/bounds.rs
+++ b/crates/drafts/src/confidence.rs
@@ -23,7 +23,7 @@
 }
 
 /// The interval of a rate of `hits` in `n`, at every look with a chance of `alpha` to be wrong.
-pub(crate) fn rate(hits: f64, n: f64, alpha: f64) -> (f64, f64) {
+pub(crate) fn rate_interval(hits: f64, n: f64, alpha: f64) -> (f64, f64) {
     if n <= 0.0 {
         return (0.0, 1.0);
     }
@@ -50,7 +50,7 @@
 }
 
 /// How many standard errors wide the bound of a mean of `n` is, at every look.
-pub(crate) fn errors(n: f64, alpha: f64) -> f64 {
+pub(crate) fn standard_errors(n: f64, alpha: f64) -> f64 {
     let stake = -2.0 * alpha.ln() + (-2.0 * alpha.ln()).ln() + 1.0;
     let v = n.max(1.0) * stake / TIGHT_AT;
     (2.0 * (v + 1.0) / v * ((v + 1.0).sqrt() / alpha).ln()).sqrt()
--- a/crates/drafts/src/bounds/tests.rs
+++ b/crates/drafts/src/confidence/tests.rs
@@ -12,16 +12,16 @@
 
 #[test]
 fn the_interval_holds_the_rate_and_narrows() {
-    let wide = rate(35.0, 50.0, 0.01);
-    let narrow = rate(3500.0, 5000.0, 0.01);
+    let wide = rate_interval(35.0, 50.0, 0.01);
+    let narrow = rate_interval(3500.0, 5000.0, 0.01);
     assert!(
         wide.0 < narrow.0 && narrow.0 < 0.7 && 0.7 < narrow.1 && narrow.1 < wide.1,
         "{wide:?} {narrow:?}"
     );
     assert!(narrow.1 - narrow.0 < 0.06, "{narrow:?}");
-    let (none, all) = (rate(0.0, 100.0, 0.01), rate(100.0, 100.0, 0.01));
+    let (none, all) = (rate_interval(0.0, 100.0, 0.01), rate_interval(100.0, 100.0, 0.01));
     assert!(none.0 < 1e-9 && none.1 < 0.1 && all.0 > 0.9 && all.1 > 1.0 - 1e-9, "{none:?} {all:?}");
-    assert_eq!(rate(0.0, 0.0, 0.01), (0.0, 1.0));
+    assert_eq!(rate_interval(0.0, 0.0, 0.01), (0.0, 1.0));
 }
 
 /// Looked at after every count, the true rate is left out in fewer plays than `alpha` allows.
@@ -34,7 +34,7 @@
             let mut hits = 0.0;
             let out = (1..=400).any(|n| {
                 hits += f64::from(u8::from(rng.f64() < p));
-                let (low, high) = rate(hits, f64::from(n), 0.05);
+                let (low, high) = rate_interval(hits, f64::from(n), 0.05);
                 p < low || p > high
             });
             broken += u32::from(out);
@@ -45,6 +45,7 @@
 
 #[test]
 fn errors_grow_slowly() {
-    let (few, tight, many) = (errors(100.0, 0.01), errors(2_000.0, 0.01), errors(1e7, 0.01));
+    let (few, tight, many) =
+        (standard_errors(100.0, 0.01), standard_errors(2_000.0, 0.01), standard_errors(1e7, 0.01));
     assert!(tight < few && tight < many && many < 7.0 && tight > 2.6, "{few} {tight} {many}");
 }
--- a/crates/drafts/src/judge.rs
+++ b/crates/drafts/src/evaluate.rs
@@ -3,10 +3,10 @@
 //!
 //! A function of its rows alone: the same evidence gives the same verdict at any member.
 
-use crate::bounds;
+use crate::confidence;
 use crate::settings::Settings;
 use crate::tally::{Rate, Row, Tally};
-use crate::words::{Draft, BANDS, LONGEST};
+use crate::types::{Draft, LOAD_BANDS, MAX_DRAFT_TOKENS};
 
 /// How often older evidence is cut off in one look: two changes within a window, and one more.
 const CUTS: usize = 3;
@@ -35,7 +35,7 @@
     /// By drafter, from 1: the best length.
     pub lengths: Vec<Option<u8>>,
     /// Too little is known of some drafter.
-    pub hungry: bool,
+    pub insufficient: bool,
     pub why: &'static str,
 }
 
@@ -124,7 +124,7 @@
         let gap = (self.mean() - other.mean()).abs();
         // Below a hundredth nothing is a change, however sure.
         let small = 0.01 * self.mean().max(other.mean());
-        (gap > small + error * bounds::errors(self.n.min(other.n), alpha))
+        (gap > small + error * confidence::standard_errors(self.n.min(other.n), alpha))
             .then(|| (gap / error.max(1e-9)).powi(2))
     }
 }
@@ -225,7 +225,7 @@
             for t in known {
                 let Rate { rounds, hits } = of(&tallies[t]);
                 let n = rounds / settings.cluster;
-                let (low, high) = bounds::rate(hits / settings.cluster, n, settings.alpha);
+                let (low, high) = confidence::rate_interval(hits / settings.cluster, n, settings.alpha);
                 if low > middle + settings.tolerance || high < middle - settings.tolerance {
                     let (at, rate) = (at + 1, hits / rounds);
                     add(t, format!("drafter {drafter}, position {at}: accepted {rate:.2}, the members' median is {middle:.2}"));
@@ -233,7 +233,7 @@
             }
         }
     }
-    for band in 0..BANDS {
+    for band in 0..LOAD_BANDS {
         let lengths = (0..=settings.drafters).flat_map(|d| (0..=settings.longest).map(move |l| (d, l)));
         for (drafter, length) in lengths.filter(|(d, l)| (*d == 0) == (*l == 0)) {
             let draft = Draft { drafter, length };
@@ -272,8 +272,8 @@
 impl Line {
     /// `None` without two lengths of which enough is known.
     fn of(tally: &Tally, band: u8, drafter: u8, least: f64) -> Option<Self> {
-        let drafts =
-            (0..=LONGEST).map(|length| Draft { drafter: if length == 0 { 0 } else { drafter }, length });
+        let drafts = (0..=MAX_DRAFT_TOKENS)
+            .map(|length| Draft { drafter: if length == 0 { 0 } else { drafter }, length });
         let known: Vec<_> =
             drafts.map(|d| (d.length, *tally.cost(band, d))).filter(|(_, c)| c.calls >= least).collect();
         let (shortest, longest) = (known.first()?.0, known.last()?.0);
@@ -298,7 +298,7 @@
     fn error(&self, length: u8, alpha: f64) -> f64 {
         let off = f64::from(length) - self.middle;
         (self.variance * (1.0 / self.n + off * off / self.spread.max(1e-9))).sqrt()
-            * bounds::errors(self.n, alpha)
+            * confidence::standard_errors(self.n, alpha)
     }
 }
 
@@ -341,7 +341,7 @@
         let second: f64 = rates.iter().enumerate().map(|(k, r)| (2 * k + 1) as f64 * r.rate()).sum();
         let n = (last.rounds / self.settings.cluster).max(1.0);
         let variance = (second - mean * mean).max(0.0) + 1.0 / n;
-        (mean, (variance / n).sqrt() * bounds::errors(n, self.settings.alpha))
+        (mean, (variance / n).sqrt() * confidence::standard_errors(n, self.settings.alpha))
     }
 
     /// Useful tokens a second.
@@ -389,7 +389,7 @@
 fn band(at: u8, in_force: Draft, all: &Tally, parts: &[Tally], alone: bool, settings: &Settings) -> Band {
     let least = f64::from(settings.least_rounds);
     let scale = Scale::new(all, at, least, settings);
-    let mut verdict = Band { why: "too little is known", hungry: true, ..Band::default() };
+    let mut verdict = Band { why: "too little is known", insufficient: true, ..Band::default() };
     let ready: Vec<Draft> = menu(settings).filter(|d| scale.ready(*d, *d)).collect();
     let best_of = |drafts: &mut dyn Iterator<Item = Draft>| {
         drafts.map(|d| (d, scale.value(d, d))).max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))
@@ -403,7 +403,7 @@
         let whole = scale.ready(Draft { drafter, length: settings.longest }, Draft::OFF);
         whole && scale.lines[(drafter - 1) as usize].is_some_and(|l| l.shortest == 0)
     };
-    verdict.hungry = !(1..=settings.drafters).all(full);
+    verdict.insufficient = !(1..=settings.drafters).all(full);
     if !scale.ready(in_force, in_force) {
         return verdict;
     }
@@ -442,7 +442,7 @@
 }
 
 /// Looks at the rows of one workload. `alone`: no other member is heard, so that this one's counts have to do.
-pub(crate) fn judge(
+pub(crate) fn evaluate(
     rows: &[Row],
     tellers: usize,
     alone: bool,
@@ -459,7 +459,7 @@
             since(rows, &figures, &first, alone, settings)
         })
         .collect();
-    let since_cost: Vec<u32> = (0..BANDS)
+    let since_cost: Vec<u32> = (0..LOAD_BANDS)
         .map(|band| {
             let figures: Vec<Figure> = menu(settings).map(|draft| Figure::Cost(band, draft)).collect();
             since(rows, &figures, &first, alone, settings)
@@ -490,7 +490,7 @@
             part
         })
         .collect();
-    let bands = (0..BANDS).map(|at| band(at, in_force(at), &all, &parts, alone, settings)).collect();
+    let bands = (0..LOAD_BANDS).map(|at| band(at, in_force(at), &all, &parts, alone, settings)).collect();
     let rates = |d: u8| all.rates(d)[..settings.longest as usize].iter().map(Rate::rate).collect();
     Verdict {
         bands,
--- a/crates/drafts/src/judge/tests.rs
+++ b/crates/drafts/src/evaluate/tests.rs
@@ -19,7 +19,7 @@
 }
 
 fn verdict(rows: &[Row], tellers: usize) -> Verdict {
-    judge(rows, tellers, false, |_| FOUR, &Settings::default())
+    evaluate(rows, tellers, false, |_| FOUR, &Settings::default())
 }
 
 #[test]
--- a/crates/drafts/src/explore.rs
+++ b/crates/drafts/src/explore.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use crate::judge::Band;
+use crate::evaluate::Band;
 use crate::settings::Settings;
-use crate::words::Draft;
+use crate::types::Draft;
 
 /// What is left of one's share for this many seconds may be saved up.
 const SAVED: f64 = 2.0;
@@ -14,7 +14,7 @@
 pub(crate) struct Arms {
     drafts: Vec<Draft>,
     /// Too little is known: the whole share is used.
-    hungry: bool,
+    insufficient: bool,
 }
 
 impl Arms {
@@ -29,12 +29,12 @@
         }
         drafts.sort();
         drafts.dedup();
-        Self { drafts, hungry: band.is_none_or(|b| b.hungry) }
+        Self { drafts, insufficient: band.is_none_or(|b| b.insufficient) }
     }
 
     /// What this call tries, if anything. `lot` is uniform in [0, 1).
     pub(crate) fn draw(&self, in_force: Draft, lot: f64, settings: &Settings) -> Option<Draft> {
-        let share = if self.hungry { settings.explore } else { settings.explore / 4.0 };
+        let share = if self.insufficient { settings.explore } else { settings.explore / 4.0 };
         if self.drafts.is_empty() || lot.is_nan() || lot < 0.0 || lot >= share {
             return None;
         }
@@ -45,12 +45,12 @@
 
 /// Calls that may still try something: the fleet's rate, split over those who are heard.
 #[derive(Clone, Debug)]
-pub(crate) struct Purse {
+pub(crate) struct ExplorationBudget {
     left: f64,
     filled: Duration,
 }
 
-impl Purse {
+impl ExplorationBudget {
     pub(crate) fn new(now: Duration) -> Self {
         Self { left: 0.0, filled: now }
     }
--- a/crates/drafts/src/explore/tests.rs
+++ b/crates/drafts/src/explore/tests.rs
@@ -6,7 +6,7 @@
 fn the_purse_of_a_fleet_is_split() {
     let settings = Settings { explore_rate: 20.0, ..Settings::default() };
     for members in [1, 2, 8, 100] {
-        let mut purses = vec![Purse::new(Duration::ZERO); members];
+        let mut purses = vec![ExplorationBudget::new(Duration::ZERO); members];
         let mut spent = 0;
         for second in 1..=60 {
             for purse in &mut purses {
--- a/crates/drafts/src/drafts.rs
+++ b/crates/drafts/src/learner.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::explore::{Arms, Purse};
-use crate::judge::{self, Verdict};
+use crate::evaluate::{self, Verdict};
+use crate::explore::{Arms, ExplorationBudget};
 use crate::settings::{Settings, SettingsError};
 use crate::store::{sums_of, Key, Source, Store, Sums};
 use crate::tally::Row;
+use crate::types::{CallStats, Draft, DraftTable, MemberId, Rejection, Workload, LOAD_BANDS};
 use crate::view::{BandView, MemberView, View, WorkloadView};
 use crate::wire::{self, Whose};
-use crate::words::{Draft, Name, Ran, Refused, Table, Workload, BANDS};
 
 const HOUR: Duration = Duration::from_secs(3_600);
 /// Versions of the table whose tokens a second are shown of a workload.
@@ -18,58 +18,58 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Out {
-    /// One datagram of at most [`crate::MOST_BYTES`], which may be lost, doubled, late or reordered.
+pub enum Output {
+    /// One datagram of at most [`crate::MAX_DATAGRAM_BYTES`], which may be lost, doubled, late or reordered.
     Send {
         /// To this member's like part.
-        to: Name,
+        to: MemberId,
         /// The bytes.
         data: Vec<u8>,
     },
     /// One line for the log.
-    Note(String),
+    Log(String),
 }
 
 /// See the crate's page.
 #[derive(Clone, Debug)]
-pub struct Drafts {
+pub struct DraftLearner {
     settings: Settings,
-    me: Name,
+    me: MemberId,
     life: u64,
     store: Store,
     /// Workloads by their number; one that nobody counts any more makes room.
     words: Vec<Option<Workload>>,
     numbers: BTreeMap<Workload, u16>,
-    roster: Vec<Name>,
+    roster: Vec<MemberId>,
     /// Others that are heard.
     heard: usize,
     version: u64,
-    table: Table,
+    table: DraftTable,
     /// When tables came into force, of the last hour.
     changes: VecDeque<Duration>,
     born: Duration,
     proposed: Option<Duration>,
     arms: BTreeMap<(u16, u8), Arms>,
-    verdicts: BTreeMap<u16, (Vec<Name>, Verdict)>,
-    purse: Purse,
+    verdicts: BTreeMap<u16, (Vec<MemberId>, Verdict)>,
+    purse: ExplorationBudget,
     tell_at: Duration,
     review_at: Duration,
     /// Whom to tell next, of whom, and from which rows on: new ones, old ones, hearsay.
     turn: usize,
     about: usize,
     cursors: [usize; 3],
-    refused: BTreeMap<Refused, u64>,
-    said: BTreeSet<(u16, Name)>,
+    refused: BTreeMap<Rejection, u64>,
+    said: BTreeSet<(u16, MemberId)>,
 }
 
-impl Drafts {
+impl DraftLearner {
     /// Begins a life of this member. `life` tells it from all its others; `seed` only spreads tellings over the members.
     ///
     /// # Errors
     /// Settings out of their bounds.
     pub fn new(
         settings: Settings,
-        me: Name,
+        me: MemberId,
         life: u64,
         seed: u64,
         now: Duration,
@@ -77,7 +77,7 @@
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
         let first = settings.period.mul_f64(rng.f64());
-        let (store, purse) = (Store::new(me, life, now), Purse::new(now));
+        let (store, purse) = (Store::new(me, life, now), ExplorationBudget::new(now));
         Ok(Self {
             me,
             life,
@@ -87,7 +87,7 @@
             roster: Vec::new(),
             heard: 0,
             version: 0,
-            table: Table::new(),
+            table: DraftTable::new(),
             changes: VecDeque::new(),
             born: now,
             proposed: None,
@@ -106,7 +106,7 @@
     }
 
     /// Who the others are, and how many of them are heard. Rows of who is not among them are dropped at the next look.
-    pub fn set_members(&mut self, others: impl IntoIterator<Item = Name>, heard: usize) {
+    pub fn set_members(&mut self, others: impl IntoIterator<Item = MemberId>, heard: usize) {
         self.roster = others.into_iter().filter(|n| *n != self.me).collect();
         self.roster.sort();
         self.roster.dedup();
@@ -114,7 +114,7 @@
     }
 
     /// The table that is in force from now on.
-    pub fn set_table(&mut self, now: Duration, version: u64, table: Table) {
+    pub fn set_table(&mut self, now: Duration, version: u64, table: DraftTable) {
         self.version = version;
         if table != self.table {
             self.table = table;
@@ -132,13 +132,13 @@
     }
 
     /// The version in force, and its table.
-    pub fn table(&self) -> (u64, &Table) {
+    pub fn table(&self) -> (u64, &DraftTable) {
         (self.version, &self.table)
     }
 
-    fn in_force(&self, workload: &Workload, band: u8, table: &Table) -> Draft {
+    fn in_force(&self, workload: &Workload, band: u8, table: &DraftTable) -> Draft {
         let draft = table.get(&(workload.clone(), band)).copied().unwrap_or(self.settings.start);
-        if self.settings.knows(draft) {
+        if self.settings.allows(draft) {
             draft
         } else {
             self.settings.start
@@ -146,7 +146,7 @@
     }
 
     /// What a call of this workload runs: what is in force, or now and then something to learn from. `lot` is uniform in [0, 1).
-    pub fn pick(&mut self, workload: &Workload, band: u8, table: &Table, lot: f64) -> Draft {
+    pub fn choose(&mut self, workload: &Workload, band: u8, table: &DraftTable, lot: f64) -> Draft {
         let draft = self.in_force(workload, band, table);
         let Some(number) = self.numbers.get(workload) else { return draft };
         let tried = self.arms.get(&(*number, band)).and_then(|a| a.draw(draft, lot, &self.settings));
@@ -157,7 +157,7 @@
     ///
     /// # Errors
     /// Figures that cannot be, or no room; nothing is counted then.
-    pub fn served(&mut self, now: Duration, ran: &Ran) -> Result<(), Refused> {
+    pub fn record_call(&mut self, now: Duration, ran: &CallStats) -> Result<(), Rejection> {
         let counted = self.count(now, ran);
         if let Err(why) = counted {
             *self.refused.entry(why).or_default() += 1;
@@ -165,7 +165,7 @@
         counted
     }
 
-    fn count(&mut self, now: Duration, ran: &Ran) -> Result<(), Refused> {
+    fn count(&mut self, now: Duration, ran: &CallStats) -> Result<(), Rejection> {
         let sums = sums_of(ran, &self.settings)?;
         let workload = self.number(&ran.workload, self.settings.workloads)?;
         let epoch = self.store.own.epoch(now, &self.settings);
@@ -178,12 +178,12 @@
     }
 
     /// A workload's number; a new one if there are fewer than `most`.
-    fn number(&mut self, word: &Workload, most: usize) -> Result<u16, Refused> {
+    fn number(&mut self, word: &Workload, most: usize) -> Result<u16, Rejection> {
         if let Some(number) = self.numbers.get(word) {
             return Ok(*number);
         }
         if self.numbers.len() >= most {
-            return Err(Refused::Workloads);
+            return Err(Rejection::Workloads);
         }
         let free = self.words.iter().position(Option::is_none).unwrap_or(self.words.len());
         if free == self.words.len() {
@@ -195,27 +195,27 @@
     }
 
     /// Takes up a datagram of another member. What cannot be is refused, and counted by its reason.
-    pub fn heard(&mut self, now: Duration, from: Name, data: &[u8], _out: &mut Vec<Out>) {
+    pub fn receive(&mut self, now: Duration, from: MemberId, data: &[u8], _out: &mut Vec<Output>) {
         let taken = wire::read(data).and_then(|heard| self.take(now, from, heard));
         if let Err(why) = taken {
             *self.refused.entry(why).or_default() += 1;
         }
     }
 
-    fn take(&mut self, now: Duration, from: Name, heard: wire::Heard) -> Result<(), Refused> {
-        let on = |name: Name| self.roster.binary_search(&name).is_ok();
+    fn take(&mut self, now: Duration, from: MemberId, heard: wire::Heard) -> Result<(), Rejection> {
+        let on = |name: MemberId| self.roster.binary_search(&name).is_ok();
         let name = heard.whose.about.unwrap_or(from);
         if !on(from) || (name != self.me && !on(name)) || (heard.whose.about.is_none() && from == self.me) {
-            return Err(Refused::Stranger);
+            return Err(Rejection::UnknownMember);
         }
         // A teller's own rows are never hearsay, and never somebody else's.
         if heard.whose.about == Some(from) {
-            return Err(Refused::Stranger);
+            return Err(Rejection::UnknownMember);
         }
         let mut rows = Vec::with_capacity(heard.rows.len());
         for (key, sums) in heard.rows {
-            if !self.settings.knows(key.draft) {
-                return Err(Refused::Draft);
+            if !self.settings.allows(key.draft) {
+                return Err(Rejection::Draft);
             }
             sums.check(key.draft, &self.settings)?;
             rows.push((key, sums));
@@ -227,7 +227,7 @@
             numbers.push(self.number(word, half).ok());
         }
         if numbers.iter().any(Option::is_none) {
-            *self.refused.entry(Refused::Workloads).or_default() += 1;
+            *self.refused.entry(Rejection::Workloads).or_default() += 1;
         }
         let rows: Vec<(Key, Sums)> = rows
             .into_iter()
@@ -236,7 +236,7 @@
         let source = Source { teller: from, name, life: heard.whose.life, clock: heard.whose.clock() };
         match self.store.hear(now, &source, &rows, &self.settings)? {
             0 => Ok(()),
-            _ => Err(Refused::Room),
+            _ => Err(Rejection::StoreFull),
         }
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// Does what is due: tells others, forgets, looks at the evidence.
-    pub fn wake(&mut self, now: Duration, out: &mut Vec<Out>) {
+    pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
         if now >= self.tell_at {
             self.purse.fill(now, self.heard + 1, &self.settings);
             // After a pause nothing is made up for.
@@ -280,7 +280,7 @@
     }
 
     /// Tells some others of one's own rows, and one of somebody else's as heard from that one itself.
-    fn tell(&mut self, now: Duration, out: &mut Vec<Out>) {
+    fn tell(&mut self, now: Duration, out: &mut Vec<Output>) {
         if self.roster.is_empty() {
             return;
         }
@@ -318,7 +318,7 @@
             let fresh = mixed[..taken].iter().filter(|(_, new)| *new).count();
             *first = first.wrapping_add(fresh);
             *second = second.wrapping_add(taken - fresh);
-            out.push(Out::Send { to, data });
+            out.push(Output::Send { to, data });
         }
         // What others told of themselves, the dead among them; what they told of others stays here.
         let lives = self.store.others.iter().flat_map(|(name, lives)| lives.iter().map(move |l| (*name, l)));
@@ -339,12 +339,12 @@
         let (data, taken) = wire::write(whose, rows[start..].iter().chain(&rows[..start]).copied(), word);
         self.cursors[2] = self.cursors[2].wrapping_add(taken.min(7));
         if to != name && taken > 0 {
-            out.push(Out::Send { to, data });
+            out.push(Output::Send { to, data });
         }
     }
 
-    fn look(&self, now: Duration, table: &Table) -> BTreeMap<u16, (Vec<Name>, Verdict)> {
-        let mut rows: BTreeMap<u16, (Vec<Name>, Vec<Row>)> = BTreeMap::new();
+    fn look(&self, now: Duration, table: &DraftTable) -> BTreeMap<u16, (Vec<MemberId>, Verdict)> {
+        let mut rows: BTreeMap<u16, (Vec<MemberId>, Vec<Row>)> = BTreeMap::new();
         self.store.items(now, &self.settings, |item| {
             let (tellers, rows) = rows.entry(item.key.workload).or_default();
             let teller = tellers.iter().position(|t| *t == item.teller).unwrap_or(tellers.len());
@@ -377,19 +377,19 @@
                 let key = |r: &Row| (r.teller, r.age, r.draft, r.band);
                 key(a).cmp(&key(b)).then(a.micros.total_cmp(&b.micros))
             });
-            let tellers: Vec<Name> = order.iter().map(|t| tellers[*t]).collect();
+            let tellers: Vec<MemberId> = order.iter().map(|t| tellers[*t]).collect();
             let alone = self.heard == 0 && self.roster.is_empty();
             let in_force = |band| self.in_force(word, band, table);
-            let verdict = judge::judge(&rows, tellers.len(), alone, in_force, &self.settings);
+            let verdict = evaluate::evaluate(&rows, tellers.len(), alone, in_force, &self.settings);
             Some((number, (tellers, verdict)))
         });
         judged.collect()
     }
 
-    fn review(&mut self, now: Duration, out: &mut Vec<Out>) {
+    fn review(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.verdicts = self.look(now, &self.table);
         for (number, (tellers, verdict)) in &self.verdicts {
-            for ((_, band), arms) in self.arms.range_mut((*number, 0)..=(*number, BANDS)) {
+            for ((_, band), arms) in self.arms.range_mut((*number, 0)..=(*number, LOAD_BANDS)) {
                 *arms = Arms::of(verdict.bands.get(*band as usize), &self.settings);
             }
             for outlier in &verdict.outliers {
@@ -397,10 +397,10 @@
                 if self.said.insert((*number, name)) {
                     let word = self.words[*number as usize].as_ref().map_or("?", Workload::as_str);
                     let why = &outlier.why;
-                    out.push(Out::Note(format!("drafts of {word}: member {} is left out: {why}", name.0)));
+                    out.push(Output::Log(format!("drafts of {word}: member {} is left out: {why}", name.0)));
                 }
             }
-            let out_now: BTreeSet<Name> = verdict.outliers.iter().map(|o| tellers[o.teller]).collect();
+            let out_now: BTreeSet<MemberId> = verdict.outliers.iter().map(|o| tellers[o.teller]).collect();
             self.said.retain(|(n, name)| n != number || out_now.contains(name));
         }
     }
@@ -416,7 +416,7 @@
 
     /// The table that should be in force, where it is better than this one by more than chance and the hysteresis, no one member's
     /// counts alone say so, and there is room for another version within the hour. The same at any member of the same evidence.
-    pub fn proposal(&mut self, now: Duration, in_force: &Table, version: u64) -> Option<Table> {
+    pub fn propose(&mut self, now: Duration, in_force: &DraftTable, version: u64) -> Option<DraftTable> {
         if self.recent(now) >= self.settings.versions_hour as usize {
             return None;
         }
@@ -441,7 +441,7 @@
 
     /// What is believed, and why.
     pub fn view(&self, now: Duration) -> View {
-        let mut members: BTreeMap<Name, MemberView> = BTreeMap::new();
+        let mut members: BTreeMap<MemberId, MemberView> = BTreeMap::new();
         let mut versions: BTreeMap<(u16, u64), (u64, u64)> = BTreeMap::new();
         self.store.items(now, &self.settings, |item| {
             let sum = versions.entry((item.key.workload, item.key.version)).or_default();
@@ -492,7 +492,7 @@
         View {
             version: self.version,
             versions_in_the_hour: self.recent(now),
-            bound_ms: self.settings.bound().as_millis() as u64,
+            bound_ms: self.settings.max_evidence_age().as_millis() as u64,
             rows: self.store.held(),
             refused: self.refused.iter().map(|(why, n)| (why.to_string(), *n)).collect(),
             members: members.into_values().collect(),
--- a/crates/drafts/src/lib.rs
+++ b/crates/drafts/src/lib.rs
@@ -4,7 +4,7 @@
 //! It promises that a count is never taken twice, however datagrams are doubled, reordered, lost or cut and members restarted; that no
 //! member's counts alone move the table in a fleet of two or more; that the same evidence gives the same table at any member; that
 //! memory, bytes a period, exploration and the number of tables an hour have bounds; and that what changed is forgotten within
-//! [`Settings::bound`].
+//! [`Settings::max_evidence_age`].
 //!
 //! It knows no socket, no clock and no wall time (time is an argument, of the process's own monotonic clock), nothing of who is
 //! alive (the hub tells it who is heard), of hosts, models or calls, and nothing of how a table comes into force.
@@ -12,19 +12,19 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod bounds;
-mod drafts;
+mod confidence;
+mod evaluate;
 mod explore;
-mod judge;
+mod learner;
 mod settings;
 mod store;
 mod tally;
+mod types;
 mod view;
 mod wire;
-mod words;
 
-pub use drafts::{Drafts, Out};
+pub use learner::{DraftLearner, Output};
 pub use settings::{Settings, SettingsError};
+pub use types::{CallStats, Draft, DraftTable, MemberId, Rejection, Workload, LOAD_BANDS, MAX_DRAFT_TOKENS};
 pub use view::{BandView, MemberView, View, WorkloadView};
-pub use wire::MOST_BYTES;
-pub use words::{Draft, Name, Ran, Refused, Table, Workload, BANDS, LONGEST};
+pub use wire::MAX_DATAGRAM_BYTES;
--- a/crates/drafts/src/settings.rs
+++ b/crates/drafts/src/settings.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::words::{Draft, LONGEST};
+use crate::types::{Draft, MAX_DRAFT_TOKENS};
 
 /// The same at all members: rows of other epochs or menus are refused.
 #[derive(Clone, Debug, PartialEq)]
@@ -110,8 +110,8 @@
         let ms = Duration::from_millis;
         let checks = [
             ((1..=4).contains(&self.drafters), "drafters", "1 to 4"),
-            ((1..=LONGEST).contains(&self.longest), "longest", "1 to 8"),
-            (self.knows(self.start), "start", "a draft of the drafters and lengths that are set"),
+            ((1..=MAX_DRAFT_TOKENS).contains(&self.longest), "longest", "1 to 8"),
+            (self.allows(self.start), "start", "a draft of the drafters and lengths that are set"),
             ((ms(50)..=ms(60_000)).contains(&self.period), "period", "50 ms to 60 s"),
             ((1..=16).contains(&self.fanout), "fanout", "1 to 16"),
             ((self.period..=ms(3_600_000)).contains(&self.epoch), "epoch", "one period to one hour"),
@@ -138,7 +138,7 @@
     }
 
     /// Whether a draft is on the menu.
-    pub fn knows(&self, draft: Draft) -> bool {
+    pub fn allows(&self, draft: Draft) -> bool {
         draft.drafter <= self.drafters
             && draft.length <= self.longest
             && (draft.drafter == 0) == (draft.length == 0)
@@ -146,13 +146,13 @@
 
     /// How long what no longer holds can weigh on a choice: a window and the epoch that it began in. Rates that change by more than
     /// the bounds' width are noticed earlier, by `least_rounds` of the new ones and a look.
-    pub fn bound(&self) -> Duration {
+    pub fn max_evidence_age(&self) -> Duration {
         self.epoch * (self.window + 1) + self.review
     }
 
     /// Bytes that one member sends a second at the most.
-    pub fn bytes_a_second(&self) -> f64 {
-        (self.fanout + 1) as f64 * crate::wire::MOST_BYTES as f64 / self.period.as_secs_f64()
+    pub fn max_bytes_per_second(&self) -> f64 {
+        (self.fanout + 1) as f64 * crate::wire::MAX_DATAGRAM_BYTES as f64 / self.period.as_secs_f64()
     }
 }
 
--- a/crates/drafts/src/store.rs
+++ b/crates/drafts/src/store.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::settings::Settings;
-use crate::words::{Draft, Name, Refused, BANDS, LONGEST};
+use crate::types::{Draft, MemberId, Rejection, LOAD_BANDS, MAX_DRAFT_TOKENS};
 
 /// What a row counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,7 +38,7 @@
     /// Squares of each call's microseconds a round.
     pub squares: u64,
     /// By position.
-    pub accepted: [u64; LONGEST as usize],
+    pub accepted: [u64; MAX_DRAFT_TOKENS as usize],
 }
 
 impl Sums {
@@ -63,30 +63,30 @@
     }
 
     /// Whether such figures can be.
-    pub(crate) fn check(&self, draft: Draft, settings: &Settings) -> Result<(), Refused> {
+    pub(crate) fn check(&self, draft: Draft, settings: &Settings) -> Result<(), Rejection> {
         if self.calls == 0 || self.rounds < self.calls {
-            return Err(Refused::Rounds);
+            return Err(Rejection::Rounds);
         }
         let (drafted, beyond) = self.accepted.split_at(draft.length as usize);
         if beyond.iter().any(|k| *k > 0) {
-            return Err(Refused::Positions);
+            return Err(Rejection::Positions);
         }
         let mut before = self.rounds;
         for k in drafted {
             if *k > std::mem::replace(&mut before, *k) {
-                return Err(Refused::Accepted);
+                return Err(Rejection::Accepted);
             }
         }
         let most = drafted.iter().fold(self.rounds, |sum, k| sum.saturating_add(*k));
         if self.tokens > most {
-            return Err(Refused::Tokens);
+            return Err(Rejection::Tokens);
         }
         let longest = settings.longest_round.as_micros() as u64;
         if self.micros == 0
             || self.micros > self.rounds.saturating_mul(longest)
             || self.squares > self.calls.saturating_mul(longest.saturating_mul(longest))
         {
-            return Err(Refused::Time);
+            return Err(Rejection::Time);
         }
         Ok(())
     }
@@ -135,13 +135,13 @@
     /// As it says itself.
     pub direct: Option<Record>,
     /// As another says.
-    pub told: Option<(Name, Record)>,
+    pub told: Option<(MemberId, Record)>,
     touched: Duration,
 }
 
 /// One row as it counts: with whom it weighs, and how many epochs ago it was.
 pub(crate) struct Item<'a> {
-    pub teller: Name,
+    pub teller: MemberId,
     pub age: u32,
     pub key: &'a Key,
     pub sums: &'a Sums,
@@ -150,23 +150,23 @@
 /// Everything that is held.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
-    me: Name,
+    me: MemberId,
     life: u64,
     pub own: Record,
-    pub others: BTreeMap<Name, Vec<Life>>,
+    pub others: BTreeMap<MemberId, Vec<Life>>,
     held: usize,
 }
 
 /// Who says it, of whom, and what that one's clock reads.
 pub(crate) struct Source {
-    pub teller: Name,
-    pub name: Name,
+    pub teller: MemberId,
+    pub name: MemberId,
     pub life: u64,
     pub clock: Duration,
 }
 
 impl Store {
-    pub(crate) fn new(me: Name, life: u64, now: Duration) -> Self {
+    pub(crate) fn new(me: MemberId, life: u64, now: Duration) -> Self {
         Self { me, life, own: Record::new(Duration::ZERO, now), others: BTreeMap::new(), held: 0 }
     }
 
@@ -176,10 +176,10 @@
     }
 
     /// Adds to a row of one's own.
-    pub(crate) fn count(&mut self, key: Key, more: &Sums, settings: &Settings) -> Result<(), Refused> {
+    pub(crate) fn count(&mut self, key: Key, more: &Sums, settings: &Settings) -> Result<(), Rejection> {
         if !self.own.rows.contains_key(&key) {
             if self.own.rows.len() >= settings.rows || self.held >= settings.rows_in_all {
-                return Err(Refused::Room);
+                return Err(Rejection::StoreFull);
             }
             self.held += 1;
         }
@@ -188,9 +188,14 @@
     }
 
     /// The record that a source speaks of, and who else's rows must make room for it: nobody's but those of its own member.
-    fn record(&mut self, now: Duration, from: &Source, settings: &Settings) -> Result<&mut Record, Refused> {
+    fn record(
+        &mut self,
+        now: Duration,
+        from: &Source,
+        settings: &Settings,
+    ) -> Result<&mut Record, Rejection> {
         if from.name == self.me && from.life == self.life {
-            return Err(Refused::Stranger);
+            return Err(Rejection::UnknownMember);
         }
         let direct = from.teller == from.name;
         let lives = self.others.entry(from.name).or_default();
@@ -200,9 +205,10 @@
                 if lives.len() >= settings.lives {
                     // Hearsay makes room first, and never takes it from what was heard.
                     let first = lives.iter().enumerate().min_by_key(|(_, l)| (l.direct.is_some(), l.touched));
-                    let (at, gone) = first.map(|(at, l)| (at, l.direct.is_some())).ok_or(Refused::Room)?;
+                    let (at, gone) =
+                        first.map(|(at, l)| (at, l.direct.is_some())).ok_or(Rejection::StoreFull)?;
                     if gone && !direct {
-                        return Err(Refused::Room);
+                        return Err(Rejection::StoreFull);
                     }
                     let life = lives.remove(at);
                     let records = life.direct.iter().chain(life.told.iter().map(|(_, r)| r));
@@ -231,7 +237,7 @@
         from: &Source,
         rows: &[(Key, Sums)],
         settings: &Settings,
-    ) -> Result<usize, Refused> {
+    ) -> Result<usize, Rejection> {
         let mut room = settings.rows_in_all.saturating_sub(self.held);
         let record = self.record(now, from, settings)?;
         let epoch = record.epoch(now, settings);
@@ -254,7 +260,7 @@
     }
 
     /// Drops what is too old to count, and who is not on the roster.
-    pub(crate) fn forget(&mut self, now: Duration, settings: &Settings, on: impl Fn(Name) -> bool) {
+    pub(crate) fn forget(&mut self, now: Duration, settings: &Settings, on: impl Fn(MemberId) -> bool) {
         self.own.forget(now, settings);
         let long = settings.epoch * settings.window * 2;
         let me = self.me;
@@ -277,7 +283,7 @@
 
     /// All rows that count. Of a row that a member told itself, what others say is passed over.
     pub(crate) fn items(&self, now: Duration, settings: &Settings, mut each: impl FnMut(Item<'_>)) {
-        let mut all = |teller: Name, record: &Record, but: Option<&Record>| {
+        let mut all = |teller: MemberId, record: &Record, but: Option<&Record>| {
             let epoch = record.epoch(now, settings);
             for (key, sums) in &record.rows {
                 let age = epoch.saturating_sub(key.epoch);
@@ -301,20 +307,20 @@
 }
 
 /// The row of one call.
-pub(crate) fn sums_of(ran: &crate::Ran, settings: &Settings) -> Result<Sums, Refused> {
-    if ran.band >= BANDS {
-        return Err(Refused::Band);
+pub(crate) fn sums_of(ran: &crate::CallStats, settings: &Settings) -> Result<Sums, Rejection> {
+    if ran.band >= LOAD_BANDS {
+        return Err(Rejection::Band);
     }
-    if !settings.knows(ran.draft) {
-        return Err(Refused::Draft);
+    if !settings.allows(ran.draft) {
+        return Err(Rejection::Draft);
     }
     if ran.accepted.len() != ran.draft.length as usize {
-        return Err(Refused::Positions);
+        return Err(Rejection::Positions);
     }
     let rounds = u64::from(ran.rounds);
     let micros = ran.time.as_micros().min(u128::from(u64::MAX)) as u64;
     let each = micros / rounds.max(1);
-    let mut accepted = [0; LONGEST as usize];
+    let mut accepted = [0; MAX_DRAFT_TOKENS as usize];
     for (to, from) in accepted.iter_mut().zip(&ran.accepted) {
         *to = u64::from(*from);
     }
--- a/crates/drafts/src/tally.rs
+++ b/crates/drafts/src/tally.rs
@@ -1,9 +1,9 @@
 //! Sums of one workload by teller, with what is too old left away: what the judge looks at.
 
-use crate::words::{Draft, BANDS, LONGEST};
+use crate::types::{Draft, LOAD_BANDS, MAX_DRAFT_TOKENS};
 
 const DRAFTERS: usize = 4;
-const POSITIONS: usize = LONGEST as usize;
+const POSITIONS: usize = MAX_DRAFT_TOKENS as usize;
 
 /// Of one position: rounds in which it was drafted, and in how many it was accepted.
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,7 +49,7 @@
     /// By drafter (from 1) and position.
     rates: [[Rate; POSITIONS]; DRAFTERS],
     /// By band and length; nothing drafted is the same of all drafters.
-    costs: [[[Cost; POSITIONS + 1]; DRAFTERS]; BANDS as usize],
+    costs: [[[Cost; POSITIONS + 1]; DRAFTERS]; LOAD_BANDS as usize],
     pub rounds: f64,
 }
 
--- a/crates/drafts/src/words.rs
+++ b/crates/drafts/src/types.rs
@@ -8,15 +8,15 @@
 use serde::{Deserialize, Serialize};
 
 /// Load bands: 0 is idle, the last is full.
-pub const BANDS: u8 = 4;
+pub const LOAD_BANDS: u8 = 4;
 /// The longest draft, in tokens.
-pub const LONGEST: u8 = 8;
+pub const MAX_DRAFT_TOKENS: u8 = 8;
 /// The longest word of a workload, in bytes: it is a part of a document's key.
-const LONGEST_WORD: usize = 64;
+const MAX_WORKLOAD_NAME_BYTES: usize = 64;
 
 /// A member, by the number that stands for its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Name(pub u32);
+pub struct MemberId(pub u32);
 
 /// What is drafted for: a class, or a class and a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -26,10 +26,10 @@
 impl Workload {
     /// # Errors
     /// Where it is not 1 to 64 bytes of printable ASCII without `/`, `,`, `=`.
-    pub fn new(word: &str) -> Result<Self, Refused> {
+    pub fn new(word: &str) -> Result<Self, Rejection> {
         let plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'/' | b',' | b'=');
-        if word.is_empty() || word.len() > LONGEST_WORD || !word.bytes().all(plain) {
-            return Err(Refused::Workload);
+        if word.is_empty() || word.len() > MAX_WORKLOAD_NAME_BYTES || !word.bytes().all(plain) {
+            return Err(Rejection::Workload);
         }
         Ok(Self(word.into()))
     }
@@ -41,9 +41,9 @@
 }
 
 impl TryFrom<String> for Workload {
-    type Error = Refused;
+    type Error = Rejection;
 
-    fn try_from(word: String) -> Result<Self, Refused> {
+    fn try_from(word: String) -> Result<Self, Rejection> {
         Self::new(&word)
     }
 }
@@ -81,25 +81,25 @@
 }
 
 impl FromStr for Draft {
-    type Err = Refused;
+    type Err = Rejection;
 
-    fn from_str(text: &str) -> Result<Self, Refused> {
-        let (drafter, length) = text.split_once(':').ok_or(Refused::Draft)?;
-        let number = |t: &str| t.parse::<u8>().map_err(|_| Refused::Draft);
+    fn from_str(text: &str) -> Result<Self, Rejection> {
+        let (drafter, length) = text.split_once(':').ok_or(Rejection::Draft)?;
+        let number = |t: &str| t.parse::<u8>().map_err(|_| Rejection::Draft);
         let draft = Draft { drafter: number(drafter)?, length: number(length)? };
-        if draft.length > LONGEST || (draft.drafter == 0) != (draft.length == 0) {
-            return Err(Refused::Draft);
+        if draft.length > MAX_DRAFT_TOKENS || (draft.drafter == 0) != (draft.length == 0) {
+            return Err(Rejection::Draft);
         }
         Ok(draft)
     }
 }
 
 /// What runs by workload and load band. What is not in it runs as the settings' `start`.
-pub type Table = BTreeMap<(Workload, u8), Draft>;
+pub type DraftTable = BTreeMap<(Workload, u8), Draft>;
 
 /// What one call ran, as its answer tells.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ran {
+pub struct CallStats {
     /// For whom.
     pub workload: Workload,
     /// The draft that it ran under.
@@ -120,7 +120,7 @@
 
 /// Why a count was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Refused {
+pub enum Rejection {
     /// A workload's word has a wrong form.
     Workload,
     /// More workloads than the settings have room for.
@@ -140,43 +140,43 @@
     /// No time, or more a round than is believed.
     Time,
     /// No room for another row.
-    Room,
+    StoreFull,
     /// A datagram that cannot be read.
-    Unreadable,
+    Malformed,
     /// Of a member that is not on the roster, or in this member's own name.
-    Stranger,
+    UnknownMember,
     /// Of an epoch that its member's own clock has not reached or has left behind.
     Epoch,
 }
 
-impl Refused {
+impl Rejection {
     /// What is told to staff.
-    pub fn why(self) -> &'static str {
+    pub fn reason(self) -> &'static str {
         match self {
-            Refused::Workload => "a workload's word is 1 to 64 bytes of printable ASCII without / , =",
-            Refused::Workloads => "more workloads than the settings have room for",
-            Refused::Draft => "no draft of the menu",
-            Refused::Band => "no such load band",
-            Refused::Rounds => "no rounds",
-            Refused::Positions => "not one figure for each position of the draft",
-            Refused::Accepted => "more accepted at a position than at the one before it",
-            Refused::Tokens => "more tokens than such drafts can give",
-            Refused::Time => "a time of nothing, or more a round than is believed",
-            Refused::Room => "no room for another row",
-            Refused::Unreadable => "a datagram that cannot be read",
-            Refused::Stranger => "of somebody who is not on the roster",
-            Refused::Epoch => "of an epoch that does not count",
+            Rejection::Workload => "a workload's word is 1 to 64 bytes of printable ASCII without / , =",
+            Rejection::Workloads => "more workloads than the settings have room for",
+            Rejection::Draft => "no draft of the menu",
+            Rejection::Band => "no such load band",
+            Rejection::Rounds => "no rounds",
+            Rejection::Positions => "not one figure for each position of the draft",
+            Rejection::Accepted => "more accepted at a position than at the one before it",
+            Rejection::Tokens => "more tokens than such drafts can give",
+            Rejection::Time => "a time of nothing, or more a round than is believed",
+            Rejection::StoreFull => "no room for another row",
+            Rejection::Malformed => "a datagram that cannot be read",
+            Rejection::UnknownMember => "of somebody who is not on the roster",
+            Rejection::Epoch => "of an epoch that does not count",
         }
     }
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.why())
+        f.write_str(self.reason())
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for Rejection {}
 
 #[cfg(test)]
 mod tests;
--- a/crates/drafts/src/wire.rs
+++ b/crates/drafts/src/wire.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::store::{Key, Sums};
-use crate::words::{Draft, Name, Refused, Workload, BANDS, LONGEST};
+use crate::types::{Draft, MemberId, Rejection, Workload, LOAD_BANDS, MAX_DRAFT_TOKENS};
 
 /// The longest datagram, in bytes: what the carrier takes, less its own.
-pub const MOST_BYTES: usize = 1_190;
+pub const MAX_DATAGRAM_BYTES: usize = 1_190;
 /// The first byte. Another version of the format has another.
 const FORMAT: u8 = 1;
 /// Rows that a datagram may say it has: none that fits has more.
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Whose {
     /// Somebody else, where it is hearsay.
-    pub about: Option<Name>,
+    pub about: Option<MemberId>,
     pub life: u64,
     /// Milliseconds.
     pub clock: u64,
@@ -82,7 +82,7 @@
             accepted: sums.accepted[..key.draft.length as usize].to_vec(),
         };
         let row = postcard::to_stdvec(&row).unwrap_or_default();
-        if length + added + row.len() > MOST_BYTES || head.rows >= MOST_ROWS || row.is_empty() {
+        if length + added + row.len() > MAX_DATAGRAM_BYTES || head.rows >= MOST_ROWS || row.is_empty() {
             break;
         }
         if known.is_none() {
@@ -100,27 +100,27 @@
 }
 
 /// Reads a datagram. One that is cut, too long, of another format or with a key that cannot be is refused whole.
-pub(crate) fn read(data: &[u8]) -> Result<Heard, Refused> {
-    let Some((&FORMAT, rest)) = data.split_first().filter(|_| data.len() <= MOST_BYTES) else {
-        return Err(Refused::Unreadable);
+pub(crate) fn read(data: &[u8]) -> Result<Heard, Rejection> {
+    let Some((&FORMAT, rest)) = data.split_first().filter(|_| data.len() <= MAX_DATAGRAM_BYTES) else {
+        return Err(Rejection::Malformed);
     };
-    let (head, mut rest): (Head, _) = postcard::take_from_bytes(rest).map_err(|_| Refused::Unreadable)?;
+    let (head, mut rest): (Head, _) = postcard::take_from_bytes(rest).map_err(|_| Rejection::Malformed)?;
     if head.rows > MOST_ROWS {
-        return Err(Refused::Unreadable);
+        return Err(Rejection::Malformed);
     }
     let mut rows = Vec::with_capacity(head.rows as usize);
     for _ in 0..head.rows {
-        let (row, next): (Row, _) = postcard::take_from_bytes(rest).map_err(|_| Refused::Unreadable)?;
+        let (row, next): (Row, _) = postcard::take_from_bytes(rest).map_err(|_| Rejection::Malformed)?;
         rest = next;
         let length = row.draft.length as usize;
         if row.word as usize >= head.words.len()
-            || row.draft.length > LONGEST
-            || row.band >= BANDS
+            || row.draft.length > MAX_DRAFT_TOKENS
+            || row.band >= LOAD_BANDS
             || row.accepted.len() != length
         {
-            return Err(Refused::Unreadable);
+            return Err(Rejection::Malformed);
         }
-        let mut accepted = [0; LONGEST as usize];
+        let mut accepted = [0; MAX_DRAFT_TOKENS as usize];
         accepted[..length].copy_from_slice(&row.accepted);
         let key = Key {
             epoch: row.epoch,
@@ -133,7 +133,7 @@
         rows.push((key, Sums { calls, rounds, tokens, micros, squares, accepted }));
     }
     if !rest.is_empty() {
-        return Err(Refused::Unreadable);
+        return Err(Rejection::Malformed);
     }
     Ok(Heard { whose: head.whose, words: head.words, rows })
 }
--- a/crates/drafts/tests/fleet/mod.rs
+++ b/crates/drafts/tests/fleet/mod.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use wheellink_drafts::{Draft, Drafts, Name, Out, Ran, Settings, Table, Workload, MOST_BYTES};
+use wheellink_drafts::{
+    CallStats, Draft, DraftLearner, DraftTable, MemberId, Output, Settings, Workload, MAX_DATAGRAM_BYTES,
+};
 
 pub const STEP: Duration = Duration::from_millis(250);
 
@@ -72,7 +74,7 @@
         band: u8,
         version: u64,
         rounds: u32,
-    ) -> Ran {
+    ) -> CallStats {
         let mut accepted = vec![0; draft.length as usize];
         for _ in 0..rounds {
             for (at, k) in accepted.iter_mut().enumerate() {
@@ -85,7 +87,7 @@
         let tokens = rounds + accepted.iter().sum::<u32>();
         let micros =
             self.of(draft, band).1 * f64::from(rounds) * (1.0 + self.noise * (rng.f64() - 0.5) * 3.46);
-        Ran {
+        CallStats {
             workload: workload.clone(),
             draft,
             band,
@@ -108,12 +110,12 @@
 }
 
 pub struct Member {
-    pub name: Name,
-    pub drafts: Drafts,
-    pub table: Table,
+    pub name: MemberId,
+    pub drafts: DraftLearner,
+    pub table: DraftTable,
     pub version: u64,
     /// It changes each count that it would tell.
-    pub forge: Option<fn(&mut Ran)>,
+    pub forge: Option<fn(&mut CallStats)>,
     pub calls: f64,
     pub alive: bool,
     pub bytes: u64,
@@ -135,10 +137,10 @@
     /// Members that can agree on a version, as a part: fewer than a majority cannot.
     pub parts: Vec<BTreeSet<u32>>,
     pub version: u64,
-    pub table: Table,
-    pub versions: Vec<(Duration, Table)>,
+    pub table: DraftTable,
+    pub versions: Vec<(Duration, DraftTable)>,
     pub tells: bool,
-    wire: Vec<(Duration, Name, Name, Vec<u8>)>,
+    wire: Vec<(Duration, MemberId, MemberId, Vec<u8>)>,
     /// Expected tokens and microseconds of what was run.
     pub tokens: f64,
     pub micros: f64,
@@ -166,7 +168,7 @@
             cut: BTreeSet::new(),
             parts: Vec::new(),
             version: 1,
-            table: Table::new(),
+            table: DraftTable::new(),
             versions: Vec::new(),
             tells: true,
             wire: Vec::new(),
@@ -177,10 +179,10 @@
             settings,
         };
         for name in 1..=members {
-            let drafts = fleet.life(Name(name), members);
-            let (table, version) = (Table::new(), 1);
+            let drafts = fleet.life(MemberId(name), members);
+            let (table, version) = (DraftTable::new(), 1);
             fleet.members.push(Member {
-                name: Name(name),
+                name: MemberId(name),
                 drafts,
                 table,
                 version,
@@ -193,13 +195,13 @@
         fleet
     }
 
-    fn life(&mut self, name: Name, members: u32) -> Drafts {
+    fn life(&mut self, name: MemberId, members: u32) -> DraftLearner {
         self.lives += 1;
         let seed = self.rng.u64(..);
-        let mut drafts = Drafts::new(self.settings.clone(), name, self.lives, seed, self.now).unwrap();
+        let mut drafts = DraftLearner::new(self.settings.clone(), name, self.lives, seed, self.now).unwrap();
         let heard = if self.tells { members as usize - 1 } else { 0 };
         let others = if self.tells { members } else { 0 };
-        drafts.set_members((1..=others).map(Name), heard);
+        drafts.set_members((1..=others).map(MemberId), heard);
         drafts
     }
 
@@ -229,7 +231,7 @@
         for _ in 0..calls {
             let (workload, truth) = &self.truths[self.rng.usize(..self.truths.len())];
             let m = &mut self.members[at];
-            let draft = m.drafts.pick(workload, self.band, &m.table, self.rng.f64());
+            let draft = m.drafts.choose(workload, self.band, &m.table, self.rng.f64());
             let mut ran = truth.ran(&mut self.rng, workload, draft, self.band, m.version, self.rounds);
             let (tokens, micros) = truth.of(draft, self.band);
             self.tokens += tokens * f64::from(self.rounds);
@@ -237,7 +239,7 @@
             if let Some(forge) = m.forge {
                 forge(&mut ran);
             }
-            let _ = m.drafts.served(self.now, &ran);
+            let _ = m.drafts.record_call(self.now, &ran);
         }
     }
 
@@ -249,13 +251,13 @@
         for (_, from, to, data) in due {
             let m = &mut self.members[to.0 as usize - 1];
             if m.alive {
-                m.drafts.heard(self.now, from, &data, &mut Vec::new());
+                m.drafts.receive(self.now, from, &data, &mut Vec::new());
             }
         }
     }
 
-    fn post(&mut self, from: Name, to: Name, data: Vec<u8>) {
-        assert!(data.len() <= MOST_BYTES);
+    fn post(&mut self, from: MemberId, to: MemberId, data: Vec<u8>) {
+        assert!(data.len() <= MAX_DATAGRAM_BYTES);
         if self.cut.contains(&(from.0, to.0)) || self.rng.f64() < self.loss {
             return;
         }
@@ -265,7 +267,7 @@
         }
     }
 
-    fn may_agree(&self, name: Name) -> bool {
+    fn may_agree(&self, name: MemberId) -> bool {
         let part = self.parts.iter().find(|p| p.contains(&name.0));
         part.is_none_or(|p| p.len() * 2 > self.members.len())
     }
@@ -276,7 +278,7 @@
             return;
         }
         let m = &mut self.members[at];
-        let Some(table) = m.drafts.proposal(now, &m.table, m.version) else { return };
+        let Some(table) = m.drafts.propose(now, &m.table, m.version) else { return };
         if self.tells && m.version != self.version {
             return;
         }
@@ -311,11 +313,11 @@
                 self.members[at].drafts.wake(now, &mut out);
                 for o in out {
                     match o {
-                        Out::Send { to, data } => {
+                        Output::Send { to, data } => {
                             self.members[at].bytes += data.len() as u64;
                             self.post(self.members[at].name, to, data);
                         }
-                        Out::Note(line) => self.notes.push(line),
+                        Output::Log(line) => self.notes.push(line),
                     }
                 }
             }
--- a/crates/drafts/tests/fleets.rs
+++ b/crates/drafts/tests/fleets.rs
@@ -6,7 +6,7 @@
 
 use fleet::{one, word, Fleet, Truth};
 use rstest::rstest;
-use wheellink_drafts::{Draft, Ran, Settings};
+use wheellink_drafts::{CallStats, Draft, Settings};
 
 fn secs(s: u64) -> Duration {
     Duration::from_secs(s)
@@ -69,7 +69,7 @@
         assert!(fleet.until(0.97, secs(600)).is_some());
         fleet.run(secs(300));
         fleet.truths[0].1.rates[0] = [0.15; 8];
-        let regained = fleet.until(0.95, fleet.settings.bound());
+        let regained = fleet.until(0.95, fleet.settings.max_evidence_age());
         assert!(
             regained.is_some(),
             "seed {seed}: {} {:?}",
@@ -85,7 +85,7 @@
     assert!(fleet.until(0.97, secs(600)).is_some());
     fleet.run(secs(200));
     fleet.truths[0].1.costs[0] = (30_000.0, 60_000.0);
-    assert!(fleet.until(0.95, fleet.settings.bound()).is_some(), "{}", fleet.draft("chat"));
+    assert!(fleet.until(0.95, fleet.settings.max_evidence_age()).is_some(), "{}", fleet.draft("chat"));
 }
 
 #[test]
@@ -99,7 +99,11 @@
     fleet.parts = vec![few.into_iter().collect(), many.into_iter().collect()];
     let before = fleet.members[0].version;
     fleet.truths[0].1.rates[0] = [0.1; 8];
-    assert!(fleet.until(0.95, fleet.settings.bound()).is_some(), "the others learn: {}", fleet.draft("chat"));
+    assert!(
+        fleet.until(0.95, fleet.settings.max_evidence_age()).is_some(),
+        "the others learn: {}",
+        fleet.draft("chat")
+    );
     assert_eq!(fleet.members[0].version, before, "the two keep what they had");
     (fleet.cut, fleet.parts) = (Default::default(), Vec::new());
     fleet.run(secs(10));
@@ -150,7 +154,7 @@
             .iter_mut()
             .map(|m| {
                 let later = now + fleet.settings.review;
-                m.drafts.proposal(later, &table, 1)
+                m.drafts.propose(later, &table, 1)
             })
             .collect();
         assert!(wanted[0].is_some(), "seed {seed}: {:?}", fleet.members[0].drafts.view(now));
@@ -173,30 +177,30 @@
     assert!(single.until(0.97, secs(600)).is_some(), "{}", single.draft("chat"));
 }
 
-fn all_accepted(ran: &mut Ran) {
+fn all_accepted(ran: &mut CallStats) {
     (ran.rounds, ran.time) = (ran.rounds * 50, ran.time * 50);
     ran.accepted.iter_mut().for_each(|k| *k = ran.rounds);
     ran.tokens = ran.rounds;
 }
 
-fn none_accepted(ran: &mut Ran) {
+fn none_accepted(ran: &mut CallStats) {
     ran.accepted.iter_mut().for_each(|k| *k = 0);
     ran.tokens = ran.rounds;
 }
 
-fn long_is_free(ran: &mut Ran) {
+fn long_is_free(ran: &mut CallStats) {
     ran.time =
         Duration::from_micros(u64::from(ran.rounds) * if ran.draft.length > 5 { 5_000 } else { 200_000 });
 }
 
-fn drafts_cost_much(ran: &mut Ran) {
+fn drafts_cost_much(ran: &mut CallStats) {
     if ran.draft != Draft::OFF {
         ran.time *= 20;
     }
 }
 
 /// Just within what is taken for honest.
-fn a_little_better(ran: &mut Ran) {
+fn a_little_better(ran: &mut CallStats) {
     let more = ran.rounds / 12;
     let mut most = ran.rounds;
     for k in &mut ran.accepted {
@@ -211,7 +215,7 @@
 #[case::long_is_free(long_is_free)]
 #[case::drafts_cost_much(drafts_cost_much)]
 #[case::a_little_better(a_little_better)]
-fn a_member_that_forges_moves_nothing(#[case] forge: fn(&mut Ran)) {
+fn a_member_that_forges_moves_nothing(#[case] forge: fn(&mut CallStats)) {
     for band in [0, 3] {
         let mut fleet = chat(5, 8);
         fleet.band = band;
@@ -246,7 +250,7 @@
 fn bytes_and_exploration_keep_to_their_bounds() {
     let mut fleet = Fleet::new(settings(), 6, vec![(word("chat"), Truth::chat())], 50.0, 11);
     fleet.run(secs(120));
-    let most = fleet.settings.bytes_a_second() * 121.0;
+    let most = fleet.settings.max_bytes_per_second() * 121.0;
     assert!(
         fleet.members.iter().all(|m| m.bytes as f64 <= most),
         "{:?}",
@@ -260,7 +264,7 @@
     let mut tried = 0;
     for m in &mut still.members {
         for _ in 0..10_000 {
-            tried += u32::from(m.drafts.pick(&word("chat"), 0, &table, 0.029) != one(0));
+            tried += u32::from(m.drafts.choose(&word("chat"), 0, &table, 0.029) != one(0));
         }
     }
     assert!(tried <= 2 * 20 + 6, "{tried} without a wake between");
--- a/crates/drafts/tests/measure.rs
+++ b/crates/drafts/tests/measure.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::{one, word, Fleet, Truth};
-use wheellink_drafts::{Draft, Drafts, Name, Settings, Table};
+use wheellink_drafts::{Draft, DraftLearner, DraftTable, MemberId, Settings};
 
 fn secs(s: u64) -> Duration {
     Duration::from_secs(s)
@@ -60,17 +60,17 @@
         ("rise", |t| t.rates[0] = [0.93; 8]),
         ("cost", |t| t.costs[0] = (30_000.0, 45_000.0)),
     ];
-    let bound = Settings::default().bound();
-    say("drift.bound", bound.as_secs_f64(), "s");
+    let max_evidence_age = Settings::default().max_evidence_age();
+    say("drift.bound", max_evidence_age.as_secs_f64(), "s");
     for (name, change) in changes {
         let (mut times, mut late) = (Vec::new(), 0.0);
         for seed in 0..10 {
             let mut fleet = fleet(&Truth::chat(), 4, 20.0, 200 + seed);
             fleet.run(secs(1_500));
             change(&mut fleet.truths[0].1);
-            match fleet.until(0.95, bound * 4) {
+            match fleet.until(0.95, max_evidence_age * 4) {
                 Some(time) => {
-                    late += f64::from(u8::from(time > bound));
+                    late += f64::from(u8::from(time > max_evidence_age));
                     times.push(time.as_secs_f64());
                 }
                 None => late += 1.0,
@@ -129,25 +129,25 @@
         let begun = Instant::now();
         let looks = 20;
         for _ in 0..looks {
-            std::hint::black_box(fleet.members[0].drafts.proposal(now, &Table::new(), u64::MAX));
+            std::hint::black_box(fleet.members[0].drafts.propose(now, &DraftTable::new(), u64::MAX));
             let mut drafts = fleet.members[0].drafts.clone();
             drafts.wake(now, &mut Vec::new());
         }
         let each = begun.elapsed().as_secs_f64() * 1e3 / f64::from(looks);
         say(&format!("processor.look.members{members}"), each, "ms");
     }
-    say("bytes.bound", Settings::default().bytes_a_second(), "a_member_a_second");
-    let mut drafts = Drafts::new(Settings::default(), Name(1), 1, 1, Duration::ZERO).unwrap();
+    say("bytes.bound", Settings::default().max_bytes_per_second(), "a_member_a_second");
+    let mut drafts = DraftLearner::new(Settings::default(), MemberId(1), 1, 1, Duration::ZERO).unwrap();
     let (truth, workload, mut rng) = (Truth::chat(), word("w"), fastrand::Rng::with_seed(1));
     let rans: Vec<_> =
         (0..1_000).map(|i| truth.ran(&mut rng, &workload, one(i as u8 % 9), i as u8 % 4, 1, 20)).collect();
-    let table: Table = [((workload.clone(), 0), Draft { drafter: 1, length: 4 })].into();
+    let table: DraftTable = [((workload.clone(), 0), Draft { drafter: 1, length: 4 })].into();
     let begun = Instant::now();
     let rounds = 500;
     for round in 0..rounds {
         for ran in &rans {
-            std::hint::black_box(drafts.pick(&workload, 0, &table, 0.5));
-            let _ = drafts.served(Duration::from_millis(round), ran);
+            std::hint::black_box(drafts.choose(&workload, 0, &table, 0.5));
+            let _ = drafts.record_call(Duration::from_millis(round), ran);
         }
     }
     let calls = rounds as f64 * rans.len() as f64;
--- a/crates/drafts/tests/properties.rs
+++ b/crates/drafts/tests/properties.rs
@@ -4,7 +4,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use wheellink_drafts::{Draft, Drafts, Name, Out, Ran, Refused, Settings, Table, Workload, MOST_BYTES};
+use wheellink_drafts::{
+    CallStats, Draft, DraftLearner, DraftTable, MemberId, Output, Rejection, Settings, Workload,
+    MAX_DATAGRAM_BYTES,
+};
 
 const MEMBERS: usize = 3;
 
@@ -56,17 +59,17 @@
             .prop_map(|(who, word, draft, band, rounds)| Step::Serve { who, word, draft, band, rounds }),
         6 => (0..MEMBERS).prop_map(Step::Wake),
         8 => (any::<usize>(), any::<bool>()).prop_map(|(which, keep)| Step::Deliver { which, keep }),
-        1 => (any::<usize>(), 0usize..MOST_BYTES).prop_map(|(which, bytes)| Step::Half { which, bytes }),
+        1 => (any::<usize>(), 0usize..MAX_DATAGRAM_BYTES).prop_map(|(which, bytes)| Step::Half { which, bytes }),
         2 => any::<usize>().prop_map(Step::Drop),
         1 => (0..MEMBERS).prop_map(Step::Restart),
     ]
 }
 
-fn ran(word: u8, draft: Draft, band: u8, rounds: u32) -> Ran {
+fn ran(word: u8, draft: Draft, band: u8, rounds: u32) -> CallStats {
     let accepted: Vec<u32> = (0..u32::from(draft.length)).map(|i| rounds * (8 - i) / 10).collect();
     let tokens = rounds + accepted.iter().sum::<u32>();
     let workload = Workload::new(&format!("w{word}")).unwrap();
-    Ran {
+    CallStats {
         workload,
         draft,
         band,
@@ -79,7 +82,7 @@
 }
 
 struct World {
-    members: Vec<Drafts>,
+    members: Vec<DraftLearner>,
     now: Duration,
     lives: u64,
     /// Rounds that a member served, in all its lives and in this one.
@@ -99,10 +102,11 @@
         world
     }
 
-    fn life(&mut self, who: usize) -> Drafts {
+    fn life(&mut self, who: usize) -> DraftLearner {
         self.lives += 1;
-        let mut drafts = Drafts::new(settings(), Name(who as u32), self.lives, self.lives, self.now).unwrap();
-        drafts.set_members((0..MEMBERS as u32).map(Name), MEMBERS - 1);
+        let mut drafts =
+            DraftLearner::new(settings(), MemberId(who as u32), self.lives, self.lives, self.now).unwrap();
+        drafts.set_members((0..MEMBERS as u32).map(MemberId), MEMBERS - 1);
         drafts
     }
 
@@ -110,7 +114,7 @@
         self.now += Duration::from_millis(100);
         match step.clone() {
             Step::Serve { who, word, draft, band, rounds } => {
-                self.members[who].served(self.now, &ran(word, draft, band, rounds)).unwrap();
+                self.members[who].record_call(self.now, &ran(word, draft, band, rounds)).unwrap();
                 self.served[who] += u64::from(rounds);
                 self.this_life[who] += u64::from(rounds);
             }
@@ -119,8 +123,8 @@
                 let mut out = Vec::new();
                 self.members[who].wake(self.now, &mut out);
                 for o in out {
-                    if let Out::Send { to, data } = o {
-                        assert!(data.len() <= MOST_BYTES);
+                    if let Output::Send { to, data } = o {
+                        assert!(data.len() <= MAX_DATAGRAM_BYTES);
                         self.wire.push((who, to.0 as usize, data));
                     }
                 }
@@ -128,12 +132,12 @@
             Step::Deliver { which, keep } if !self.wire.is_empty() => {
                 let at = which % self.wire.len();
                 let (from, to, data) = if keep { self.wire[at].clone() } else { self.wire.swap_remove(at) };
-                self.members[to].heard(self.now, Name(from as u32), &data, &mut Vec::new());
+                self.members[to].receive(self.now, MemberId(from as u32), &data, &mut Vec::new());
             }
             Step::Half { which, bytes } if !self.wire.is_empty() => {
                 let (from, to, data) = self.wire[which % self.wire.len()].clone();
                 let cut = &data[..bytes.min(data.len() - 1)];
-                self.members[to].heard(self.now, Name(from as u32), cut, &mut Vec::new());
+                self.members[to].receive(self.now, MemberId(from as u32), cut, &mut Vec::new());
             }
             Step::Drop(which) if !self.wire.is_empty() => {
                 let at = which % self.wire.len();
@@ -192,7 +196,7 @@
 
     #[test]
     fn no_bytes_break_the_reader(
-        noise in proptest::collection::vec(any::<u8>(), 0..MOST_BYTES + 20),
+        noise in proptest::collection::vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES + 20),
         flips in proptest::collection::vec((any::<usize>(), any::<u8>()), 1..6),
     ) {
         let mut world = World::new();
@@ -203,18 +207,18 @@
         world.take(&Step::Wake(0));
         let (_, _, real) = world.wire[0].clone();
         let mut out = Vec::new();
-        world.members[1].heard(world.now, Name(0), &noise, &mut out);
+        world.members[1].receive(world.now, MemberId(0), &noise, &mut out);
         let mut bent = real.clone();
         for (at, byte) in flips {
             let at = at % bent.len();
             bent[at] ^= byte;
         }
-        world.members[1].heard(world.now, Name(0), &bent, &mut out);
-        world.members[1].heard(world.now, Name(77), &real, &mut out);
+        world.members[1].receive(world.now, MemberId(0), &bent, &mut out);
+        world.members[1].receive(world.now, MemberId(77), &real, &mut out);
         // It goes on to work and to decide.
         let later = world.now + Duration::from_secs(5);
         world.members[1].wake(later, &mut out);
-        let _ = world.members[1].proposal(later, &Table::new(), 1);
+        let _ = world.members[1].propose(later, &DraftTable::new(), 1);
         let view = world.members[1].view(later);
         prop_assert!(view.rows <= settings().rows_in_all);
         prop_assert!(view.refused.values().sum::<u64>() > 0, "a stranger is refused at least");
@@ -226,22 +230,22 @@
         let small = Settings { workloads: 8, rows: 32, rows_in_all: 64, lives: 2, ..settings() };
         let now = Duration::from_secs(1);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut victim = Drafts::new(small.clone(), Name(1), 1, 1, now).unwrap();
-        victim.set_members([Name(2), Name(3)], 2);
+        let mut victim = DraftLearner::new(small.clone(), MemberId(1), 1, 1, now).unwrap();
+        victim.set_members([MemberId(2), MemberId(3)], 2);
         for life in 0..12 {
             let big = Settings { rows: 4_096, rows_in_all: 4_096, workloads: 1_024, ..settings() };
-            let mut forger = Drafts::new(big, Name(2), life, seed, now).unwrap();
-            forger.set_members([Name(1)], 1);
+            let mut forger = DraftLearner::new(big, MemberId(2), life, seed, now).unwrap();
+            forger.set_members([MemberId(1)], 1);
             for _ in 0..60 {
                 let draft = Draft { drafter: 1, length: rng.u8(1..=8) };
-                let _ = forger.served(now, &ran(rng.u8(..6), draft, rng.u8(0..4), 5));
+                let _ = forger.record_call(now, &ran(rng.u8(..6), draft, rng.u8(0..4), 5));
             }
             for second in 1..6 {
                 let mut out = Vec::new();
                 forger.wake(now + Duration::from_secs(second * 2), &mut out);
                 for o in out {
-                    if let Out::Send { data, .. } = o {
-                        victim.heard(now + Duration::from_secs(second * 2), Name(2), &data, &mut Vec::new());
+                    if let Output::Send { data, .. } = o {
+                        victim.receive(now + Duration::from_secs(second * 2), MemberId(2), &data, &mut Vec::new());
                     }
                 }
             }
@@ -249,7 +253,7 @@
             prop_assert!(view.rows <= 64, "{} rows", view.rows);
             prop_assert!(view.members.iter().all(|m| m.lives <= 2));
         }
-        let mine = victim.served(now, &ran(200, Draft::OFF, 0, 5));
+        let mine = victim.record_call(now, &ran(200, Draft::OFF, 0, 5));
         // Rows of one member do not fill the whole here, and words of others only the half.
         prop_assert!(mine.is_ok() || victim.view(now).rows >= 64, "{mine:?}");
     }
@@ -258,26 +262,26 @@
 #[test]
 fn counts_that_cannot_be_are_refused_by_reason() {
     let now = Duration::from_secs(1);
-    let mut drafts = Drafts::new(settings(), Name(1), 1, 1, now).unwrap();
+    let mut drafts = DraftLearner::new(settings(), MemberId(1), 1, 1, now).unwrap();
     let good = ran(0, Draft { drafter: 1, length: 3 }, 0, 10);
-    assert_eq!(drafts.served(now, &good), Ok(()));
-    type Change = fn(&mut Ran);
-    let cases: [(Refused, Change); 10] = [
-        (Refused::Accepted, |r| r.accepted = vec![11, 3, 2]),
-        (Refused::Accepted, |r| r.accepted = vec![3, 4, 2]),
-        (Refused::Positions, |r| r.accepted = vec![3, 2]),
-        (Refused::Tokens, |r| r.tokens = 10_000),
-        (Refused::Time, |r| r.time = Duration::ZERO),
-        (Refused::Time, |r| r.time = Duration::from_secs(41)),
-        (Refused::Rounds, |r| (r.rounds, r.accepted, r.tokens) = (0, vec![0; 3], 0)),
-        (Refused::Band, |r| r.band = 4),
-        (Refused::Draft, |r| r.draft = Draft { drafter: 3, length: 3 }),
-        (Refused::Draft, |r| r.draft = Draft { drafter: 0, length: 3 }),
+    assert_eq!(drafts.record_call(now, &good), Ok(()));
+    type Change = fn(&mut CallStats);
+    let cases: [(Rejection, Change); 10] = [
+        (Rejection::Accepted, |r| r.accepted = vec![11, 3, 2]),
+        (Rejection::Accepted, |r| r.accepted = vec![3, 4, 2]),
+        (Rejection::Positions, |r| r.accepted = vec![3, 2]),
+        (Rejection::Tokens, |r| r.tokens = 10_000),
+        (Rejection::Time, |r| r.time = Duration::ZERO),
+        (Rejection::Time, |r| r.time = Duration::from_secs(41)),
+        (Rejection::Rounds, |r| (r.rounds, r.accepted, r.tokens) = (0, vec![0; 3], 0)),
+        (Rejection::Band, |r| r.band = 4),
+        (Rejection::Draft, |r| r.draft = Draft { drafter: 3, length: 3 }),
+        (Rejection::Draft, |r| r.draft = Draft { drafter: 0, length: 3 }),
     ];
     for (why, change) in cases {
         let mut bad = good.clone();
         change(&mut bad);
-        assert_eq!(drafts.served(now, &bad), Err(why), "{bad:?}");
+        assert_eq!(drafts.record_call(now, &bad), Err(why), "{bad:?}");
     }
     let view = drafts.view(now);
     assert_eq!(view.members[0].rounds, 10, "nothing of them was counted");
--- a/crates/handoff/src/flaw.rs
+++ b/crates/handoff/src/fault.rs
@@ -1,11 +1,11 @@
 //! Mistakes that could be made in the handing over, planted where `cfg(loom)` plays the interleavings: each must be
 //! found, else the model would prove nothing. Without `cfg(loom)` there is none, and the compiler sees that.
 
-macro_rules! flaws {
+macro_rules! faults {
     ($($(#[$doc:meta])* $name:ident, $is:ident;)*) => {
         /// One of them, or none.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-        pub enum Flaw {
+        pub enum Fault {
             /// As it should be.
             #[default]
             None,
@@ -13,12 +13,12 @@
         }
 
         #[cfg(loom)]
-        impl Flaw {
+        impl Fault {
             /// Every one of them.
             pub const ALL: &'static [Self] = &[$(Self::$name),*];
         }
 
-        impl Flaw {
+        impl Fault {
             $($(#[$doc])* pub(crate) fn $is(self) -> bool {
                 #[cfg(loom)]
                 return self == Self::$name;
@@ -29,25 +29,25 @@
     };
 }
 
-flaws! {
+faults! {
     /// Older work is put and published after newer.
-    AnyVersion, takes_any_version;
+    AcceptStaleVersion, accepts_stale_version;
     /// Who put work does not wake the worker.
-    SilentPut, puts_in_silence;
+    NoWakeOnSubmit, skips_wake_on_submit;
     /// Who closes does not wake the worker.
-    SilentClose, closes_in_silence;
+    NoWakeOnClose, skips_wake_on_close;
     /// The worker looks whether something waits, lets go of the lock, and then sleeps.
-    LookThenWait, looks_then_waits;
+    UnlockBeforeWait, unlocks_before_wait;
     /// Version and product are fetched one after the other.
-    Halves, fetches_in_halves;
+    SplitFetch, splits_fetch;
     /// Who publishes clears the place of what waits.
-    LostLast, clears_what_waits;
+    PublishDropsPending, drops_pending_on_publish;
     /// Work is taken and noted as in hand one after the other.
-    Unseen, begins_unseen;
+    RunningSetLate, sets_running_late;
     /// Newer work does not tell what is in hand.
-    NoCancel, forgets_to_cancel;
+    NoCancelOnSubmit, skips_cancel_on_submit;
     /// A worker that ends does not say so.
-    SilentEnd, leaves_in_silence;
+    WorkerExitUnreported, hides_worker_exit;
     /// What was given up counts as in hand for good.
-    NeverDone, forgets_what_is_done;
+    RunningNeverCleared, keeps_running_set;
 }
--- a/crates/handoff/src/lib.rs
+++ b/crates/handoff/src/lib.rs
@@ -9,16 +9,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod flaw;
+pub mod fault;
 mod sync;
 
 use std::fmt;
 
-use flaw::Flaw;
+use fault::Fault;
 use sync::{Arc, AtomicBool, Condvar, Mutex, MutexGuard, Ordering};
 
 /// What both ends see, under one lock that is never held while anything is made or dropped.
-struct Places<W, M> {
+struct Slots<W, M> {
     /// Put and not begun: at most one.
     waiting: Option<(u64, W)>,
     /// Begun and not done: its version, and whether it is still wanted.
@@ -35,40 +35,40 @@
 }
 
 struct Shared<W, M> {
-    places: Mutex<Places<W, M>>,
+    slots: Mutex<Slots<W, M>>,
     /// Something waits, or the desk is closed.
-    news: Condvar,
-    flaw: Flaw,
+    wake: Condvar,
+    fault: Fault,
 }
 
 impl<W, M> Shared<W, M> {
     /// A lock is poisoned only by a panic that left the places as they were: each change of them is whole.
-    fn places(&self) -> MutexGuard<'_, Places<W, M>> {
-        self.places.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn slots(&self) -> MutexGuard<'_, Slots<W, M>> {
+        self.slots.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
 /// The end of the loop: puts work, fetches what was made. None of its calls waits for the worker.
-pub struct Desk<W, M>(Arc<Shared<W, M>>);
+pub struct Submitter<W, M>(Arc<Shared<W, M>>);
 
 /// The end of the worker: takes work, publishes what it made. There is one, and it takes one work at a time.
-pub struct Bench<W, M>(Arc<Shared<W, M>>);
+pub struct Worker<W, M>(Arc<Shared<W, M>>);
 
 /// Work that was taken.
-pub struct Work<W> {
+pub struct Job<W> {
     /// Which version it makes.
     pub version: u64,
     /// What it is made from.
-    pub work: W,
+    pub input: W,
     /// To be looked at while it is made.
-    pub cancel: Cancel,
+    pub cancel: Cancellation,
 }
 
 /// Whether work in hand is still wanted.
 #[derive(Clone)]
-pub struct Cancel(Arc<AtomicBool>);
+pub struct Cancellation(Arc<AtomicBool>);
 
-impl Cancel {
+impl Cancellation {
     /// It is wanted no more: something newer waits, or nobody asks any longer. What is made of it all the same may be
     /// published, and harms nothing.
     pub fn is_set(&self) -> bool {
@@ -77,165 +77,158 @@
 }
 
 /// Why work was not taken; it is given back.
-pub enum Turned<W> {
+pub enum SubmitError<W> {
     /// A version as new as this was put before.
-    Old(W),
+    Stale(W),
     /// There is no worker any more.
-    Gone(W),
+    WorkerGone(W),
 }
 
-impl<W> fmt::Debug for Turned<W> {
+impl<W> fmt::Debug for SubmitError<W> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Old(_) => "a version as new was put before",
-            Self::Gone(_) => "the worker is gone",
+            Self::Stale(_) => "a version as new was put before",
+            Self::WorkerGone(_) => "the worker is gone",
         })
     }
 }
 
 /// Two ends that belong together.
-pub fn pair<W, M>() -> (Desk<W, M>, Bench<W, M>) {
-    pair_with(Flaw::default())
+pub fn channel<W, M>() -> (Submitter<W, M>, Worker<W, M>) {
+    channel_with_fault(Fault::default())
 }
 
 /// Two ends with this flaw, of which there are none but under `cfg(loom)`.
-pub fn pair_with<W, M>(flaw: Flaw) -> (Desk<W, M>, Bench<W, M>) {
-    let places = Places {
-        waiting: None,
-        begun: None,
-        made: None,
-        put: None,
-        newest: None,
-        closed: false,
-        gone: false,
-    };
-    let shared = Arc::new(Shared { places: Mutex::new(places), news: Condvar::new(), flaw });
-    (Desk(shared.clone()), Bench(shared))
+pub fn channel_with_fault<W, M>(fault: Fault) -> (Submitter<W, M>, Worker<W, M>) {
+    let slots =
+        Slots { waiting: None, begun: None, made: None, put: None, newest: None, closed: false, gone: false };
+    let shared = Arc::new(Shared { slots: Mutex::new(slots), wake: Condvar::new(), fault });
+    (Submitter(shared.clone()), Worker(shared))
 }
 
-impl<W, M> Desk<W, M> {
+impl<W, M> Submitter<W, M> {
     /// Puts work for a version newer than all before. What waited and was not begun is given back; what is in hand is
     /// told that it is not wanted any more.
-    pub fn put(&self, version: u64, work: W) -> Result<Option<(u64, W)>, Turned<W>> {
-        let mut places = self.0.places();
-        if places.gone {
-            return Err(Turned::Gone(work));
+    pub fn submit(&self, version: u64, work: W) -> Result<Option<(u64, W)>, SubmitError<W>> {
+        let mut slots = self.0.slots();
+        if slots.gone {
+            return Err(SubmitError::WorkerGone(work));
         }
-        if places.put.is_some_and(|newest| newest >= version) && !self.0.flaw.takes_any_version() {
-            return Err(Turned::Old(work));
+        if slots.put.is_some_and(|newest| newest >= version) && !self.0.fault.accepts_stale_version() {
+            return Err(SubmitError::Stale(work));
         }
-        places.put = Some(version);
-        if let Some((_, unwanted)) = places.begun.as_ref().filter(|_| !self.0.flaw.forgets_to_cancel()) {
+        slots.put = Some(version);
+        if let Some((_, unwanted)) = slots.begun.as_ref().filter(|_| !self.0.fault.skips_cancel_on_submit()) {
             unwanted.store(true, Ordering::Release);
         }
-        let superseded = places.waiting.replace((version, work));
-        drop(places);
-        if !self.0.flaw.puts_in_silence() {
-            self.0.news.notify_one();
+        let superseded = slots.waiting.replace((version, work));
+        drop(slots);
+        if !self.0.fault.skips_wake_on_submit() {
+            self.0.wake.notify_one();
         }
         Ok(superseded)
     }
 
     /// The newest that was made since this was last asked, newer than all that it ever gave.
-    pub fn latest(&self) -> Option<(u64, M)> {
-        let mut places = self.0.places();
-        if self.0.flaw.fetches_in_halves() {
-            let version = places.newest?;
-            drop(places);
-            return self.0.places().made.take().map(|(_, made)| (version, made));
+    pub fn take_latest(&self) -> Option<(u64, M)> {
+        let mut slots = self.0.slots();
+        if self.0.fault.splits_fetch() {
+            let version = slots.newest?;
+            drop(slots);
+            return self.0.slots().made.take().map(|(_, made)| (version, made));
         }
-        places.made.take()
+        slots.made.take()
     }
 
     /// Versions that wait and that are in hand.
-    pub fn under_way(&self) -> (Option<u64>, Option<u64>) {
-        let places = self.0.places();
-        (places.waiting.as_ref().map(|w| w.0), places.begun.as_ref().map(|b| b.0))
+    pub fn versions_in_progress(&self) -> (Option<u64>, Option<u64>) {
+        let slots = self.0.slots();
+        (slots.waiting.as_ref().map(|w| w.0), slots.begun.as_ref().map(|b| b.0))
     }
 
     /// Whether the worker is gone: it ended, or what it made had it panic. What it had in hand is lost.
-    pub fn is_gone(&self) -> bool {
-        self.0.places().gone
+    pub fn is_worker_gone(&self) -> bool {
+        self.0.slots().gone
     }
 
     /// Asks for nothing more: what waits is dropped, what is in hand is told. The worker's next call returns.
     pub fn close(&self) {
-        let mut places = self.0.places();
-        places.closed = true;
-        if let Some((_, unwanted)) = &places.begun {
+        let mut slots = self.0.slots();
+        slots.closed = true;
+        if let Some((_, unwanted)) = &slots.begun {
             unwanted.store(true, Ordering::Release);
         }
-        let dropped = places.waiting.take();
-        drop(places);
-        if !self.0.flaw.closes_in_silence() {
-            self.0.news.notify_one();
+        let dropped = slots.waiting.take();
+        drop(slots);
+        if !self.0.fault.skips_wake_on_close() {
+            self.0.wake.notify_one();
         }
         drop(dropped);
     }
 }
 
-impl<W, M> Drop for Desk<W, M> {
+impl<W, M> Drop for Submitter<W, M> {
     fn drop(&mut self) {
         self.close();
     }
 }
 
-impl<W, M> Bench<W, M> {
+impl<W, M> Worker<W, M> {
     /// Waits for work and takes it; none when the desk is closed. What was taken before counts as done with.
-    pub fn take(&mut self) -> Option<Work<W>> {
-        let mut places = self.0.places();
-        if !self.0.flaw.forgets_what_is_done() {
-            places.begun = None;
+    pub fn next_job(&mut self) -> Option<Job<W>> {
+        let mut slots = self.0.slots();
+        if !self.0.fault.keeps_running_set() {
+            slots.begun = None;
         }
         loop {
-            if places.closed {
+            if slots.closed {
                 return None;
             }
-            if let Some((version, work)) = places.waiting.take() {
+            if let Some((version, input)) = slots.waiting.take() {
                 let unwanted = Arc::new(AtomicBool::new(false));
-                if self.0.flaw.begins_unseen() {
+                if self.0.fault.sets_running_late() {
                     // Between these two the desk finds nothing in hand that it could cancel.
-                    drop(places);
-                    places = self.0.places();
+                    drop(slots);
+                    slots = self.0.slots();
                 }
-                places.begun = Some((version, unwanted.clone()));
-                return Some(Work { version, work, cancel: Cancel(unwanted) });
+                slots.begun = Some((version, unwanted.clone()));
+                return Some(Job { version, input, cancel: Cancellation(unwanted) });
             }
-            if self.0.flaw.looks_then_waits() {
-                drop(places);
-                places = self.0.places();
+            if self.0.fault.unlocks_before_wait() {
+                drop(slots);
+                slots = self.0.slots();
             }
-            places = self.0.news.wait(places).unwrap_or_else(|poisoned| poisoned.into_inner());
+            slots = self.0.wake.wait(slots).unwrap_or_else(|poisoned| poisoned.into_inner());
         }
     }
 
     /// Publishes what was made. What is no newer than what was published before is given back.
     pub fn publish(&self, version: u64, made: M) -> Result<(), M> {
-        let mut places = self.0.places();
-        if places.newest.is_some_and(|newest| newest >= version) && !self.0.flaw.takes_any_version() {
+        let mut slots = self.0.slots();
+        if slots.newest.is_some_and(|newest| newest >= version) && !self.0.fault.accepts_stale_version() {
             return Err(made);
         }
-        places.newest = Some(version);
-        if places.begun.as_ref().is_some_and(|(begun, _)| *begun == version) {
-            places.begun = None;
+        slots.newest = Some(version);
+        if slots.begun.as_ref().is_some_and(|(begun, _)| *begun == version) {
+            slots.begun = None;
         }
-        if self.0.flaw.clears_what_waits() {
-            places.waiting = None;
+        if self.0.fault.drops_pending_on_publish() {
+            slots.waiting = None;
         }
-        let old = places.made.replace((version, made));
-        drop(places);
+        let old = slots.made.replace((version, made));
+        drop(slots);
         drop(old);
         Ok(())
     }
 }
 
-impl<W, M> Drop for Bench<W, M> {
+impl<W, M> Drop for Worker<W, M> {
     fn drop(&mut self) {
-        let mut places = self.0.places();
-        places.gone = !self.0.flaw.leaves_in_silence();
-        places.begun = None;
-        let dropped = places.waiting.take();
-        drop(places);
+        let mut slots = self.0.slots();
+        slots.gone = !self.0.fault.hides_worker_exit();
+        slots.begun = None;
+        let dropped = slots.waiting.take();
+        drop(slots);
         drop(dropped);
     }
 }
--- a/node/src/accords/office.rs
+++ b/node/src/accords/office.rs
@@ -9,7 +9,7 @@
 use calloop::ping::{make_ping, Ping};
 use calloop::RegistrationToken;
 use wheellink_accord::{Document, Version};
-use wheellink_handoff::{pair, Bench, Desk};
+use wheellink_handoff::{channel, Submitter, Worker};
 
 use super::terms::{Base, Terms};
 use crate::wake::{Handle, Wake};
@@ -36,7 +36,7 @@
 pub struct Office {
     handle: Handle,
     token: RegistrationToken,
-    desk: Option<Desk<Order, Reading>>,
+    desk: Option<Submitter<Order, Reading>>,
     thread: Option<JoinHandle<()>>,
     /// Orders so far: versions may come again, orders do not.
     orders: u64,
@@ -58,7 +58,7 @@
         let (ping, source) = make_ping()?;
         let token = handle.insert_source(source, |(), (), wakes| wakes.push(Wake::Prepared));
         let token = token.map_err(|e| io::Error::other(e.error.to_string()))?;
-        let (desk, bench) = pair();
+        let (desk, bench) = channel();
         let bell = Bell(ping);
         let thread = Builder::new().name("preparing".into()).spawn(move || work(bell, bench));
         let thread = thread.inspect_err(|_| handle.remove(token))?;
@@ -76,7 +76,7 @@
         self.orders += 1;
         let retired = std::mem::take(&mut self.retired);
         let order = Order { version, document, base, retired };
-        let put = self.desk.as_ref().map(|desk| desk.put(self.orders, order));
+        let put = self.desk.as_ref().map(|desk| desk.submit(self.orders, order));
         match put {
             Some(Ok(superseded)) => {
                 superseded.into_iter().for_each(|(_, order)| self.retired.extend(order.retired));
@@ -88,7 +88,7 @@
 
     /// The newest that was read since this was last asked.
     pub fn latest(&self) -> Option<Reading> {
-        self.desk.as_ref()?.latest().map(|(_, reading)| reading)
+        self.desk.as_ref()?.take_latest().map(|(_, reading)| reading)
     }
 
     /// Takes what is obeyed no more, to be dropped with the next order's reading.
@@ -108,9 +108,9 @@
     }
 }
 
-fn work(bell: Bell, mut bench: Bench<Order, Reading>) {
-    while let Some(work) = bench.take() {
-        let Order { version, document, base, retired } = work.work;
+fn work(bell: Bell, mut bench: Worker<Order, Reading>) {
+    while let Some(work) = bench.next_job() {
+        let Order { version, document, base, retired } = work.input;
         drop(retired);
         let read = || Terms::read(&document, &base, || work.cancel.is_set());
         // A panic here is one version refused, not the end of preparing.
--- a/node/src/config/drafts.rs
+++ b/node/src/config/drafts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use wheellink_drafts::{Draft, Settings, Table, Workload, BANDS};
+use wheellink_drafts::{Draft, DraftTable, Settings, Workload, LOAD_BANDS};
 
 /// See the module's page. What is not set is as in [`Settings::default`].
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
@@ -82,15 +82,15 @@
     }
 
     /// What runs until a version says otherwise.
-    pub fn floor(&self) -> Result<Table, String> {
+    pub fn floor(&self) -> Result<DraftTable, String> {
         let settings = self.settings()?;
         let entry = |(place, text): (&String, &String)| {
             let key = format!("table.{place}");
             let wrong = || format!("drafts.{key}: a place is \"WORKLOAD/BAND\" with a band of 0 to 3");
             let (word, band) = place.rsplit_once('/').ok_or_else(wrong)?;
-            let band = band.parse().ok().filter(|b| *b < BANDS).ok_or_else(wrong)?;
+            let band = band.parse().ok().filter(|b| *b < LOAD_BANDS).ok_or_else(wrong)?;
             let draft = draft(&key, text)?;
-            if !settings.knows(draft) {
+            if !settings.allows(draft) {
                 return Err(format!("drafts.{key}: {text} is not of the drafters and lengths that are set"));
             }
             Ok(((Workload::new(word).map_err(|_| wrong())?, band), draft))
--- a/node/src/hosts/lines.rs
+++ b/node/src/hosts/lines.rs
@@ -141,7 +141,7 @@
         let micros = parts.pop()?.parse().ok()?;
         let mut figures = parts.into_iter().map(|p| p.parse().ok()).collect::<Option<Vec<u32>>>()?;
         let tokens = figures.pop()?;
-        if figures.is_empty() || figures.len() > 1 + usize::from(wheellink_drafts::LONGEST) {
+        if figures.is_empty() || figures.len() > 1 + usize::from(wheellink_drafts::MAX_DRAFT_TOKENS) {
             return None;
         }
         let accepted = figures.split_off(1);
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -24,7 +24,7 @@
     Effect, Engine, FunctionId, Legacy, ListEntry, ListKind, Micros, Outcome, PastAttempt, Settings, Spot,
     Tally, Ticket, WorkerId,
 };
-use wheellink_admission::{Asking, Owner};
+use wheellink_admission::{Owner, RequestInfo};
 use wheellink_rollout::{Ledger, Version};
 use wheellink_settings::Deployment;
 use wheellink_turns::Turn;
@@ -98,7 +98,7 @@
     by: Version,
     /// Whose memory its body takes, and whom it counts for.
     owner: Owner,
-    asking: Option<Asking>,
+    asking: Option<RequestInfo>,
     /// What came with it, where another process passed it.
     passed: Option<Box<FromHolder>>,
 }
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -6,7 +6,8 @@
 use std::net::{IpAddr, SocketAddr};
 
 use wheellink_admission::{
-    Admission, Asking, Ledger, Owner, Prefix, Reason as Why, Rules, Standing, State as Learnt, Taken,
+    Admission, ClientStatus, LearnedState as Learnt, Ledger, Owner, Prefix, RefusalReason as Why,
+    RequestInfo, Rules, TakeOutcome,
 };
 
 use super::*;
@@ -64,19 +65,19 @@
 
     /// What a process needs that takes this one's place.
     pub(super) fn state(&self, now: Micros) -> Option<Learnt> {
-        self.gate.as_ref().map(|gate| gate.state(now))
+        self.gate.as_ref().map(|gate| gate.learned_state(now))
     }
 
     pub(super) fn inherit(&mut self, now: Micros, learnt: Learnt) {
         if let Some(gate) = &mut self.gate {
-            gate.inherit(now, learnt);
+            gate.restore(now, learnt);
         }
     }
 
     /// Other rules; what is held and learnt stays.
     pub(super) fn retune(&mut self, rules: Option<&Rules>) {
         match (&mut self.gate, rules) {
-            (Some(gate), Some(rules)) => gate.retune(rules.clone()),
+            (Some(gate), Some(rules)) => gate.set_rules(rules.clone()),
             (slot, rules) => *slot = rules.cloned().map(Admission::new),
         }
         match &self.gate {
@@ -90,16 +91,16 @@
     pub(super) fn bound_memory(&mut self, bodies: usize) {
         let part = self.gate.as_ref().map_or(0.0, |gate| gate.rules().reserve);
         let kept = (bodies as f64 * part) as usize;
-        let _ = self.memory.bound(bodies, [0, kept, 0, 0, 0]);
+        let _ = self.memory.set_limits(bodies, [0, kept, 0, 0, 0]);
     }
 
     /// Takes memory for a body.
     pub(super) fn take_memory(&mut self, owner: Owner, bytes: usize) -> bool {
-        matches!(self.memory.take(owner, bytes), Taken::Yes | Taken::Borrowed)
+        matches!(self.memory.take(owner, bytes), TakeOutcome::Granted | TakeOutcome::Borrowed)
     }
 
     pub(super) fn give_memory(&mut self, owner: Owner, bytes: usize) {
-        self.memory.give(owner, bytes);
+        self.memory.release(owner, bytes);
     }
 
     /// Descriptors from now on, and what each owner holds: how many hosts and clients may hold in all.
@@ -114,16 +115,16 @@
         // One for each host at least, and two where there is room: a call that was taken can always reach one.
         let rest = limit.saturating_sub(own + most_callers + kept);
         let reserve = [(2 * members).clamp(4, rest.max(4) / 2 + 2), kept, 0, most_callers, own];
-        let _ = self.ledger.bound(limit.max(reserve.iter().sum()), reserve);
+        let _ = self.ledger.set_limits(limit.max(reserve.iter().sum()), reserve);
         self.ledger.tick(now);
         let known = self.known;
         let held = [hosts, known, self.clients.len() - known, callers, own];
         for (owner, held) in Owner::ALL.into_iter().zip(held) {
-            self.ledger.set(owner, held);
+            self.ledger.set_held(owner, held);
         }
-        let rooms = [Owner::Known, Owner::Others].map(|o| self.ledger.room(o));
+        let rooms = [Owner::Known, Owner::Others].map(|o| self.ledger.available(o));
         let clients = self.clients.len() + rooms[0].max(rooms[1]);
-        Some(Bounds { clients, hosts: (hosts + self.ledger.room(Owner::Hosts)).max(1) })
+        Some(Bounds { clients, hosts: (hosts + self.ledger.available(Owner::Hosts)).max(1) })
     }
 
     fn owner(&self, conn: Option<ConnId>) -> Owner {
@@ -136,9 +137,9 @@
     fn forget(&mut self, now: Micros, conn: ConnId) {
         let Some(client) = self.clients.remove(&conn) else { return };
         self.known -= usize::from(client.known);
-        self.ledger.give(if client.known { Owner::Known } else { Owner::Others }, 1);
+        self.ledger.release(if client.known { Owner::Known } else { Owner::Others }, 1);
         if let Some(gate) = self.gate.as_mut().filter(|_| client.counted) {
-            gate.gone(now, client.from);
+            gate.connection_closed(now, client.from);
         }
     }
 
@@ -198,15 +199,15 @@
             return;
         };
         // Whose it is a trusted proxy tells first; until then it is the proxy's, and as good as known.
-        let proxied = gate.trusts(from);
-        let known = proxied || matches!(gate.standing(now, from), Standing::Known);
+        let proxied = gate.is_trusted_proxy(from);
+        let known = proxied || matches!(gate.client_status(now, from), ClientStatus::Known);
         if !proxied && gate.connect(now, from).is_err() {
             return;
         }
         if !self.find_descriptor(now, known) {
             self.admission.closed += 1;
             if let (Some(gate), false) = (&mut self.admission.gate, proxied) {
-                gate.gone(now, from);
+                gate.connection_closed(now, from);
             }
             return;
         }
@@ -214,9 +215,9 @@
             // A proxied one counts for its client only, once that is known.
             Some(id) => self.admission.enter(id, Client { from, known, counted: !proxied }),
             None => {
-                self.admission.ledger.give(if known { Owner::Known } else { Owner::Others }, 1);
+                self.admission.ledger.release(if known { Owner::Known } else { Owner::Others }, 1);
                 if let (Some(gate), false) = (&mut self.admission.gate, proxied) {
-                    gate.gone(now, from);
+                    gate.connection_closed(now, from);
                 }
             }
         }
@@ -234,7 +235,7 @@
     fn find_descriptor(&mut self, now: Micros, known: bool) -> bool {
         let owner = if known { Owner::Known } else { Owner::Others };
         for _ in 0..2 {
-            if matches!(self.admission.ledger.take(owner, 1), Taken::Yes | Taken::Borrowed) {
+            if matches!(self.admission.ledger.take(owner, 1), TakeOutcome::Granted | TakeOutcome::Borrowed) {
                 return true;
             }
             let made = match &mut self.side {
@@ -303,7 +304,7 @@
     /// The system has no descriptor although the ledger has: the spare one is given up to accept and close those
     /// that wait, so that they hear at once, and nothing new is taken until some have gone.
     fn turn_newcomers_away(&mut self, now: Micros, why: &io::Error) {
-        self.admission.ledger.starved(now);
+        self.admission.ledger.set_exhausted(now);
         self.admission.starved += 1;
         let Some(listener) = &mut self.client_listener else { return };
         drop(self.admission.spare.take());
@@ -332,7 +333,7 @@
         }
         let mut known = Some(true);
         if let (Some(gate), Some(client)) = (&mut self.admission.gate, client) {
-            known = gate.connect(now, client.ip()).ok().map(|standing| standing == Standing::Known);
+            known = gate.connect(now, client.ip()).ok().map(|standing| standing == ClientStatus::Known);
         }
         if let (Some(known), Some(client)) = (known, client) {
             let now_it_is = Client { from: client.ip(), known, counted: true };
@@ -340,7 +341,7 @@
             if e.clients.insert(conn, now_it_is).is_some_and(|old| old.known && !known) {
                 // As a proxy's it was as good as known.
                 e.known -= 1;
-                e.ledger.pass(Owner::Known, Owner::Others, 1);
+                e.ledger.transfer(Owner::Known, Owner::Others, 1);
             }
         }
         match &mut self.side {
@@ -356,7 +357,7 @@
             return;
         }
         self.admission.starved += 1;
-        self.admission.ledger.starved(now);
+        self.admission.ledger.set_exhausted(now);
         let made = self.evict_client(now, true);
         let made = if made { "a client made room" } else { "nobody could make room" };
         self.log.line(now, format_args!("out of descriptors for a host: {made}"));
@@ -367,7 +368,7 @@
     fn know_again(&mut self, now: Micros, conn: ConnId) {
         let e = &mut self.admission;
         let (Some(gate), Some(client)) = (&e.gate, e.clients.get_mut(&conn)) else { return };
-        let known = gate.standing(now, client.from) == Standing::Known;
+        let known = gate.client_status(now, client.from) == ClientStatus::Known;
         if known == client.known {
             return;
         }
@@ -375,11 +376,11 @@
         match known {
             true => {
                 e.known += 1;
-                e.ledger.pass(Owner::Others, Owner::Known, 1);
+                e.ledger.transfer(Owner::Others, Owner::Known, 1);
             }
             false => {
                 e.known -= 1;
-                e.ledger.pass(Owner::Known, Owner::Others, 1);
+                e.ledger.transfer(Owner::Known, Owner::Others, 1);
             }
         }
         match &mut self.side {
@@ -394,7 +395,7 @@
         class: usize,
         tenant: Option<usize>,
         size: usize,
-    ) -> Option<Asking> {
+    ) -> Option<RequestInfo> {
         self.admission.gate.as_ref()?;
         let client = self.admission.clients.get(&conn?)?;
         let settings = &self.config.deployment.settings;
@@ -403,14 +404,14 @@
         let all: f64 = settings.tenants.iter().map(|t| t.quota).sum();
         let quota = tenant.and_then(|t| settings.tenants.get(t)).map_or(1.0, |t| t.quota);
         let share = if all > 0.0 { quota / all } else { 1.0 };
-        Some(Asking { from: client.from, tenant, share, worth, size: size as u64 })
+        Some(RequestInfo { from: client.from, tenant, share, worth, size: size as u64 })
     }
 
     fn away(&self, (why, wait): (Why, Micros)) -> Away {
         let rate = self.admission.gate.as_ref().and_then(|g| g.rules().address.request_rate);
         let rate = rate.filter(|_| why == Why::RequestRate).map(|r| (r.per_second as u32, r.burst as u32));
-        let own_doing = why.is_own_doing() || why == Why::Tenant;
-        Away { word: why.word(), own_doing, wait, rate }
+        let own_doing = why.is_client_fault() || why == Why::Tenant;
+        Away { word: why.as_str(), own_doing, wait, rate }
     }
 
     /// Whether a request may go on to the module, and what is to be given back when it is over.
@@ -419,20 +420,20 @@
         now: Micros,
         conn: Option<ConnId>,
         (class, tenant, size): (usize, Option<usize>, usize),
-    ) -> Result<(Owner, Option<Asking>), Reply> {
+    ) -> Result<(Owner, Option<RequestInfo>), Reply> {
         if let Some(conn) = conn {
             self.know_again(now, conn);
         }
         let asking = self.asking(conn, class, tenant, size);
         if let (Some(gate), Some(asking)) = (&mut self.admission.gate, &asking) {
-            if let Err(refused) = gate.request(now, asking) {
+            if let Err(refused) = gate.admit_request(now, asking) {
                 return Err(Reply::TurnedAway(self.away(refused)));
             }
         }
         let owner = self.admission.owner(conn);
         if !self.admission.take_memory(owner, size) {
             if let (Some(gate), Some(asking)) = (&mut self.admission.gate, &asking) {
-                gate.done(now, asking, class, None);
+                gate.request_done(now, asking, class, None);
             }
             return Err(Reply::Refused(self.config.deployment.settings.max_retry_after));
         }
@@ -443,7 +444,7 @@
     pub(super) fn release(&mut self, now: Micros, pending: &Pending, served: bool) {
         self.admission.give_memory(pending.owner, pending.call.body.len());
         if let (Some(gate), Some(asking)) = (&mut self.admission.gate, &pending.asking) {
-            gate.done(now, asking, pending.new.class, served.then(|| now - pending.arrived));
+            gate.request_done(now, asking, pending.new.class, served.then(|| now - pending.arrived));
         }
     }
 
@@ -451,7 +452,7 @@
     pub(super) fn head(&mut self, now: Micros, conn: ConnId, tenant: Option<usize>, size: usize) {
         let asking = self.asking(Some(conn), usize::MAX, tenant, size);
         let refused = match (&self.admission.gate, &asking) {
-            (Some(gate), Some(asking)) => gate.would_refuse(now, asking),
+            (Some(gate), Some(asking)) => gate.check_request(now, asking),
             _ => None,
         };
         let away = refused.map(|refused| self.away(refused));
@@ -465,9 +466,12 @@
 
     /// Tells of whom was turned away, a line a second at the most.
     pub(super) fn tend_admission(&mut self, now: Micros) {
-        let Some(window) = self.admission.gate.as_mut().and_then(|gate| gate.window(now)) else { return };
+        let Some(window) = self.admission.gate.as_mut().and_then(|gate| gate.take_refusal_summary(now))
+        else {
+            return;
+        };
         let told: Vec<String> =
-            window.told.iter().map(|(prefix, why, n)| format!("{prefix} {} {n}", why.word())).collect();
+            window.top.iter().map(|(prefix, why, n)| format!("{prefix} {} {n}", why.as_str())).collect();
         let others = if window.others > 0 { format!(", others {}", window.others) } else { String::new() };
         self.log.line(now, format_args!("admission refused: {}{others}", told.join(", ")));
     }
@@ -499,7 +503,7 @@
                 ("no longer blocked", prefix, true)
             }
             AdmissionCall::Know { prefix, known } => {
-                (if *known { "known" } else { "no longer known" }, prefix, gate.know(*prefix, *known))
+                (if *known { "known" } else { "no longer known" }, prefix, gate.set_known(*prefix, *known))
             }
             AdmissionCall::Show => return true,
         };
@@ -526,13 +530,13 @@
         let e = &self.admission;
         let ledger = |l: &Ledger| {
             let rows = Owner::ALL.map(|o| {
-                (o.word().to_string(), serde_json::json!({"held": l.held(o), "reserved": l.reserve(o)}))
+                (o.as_str().to_string(), serde_json::json!({"held": l.held(o), "reserved": l.reserve(o)}))
             });
             let owners: serde_json::Map<_, _> = rows.into_iter().collect();
-            serde_json::json!({"limit": l.limit(), "held": l.sum(), "owners": owners})
+            serde_json::json!({"limit": l.limit(), "held": l.total_held(), "owners": owners})
         };
         let (near, wide) = gate.tables();
-        let top = |table: &wheellink_admission::Table| {
+        let top = |table: &wheellink_admission::AddressTable| {
             let rows = table.heaviest(now, MOST_SHOWN).into_iter().map(|(prefix, weight, error, e)| {
                 let closed = ((e.closed_until - now) / 1000).max(0);
                 serde_json::json!({"prefix": prefix, "weight": weight.round(), "not_its_own": error.round(),
@@ -542,7 +546,7 @@
             rows.collect::<Vec<_>>()
         };
         let penalties = near.iter().filter(|(_, e)| e.closed_until > now).count();
-        let (blocked, known) = gate.by_hand();
+        let (blocked, known) = gate.manual_prefixes();
         let list = |prefixes: Vec<&Prefix>| {
             prefixes.into_iter().take(MOST_SHOWN).map(ToString::to_string).collect::<Vec<_>>()
         };
@@ -550,7 +554,7 @@
             gate.adaptive().map(|(limit, under)| serde_json::json!({"limit": limit, "under_way": under}));
         serde_json::json!({"descriptors": ledger(&e.ledger), "memory": ledger(&e.memory),
             "clients": {"known": e.known, "others": e.clients.len() - e.known},
-            "refused": gate.total, "closed_for_want_of_descriptors": e.closed, "system_exhausted": e.starved,
+            "refused": gate.total_refusals, "closed_for_want_of_descriptors": e.closed, "system_exhausted": e.starved,
             "addresses": near.len(), "pushed_out": near.pushed_out, "penalties": penalties,
             "blocked": list(blocked.collect()), "known": list(known.collect()), "adaptive": adaptive,
             "top": top(near), "top_neighbourhoods": top(wide)})
--- a/node/src/node/drafts.rs
+++ b/node/src/node/drafts.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{json, Value};
 use wheellink::engine::AttemptEnd;
-use wheellink_drafts::{Draft, Drafts, Name, Out, Ran, Table, Workload};
+use wheellink_drafts::{CallStats, Draft, DraftLearner, DraftTable, MemberId, Output, Workload};
 
 use super::*;
 use crate::config::drafts::{workload, Setup};
@@ -32,14 +32,14 @@
 /// See the module's page.
 pub(super) struct Drafting {
     setup: Setup,
-    me: Name,
-    drafts: Drafts,
+    me: MemberId,
+    drafts: DraftLearner,
     /// Its times run from here, on a clock that nobody sets.
     origin: Instant,
     lots: fastrand::Rng,
     /// What runs without a version, and what runs now.
-    floor: Table,
-    table: Table,
+    floor: DraftTable,
+    table: DraftTable,
     version: u64,
     /// One for each attempt that is out.
     running: HashMap<AttemptId, Running>,
@@ -50,9 +50,9 @@
     out: HashMap<WorkerId, u32>,
     told: HashMap<WorkerId, f64>,
     /// Names of the others, for staff.
-    names: BTreeMap<Name, String>,
+    names: BTreeMap<MemberId, String>,
     /// What should be in force instead, by the evidence here.
-    wanted: Option<(Duration, Table)>,
+    wanted: Option<(Duration, DraftTable)>,
     /// Answers that said nothing of drafting, and such as could not be read.
     silent: u64,
     unread: u64,
@@ -64,11 +64,11 @@
 }
 
 impl Drafting {
-    fn new(setup: &Setup, me: Name, seed: u64) -> Result<Self, String> {
+    fn new(setup: &Setup, me: MemberId, seed: u64) -> Result<Self, String> {
         let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         // Only to tell this life from others of its name.
         let life = start.as_nanos() as u64;
-        let drafts = Drafts::new(setup.settings()?, me, life, seed ^ life, Duration::ZERO);
+        let drafts = DraftLearner::new(setup.settings()?, me, life, seed ^ life, Duration::ZERO);
         let mut drafts = drafts.map_err(|e| format!("drafts.{e}"))?;
         let floor = setup.floor()?;
         drafts.set_table(Duration::ZERO, 0, floor.clone());
@@ -104,7 +104,7 @@
     }
 
     fn pick(&mut self, workload: &Workload, band: u8) -> Draft {
-        self.drafts.pick(workload, band, &self.table, self.lots.f64())
+        self.drafts.choose(workload, band, &self.table, self.lots.f64())
     }
 
     fn begins(&mut self, attempt: AttemptId, host: &WorkerId, running: Running) {
@@ -119,7 +119,7 @@
 
     /// The table of this version is in force from now on, over the file's own; `None`: none may be acted on, and the
     /// file's own holds alone.
-    pub(super) fn set_table(&mut self, version: Option<(u64, Table)>) {
+    pub(super) fn set_table(&mut self, version: Option<(u64, DraftTable)>) {
         let now = self.now();
         let (number, over) = version.unwrap_or_default();
         let before = std::mem::replace(&mut self.table, self.floor.clone());
@@ -140,15 +140,16 @@
     /// in force. Taken once; it comes back at the next look for as long as the evidence holds.
     pub(super) fn take_wanted(&mut self) -> Option<Vec<(String, String)>> {
         let (_, wanted) = self.wanted.take()?;
-        let differs =
-            |((place, draft), table): (&(&(Workload, u8), &Draft), &Table)| table.get(*place) != Some(draft);
+        let differs = |((place, draft), table): (&(&(Workload, u8), &Draft), &DraftTable)| {
+            table.get(*place) != Some(draft)
+        };
         let new = wanted.iter().filter(|entry| differs((entry, &self.table)));
         Some(new.map(|((word, band), draft)| (format!("draft/{word}/{band}"), draft.to_string())).collect())
     }
 
     pub(super) fn show(&self) -> Value {
         let view = self.drafts.view(self.now());
-        let table = |t: &Table| -> BTreeMap<String, String> {
+        let table = |t: &DraftTable| -> BTreeMap<String, String> {
             t.iter().map(|((word, band), draft)| (format!("{word}/{band}"), draft.to_string())).collect()
         };
         let names: BTreeMap<u32, &str> = self.names.iter().map(|(n, name)| (n.0, name.as_str())).collect();
@@ -164,7 +165,7 @@
             self.drafting = None;
             return;
         };
-        let me = self.membership.as_ref().map_or(Name(0), |f| Name(f.roster().0 .0));
+        let me = self.membership.as_ref().map_or(MemberId(0), |f| MemberId(f.roster().0 .0));
         if self.drafting.as_ref().is_none_or(|d| d.setup != *setup || d.me != me) {
             match Drafting::new(setup, me, self.config.seed) {
                 Ok(drafting) => self.drafting = Some(Box::new(drafting)),
@@ -173,7 +174,8 @@
             }
         }
         let (Some(drafting), Some(membership)) = (&mut self.drafting, &self.membership) else { return };
-        drafting.names = membership.roster().1.map(|(number, name)| (Name(number.0), name.into())).collect();
+        drafting.names =
+            membership.roster().1.map(|(number, name)| (MemberId(number.0), name.into())).collect();
         let there = membership.there();
         drafting.drafts.set_members(drafting.names.keys().copied(), there);
         self.share_agreed();
@@ -269,16 +271,16 @@
         let Running { workload, draft, band, version, .. } = running;
         let Accepted { rounds, accepted, tokens, micros } = said;
         let time = Duration::from_micros(micros);
-        let ran = Ran { workload, draft, band, version, rounds, accepted, tokens, time };
+        let ran = CallStats { workload, draft, band, version, rounds, accepted, tokens, time };
         // What cannot be is counted by its reason, and shown.
-        let _ = d.drafts.served(d.origin.elapsed(), &ran);
+        let _ = d.drafts.record_call(d.origin.elapsed(), &ran);
     }
 
     /// Another activator tells its counts.
     pub(super) fn drafts_heard(&mut self, now: Micros, from: wheellink_members::Name, data: &[u8]) {
         let Some(d) = &mut self.drafting else { return };
         let mut out = Vec::new();
-        d.drafts.heard(d.origin.elapsed(), Name(from.0), data, &mut out);
+        d.drafts.receive(d.origin.elapsed(), MemberId(from.0), data, &mut out);
         self.carry_out_drafts(now, out);
     }
 
@@ -296,7 +298,7 @@
         let mut out = Vec::new();
         d.drafts.wake(here, &mut out);
         let (table, version) = (d.table.clone(), d.version);
-        if let Some(wanted) = d.drafts.proposal(here, &table, version) {
+        if let Some(wanted) = d.drafts.propose(here, &table, version) {
             d.wanted = Some((here, wanted));
         }
         // Evidence that no longer says so does not bring it back.
@@ -305,14 +307,14 @@
         self.carry_out_drafts(now, out);
     }
 
-    fn carry_out_drafts(&mut self, now: Micros, out: Vec<Out>) {
+    fn carry_out_drafts(&mut self, now: Micros, out: Vec<Output>) {
         for out in out {
             match (out, &self.membership) {
-                (Out::Send { to, data }, Some(membership)) => {
+                (Output::Send { to, data }, Some(membership)) => {
                     membership.send(wheellink_members::Name(to.0), Kind::Drafts, &data)
                 }
-                (Out::Send { .. }, None) => {}
-                (Out::Note(line), _) => self.log.line(now, line),
+                (Output::Send { .. }, None) => {}
+                (Output::Log(line), _) => self.log.line(now, line),
             }
         }
     }
--- a/node/src/node/together.rs
+++ b/node/src/node/together.rs
@@ -3,7 +3,7 @@
 //! drafts is put forward as a change of what is agreed.
 
 use wheellink_accord::{Acting, Change, Key, Value};
-use wheellink_drafts::{Table, Workload};
+use wheellink_drafts::{DraftTable, Workload};
 
 use super::*;
 use crate::membership::envelope::{Envelope, Kind};
@@ -34,7 +34,7 @@
             let entry = |((word, band), draft): ((String, u8), String)| {
                 Some(((Workload::new(&word).ok()?, band), draft.parse().ok()?))
             };
-            let table: Table = drafts.into_iter().filter_map(entry).collect();
+            let table: DraftTable = drafts.into_iter().filter_map(entry).collect();
             // Without a lease the document's floor holds, as version 0.
             drafting.set_table(Some((version.unwrap_or(0), table)));
         }
--- a/node/src/upgrade.rs
+++ b/node/src/upgrade.rs
@@ -26,7 +26,7 @@
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, SockAddr, Socket, Type};
 use wheellink::{Legacy, Loaded, Micros, Tally};
-use wheellink_admission::State as Learnt;
+use wheellink_admission::LearnedState as Learnt;
 use wheellink_rollout::ClassTerms;
 
 use crate::clock::TimeBase;
--- a/node/tests/drafts.rs
+++ b/node/tests/drafts.rs
@@ -12,7 +12,7 @@
 
 use common::*;
 use rstest::rstest;
-use wheellink_drafts::{Draft, Drafts, Name, Out, Ran, Settings, Workload};
+use wheellink_drafts::{CallStats, Draft, DraftLearner, MemberId, Output, Settings, Workload};
 
 /// Parts of the members' protocol and of parcels: four bytes and the kind of drafts.
 const PARCEL: [u8; 5] = [0xff, 0x57, 0x4c, 0x01, 2];
@@ -424,9 +424,9 @@
 }
 
 /// Sends what a member tells, from where it hears.
-fn tell(socket: &UdpSocket, to: &BTreeMap<Name, SocketAddr>, out: Vec<Out>) {
+fn tell(socket: &UdpSocket, to: &BTreeMap<MemberId, SocketAddr>, out: Vec<Output>) {
     for o in out {
-        if let Out::Send { to: name, data } = o {
+        if let Output::Send { to: name, data } = o {
             let _ = socket.send_to(&[&PARCEL, &data[..]].concat(), to[&name]);
         }
     }
@@ -443,12 +443,12 @@
     let number = |of: usize| {
         let names = fleet.view((of + 1) % 3)["names"].as_object().unwrap().clone();
         let found = names.iter().find(|(_, name)| **name == format!("m{of}")).unwrap();
-        Name(found.0.parse().unwrap())
+        MemberId(found.0.parse().unwrap())
     };
-    let to: BTreeMap<Name, SocketAddr> = (0..3).map(|i| (number(i), fleet.near(3, i))).collect();
+    let to: BTreeMap<MemberId, SocketAddr> = (0..3).map(|i| (number(i), fleet.near(3, i))).collect();
     let quick =
         Settings { period: ms(60), epoch: ms(1_000), window: 6, review: ms(200), ..Settings::default() };
-    let mut forger = Drafts::new(quick, number(3), 1, 1, Duration::ZERO).unwrap();
+    let mut forger = DraftLearner::new(quick, number(3), 1, 1, Duration::ZERO).unwrap();
     forger.set_members(to.keys().copied(), 3);
     let (workload, begun) = (Workload::new(CLASS).unwrap(), Instant::now());
     let mut seen = BTreeSet::new();
@@ -460,7 +460,7 @@
             let accepted = vec![20_000; length as usize];
             let (rounds, tokens) = (20_000, 20_000 * (u32::from(length) + 1));
             let time = Duration::from_micros(micros * 20_000);
-            let ran = Ran {
+            let ran = CallStats {
                 workload: workload.clone(),
                 draft,
                 band: 0,
@@ -470,7 +470,7 @@
                 tokens,
                 time,
             };
-            forger.served(now, &ran).unwrap();
+            forger.record_call(now, &ran).unwrap();
         }
         let mut out = Vec::new();
         forger.wake(now, &mut out);
--- a/node/tests/measure.rs
+++ b/node/tests/measure.rs
@@ -261,7 +261,7 @@
 
 /// Nanoseconds for a connection's decisions and the table's size, with so many addresses seen.
 fn decisions() {
-    use wheellink_admission::{Admission, Asking, Rules};
+    use wheellink_admission::{Admission, RequestInfo, Rules};
     let address = |n: u32| std::net::IpAddr::from(std::net::Ipv4Addr::from(0x0a00_0000 + n));
     for seen in [1_000u32, 100_000, 1_000_000] {
         let text = r#"{"address":{"connections":64,"connect_rate":{"per_second":50,"burst":100},
@@ -272,7 +272,7 @@
         for n in 0..seen {
             now += 10;
             if gate.connect(now, address(n)).is_ok() {
-                gate.gone(now, address(n));
+                gate.connection_closed(now, address(n));
             }
         }
         let rounds = 200_000u32;
@@ -281,7 +281,7 @@
             now += 100;
             let from = address(n.wrapping_mul(2_654_435_761) % seen);
             if gate.connect(now, from).is_ok() {
-                gate.gone(now, from);
+                gate.connection_closed(now, from);
             }
         }
         let connect = begun.elapsed().as_nanos() as f64 / f64::from(rounds);
@@ -289,16 +289,16 @@
         for n in 0..rounds {
             now += 100;
             let from = address(n.wrapping_mul(2_654_435_761) % seen);
-            let asking = Asking { from, tenant: Some(0), share: 1.0, worth: 1.0, size: 100 };
-            if gate.request(now, &asking).is_ok() {
-                gate.done(now, &asking, 0, Some(1000));
+            let asking = RequestInfo { from, tenant: Some(0), share: 1.0, worth: 1.0, size: 100 };
+            if gate.admit_request(now, &asking).is_ok() {
+                gate.request_done(now, &asking, 0, Some(1000));
             }
         }
         let request = begun.elapsed().as_nanos() as f64 / f64::from(rounds);
         tell(&format!("admission.connect_and_gone_at_{seen}"), connect.round(), "ns");
         tell(&format!("admission.request_and_done_at_{seen}"), request.round(), "ns");
         let (near, wide) = gate.tables();
-        let entry = std::mem::size_of::<wheellink_admission::Entry>() + 2 * 32 + 16;
+        let entry = std::mem::size_of::<wheellink_admission::AddressEntry>() + 2 * 32 + 16;
         tell(&format!("admission.entries_at_{seen}"), near.len() + wide.len(), "entries");
         tell(
             &format!("admission.memory_at_{seen}"),
