--- a/crates/handoff/src/fault.rs
+++ b/crates/handoff/src/fault.rs
@@ -1,12 +1,13 @@
-//! Mistakes that could be made in the handing over, planted where `cfg(loom)` plays the interleavings: each must be
-//! found, else the model would prove nothing. Without `cfg(loom)` there is none, and the compiler sees that.
+//! Synchronization faults that can be injected under `cfg(loom)`. The loom tests must detect each of them, which shows that
+//! the models check what they claim to check. Without `cfg(loom)` the only value is [`Fault::None`], and the compiler
+//! removes the branches.
 
 macro_rules! faults {
     ($($(#[$doc:meta])* $name:ident, $is:ident;)*) => {
-        /// One of them, or none.
+        /// An injected fault, or none.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
         pub enum Fault {
-            /// As it should be.
+            /// Correct behaviour.
             #[default]
             None,
             $($(#[$doc])* #[cfg(loom)] $name,)*
@@ -14,7 +15,7 @@
 
         #[cfg(loom)]
         impl Fault {
-            /// Every one of them.
+            /// All faults.
             pub const ALL: &'static [Self] = &[$(Self::$name),*];
         }
 
@@ -30,24 +31,24 @@
 }
 
 faults! {
-    /// Older work is put and published after newer.
+    /// Older versions are accepted and published after newer ones.
     AcceptStaleVersion, accepts_stale_version;
-    /// Who put work does not wake the worker.
+    /// Submitting a job does not wake the worker.
     NoWakeOnSubmit, skips_wake_on_submit;
-    /// Who closes does not wake the worker.
+    /// Closing the submitter does not wake the worker.
     NoWakeOnClose, skips_wake_on_close;
-    /// The worker looks whether something waits, lets go of the lock, and then sleeps.
+    /// The worker releases the lock between its check for a pending job and its wait, so that it misses a wake-up.
     UnlockBeforeWait, unlocks_before_wait;
-    /// Version and product are fetched one after the other.
+    /// Version and result are fetched under two separate locks.
     SplitFetch, splits_fetch;
-    /// Who publishes clears the place of what waits.
+    /// Publishing a result drops the pending job.
     PublishDropsPending, drops_pending_on_publish;
-    /// Work is taken and noted as in hand one after the other.
+    /// A job is taken and recorded as running under two separate locks.
     RunningSetLate, sets_running_late;
-    /// Newer work does not tell what is in hand.
+    /// Submitting a newer job does not cancel the running one.
     NoCancelOnSubmit, skips_cancel_on_submit;
-    /// A worker that ends does not say so.
+    /// The exit of the worker is not recorded.
     WorkerExitUnreported, hides_worker_exit;
-    /// What was given up counts as in hand for good.
+    /// A job abandoned without a result stays recorded as running.
     RunningNeverCleared, keeps_running_set;
 }
--- a/crates/handoff/src/lib.rs
+++ b/crates/handoff/src/lib.rs
@@ -1,11 +1,17 @@
-//! Hands work from a loop that must never wait to a thread that may take its time, and what was made of it back.
+//! Passes jobs from an event loop, which must not block, to a worker thread, and passes the results back.
 //!
-//! It owns one place for work that waits, one for work that is in hand, and one for what was made. It promises that
-//! the loop never blocks on the work, that newer work takes the place of what was not begun, that what the loop gets
-//! never goes back to an older version and never is half of one and half of another, that the last version put is not
-//! lost, and that neither end hangs when the other is gone. It knows nothing of what the work is, and starts no thread.
+//! The channel has three slots: one pending job, one running job and one result. It guarantees that:
 //!
-//! Every interleaving of its ends is played by `tests/loom.rs`, which also shows that planted flaws are found.
+//! - the event loop never blocks on a job;
+//! - a newer job replaces a pending one;
+//! - the versions of the results that the event loop receives only increase, and a version always comes with its own
+//!   result;
+//! - the last submitted version is not lost;
+//! - neither end hangs when the other one is gone.
+//!
+//! The channel is generic over jobs and results and starts no thread.
+//!
+//! `tests/loom.rs` checks every interleaving of the two ends, and that injected faults are detected.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -17,111 +23,123 @@
 use fault::Fault;
 use sync::{Arc, AtomicBool, Condvar, Mutex, MutexGuard, Ordering};
 
-/// What both ends see, under one lock that is never held while anything is made or dropped.
-struct Slots<W, M> {
-    /// Put and not begun: at most one.
-    waiting: Option<(u64, W)>,
-    /// Begun and not done: its version, and whether it is still wanted.
-    begun: Option<(u64, Arc<AtomicBool>)>,
-    /// Made and not fetched: at most one.
-    made: Option<(u64, M)>,
-    /// The newest version that was put; and that was made.
-    put: Option<u64>,
-    newest: Option<u64>,
-    /// The loop's end asks for nothing more.
+/// State shared by both ends. The lock is never held while a result is computed or a value is dropped.
+struct Slots<I, R> {
+    /// The job that is submitted and not yet started, with its version.
+    pending: Option<(u64, I)>,
+    /// The version of the job that is running, and its cancellation flag.
+    running: Option<(u64, Arc<AtomicBool>)>,
+    /// The result that is published and not yet fetched, with its version.
+    result: Option<(u64, R)>,
+    /// The newest version that was submitted.
+    last_submitted: Option<u64>,
+    /// The newest version that was published.
+    last_published: Option<u64>,
+    /// The submitter is closed or dropped.
     closed: bool,
-    /// The worker's end is gone, by its own end or by a panic.
-    gone: bool,
+    /// The worker is dropped, after its last job or by a panic.
+    worker_gone: bool,
 }
 
-struct Shared<W, M> {
-    slots: Mutex<Slots<W, M>>,
-    /// Something waits, or the desk is closed.
+struct Shared<I, R> {
+    slots: Mutex<Slots<I, R>>,
+    /// Signals the worker that a job is pending or that the submitter is closed.
     wake: Condvar,
     fault: Fault,
 }
 
-impl<W, M> Shared<W, M> {
-    /// A lock is poisoned only by a panic that left the places as they were: each change of them is whole.
-    fn slots(&self) -> MutexGuard<'_, Slots<W, M>> {
+impl<I, R> Shared<I, R> {
+    /// Ignores poisoning: no code that holds the lock can panic halfway through a change, so the slots are consistent.
+    fn slots(&self) -> MutexGuard<'_, Slots<I, R>> {
         self.slots.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// The end of the loop: puts work, fetches what was made. None of its calls waits for the worker.
-pub struct Submitter<W, M>(Arc<Shared<W, M>>);
+/// The event loop's end: submits jobs and fetches results. None of its calls waits for the worker.
+pub struct Submitter<I, R>(Arc<Shared<I, R>>);
 
-/// The end of the worker: takes work, publishes what it made. There is one, and it takes one work at a time.
-pub struct Worker<W, M>(Arc<Shared<W, M>>);
+/// The worker thread's end: takes jobs and publishes results. There is one worker, which runs one job at a time.
+pub struct Worker<I, R>(Arc<Shared<I, R>>);
 
-/// Work that was taken.
-pub struct Job<W> {
-    /// Which version it makes.
+/// A job taken by the worker.
+pub struct Job<I> {
+    /// The version that the result is published under.
     pub version: u64,
-    /// What it is made from.
-    pub input: W,
-    /// To be looked at while it is made.
+    /// The input of the job.
+    pub input: I,
+    /// Tells the worker to abandon the job; to be checked while the job runs.
     pub cancel: Cancellation,
 }
 
-/// Whether work in hand is still wanted.
+/// The cancellation flag of a running job.
 #[derive(Clone)]
 pub struct Cancellation(Arc<AtomicBool>);
 
 impl Cancellation {
-    /// It is wanted no more: something newer waits, or nobody asks any longer. What is made of it all the same may be
-    /// published, and harms nothing.
+    /// Whether the job is cancelled: a newer job is pending, or the submitter is closed. Publishing the result of a
+    /// cancelled job is allowed and harmless.
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 }
 
-/// Why work was not taken; it is given back.
-pub enum SubmitError<W> {
-    /// A version as new as this was put before.
-    Stale(W),
-    /// There is no worker any more.
-    WorkerGone(W),
+/// Why a job was refused. Contains the job's input.
+pub enum SubmitError<I> {
+    /// The same or a newer version was submitted before.
+    Stale(I),
+    /// The worker is gone.
+    WorkerGone(I),
 }
 
-impl<W> fmt::Debug for SubmitError<W> {
+impl<I> fmt::Debug for SubmitError<I> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Stale(_) => "a version as new was put before",
+            Self::Stale(_) => "the same or a newer version was submitted before",
             Self::WorkerGone(_) => "the worker is gone",
         })
     }
 }
 
-/// Two ends that belong together.
-pub fn channel<W, M>() -> (Submitter<W, M>, Worker<W, M>) {
+/// Creates a connected submitter and worker.
+pub fn channel<I, R>() -> (Submitter<I, R>, Worker<I, R>) {
     channel_with_fault(Fault::default())
 }
 
-/// Two ends with this flaw, of which there are none but under `cfg(loom)`.
-pub fn channel_with_fault<W, M>(fault: Fault) -> (Submitter<W, M>, Worker<W, M>) {
-    let slots =
-        Slots { waiting: None, begun: None, made: None, put: None, newest: None, closed: false, gone: false };
+/// Like [`channel`], with an injected fault. Without `cfg(loom)` the only value is [`Fault::None`].
+pub fn channel_with_fault<I, R>(fault: Fault) -> (Submitter<I, R>, Worker<I, R>) {
+    let slots = Slots {
+        pending: None,
+        running: None,
+        result: None,
+        last_submitted: None,
+        last_published: None,
+        closed: false,
+        worker_gone: false,
+    };
     let shared = Arc::new(Shared { slots: Mutex::new(slots), wake: Condvar::new(), fault });
     (Submitter(shared.clone()), Worker(shared))
 }
 
-impl<W, M> Submitter<W, M> {
-    /// Puts work for a version newer than all before. What waited and was not begun is given back; what is in hand is
-    /// told that it is not wanted any more.
-    pub fn submit(&self, version: u64, work: W) -> Result<Option<(u64, W)>, SubmitError<W>> {
+impl<I, R> Submitter<I, R> {
+    /// Submits a job whose version must be newer than all versions before. Cancels the running job and returns the
+    /// pending job that the new one replaces, if there is one.
+    pub fn submit(&self, version: u64, input: I) -> Result<Option<(u64, I)>, SubmitError<I>> {
         let mut slots = self.0.slots();
-        if slots.gone {
-            return Err(SubmitError::WorkerGone(work));
+        if slots.worker_gone {
+            return Err(SubmitError::WorkerGone(input));
         }
-        if slots.put.is_some_and(|newest| newest >= version) && !self.0.fault.accepts_stale_version() {
-            return Err(SubmitError::Stale(work));
+        if slots.last_submitted.is_some_and(|newest| newest >= version)
+            && !self.0.fault.accepts_stale_version()
+        {
+            return Err(SubmitError::Stale(input));
         }
-        slots.put = Some(version);
-        if let Some((_, unwanted)) = slots.begun.as_ref().filter(|_| !self.0.fault.skips_cancel_on_submit()) {
-            unwanted.store(true, Ordering::Release);
+        slots.last_submitted = Some(version);
+        if let Some((_, cancelled)) =
+            slots.running.as_ref().filter(|_| !self.0.fault.skips_cancel_on_submit())
+        {
+            cancelled.store(true, Ordering::Release);
         }
-        let superseded = slots.waiting.replace((version, work));
+        let superseded = slots.pending.replace((version, input));
         drop(slots);
         if !self.0.fault.skips_wake_on_submit() {
             self.0.wake.notify_one();
@@ -129,36 +147,36 @@
         Ok(superseded)
     }
 
-    /// The newest that was made since this was last asked, newer than all that it ever gave.
-    pub fn take_latest(&self) -> Option<(u64, M)> {
+    /// Takes the newest result published since the last call. Its version is newer than all versions returned before.
+    pub fn take_latest(&self) -> Option<(u64, R)> {
         let mut slots = self.0.slots();
         if self.0.fault.splits_fetch() {
-            let version = slots.newest?;
+            let version = slots.last_published?;
             drop(slots);
-            return self.0.slots().made.take().map(|(_, made)| (version, made));
+            return self.0.slots().result.take().map(|(_, result)| (version, result));
         }
-        slots.made.take()
+        slots.result.take()
     }
 
-    /// Versions that wait and that are in hand.
+    /// The versions of the pending and of the running job.
     pub fn versions_in_progress(&self) -> (Option<u64>, Option<u64>) {
         let slots = self.0.slots();
-        (slots.waiting.as_ref().map(|w| w.0), slots.begun.as_ref().map(|b| b.0))
+        (slots.pending.as_ref().map(|w| w.0), slots.running.as_ref().map(|b| b.0))
     }
 
-    /// Whether the worker is gone: it ended, or what it made had it panic. What it had in hand is lost.
+    /// Whether the worker is gone: it ended or a job panicked. The job that was running then is lost.
     pub fn is_worker_gone(&self) -> bool {
-        self.0.slots().gone
+        self.0.slots().worker_gone
     }
 
-    /// Asks for nothing more: what waits is dropped, what is in hand is told. The worker's next call returns.
+    /// Drops the pending job and cancels the running one. The worker's next [`Worker::next_job`] returns `None`.
     pub fn close(&self) {
         let mut slots = self.0.slots();
         slots.closed = true;
-        if let Some((_, unwanted)) = &slots.begun {
-            unwanted.store(true, Ordering::Release);
+        if let Some((_, cancelled)) = &slots.running {
+            cancelled.store(true, Ordering::Release);
         }
-        let dropped = slots.waiting.take();
+        let dropped = slots.pending.take();
         drop(slots);
         if !self.0.fault.skips_wake_on_close() {
             self.0.wake.notify_one();
@@ -167,32 +185,32 @@
     }
 }
 
-impl<W, M> Drop for Submitter<W, M> {
+impl<I, R> Drop for Submitter<I, R> {
     fn drop(&mut self) {
         self.close();
     }
 }
 
-impl<W, M> Worker<W, M> {
-    /// Waits for work and takes it; none when the desk is closed. What was taken before counts as done with.
-    pub fn next_job(&mut self) -> Option<Job<W>> {
+impl<I, R> Worker<I, R> {
+    /// Waits for a job and takes it; `None` when the submitter is closed. Ends the job that was taken before.
+    pub fn next_job(&mut self) -> Option<Job<I>> {
         let mut slots = self.0.slots();
         if !self.0.fault.keeps_running_set() {
-            slots.begun = None;
+            slots.running = None;
         }
         loop {
             if slots.closed {
                 return None;
             }
-            if let Some((version, input)) = slots.waiting.take() {
-                let unwanted = Arc::new(AtomicBool::new(false));
+            if let Some((version, input)) = slots.pending.take() {
+                let cancelled = Arc::new(AtomicBool::new(false));
                 if self.0.fault.sets_running_late() {
-                    // Between these two the desk finds nothing in hand that it could cancel.
+                    // Until the lock is taken again the submitter sees no running job that it could cancel.
                     drop(slots);
                     slots = self.0.slots();
                 }
-                slots.begun = Some((version, unwanted.clone()));
-                return Some(Job { version, input, cancel: Cancellation(unwanted) });
+                slots.running = Some((version, cancelled.clone()));
+                return Some(Job { version, input, cancel: Cancellation(cancelled) });
             }
             if self.0.fault.unlocks_before_wait() {
                 drop(slots);
@@ -202,32 +220,34 @@
         }
     }
 
-    /// Publishes what was made. What is no newer than what was published before is given back.
-    pub fn publish(&self, version: u64, made: M) -> Result<(), M> {
+    /// Publishes a result. Returns it as an error if the same or a newer version was published before.
+    pub fn publish(&self, version: u64, result: R) -> Result<(), R> {
         let mut slots = self.0.slots();
-        if slots.newest.is_some_and(|newest| newest >= version) && !self.0.fault.accepts_stale_version() {
-            return Err(made);
+        if slots.last_published.is_some_and(|newest| newest >= version)
+            && !self.0.fault.accepts_stale_version()
+        {
+            return Err(result);
         }
-        slots.newest = Some(version);
-        if slots.begun.as_ref().is_some_and(|(begun, _)| *begun == version) {
-            slots.begun = None;
+        slots.last_published = Some(version);
+        if slots.running.as_ref().is_some_and(|(running, _)| *running == version) {
+            slots.running = None;
         }
         if self.0.fault.drops_pending_on_publish() {
-            slots.waiting = None;
+            slots.pending = None;
         }
-        let old = slots.made.replace((version, made));
+        let old = slots.result.replace((version, result));
         drop(slots);
         drop(old);
         Ok(())
     }
 }
 
-impl<W, M> Drop for Worker<W, M> {
+impl<I, R> Drop for Worker<I, R> {
     fn drop(&mut self) {
         let mut slots = self.0.slots();
-        slots.gone = !self.0.fault.hides_worker_exit();
-        slots.begun = None;
-        let dropped = slots.waiting.take();
+        slots.worker_gone = !self.0.fault.hides_worker_exit();
+        slots.running = None;
+        let dropped = slots.pending.take();
         drop(slots);
         drop(dropped);
     }
--- a/crates/handoff/src/sync.rs
+++ b/crates/handoff/src/sync.rs
@@ -1,4 +1,4 @@
-//! Locks and threads: those of the standard library, or those whose interleavings are played.
+//! Synchronization primitives: those of the standard library, or those of loom under `cfg(loom)`.
 
 #[cfg(not(loom))]
 pub(crate) use std::sync::{
--- a/crates/handoff/tests/loom.rs
+++ b/crates/handoff/tests/loom.rs
@@ -1,4 +1,4 @@
-//! Every interleaving of the two ends: `RUSTFLAGS="--cfg loom" cargo test -p wheellink-handoff --test loom --release`.
+//! Checks every interleaving of the two ends: `RUSTFLAGS="--cfg loom" cargo test -p wheellink-handoff --test loom --release`.
 #![cfg(loom)]
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -10,16 +10,16 @@
 use wheellink_handoff::fault::Fault;
 use wheellink_handoff::{channel_with_fault, SubmitError, Submitter, Worker};
 
-/// Work or product that is counted while it lives, to see that places are bounded and nothing leaks.
+/// A job or result that counts the live values, to check that the slots are bounded and nothing leaks.
 struct Counted {
     version: u64,
     alive: Arc<AtomicUsize>,
 }
 
 impl Counted {
-    /// Besides the one that is new here, so many may be alive.
-    fn new(version: u64, alive: &Arc<AtomicUsize>, beside: usize) -> Self {
-        assert!(alive.fetch_add(1, SeqCst) <= beside, "more is kept than there are places");
+    /// Creates a value when at most `others` others are alive.
+    fn new(version: u64, alive: &Arc<AtomicUsize>, others: usize) -> Self {
+        assert!(alive.fetch_add(1, SeqCst) <= others, "more values are alive than there are slots");
         Self { version, alive: alive.clone() }
     }
 }
@@ -30,34 +30,34 @@
     }
 }
 
-/// What waits and what is in hand.
-const WORKS: usize = 2;
-/// What was made and not fetched, what is made, and what the loop holds.
-const MADE: usize = 3;
+/// Jobs that may be alive besides a new one: the pending and the running one.
+const MAX_OTHER_JOBS: usize = 2;
+/// Results that may be alive besides a new one: the published one, the one being computed and the one the event loop holds.
+const MAX_OTHER_RESULTS: usize = 3;
 
 type Ends = (Submitter<Counted, Counted>, Worker<Counted, Counted>);
 
-/// Takes, makes and publishes until this version is made, or the desk is closed.
-fn work(worker: &mut Worker<Counted, Counted>, made: &Arc<AtomicUsize>, until: u64) {
-    while let Some(work) = worker.next_job() {
-        assert_eq!(work.input.version, work.version, "half of one and half of another");
-        let version = work.version;
-        drop(work);
-        let _ = worker.publish(version, Counted::new(version, made, MADE));
+/// Runs jobs and publishes results until this version is published or the submitter is closed.
+fn run_jobs(worker: &mut Worker<Counted, Counted>, results: &Arc<AtomicUsize>, until: u64) {
+    while let Some(job) = worker.next_job() {
+        assert_eq!(job.input.version, job.version, "version and content do not match");
+        let version = job.version;
+        drop(job);
+        let _ = worker.publish(version, Counted::new(version, results, MAX_OTHER_RESULTS));
         if version == until {
             return;
         }
     }
 }
 
-/// What the loop has of it: whole, and newer each time.
-struct Seen(u64);
+/// The newest version the event loop received; each result must match its version and be newer than the one before.
+struct Received(u64);
 
-impl Seen {
-    fn look(&mut self, submitter: &Submitter<Counted, Counted>) {
-        if let Some((version, made)) = submitter.take_latest() {
-            assert_eq!(made.version, version, "half of one and half of another");
-            assert!(version > self.0, "an older version after a newer");
+impl Received {
+    fn fetch(&mut self, submitter: &Submitter<Counted, Counted>) {
+        if let Some((version, result)) = submitter.take_latest() {
+            assert_eq!(result.version, version, "version and content do not match");
+            assert!(version > self.0, "an older version after a newer one");
             self.0 = version;
         }
     }
@@ -67,113 +67,117 @@
     (Arc::default(), Arc::default())
 }
 
-/// Three versions, one after the other, looked at in between: the last one comes in the end.
-fn rising(fault: Fault) {
-    let (works, made) = counts();
+/// Submits three versions and fetches in between: the last one arrives in the end.
+fn increasing_versions(fault: Fault) {
+    let (jobs, results) = counts();
     let (submitter, mut worker): Ends = channel_with_fault(fault);
     let worker = spawn({
-        let made = made.clone();
-        move || work(&mut worker, &made, 3)
+        let results = results.clone();
+        move || run_jobs(&mut worker, &results, 3)
     });
-    let mut seen = Seen(0);
+    let mut received = Received(0);
     for version in 1..=3 {
-        let _ = submitter.submit(version, Counted::new(version, &works, WORKS));
-        seen.look(&submitter);
+        let _ = submitter.submit(version, Counted::new(version, &jobs, MAX_OTHER_JOBS));
+        received.fetch(&submitter);
     }
     worker.join().expect("the worker");
-    seen.look(&submitter);
-    assert_eq!(seen.0, 3, "the last one is lost");
+    received.fetch(&submitter);
+    assert_eq!(received.0, 3, "the last version is lost");
     drop(submitter);
-    assert_eq!((works.load(SeqCst), made.load(SeqCst)), (0, 0), "something is kept for good");
+    assert_eq!((jobs.load(SeqCst), results.load(SeqCst)), (0, 0), "a value leaked");
 }
 
-/// Two that put at once, the newer perhaps first: what is put last need not be the newest.
-fn crossing(fault: Fault) {
-    let (works, made) = counts();
+/// Two threads submit at the same time: the newer version may be submitted first.
+fn concurrent_submits(fault: Fault) {
+    let (jobs, results) = counts();
     let (submitter, mut worker): Ends = channel_with_fault(fault);
     let submitter = loom::sync::Arc::new(submitter);
     let worker = spawn({
-        let made = made.clone();
-        move || work(&mut worker, &made, u64::MAX)
+        let results = results.clone();
+        move || run_jobs(&mut worker, &results, u64::MAX)
     });
     let other = spawn({
-        let (submitter, works) = (submitter.clone(), works.clone());
-        move || drop(submitter.submit(2, Counted::new(2, &works, WORKS + 1)))
+        let (submitter, jobs) = (submitter.clone(), jobs.clone());
+        move || drop(submitter.submit(2, Counted::new(2, &jobs, MAX_OTHER_JOBS + 1)))
     });
-    let mut seen = Seen(0);
-    let first = submitter.submit(1, Counted::new(1, &works, WORKS + 1));
-    seen.look(&submitter);
+    let mut received = Received(0);
+    let first = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS + 1));
+    received.fetch(&submitter);
     other.join().expect("the other");
     drop(first);
-    seen.look(&submitter);
+    received.fetch(&submitter);
     submitter.close();
     worker.join().expect("the worker");
-    seen.look(&submitter);
+    received.fetch(&submitter);
 }
 
-/// The desk is closed, or dropped, while the worker waits, takes or makes.
-fn ending(fault: Fault) {
+/// The submitter is closed or dropped while the worker waits, takes a job or runs one.
+fn closing(fault: Fault) {
     for dropped in [false, true] {
-        let (works, made) = counts();
+        let (jobs, results) = counts();
         let (submitter, mut worker): Ends = channel_with_fault(fault);
         let worker = spawn({
-            let made = made.clone();
-            move || work(&mut worker, &made, u64::MAX)
+            let results = results.clone();
+            move || run_jobs(&mut worker, &results, u64::MAX)
         });
-        let _ = submitter.submit(1, Counted::new(1, &works, WORKS));
+        let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS));
         if dropped {
             drop(submitter);
             worker.join().expect("the worker");
         } else {
             submitter.close();
             worker.join().expect("the worker");
-            Seen(0).look(&submitter);
+            Received(0).fetch(&submitter);
         }
-        assert_eq!((works.load(SeqCst), made.load(SeqCst)), (0, 0), "something is kept for good");
+        assert_eq!((jobs.load(SeqCst), results.load(SeqCst)), (0, 0), "a value leaked");
     }
 }
 
-/// What is in hand is told that something newer waits, which is taken next.
+/// A running job is cancelled when a newer one is submitted, which is taken next.
 fn superseding(fault: Fault) {
-    let (works, _) = counts();
+    let (jobs, _) = counts();
     let (submitter, mut worker): Ends = channel_with_fault(fault);
     let worker = spawn(move || {
         let first = worker.next_job().expect("work");
         (worker, first)
     });
-    let _ = submitter.submit(1, Counted::new(1, &works, WORKS));
-    let put = submitter.submit(2, Counted::new(2, &works, WORKS));
-    let superseded = matches!(&put, Ok(Some((1, _))));
+    let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS));
+    let second = submitter.submit(2, Counted::new(2, &jobs, MAX_OTHER_JOBS));
+    let superseded = matches!(&second, Ok(Some((1, _))));
     let (mut worker, first) = worker.join().expect("the worker");
     assert_eq!(first.version, if superseded { 2 } else { 1 });
-    assert_eq!(first.cancel.is_set(), !superseded, "work goes on that is not wanted");
+    assert_eq!(first.cancel.is_set(), !superseded, "a superseded job is not cancelled");
     if !superseded {
         assert_eq!(worker.next_job().expect("more work").version, 2);
     }
 }
 
-/// Work that was given up is in hand no more.
-fn giving_up(fault: Fault) {
-    let (works, _) = counts();
+/// A job abandoned without a result no longer counts as running.
+fn abandoning(fault: Fault) {
+    let (jobs, _) = counts();
     let (submitter, mut worker): Ends = channel_with_fault(fault);
     let submitter = loom::sync::Arc::new(submitter);
     let worker = spawn({
         let submitter = submitter.clone();
         move || {
-            while let Some(work) = worker.next_job() {
-                assert_eq!(submitter.versions_in_progress().1, Some(work.version), "in hand, and not seen");
+            while let Some(job) = worker.next_job() {
+                assert_eq!(submitter.versions_in_progress().1, Some(job.version), "running and not recorded");
             }
-            assert_eq!(submitter.versions_in_progress(), (None, None), "given up, and still in hand");
+            assert_eq!(
+                submitter.versions_in_progress(),
+                (None, None),
+                "abandoned and still recorded as running"
+            );
         }
     });
-    let _ = submitter.submit(1, Counted::new(1, &works, WORKS));
+    let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS));
     submitter.close();
     worker.join().expect("the worker");
 }
 
-/// A worker that panics over the first: the desk is told, and nobody hangs.
+/// The worker panics on its first job: the submitter learns of it and nothing hangs.
 fn panicking(fault: Fault) {
-    let (works, _) = counts();
+    let (jobs, _) = counts();
     let (submitter, mut worker): Ends = channel_with_fault(fault);
     let worker = spawn(move || {
         let panics = catch_unwind(AssertUnwindSafe(move || {
@@ -182,87 +186,99 @@
         }));
         assert!(panics.is_err());
     });
-    let first = submitter.submit(1, Counted::new(1, &works, WORKS));
-    assert!(first.is_ok(), "it has something to take");
-    let second = submitter.submit(2, Counted::new(2, &works, WORKS));
+    let first = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS));
+    assert!(first.is_ok(), "the first job is accepted");
+    let second = submitter.submit(2, Counted::new(2, &jobs, MAX_OTHER_JOBS));
     let refused = matches!(second, Err(SubmitError::WorkerGone(_)));
     assert!(!refused || submitter.is_worker_gone());
     worker.join().expect("the worker");
-    assert!(submitter.is_worker_gone(), "a worker that is gone is not told of");
-    assert!(matches!(submitter.submit(3, Counted::new(3, &works, WORKS)), Err(SubmitError::WorkerGone(_))));
+    assert!(submitter.is_worker_gone(), "the exit of the worker is not reported");
+    assert!(matches!(
+        submitter.submit(3, Counted::new(3, &jobs, MAX_OTHER_JOBS)),
+        Err(SubmitError::WorkerGone(_))
+    ));
     drop((first, second));
     drop(submitter);
-    assert_eq!(works.load(SeqCst), 0, "something is kept for good");
+    assert_eq!(jobs.load(SeqCst), 0, "a value leaked");
 }
 
+/// Models with their names in the printed measurements.
 const MODELS: [(&str, fn(Fault)); 6] = [
-    ("rising", rising),
-    ("crossing", crossing),
-    ("ending", ending),
+    ("rising", increasing_versions),
+    ("crossing", concurrent_submits),
+    ("ending", closing),
     ("superseding", superseding),
-    ("giving up", giving_up),
+    ("giving up", abandoning),
     ("panicking", panicking),
 ];
 
-/// Plays all interleavings of a model, with no bound on preemptions, and says how many there were.
-fn play(name: &str, model: fn(Fault), fault: Fault) -> usize {
-    let played = Arc::new(AtomicUsize::new(0));
-    let count = played.clone();
-    println!("playing {name}");
+/// Checks all interleavings of a model, with no bound on preemptions, and returns their number.
+fn check_model(name: &str, model: fn(Fault), fault: Fault) -> usize {
+    let checked = Arc::new(AtomicUsize::new(0));
+    let count = checked.clone();
+    println!("checking {name}");
     let builder = loom::model::Builder::new();
-    assert!(builder.preemption_bound.is_none(), "all of them");
+    assert!(builder.preemption_bound.is_none(), "preemptions are not bounded");
     builder.check(move || {
         count.fetch_add(1, SeqCst);
         model(fault);
     });
-    let played = played.load(SeqCst);
-    println!("measure handoff.interleavings_of_{} {played} plays", name.replace(' ', "_"));
-    played
+    let checked = checked.load(SeqCst);
+    println!("measure handoff.interleavings_of_{} {checked} plays", name.replace(' ', "_"));
+    checked
 }
 
 #[test]
-fn every_interleaving_keeps_what_is_promised() {
+fn every_interleaving_keeps_the_guarantees() {
     for (name, model) in MODELS {
-        assert!(play(name, model, Fault::None) > 1, "{name}: there is something to interleave");
+        assert!(check_model(name, model, Fault::None) > 1, "{name}: more than one interleaving");
     }
 }
 
-const PLANTED: &str = "WHEELLINK_PLANTED";
+const FAULT_INDEX_VAR: &str = "WHEELLINK_PLANTED";
 
-/// The model that finds a flaw, and what it says then.
-fn finds(fault: Fault) -> (fn(Fault), &'static str) {
+/// The model that detects a fault, and the message it fails with.
+fn detecting_model(fault: Fault) -> (fn(Fault), &'static str) {
     match fault {
-        Fault::None => (rising, "nothing"),
-        Fault::AcceptStaleVersion => (crossing, "an older version after a newer"),
-        Fault::SplitFetch => (rising, "half of one and half of another"),
-        // Who waits for ever, or for what never comes.
-        Fault::NoWakeOnSubmit | Fault::UnlockBeforeWait | Fault::PublishDropsPending => (rising, "deadlock"),
-        Fault::NoWakeOnClose => (ending, "deadlock"),
-        Fault::RunningSetLate | Fault::NoCancelOnSubmit => (superseding, "work goes on that is not wanted"),
-        Fault::WorkerExitUnreported => (panicking, "a worker that is gone is not told of"),
-        Fault::RunningNeverCleared => (giving_up, "given up, and still in hand"),
+        Fault::None => (increasing_versions, "nothing"),
+        Fault::AcceptStaleVersion => (concurrent_submits, "an older version after a newer one"),
+        Fault::SplitFetch => (increasing_versions, "version and content do not match"),
+        // A thread waits for a wake-up or a result that never comes.
+        Fault::NoWakeOnSubmit | Fault::UnlockBeforeWait | Fault::PublishDropsPending => {
+            (increasing_versions, "deadlock")
+        }
+        Fault::NoWakeOnClose => (closing, "deadlock"),
+        Fault::RunningSetLate | Fault::NoCancelOnSubmit => (superseding, "a superseded job is not cancelled"),
+        Fault::WorkerExitUnreported => (panicking, "the exit of the worker is not reported"),
+        Fault::RunningNeverCleared => (abandoning, "abandoned and still recorded as running"),
     }
 }
 
-/// Plays with a planted flaw, in a process of its own: one that is found may end it in the middle of anything.
+/// Runs a model with an injected fault, in its own process, which a detected fault may abort at any point.
 #[test]
-#[ignore = "the next test calls it"]
-fn planted() {
-    let at: usize = std::env::var(PLANTED).expect("a flaw").parse().expect("a number");
-    play("planted", finds(Fault::ALL[at]).0, Fault::ALL[at]);
-    println!("not found");
+#[ignore = "run in a child process by the next test"]
+fn injected_fault() {
+    let index: usize =
+        std::env::var(FAULT_INDEX_VAR).expect("the index of a fault").parse().expect("a number");
+    check_model("injected fault", detecting_model(Fault::ALL[index]).0, Fault::ALL[index]);
+    println!("not detected");
 }
 
 #[test]
-fn each_planted_flaw_is_found_by_what_it_breaks() {
+fn each_injected_fault_is_detected_with_its_message() {
     let this = std::env::current_exe().expect("this program");
-    for (at, fault) in Fault::ALL.iter().enumerate() {
+    for (index, fault) in Fault::ALL.iter().enumerate() {
         let mut child = Command::new(&this);
-        child.args(["--exact", "planted", "--ignored", "--nocapture"]);
-        let out = child.env(PLANTED, at.to_string()).env("RUST_BACKTRACE", "0").output().expect("it runs");
-        let said = [out.stdout, out.stderr].map(|said| String::from_utf8_lossy(&said).into_owned()).concat();
-        assert!(!out.status.success() && !said.contains("not found"), "{fault:?} is not found");
-        assert!(said.contains(finds(*fault).1), "{fault:?} is found by something else: {said}");
+        child.args(["--exact", "injected_fault", "--ignored", "--nocapture"]);
+        let out = child
+            .env(FAULT_INDEX_VAR, index.to_string())
+            .env("RUST_BACKTRACE", "0")
+            .output()
+            .expect("the test program starts");
+        let output =
+            [out.stdout, out.stderr].map(|output| String::from_utf8_lossy(&output).into_owned()).concat();
+        assert!(!out.status.success() && !output.contains("not detected"), "{fault:?} is not detected");
+        assert!(output.contains(detecting_model(*fault).1), "{fault:?} fails with another message: {output}");
     }
     assert!(Fault::ALL.len() >= 4);
 }
--- a/crates/handoff/tests/threads.rs
+++ b/crates/handoff/tests/threads.rs
@@ -1,46 +1,46 @@
-//! The two ends on threads of the system. What may come between them is played by `loom.rs`.
+//! Both ends on operating system threads. `loom.rs` checks their interleavings.
 
 use std::thread::spawn;
 
 use wheellink_handoff::{channel, SubmitError};
 
 #[test]
-fn of_many_versions_the_last_comes_and_none_goes_back() {
+fn the_last_version_arrives_and_versions_only_increase() {
     let (submitter, mut worker) = channel::<u64, u64>();
-    const LAST: u64 = 200_000;
+    const LAST_VERSION: u64 = 200_000;
     let worker = spawn(move || {
-        let mut made = 0;
-        while let Some(work) = worker.next_job() {
-            assert_eq!(work.input, work.version);
-            made += u32::from(worker.publish(work.version, work.input).is_ok());
+        let mut published = 0;
+        while let Some(job) = worker.next_job() {
+            assert_eq!(job.input, job.version);
+            published += u32::from(worker.publish(job.version, job.input).is_ok());
         }
-        made
+        published
     });
-    let (mut seen, mut superseded) = (0, 0);
-    for version in 1..=LAST {
+    let (mut received, mut superseded) = (0, 0);
+    for version in 1..=LAST_VERSION {
         superseded += u32::from(submitter.submit(version, version).expect("a worker").is_some());
-        if let Some((version, made)) = submitter.take_latest() {
-            assert!(version > seen && made == version);
-            seen = version;
+        if let Some((version, published)) = submitter.take_latest() {
+            assert!(version > received && published == version);
+            received = version;
         }
     }
-    while seen < LAST {
-        submitter.take_latest().into_iter().for_each(|(version, _)| seen = version);
+    while received < LAST_VERSION {
+        submitter.take_latest().into_iter().for_each(|(version, _)| received = version);
         std::thread::yield_now();
     }
     drop(submitter);
-    let made = worker.join().expect("the worker");
-    assert_eq!(u64::from(made + superseded), LAST, "each was made or superseded");
+    let published = worker.join().expect("the worker");
+    assert_eq!(u64::from(published + superseded), LAST_VERSION, "each job was run or replaced");
 }
 
 #[test]
-fn a_worker_that_panics_is_told_of_and_what_waits_comes_back_no_more() {
+fn a_panic_of_the_worker_is_reported_and_later_jobs_are_refused() {
     let (submitter, mut worker) = channel::<&str, ()>();
     submitter.submit(1, "bad").expect("a worker");
     let worker = spawn(move || {
-        let work = worker.next_job().expect("work");
-        // Not by `panic!`: its message would look like a test that failed.
-        std::panic::resume_unwind(Box::new(work.input));
+        let job = worker.next_job().expect("work");
+        // Without `panic!`, whose message would look like a failed test.
+        std::panic::resume_unwind(Box::new(job.input));
     });
     assert!(worker.join().is_err());
     assert!(submitter.is_worker_gone());
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn a_version_that_is_no_newer_is_given_back() {
+fn a_version_that_is_not_newer_is_refused_and_a_pending_job_is_replaced() {
     let (submitter, mut worker) = channel::<&str, &str>();
     submitter.submit(5, "five").expect("a worker");
     assert!(matches!(submitter.submit(5, "again"), Err(SubmitError::Stale("again"))));
     assert_eq!(submitter.versions_in_progress(), (Some(5), None));
     assert!(submitter.submit(6, "six").expect("a worker").is_some_and(|old| old == (5, "five")));
-    let work = worker.next_job().expect("work");
-    assert_eq!((work.version, work.input, submitter.versions_in_progress()), (6, "six", (None, Some(6))));
+    let job = worker.next_job().expect("work");
+    assert_eq!((job.version, job.input, submitter.versions_in_progress()), (6, "six", (None, Some(6))));
     assert!(worker.publish(6, "made").is_ok() && worker.publish(6, "twice").is_err());
     assert_eq!((submitter.take_latest(), submitter.take_latest()), (Some((6, "made")), None));
 }
