--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! The gate: what of all that is known lets somebody in, and what is remembered of those that it turned away.
+//! The admission decision for connections and requests, and the accounting of refusals and penalties.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -11,49 +11,52 @@
 use crate::rules::{Caps, Rules, MAX_PREFIXES};
 use crate::table::{AddressEntry, AddressTable};
 
-/// Weights of a connection or request, and of a refusal: what misbehaves stays in the table.
-const COME: f64 = 1.0;
-const TURNED_AWAY: f64 = 10.0;
-/// Refused prefixes that are told apart in one window; the rest are counted together.
-pub const MOST_TOLD: usize = 20;
-/// How long a window of the log is.
-pub const WINDOW: Micros = 1_000_000;
-/// Penalties double this often at the most: beyond that the cap holds anyway.
-const MOST_LEVELS: u32 = 40;
-/// Entries that are told to a successor, heaviest first.
-const MOST_PASSED: usize = 2_000;
-/// Tenants whose open requests are told apart.
-const MOST_TENANTS: usize = 1_024;
-
-/// Why somebody was turned away.
+/// The weight of an admitted connection or request in the address tables.
+const ADMITTED_WEIGHT: f64 = 1.0;
+/// The weight of a refusal: higher, so that misbehaving clients stay in the tables.
+const REFUSED_WEIGHT: f64 = 10.0;
+/// The maximum number of prefixes that a refusal summary lists; the rest are counted together.
+pub const MAX_SUMMARY_PREFIXES: usize = 20;
+/// The interval between refusal summaries.
+pub const SUMMARY_INTERVAL_US: Micros = 1_000_000;
+/// The maximum number of doublings of a penalty; the maximum duration applies long before.
+const MAX_PENALTY_LEVEL: u32 = 40;
+/// The maximum number of entries handed to a successor process, those of the highest weight first.
+const MAX_HANDED_ENTRIES: usize = 2_000;
+/// The maximum number of tenants whose open requests are counted separately.
+const MAX_TENANTS: usize = 1_024;
+/// The suggested wait after a refusal that may soon be over.
+const RETRY_AFTER_US: Micros = 1_000_000;
+
+/// Why a connection or request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalReason {
-    /// By hand.
+    /// The prefix is blocked by an operator.
     Blocked,
-    /// Turned away too often lately.
+    /// The client is penalized for repeated refusals.
     Penalty,
-    /// Connections at once.
+    /// The cap of concurrent connections.
     Connections,
-    /// New connections a second.
+    /// The rate limit of new connections.
     ConnectRate,
-    /// Requests a second.
+    /// The rate limit of requests.
     RequestRate,
-    /// Requests open.
+    /// The cap of open requests.
     Open,
-    /// Bytes of open requests.
+    /// The cap of body bytes of open requests.
     OpenBytes,
-    /// The tenant's caps.
+    /// A cap or the rate limit of the tenant.
     Tenant,
-    /// The adaptive limit.
+    /// The adaptive limit is reached.
     Busy,
-    /// The adaptive limit, where the tenant is above its share of it.
+    /// Under the adaptive limit: the tenant is above its share.
     Share,
-    /// The table holds active entries only.
-    AddressTable,
+    /// The address table is full of active entries.
+    TableFull,
 }
 
 impl RefusalReason {
-    /// As it stands in log and answers.
+    /// The name in log lines and responses.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::Blocked => "blocked",
@@ -66,68 +69,69 @@
             RefusalReason::Tenant => "tenant",
             RefusalReason::Busy => "busy",
             RefusalReason::Share => "share",
-            RefusalReason::AddressTable => "table",
+            RefusalReason::TableFull => "table",
         }
     }
 
-    /// Whether it is the client's own doing, and not that the service is full.
+    /// Whether the client's own behaviour caused the refusal, rather than the load of the service or the tenant.
     pub fn is_client_fault(self) -> bool {
         !matches!(
             self,
-            RefusalReason::Busy | RefusalReason::Share | RefusalReason::AddressTable | RefusalReason::Tenant
+            RefusalReason::Busy | RefusalReason::Share | RefusalReason::TableFull | RefusalReason::Tenant
         )
     }
 }
 
-/// How a client stands.
+/// Whether a client is known; known clients have higher caps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientStatus {
-    /// By the file or by hand, or by what it was served.
+    /// Known by the settings, by an operator or by its served calls.
     Known,
-    /// Nothing speaks for it.
+    /// Not known.
     Unknown,
 }
 
-/// Who asks: an address.
+/// The address of a client.
 pub type ClientAddress = IpAddr;
 
-/// A request that asks to be taken.
+/// The properties of a request that decide about its admission.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestInfo {
-    /// Whose.
+    /// The address of the client.
     pub from: ClientAddress,
-    /// Its tenant and that one's share of the service.
+    /// The tenant, if there is one.
     pub tenant: Option<usize>,
-    /// In parts of 1.
+    /// The tenant's share of the service, as a fraction.
     pub share: f64,
-    /// Its class's worth in parts of the highest.
+    /// The value of the request's class relative to the highest one.
     pub worth: f64,
-    /// Bytes of its body.
+    /// The size of the body in bytes.
     pub size: u64,
 }
 
-/// Who was turned away within a window, for one line of the log.
+/// The refusals since the last summary, for one log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RefusalSummary {
-    /// Whom, why, how often; most often first.
+    /// Prefix, reason and count, by descending count.
     pub top: Vec<(Prefix, RefusalReason, u64)>,
-    /// Refusals of whoever is not told.
+    /// The number of all other refusals.
     pub others: u64,
 }
 
-/// What a successor is told of one address.
+/// The state of one address that is handed to a successor process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryState {
     prefix: Prefix,
     served: f64,
     served_at: Micros,
-    spoilt_until: Micros,
+    #[serde(rename = "spoilt_until")]
+    suspended_until: Micros,
     closed_until: Micros,
     level: u32,
     refused: u64,
 }
 
-/// What a successor is told.
+/// The state that is handed to a successor process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedState {
@@ -143,29 +147,34 @@
     rate: crate::rate::RateLimiter,
 }
 
-/// See the module's page.
+/// Admission control for connections and requests.
 pub struct Admission {
     rules: Rules,
+    /// The state of client addresses.
     per_client: AddressTable,
+    /// The state of neighbourhoods.
     per_neighbourhood: AddressTable,
     tenants: BTreeMap<Option<usize>, TenantState>,
     blocked: BTreeSet<Prefix>,
     known: BTreeSet<Prefix>,
     adaptive: Option<AdaptiveLimit>,
-    window: Micros,
+    /// When the last refusal summary was taken.
+    summary_at: Micros,
+    /// Refusals since then that are counted by client and reason.
     refused: BTreeMap<(Prefix, RefusalReason), u64>,
+    /// All other refusals since then.
     others: u64,
-    /// All refusals since the start.
+    /// The number of refusals since the start.
     pub total_refusals: u64,
 }
 
-fn capped(entry: &AddressEntry, caps: &Caps, factor: f64) -> Option<RefusalReason> {
+fn connection_cap_exceeded(entry: &AddressEntry, caps: &Caps, factor: f64) -> Option<RefusalReason> {
     let most = |cap: u32| (f64::from(cap) * factor) as u64;
     (caps.connections.is_some_and(|cap| u64::from(entry.connections) >= most(cap)))
         .then_some(RefusalReason::Connections)
 }
 
-fn request_capped(entry: &AddressEntry, caps: &Caps, factor: f64, size: u64) -> Option<RefusalReason> {
+fn request_cap_exceeded(entry: &AddressEntry, caps: &Caps, factor: f64, size: u64) -> Option<RefusalReason> {
     let most = |cap: f64| (cap * factor) as u64;
     if caps.open.is_some_and(|cap| u64::from(entry.open) >= most(cap.into())) {
         Some(RefusalReason::Open)
@@ -177,7 +186,7 @@
 }
 
 impl Admission {
-    /// With rules that were checked.
+    /// Creates admission control with rules that passed [`Rules::check`].
     pub fn new(rules: Rules) -> Self {
         Self {
             per_client: AddressTable::new(rules.entries),
@@ -186,7 +195,7 @@
             blocked: BTreeSet::new(),
             known: rules.known.iter().copied().collect(),
             adaptive: rules.adaptive.clone().map(AdaptiveLimit::new),
-            window: 0,
+            summary_at: 0,
             refused: BTreeMap::new(),
             others: 0,
             total_refusals: 0,
@@ -194,8 +203,8 @@
         }
     }
 
-    /// Other rules from now on: counts, penalties and what was learnt stay. What the old file knew and the new one
-    /// does not is known no more, and what was made known by hand stays so.
+    /// Replaces the rules and keeps counts, penalties and learned state. Prefixes that the old rules list as known
+    /// and the new ones do not are no longer known. Other prefixes that an operator made known stay known.
     pub fn set_rules(&mut self, rules: Rules) {
         for prefix in &self.rules.known {
             self.known.remove(prefix);
@@ -215,26 +224,27 @@
         &self.rules
     }
 
-    /// Whether this is a proxy whose word on its clients' addresses is taken.
+    /// Whether this is a proxy that is trusted to report the addresses of its clients.
     pub fn is_trusted_proxy(&self, from: ClientAddress) -> bool {
         self.rules.proxies.iter().any(|p| p.contains(from))
     }
 
-    fn served_lately(&self, now: Micros, entry: &AddressEntry) -> f64 {
+    fn recent_served_calls(&self, now: Micros, entry: &AddressEntry) -> f64 {
         let half = self.rules.learn_half_ms as f64 * 1000.0;
         entry.served * (-((now - entry.served_at).max(0) as f64) / half).exp2()
     }
 
-    /// How a client stands.
+    /// Whether a client is known.
     pub fn client_status(&self, now: Micros, from: ClientAddress) -> ClientStatus {
         if self.known.iter().any(|p| p.contains(from)) {
             return ClientStatus::Known;
         }
         let learns = self.rules.learn_calls > 0.0;
         let entry = self.per_client.get(&Prefix::client(from)).filter(|_| learns);
-        let spoilt = |e: &AddressEntry| e.spoilt_until > now && e.spoilt_until <= now + self.rules.spoilt();
+        let suspended =
+            |e: &AddressEntry| e.suspended_until > now && e.suspended_until <= now + self.rules.suspension();
         match entry {
-            Some(e) if !spoilt(e) && self.served_lately(now, e) >= self.rules.learn_calls => {
+            Some(e) if !suspended(e) && self.recent_served_calls(now, e) >= self.rules.learn_calls => {
                 ClientStatus::Known
             }
             _ => ClientStatus::Unknown,
@@ -248,10 +258,10 @@
         }
     }
 
-    /// A connection has come. It counts from now on, until [`Admission::gone`].
+    /// Admits a new connection, which counts until [`Admission::connection_closed`].
     ///
     /// # Errors
-    /// Why it is to be closed, unread; then it does not count.
+    /// Why the connection must be closed without reading from it; then it does not count.
     pub fn connect(&mut self, now: Micros, from: ClientAddress) -> Result<ClientStatus, RefusalReason> {
         let client_status = self.client_status(now, from);
         match self.try_connect(now, from, client_status) {
@@ -272,50 +282,52 @@
         if self.blocked.iter().any(|p| p.contains(from)) {
             return Err(RefusalReason::Blocked);
         }
-        let (per_client, per_neighbourhood) = (Prefix::client(from), Prefix::neighbourhood(from));
-        let longest = self.rules.penalty.longest_ms as Micros * 1000;
-        let closed = |e: &AddressEntry| e.closed_until > now && e.closed_until <= now + longest;
-        if self.per_client.get(&per_client).is_some_and(closed) {
+        let (client_key, neighbourhood_key) = (Prefix::client(from), Prefix::neighbourhood(from));
+        let max_duration = self.rules.penalty.longest_ms as Micros * 1000;
+        let closed = |e: &AddressEntry| e.closed_until > now && e.closed_until <= now + max_duration;
+        if self.per_client.get(&client_key).is_some_and(closed) {
             return Err(RefusalReason::Penalty);
         }
         let factor = self.factor(client_status);
-        // All caps first, so that whoever is turned away by one has not used up another.
+        // Checks all caps before the rate limits, so that a refusal by a cap uses up no rate.
         let (a, n) = (&self.rules.address, &self.rules.neighbourhood);
-        let over = self.per_client.get(&per_client).and_then(|e| capped(e, a, factor));
-        let over = over
-            .or_else(|| self.per_neighbourhood.get(&per_neighbourhood).and_then(|e| capped(e, n, factor)));
-        if let Some(reason) = over {
+        let exceeded = self.per_client.get(&client_key).and_then(|e| connection_cap_exceeded(e, a, factor));
+        let exceeded = exceeded.or_else(|| {
+            self.per_neighbourhood.get(&neighbourhood_key).and_then(|e| connection_cap_exceeded(e, n, factor))
+        });
+        if let Some(reason) = exceeded {
             return Err(reason);
         }
         for (table, key, rate) in [
-            (&mut self.per_client, per_client, &a.connect_rate),
-            (&mut self.per_neighbourhood, per_neighbourhood, &n.connect_rate),
+            (&mut self.per_client, client_key, &a.connect_rate),
+            (&mut self.per_neighbourhood, neighbourhood_key, &n.connect_rate),
         ] {
             let scaled = rate.map(|r| r.times(factor));
-            let took =
-                table.update(now, key, COME, |e| scaled.is_none_or(|r| e.connect.take(now, &r).is_ok()));
+            let took = table.update(now, key, ADMITTED_WEIGHT, |e| {
+                scaled.is_none_or(|r| e.connect_limiter.take(now, &r).is_ok())
+            });
             match took {
                 Some(true) => {}
                 Some(false) => return Err(RefusalReason::ConnectRate),
-                None => return Err(RefusalReason::AddressTable),
+                None => return Err(RefusalReason::TableFull),
             }
         }
-        self.per_client.update(now, per_client, 0.0, |e| e.connections += 1);
-        self.per_neighbourhood.update(now, per_neighbourhood, 0.0, |e| e.connections += 1);
+        self.per_client.update(now, client_key, 0.0, |e| e.connections += 1);
+        self.per_neighbourhood.update(now, neighbourhood_key, 0.0, |e| e.connections += 1);
         Ok(())
     }
 
-    /// A connection that was let in has ended.
+    /// Ends an admitted connection.
     pub fn connection_closed(&mut self, now: Micros, from: ClientAddress) {
-        let less = |e: &mut AddressEntry| e.connections = e.connections.saturating_sub(1);
-        self.per_client.update(now, Prefix::client(from), 0.0, less);
-        self.per_neighbourhood.update(now, Prefix::neighbourhood(from), 0.0, less);
+        let decrement = |e: &mut AddressEntry| e.connections = e.connections.saturating_sub(1);
+        self.per_client.update(now, Prefix::client(from), 0.0, decrement);
+        self.per_neighbourhood.update(now, Prefix::neighbourhood(from), 0.0, decrement);
     }
 
-    /// A request asks to go on to the module. It counts from now on, until [`Admission::done`].
+    /// Admits a request, which counts until [`Admission::request_done`].
     ///
     /// # Errors
-    /// Why not, and how long to wait before trying again; then it does not count.
+    /// Why the request is refused, and how long to wait before a retry; then it does not count.
     pub fn admit_request(&mut self, now: Micros, info: &RequestInfo) -> Result<(), (RefusalReason, Micros)> {
         let taken = self.try_request(now, info);
         if let Err((reason, _)) = taken {
@@ -325,41 +337,43 @@
     }
 
     fn try_request(&mut self, now: Micros, info: &RequestInfo) -> Result<(), (RefusalReason, Micros)> {
-        const SOON: Micros = 1_000_000;
-        let (per_client, per_neighbourhood) = (Prefix::client(info.from), Prefix::neighbourhood(info.from));
+        let (client_key, neighbourhood_key) = (Prefix::client(info.from), Prefix::neighbourhood(info.from));
         if self.blocked.iter().any(|p| p.contains(info.from)) {
-            return Err((RefusalReason::Blocked, 60 * SOON));
+            return Err((RefusalReason::Blocked, 60 * RETRY_AFTER_US));
         }
         let factor = self.factor(self.client_status(now, info.from));
         let (a, n, t) = (&self.rules.address, &self.rules.neighbourhood, &self.rules.tenant);
-        let over = self.per_client.get(&per_client).and_then(|e| request_capped(e, a, factor, info.size));
-        let over = over.or_else(|| {
+        let exceeded =
+            self.per_client.get(&client_key).and_then(|e| request_cap_exceeded(e, a, factor, info.size));
+        let exceeded = exceeded.or_else(|| {
             self.per_neighbourhood
-                .get(&per_neighbourhood)
-                .and_then(|e| request_capped(e, n, factor, info.size))
+                .get(&neighbourhood_key)
+                .and_then(|e| request_cap_exceeded(e, n, factor, info.size))
         });
-        if let Some(reason) = over {
-            return Err((reason, SOON));
+        if let Some(reason) = exceeded {
+            return Err((reason, RETRY_AFTER_US));
         }
-        let told_apart = self.tenants.len() < MOST_TENANTS || self.tenants.contains_key(&info.tenant);
-        if told_apart {
+        let tracked = self.tenants.len() < MAX_TENANTS || self.tenants.contains_key(&info.tenant);
+        if tracked {
             let tenant = self.tenants.entry(info.tenant).or_default();
             let open = t.open.is_some_and(|cap| tenant.open >= cap);
             let bytes = t.open_bytes.is_some_and(|cap| tenant.bytes.saturating_add(info.size) > cap);
             if open || bytes {
-                return Err((RefusalReason::Tenant, SOON));
+                return Err((RefusalReason::Tenant, RETRY_AFTER_US));
             }
         }
         for (table, key, rate) in [
-            (&mut self.per_client, per_client, &a.request_rate),
-            (&mut self.per_neighbourhood, per_neighbourhood, &n.request_rate),
+            (&mut self.per_client, client_key, &a.request_rate),
+            (&mut self.per_neighbourhood, neighbourhood_key, &n.request_rate),
         ] {
             let scaled = rate.map(|r| r.times(factor));
-            let took = table.update(now, key, COME, |e| scaled.map_or(Ok(()), |r| e.request.take(now, &r)));
+            let took = table.update(now, key, ADMITTED_WEIGHT, |e| {
+                scaled.map_or(Ok(()), |r| e.request_limiter.take(now, &r))
+            });
             match took {
                 Some(Ok(())) => {}
                 Some(Err(wait)) => return Err((RefusalReason::RequestRate, wait)),
-                None => return Err((RefusalReason::AddressTable, SOON)),
+                None => return Err((RefusalReason::TableFull, RETRY_AFTER_US)),
             }
         }
         if let (Some(rate), Some(tenant)) = (&t.request_rate, self.tenants.get_mut(&info.tenant)) {
@@ -367,28 +381,27 @@
         }
         if let Some(adaptive) = &mut self.adaptive {
             adaptive.take(now, info.worth, info.tenant, info.share).map_err(|refused| match refused {
-                LimitRefusal::Full => (RefusalReason::Busy, SOON),
-                LimitRefusal::Share => (RefusalReason::Share, SOON),
+                LimitRefusal::Full => (RefusalReason::Busy, RETRY_AFTER_US),
+                LimitRefusal::Share => (RefusalReason::Share, RETRY_AFTER_US),
             })?;
         }
-        let more = |e: &mut AddressEntry| {
+        let increment = |e: &mut AddressEntry| {
             e.open += 1;
             e.bytes = e.bytes.saturating_add(info.size);
         };
-        self.per_client.update(now, per_client, 0.0, more);
-        self.per_neighbourhood.update(now, per_neighbourhood, 0.0, more);
+        self.per_client.update(now, client_key, 0.0, increment);
+        self.per_neighbourhood.update(now, neighbourhood_key, 0.0, increment);
         if let Some(tenant) = self.tenants.get_mut(&info.tenant) {
             (tenant.open, tenant.bytes) = (tenant.open + 1, tenant.bytes.saturating_add(info.size));
         }
         Ok(())
     }
 
-    /// Whether a request would be turned away now for its own or its tenant's doing, and how long to wait: nothing
-    /// is counted.
+    /// Whether the blocks, caps or rate limits of the client and its neighbourhood would refuse a request now, and how long
+    /// to wait. Counts nothing.
     pub fn check_request(&self, now: Micros, info: &RequestInfo) -> Option<(RefusalReason, Micros)> {
-        const SOON: Micros = 1_000_000;
         if self.is_blocked(info.from) {
-            return Some((RefusalReason::Blocked, 60 * SOON));
+            return Some((RefusalReason::Blocked, 60 * RETRY_AFTER_US));
         }
         let factor = self.factor(self.client_status(now, info.from));
         let (a, n) = (&self.rules.address, &self.rules.neighbourhood);
@@ -396,26 +409,26 @@
         let per_neighbourhood = self.per_neighbourhood.get(&Prefix::neighbourhood(info.from));
         for (entry, caps) in [(per_client, a), (per_neighbourhood, n)] {
             let Some(entry) = entry else { continue };
-            if let Some(reason) = request_capped(entry, caps, factor, info.size) {
-                return Some((reason, SOON));
+            if let Some(reason) = request_cap_exceeded(entry, caps, factor, info.size) {
+                return Some((reason, RETRY_AFTER_US));
             }
             let rate = caps.request_rate.map(|r| r.times(factor));
-            if let Some(wait) = rate.and_then(|r| entry.request.wait(now, &r)) {
+            if let Some(wait) = rate.and_then(|r| entry.request_limiter.wait(now, &r)) {
                 return Some((RefusalReason::RequestRate, wait));
             }
         }
         None
     }
 
-    /// Somebody was turned away by [`Admission::check_request`].
+    /// Counts a refusal that [`Admission::check_request`] returned.
     pub fn count_refusal(&mut self, now: Micros, from: ClientAddress, reason: RefusalReason) {
         self.record_refusal(now, from, reason);
     }
 
-    /// A request that was taken is over. `took` where it was served.
+    /// Ends an admitted request. `took` is its service time, `None` if it was not served.
     pub fn request_done(&mut self, now: Micros, info: &RequestInfo, class: usize, took: Option<Micros>) {
         let half = self.rules.learn_half_ms as f64 * 1000.0;
-        let less = |e: &mut AddressEntry| {
+        let decrement = |e: &mut AddressEntry| {
             e.open = e.open.saturating_sub(1);
             e.bytes = e.bytes.saturating_sub(info.size);
             if took.is_some() {
@@ -424,8 +437,8 @@
                 e.served_at = now;
             }
         };
-        self.per_client.update(now, Prefix::client(info.from), 0.0, less);
-        self.per_neighbourhood.update(now, Prefix::neighbourhood(info.from), 0.0, less);
+        self.per_client.update(now, Prefix::client(info.from), 0.0, decrement);
+        self.per_neighbourhood.update(now, Prefix::neighbourhood(info.from), 0.0, decrement);
         if let Some(tenant) = self.tenants.get_mut(&info.tenant) {
             tenant.open = tenant.open.saturating_sub(1);
             tenant.bytes = tenant.bytes.saturating_sub(info.size);
@@ -435,12 +448,12 @@
         }
     }
 
-    /// Somebody was turned away: it is counted, spoils what was learnt, and may begin a penalty.
+    /// Counts a refusal. One that the client caused also suspends its learned status and may start a penalty.
     fn record_refusal(&mut self, now: Micros, from: ClientAddress, reason: RefusalReason) {
         self.total_refusals = self.total_refusals.saturating_add(1);
         let key = (Prefix::client(from), reason);
-        // More than are told, so that those that come most often are among them.
-        if self.refused.len() < 8 * MOST_TOLD || self.refused.contains_key(&key) {
+        // Tracks more keys than a summary lists, so that the most frequent ones are likely to be among them.
+        if self.refused.len() < 8 * MAX_SUMMARY_PREFIXES || self.refused.contains_key(&key) {
             *self.refused.entry(key).or_default() += 1;
         } else {
             self.others += 1;
@@ -448,52 +461,53 @@
         if !reason.is_client_fault() {
             return;
         }
-        let (p, spoilt) = (&self.rules.penalty, self.rules.spoilt());
+        let (p, suspended) = (&self.rules.penalty, self.rules.suspension());
         let (window, first) = (p.window_ms as Micros * 1000, p.first_ms as Micros * 1000);
-        let (longest, refusals) = (p.longest_ms as Micros * 1000, p.refusals);
-        let begins = |e: &mut AddressEntry| {
+        let (max_duration, refusals) = (p.longest_ms as Micros * 1000, p.refusals);
+        let apply_refusal = |e: &mut AddressEntry| {
             e.refused = e.refused.saturating_add(1);
-            // Whoever is closed at accept is not punished for that again, and the table's own fullness is nobody's.
+            // A connection closed because of a penalty does not extend the penalty.
             if reason == RefusalReason::Penalty {
                 return;
             }
-            e.spoilt_until = now + spoilt;
-            if now - e.window >= window || e.window > now {
-                (e.window, e.lately) = (now, 0);
+            e.suspended_until = now + suspended;
+            if now - e.window_start >= window || e.window_start > now {
+                (e.window_start, e.recent_refusals) = (now, 0);
             }
-            e.lately = e.lately.saturating_add(1);
-            if e.lately >= refusals {
-                // One level is forgiven for each longest time that has passed since the last penalty.
-                let calm = (now - e.closed_until).max(0) / longest.max(1);
-                e.level = e.level.saturating_sub(calm.min(i64::from(MOST_LEVELS)) as u32);
-                let time = first.saturating_mul(1 << e.level.min(MOST_LEVELS)).clamp(first, longest);
+            e.recent_refusals = e.recent_refusals.saturating_add(1);
+            if e.recent_refusals >= refusals {
+                // The level falls by one for each maximum penalty duration since the end of the last penalty.
+                let forgiven = (now - e.closed_until).max(0) / max_duration.max(1);
+                e.level = e.level.saturating_sub(forgiven.min(i64::from(MAX_PENALTY_LEVEL)) as u32);
+                let time =
+                    first.saturating_mul(1 << e.level.min(MAX_PENALTY_LEVEL)).clamp(first, max_duration);
                 e.closed_until = now + time;
-                e.level = (e.level + 1).min(MOST_LEVELS);
-                (e.window, e.lately) = (now, 0);
+                e.level = (e.level + 1).min(MAX_PENALTY_LEVEL);
+                (e.window_start, e.recent_refusals) = (now, 0);
             }
         };
-        self.per_client.update(now, key.0, TURNED_AWAY, begins);
-        self.per_neighbourhood.update(now, Prefix::neighbourhood(from), TURNED_AWAY, |e| {
+        self.per_client.update(now, key.0, REFUSED_WEIGHT, apply_refusal);
+        self.per_neighbourhood.update(now, Prefix::neighbourhood(from), REFUSED_WEIGHT, |e| {
             e.refused = e.refused.saturating_add(1)
         });
     }
 
-    /// Whom was turned away in the window that is over, where it is and anybody was.
+    /// Takes the summary of refusals, if the interval since the last one is over and there were any.
     pub fn take_refusal_summary(&mut self, now: Micros) -> Option<RefusalSummary> {
-        if now - self.window < WINDOW && now >= self.window {
+        if now - self.summary_at < SUMMARY_INTERVAL_US && now >= self.summary_at {
             return None;
         }
-        self.window = now;
-        let mut told: Vec<_> =
+        self.summary_at = now;
+        let mut top: Vec<_> =
             std::mem::take(&mut self.refused).into_iter().map(|((p, r), n)| (p, r, n)).collect();
         let mut others = std::mem::take(&mut self.others);
-        told.sort_by_key(|(prefix, reason, n)| (std::cmp::Reverse(*n), *prefix, *reason));
-        others += told.iter().skip(MOST_TOLD).map(|(.., n)| n).sum::<u64>();
-        told.truncate(MOST_TOLD);
-        (!told.is_empty() || others > 0).then_some(RefusalSummary { top: told, others })
+        top.sort_by_key(|(prefix, reason, n)| (std::cmp::Reverse(*n), *prefix, *reason));
+        others += top.iter().skip(MAX_SUMMARY_PREFIXES).map(|(.., n)| n).sum::<u64>();
+        top.truncate(MAX_SUMMARY_PREFIXES);
+        (!top.is_empty() || others > 0).then_some(RefusalSummary { top, others })
     }
 
-    /// Nobody of this prefix is let in from now on. False where as many are blocked as may be.
+    /// Blocks a prefix. Returns false if the maximum number of prefixes is blocked already.
     pub fn block(&mut self, prefix: Prefix) -> bool {
         (self.blocked.len() < MAX_PREFIXES || self.blocked.contains(&prefix)) && {
             self.blocked.insert(prefix);
@@ -501,20 +515,21 @@
         }
     }
 
-    /// They are let in again; a penalty that one of them has ends too.
+    /// Unblocks a prefix, and ends the penalty of the client with exactly this prefix.
     pub fn unblock(&mut self, now: Micros, prefix: Prefix) {
         self.blocked.remove(&prefix);
         if self.per_client.get(&prefix).is_some() {
-            self.per_client.update(now, prefix, 0.0, |e| (e.closed_until, e.level, e.lately) = (0, 0, 0));
+            self.per_client
+                .update(now, prefix, 0.0, |e| (e.closed_until, e.level, e.recent_refusals) = (0, 0, 0));
         }
     }
 
-    /// Whether an address is blocked by hand.
+    /// Whether an address is blocked by an operator.
     pub fn is_blocked(&self, from: ClientAddress) -> bool {
         self.blocked.iter().any(|p| p.contains(from))
     }
 
-    /// Clients of this prefix are known from now on, or no longer so by hand. False where as many are as may be.
+    /// Adds a prefix to the known clients or removes it. Returns false if the maximum number of prefixes is known already.
     pub fn set_known(&mut self, prefix: Prefix, known: bool) -> bool {
         if !known {
             self.known.remove(&prefix);
@@ -526,34 +541,35 @@
         }
     }
 
-    /// Blocked by hand, and known by file or hand.
+    /// The blocked prefixes, and the known ones from the settings and operators.
     pub fn manual_prefixes(&self) -> (impl Iterator<Item = &Prefix>, impl Iterator<Item = &Prefix>) {
         (self.blocked.iter(), self.known.iter())
     }
 
-    /// The tables of addresses and neighbourhoods.
+    /// The tables of client addresses and of neighbourhoods.
     pub fn tables(&self) -> (&AddressTable, &AddressTable) {
         (&self.per_client, &self.per_neighbourhood)
     }
 
-    /// The adaptive limit and what is under way, where there is one.
+    /// The adaptive limit and the number of concurrent requests, if the limit is enabled.
     pub fn adaptive(&self) -> Option<(u32, u32)> {
         self.adaptive.as_ref().map(AdaptiveLimit::state)
     }
 
-    /// What a process needs that takes this one's place.
+    /// The state for a successor process.
     pub fn learned_state(&self, now: Micros) -> LearnedState {
-        let worth_it = |e: &&AddressEntry| e.served > 0.0 || e.closed_until > now || e.refused > 0;
-        let heaviest = self.per_client.heaviest(now, MOST_PASSED);
-        let entries = heaviest.into_iter().filter(|(.., e)| worth_it(e)).map(|(prefix, .., e)| EntryState {
-            prefix,
-            served: e.served,
-            served_at: e.served_at,
-            spoilt_until: e.spoilt_until,
-            closed_until: e.closed_until,
-            level: e.level,
-            refused: e.refused,
-        });
+        let is_relevant = |e: &&AddressEntry| e.served > 0.0 || e.closed_until > now || e.refused > 0;
+        let heaviest = self.per_client.heaviest(now, MAX_HANDED_ENTRIES);
+        let entries =
+            heaviest.into_iter().filter(|(.., e)| is_relevant(e)).map(|(prefix, .., e)| EntryState {
+                prefix,
+                served: e.served,
+                served_at: e.served_at,
+                suspended_until: e.suspended_until,
+                closed_until: e.closed_until,
+                level: e.level,
+                refused: e.refused,
+            });
         let manual_prefixes = self.known.iter().filter(|p| !self.rules.known.contains(p));
         LearnedState {
             blocked: self.blocked.iter().copied().collect(),
@@ -562,7 +578,7 @@
         }
     }
 
-    /// Takes up what such a process told; what this one has learnt itself stays where it is more.
+    /// Merges the state handed over by a predecessor process; for each value the higher one wins.
     pub fn restore(&mut self, now: Micros, state: LearnedState) {
         for prefix in state.blocked {
             self.block(prefix);
@@ -570,15 +586,15 @@
         for prefix in state.known {
             self.set_known(prefix, true);
         }
-        for p in state.entries.into_iter().take(MOST_PASSED) {
-            let weight = COME + TURNED_AWAY * (p.refused.min(1 << 20) as f64);
+        for p in state.entries.into_iter().take(MAX_HANDED_ENTRIES) {
+            let weight = ADMITTED_WEIGHT + REFUSED_WEIGHT * (p.refused.min(1 << 20) as f64);
             self.per_client.update(now, p.prefix, weight, |e| {
                 if p.served.is_finite() && p.served > e.served {
                     (e.served, e.served_at) = (p.served, p.served_at.min(now));
                 }
-                e.spoilt_until = e.spoilt_until.max(p.spoilt_until);
+                e.suspended_until = e.suspended_until.max(p.suspended_until);
                 e.closed_until = e.closed_until.max(p.closed_until);
-                e.level = e.level.max(p.level.min(MOST_LEVELS));
+                e.level = e.level.max(p.level.min(MAX_PENALTY_LEVEL));
                 e.refused = e.refused.max(p.refused);
             });
         }
--- a/crates/admission/src/ledger.rs
+++ b/crates/admission/src/ledger.rs
@@ -1,14 +1,14 @@
-//! Who holds how much of one thing that is limited: descriptors, or bytes of memory.
+//! A ledger of reservations of a limited resource: file descriptors, or bytes of memory.
 //!
-//! Each owner has a reserve. What is not reserved is anybody's. What known clients do not use of theirs may be
-//! borrowed, and is owed back when they ask; nobody borrows of the others' reserves, so that an owner within its
-//! reserve is never kept waiting, and a call that was taken can always reach a host.
+//! Each owner has a reserve; units that are not reserved are available to every owner. The unused reserve of known clients
+//! may be borrowed by others, who must return it when known clients need it. The reserves of the other owners are never
+//! lent, so that an owner within its reserve always gets its units, and an admitted call can always reach a host.
 
 use std::fmt;
 
 use wheellink::Micros;
 
-/// Who holds.
+/// An owner of units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Owner {
     /// Connections to script hosts.
@@ -17,41 +17,41 @@
     Known,
     /// All other clients.
     Others,
-    /// Operators' calls.
+    /// Calls by operators.
     Operators,
-    /// The program itself: listeners, bus, resolver, the other process of an upgrade.
+    /// The process itself: listeners, bus, resolver, the connection to the other process during an upgrade.
     Own,
 }
 
 impl Owner {
-    /// All of them.
+    /// All owners.
     pub const ALL: [Owner; 5] = [Owner::Hosts, Owner::Known, Owner::Others, Owner::Operators, Owner::Own];
 
-    /// As it is told to operators.
+    /// The name shown to operators.
     pub fn as_str(self) -> &'static str {
         ["hosts", "known", "others", "operators", "own"][self as usize]
     }
 
-    /// Whether its unused reserve may be borrowed.
+    /// Whether others may borrow the unused reserve of this owner.
     fn lends(self) -> bool {
         self == Owner::Known
     }
 }
 
-/// What became of a wish.
+/// The outcome of [`Ledger::take`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeOutcome {
-    /// It is the owner's.
+    /// The units are taken.
     Granted,
-    /// It is, on loan from known clients.
+    /// The units are taken, on loan from the reserve of known clients.
     Borrowed,
-    /// It is due, and this owner has it on loan: it is to give it back, then ask again.
+    /// The units are within the reserve, but on loan to this owner, which must release them before the next attempt.
     OwedBy(Owner),
-    /// There is none for this owner.
+    /// No units are available to this owner.
     Denied,
 }
 
-/// Why limits make no sense.
+/// Why limits are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerError(pub String);
 
@@ -64,32 +64,32 @@
 
 const OWNERS: usize = Owner::ALL.len();
 
-/// See the module's page.
+/// A ledger of reservations; see the module documentation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ledger {
     limit: usize,
-    /// The limit for the time being, where the system turned out to have less.
+    /// A temporary lower limit after the system had fewer units than `limit`; `usize::MAX` if there is none.
     ceiling: usize,
-    raised: Micros,
+    raised_at: Micros,
     step: usize,
     reserve: [usize; OWNERS],
     held: [usize; OWNERS],
 }
 
-/// After the system had less than the limit the ceiling rises this often: by one, two, four and so on, so that a
-/// passing want is soon forgotten and a lasting one is met with little.
-const RAISE: Micros = 100_000;
+/// The interval at which the ceiling rises after the system had fewer units than the limit. The steps double (1, 2, 4, ...):
+/// a short shortage is soon over, and a lasting one meets only a few attempts.
+const CEILING_RAISE_INTERVAL_US: Micros = 100_000;
 
 impl Ledger {
-    /// Of this limit, with these reserves in the order of [`Owner::ALL`].
+    /// Creates a ledger with a limit and the reserves in the order of [`Owner::ALL`].
     ///
     /// # Errors
-    /// The reserves are more than the limit.
+    /// The sum of the reserves exceeds the limit.
     pub fn new(limit: usize, reserve: [usize; OWNERS]) -> Result<Self, LedgerError> {
         let mut ledger = Self {
             limit: 0,
             ceiling: usize::MAX,
-            raised: 0,
+            raised_at: 0,
             step: 1,
             reserve: [0; OWNERS],
             held: [0; OWNERS],
@@ -98,10 +98,11 @@
         Ok(ledger)
     }
 
-    /// Other limits from now on. What is held beyond them stays until it is given back; nothing new is taken.
+    /// Replaces the limit and the reserves. Units held beyond the new limit stay held until they are released; until then
+    /// nothing new is granted.
     ///
     /// # Errors
-    /// The reserves are more than the limit: the old limits stay.
+    /// The sum of the reserves exceeds the limit; the old values stay in force.
     pub fn set_limits(&mut self, limit: usize, reserve: [usize; OWNERS]) -> Result<(), LedgerError> {
         let sum = reserve.iter().try_fold(0usize, |sum, r| sum.checked_add(*r));
         match sum.filter(|sum| *sum <= limit) {
@@ -109,26 +110,28 @@
                 (self.limit, self.reserve) = (limit, reserve);
                 Ok(())
             }
-            None => Err(LedgerError(format!("reserves of {reserve:?} are more than the limit of {limit}"))),
+            None => Err(LedgerError(format!(
+                "the sum of the reserves {reserve:?} is more than the limit of {limit}"
+            ))),
         }
     }
 
-    /// What an owner holds.
+    /// The units held by an owner.
     pub fn held(&self, owner: Owner) -> usize {
         self.held[owner as usize]
     }
 
-    /// What is held in all.
+    /// The units held by all owners.
     pub fn total_held(&self) -> usize {
         self.held.iter().sum()
     }
 
-    /// The limit in force, and what is reserved for an owner.
+    /// The limit in force.
     pub fn limit(&self) -> usize {
         self.limit.min(self.ceiling)
     }
 
-    /// An owner's reserve.
+    /// The reserve of an owner.
     pub fn reserve(&self, owner: Owner) -> usize {
         self.reserve[owner as usize]
     }
@@ -137,23 +140,24 @@
         self.reserve(owner).saturating_sub(self.held(owner))
     }
 
-    /// Takes so many units for an owner, or none.
+    /// Takes all of the requested units for an owner, or none.
     pub fn take(&mut self, owner: Owner, units: usize) -> TakeOutcome {
         let free = self.limit().saturating_sub(self.total_held());
         let others = Owner::ALL.into_iter().filter(|o| *o != owner);
-        let (mut kept, mut lent) = (0, 0);
+        let (mut reserved, mut lendable) = (0, 0);
         for other in others {
             match other.lends() {
-                true => lent += self.unused(other),
-                false => kept += self.unused(other),
+                true => lendable += self.unused(other),
+                false => reserved += self.unused(other),
             }
         }
         let within = self.held(owner) + units <= self.reserve(owner);
-        // Of what nobody lends, its owner finds it free; a lender's may be out, and must not be made up for by others'.
-        let due = within && units + if owner.lends() { kept } else { 0 } <= free;
-        let taken = if due || units + kept + lent <= free {
+        // A reserve that is never lent is always free for its owner. The reserve of a lender may be on loan, and must not
+        // be replaced by units from the reserves of others.
+        let entitled = within && units + if owner.lends() { reserved } else { 0 } <= free;
+        let taken = if entitled || units + reserved + lendable <= free {
             TakeOutcome::Granted
-        } else if units + kept <= free && !owner.lends() {
+        } else if units + reserved <= free && !owner.lends() {
             TakeOutcome::Borrowed
         } else {
             let excess = |o: &Owner| self.held(*o).saturating_sub(self.reserve(*o));
@@ -167,47 +171,47 @@
         taken
     }
 
-    /// What an owner holds, as its keeper counts it.
+    /// Sets the units held by an owner that counts them itself.
     pub fn set_held(&mut self, owner: Owner, units: usize) {
         self.held[owner as usize] = units;
     }
 
-    /// How many units this owner could take now, without what known clients lend.
+    /// The units that an owner could take now without borrowing.
     pub fn available(&self, owner: Owner) -> usize {
         let free = self.limit().saturating_sub(self.total_held());
         let others = Owner::ALL.into_iter().filter(|o| *o != owner);
-        let kept: usize = others.map(|o| self.unused(o)).sum();
-        free.saturating_sub(kept).max(self.unused(owner).min(free))
+        let reserved: usize = others.map(|o| self.unused(o)).sum();
+        free.saturating_sub(reserved).max(self.unused(owner).min(free))
     }
 
-    /// Gives units back. Giving back more than is held is a fault of the embedder and gives back what is held.
+    /// Releases units. Releasing more than is held is a bug of the caller; all held units are released then.
     pub fn release(&mut self, owner: Owner, units: usize) {
-        debug_assert!(self.held(owner) >= units, "{owner:?} gives back more than it holds");
+        debug_assert!(self.held(owner) >= units, "{owner:?} releases more than it holds");
         self.held[owner as usize] -= units.min(self.held(owner));
     }
 
-    /// A unit changes hands: whoever held it is another owner now (a client has become known, say).
+    /// Transfers held units to another owner, for example when a client becomes known.
     pub fn transfer(&mut self, from: Owner, to: Owner, units: usize) {
         let units = units.min(self.held(from));
         self.held[from as usize] -= units;
         self.held[to as usize] += units;
     }
 
-    /// The system has no more although the limit says so: nothing beyond what is held for now, and then by and by
-    /// more.
+    /// Records that the system had no more units although the limit allows more. Lowers the ceiling to the units held now;
+    /// [`Ledger::tick`] raises it again step by step.
     pub fn set_exhausted(&mut self, now: Micros) {
-        (self.ceiling, self.raised, self.step) = (self.total_held(), now, 1);
+        (self.ceiling, self.raised_at, self.step) = (self.total_held(), now, 1);
     }
 
-    /// Time has passed.
+    /// Raises the ceiling according to the time that has passed.
     pub fn tick(&mut self, now: Micros) {
         if self.ceiling < self.limit {
-            // After a jump of the clock it rises from there on.
-            self.raised = self.raised.min(now);
-            while self.ceiling < self.limit && now - self.raised >= RAISE {
+            // After the clock jumps back, the interval starts anew at the present time.
+            self.raised_at = self.raised_at.min(now);
+            while self.ceiling < self.limit && now - self.raised_at >= CEILING_RAISE_INTERVAL_US {
                 self.ceiling = self.ceiling.saturating_add(self.step);
                 self.step = self.step.saturating_mul(2);
-                self.raised += RAISE;
+                self.raised_at += CEILING_RAISE_INTERVAL_US;
             }
         } else {
             self.ceiling = usize::MAX;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,9 +1,11 @@
-//! Who is let in: at accept, at a connection's first whole request, and at each request.
+//! Admission control: decides which connections are accepted and which requests may proceed.
 //!
-//! This crate owns what is known of addresses (a bounded [`AddressTable`]), their caps, rates and penalties, who is
-//! known, the [`Ledger`]s of descriptors and memory, and the [`AdaptiveLimit`] limit of requests under way. It
-//! promises bounds: no table grows with who comes, no ledger is overdrawn, no penalty lasts for ever. It knows no
-//! socket, no wire and no clock: time is passed in, in microseconds, and may jump.
+//! This crate keeps bounded state by client address ([`AddressTable`]), enforces caps, rate limits and penalties,
+//! distinguishes known clients from others, accounts for descriptors and memory in [`Ledger`]s, and adapts the limit of
+//! concurrent requests ([`AdaptiveLimit`]).
+//!
+//! All state is bounded: tables do not grow with the number of clients, ledgers are never overdrawn and every penalty
+//! ends. The crate does no I/O and reads no clock: callers pass the time in microseconds, and it may jump.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/admission/src/prefix.rs
+++ b/crates/admission/src/prefix.rs
@@ -1,5 +1,4 @@
-//! Addresses and prefixes. An IPv4 address that comes in the form of an IPv6 one (RFC 4291, 2.5.5.2) is the IPv4
-//! address.
+//! Address prefixes. An IPv4-mapped IPv6 address (RFC 4291, 2.5.5.2) is treated as the IPv4 address.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -7,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Bits of an IPv6 address before an IPv4 one in it.
-const MAPPED: u8 = 96;
+/// The number of bits before the IPv4 address in an IPv4-mapped IPv6 address.
+const MAPPED_PREFIX_BITS: u8 = 96;
 
 /// A prefix of IPv4 or IPv6 addresses.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -18,7 +17,7 @@
     len: u8,
 }
 
-/// Why text is no prefix.
+/// Why a text cannot be parsed as a prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrefixError(pub String);
 
@@ -45,28 +44,28 @@
 }
 
 impl Prefix {
-    /// This address and no other.
+    /// The prefix that contains only this address.
     pub fn of(address: IpAddr) -> Self {
         Self { bits: bits(address), len: 128 }
     }
 
-    /// What one client may have: an IPv4 address, or an IPv6 /64.
+    /// The prefix assumed to belong to one client: an IPv4 address, or an IPv6 /64.
     pub fn client(address: IpAddr) -> Self {
-        Self::cut(address, 32, 64)
+        Self::truncate(address, 32, 64)
     }
 
-    /// Its neighbourhood: an IPv4 /24, or an IPv6 /48.
+    /// The neighbourhood of the address: an IPv4 /24, or an IPv6 /48.
     pub fn neighbourhood(address: IpAddr) -> Self {
-        Self::cut(address, 24, 48)
+        Self::truncate(address, 24, 48)
     }
 
-    fn cut(address: IpAddr, four: u8, six: u8) -> Self {
+    fn truncate(address: IpAddr, v4_len: u8, v6_len: u8) -> Self {
         let bits = bits(address);
-        let len = if is_mapped(bits) { MAPPED + four } else { six };
+        let len = if is_mapped(bits) { MAPPED_PREFIX_BITS + v4_len } else { v6_len };
         Self { bits: bits & mask(len), len }
     }
 
-    /// Whether the address lies in it.
+    /// Whether the prefix contains the address.
     pub fn contains(&self, address: IpAddr) -> bool {
         bits(address) & mask(self.len) == self.bits
     }
@@ -80,24 +79,28 @@
     type Err = PrefixError;
 
     fn from_str(text: &str) -> Result<Self, PrefixError> {
-        let wrong = |why: &str| PrefixError(format!("{text:?} {why}"));
+        let error = |why: &str| PrefixError(format!("{text:?} {why}"));
         let (address, len) = text.split_once('/').map_or((text, None), |(a, l)| (a, Some(l)));
-        let address: IpAddr = address.parse().map_err(|_| wrong("is no address or prefix"))?;
-        let own = if address.is_ipv4() { 32 } else { 128 };
+        let address: IpAddr = address.parse().map_err(|_| error("is not an address or prefix"))?;
+        let address_bits = if address.is_ipv4() { 32 } else { 128 };
         let digits = |l: &str| !l.is_empty() && l.len() <= 3 && l.bytes().all(|b| b.is_ascii_digit());
         let len = match len {
-            None => own,
-            Some(l) if digits(l) => l.parse::<u8>().map_err(|_| wrong("has a length beyond its address"))?,
-            Some(_) => return Err(wrong("has a length that is no number")),
+            None => address_bits,
+            Some(l) if digits(l) => {
+                l.parse::<u8>().map_err(|_| error("has a prefix length beyond its address"))?
+            }
+            Some(_) => return Err(error("has a prefix length that is not a number")),
         };
-        if len > own {
-            return Err(wrong("has a length beyond its address"));
+        if len > address_bits {
+            return Err(error("has a prefix length beyond its address"));
         }
-        let len = if address.is_ipv4() { len + MAPPED } else { len };
+        let len = if address.is_ipv4() { len + MAPPED_PREFIX_BITS } else { len };
         let all = bits(address);
         if all & !mask(len) != 0 {
-            let cut = Self { bits: all & mask(len), len };
-            return Err(wrong(&format!("has bits behind its length; {cut} is meant, or a longer one")));
+            let truncated = Self { bits: all & mask(len), len };
+            return Err(error(&format!(
+                "has bits set beyond its prefix length; use {truncated} or a longer prefix"
+            )));
         }
         Ok(Self { bits: all, len })
     }
@@ -105,12 +108,13 @@
 
 impl fmt::Display for Prefix {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (address, len, own): (IpAddr, u8, u8) = if is_mapped(self.bits) && self.len >= MAPPED {
-            (Ipv4Addr::from(self.bits as u32).into(), self.len - MAPPED, 32)
-        } else {
-            (Ipv6Addr::from(self.bits).into(), self.len, 128)
-        };
-        if len == own {
+        let (address, len, address_bits): (IpAddr, u8, u8) =
+            if is_mapped(self.bits) && self.len >= MAPPED_PREFIX_BITS {
+                (Ipv4Addr::from(self.bits as u32).into(), self.len - MAPPED_PREFIX_BITS, 32)
+            } else {
+                (Ipv6Addr::from(self.bits).into(), self.len, 128)
+            };
+        if len == address_bits {
             write!(f, "{address}")
         } else {
             write!(f, "{address}/{len}")
--- a/crates/admission/src/rules.rs
+++ b/crates/admission/src/rules.rs
@@ -1,4 +1,4 @@
-//! What operators set, checked as a whole.
+//! The admission settings and their validation.
 
 use std::fmt;
 
@@ -9,36 +9,36 @@
 use crate::prefix::Prefix;
 use crate::rate::Rate;
 
-/// Prefixes that may be known or trusted by the file, or blocked by hand, each.
+/// The maximum number of known prefixes in the settings, of trusted proxies, and of prefixes blocked by operators.
 pub const MAX_PREFIXES: usize = 4_096;
 
-/// Caps of one address or neighbourhood, or of one tenant. What is absent is not capped.
+/// Caps of one client address, neighbourhood or tenant. An absent field means no cap.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Caps {
-    /// Connections at once.
+    /// The maximum number of concurrent connections.
     pub connections: Option<u32>,
-    /// New connections.
+    /// The rate limit of new connections.
     pub connect_rate: Option<Rate>,
-    /// Requests.
+    /// The rate limit of requests.
     pub request_rate: Option<Rate>,
-    /// Requests open at once.
+    /// The maximum number of concurrent requests.
     pub open: Option<u32>,
-    /// Bytes of bodies of open requests.
+    /// The maximum number of body bytes of concurrent requests.
     pub open_bytes: Option<u64>,
 }
 
-/// What befalls who is refused again and again.
+/// When a client that is refused repeatedly is penalized, and for how long.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Penalty {
-    /// So many refusals within the window begin one.
+    /// The number of refusals within the window that starts a penalty.
     pub refusals: u32,
-    /// The window, in milliseconds.
+    /// The window in which refusals are counted, in milliseconds.
     pub window_ms: u64,
-    /// The first lasts so long, in milliseconds; each further one twice as long.
+    /// The duration of the first penalty, in milliseconds; it doubles with each further penalty.
     pub first_ms: u64,
-    /// But none longer than this.
+    /// The maximum duration of a penalty, in milliseconds.
     pub longest_ms: u64,
 }
 
@@ -48,35 +48,36 @@
     }
 }
 
-/// All of it.
+/// The settings of admission control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Addresses that are remembered, and as many neighbourhoods.
+    /// The capacity of the table of client addresses, and of the table of neighbourhoods.
     pub entries: usize,
-    /// Caps of an IPv4 address or IPv6 /64.
+    /// Caps of a client: an IPv4 address or an IPv6 /64.
     pub address: Caps,
-    /// Caps of an IPv4 /24 or IPv6 /48.
+    /// Caps of a neighbourhood: an IPv4 /24 or an IPv6 /48.
     pub neighbourhood: Caps,
-    /// Caps of a tenant; connections do not count for these.
+    /// Caps of a tenant. Connections have no tenant, so only caps on requests apply.
     pub tenant: Caps,
-    /// Caps are this many times as high for known clients.
+    /// The factor by which the caps of known clients are higher.
     pub known_factor: f64,
-    /// Clients that are known from the start.
+    /// Clients that are always known.
     pub known: Vec<Prefix>,
-    /// So many served calls lately make a client known; 0 learns none.
+    /// The number of recently served calls that makes a client known; 0 disables learning.
     pub learn_calls: f64,
-    /// They count half after so long, in milliseconds.
+    /// The half-life of served calls, in milliseconds.
     pub learn_half_ms: u64,
-    /// After a refusal for its own behaviour a client is not known for so long, in milliseconds.
-    pub spoilt_ms: u64,
-    /// Who is refused again and again.
+    /// How long a client is not known by learning after a refusal for its own behaviour, in milliseconds.
+    #[serde(rename = "spoilt_ms")]
+    pub suspension_ms: u64,
+    /// Penalties of clients that are refused repeatedly.
     pub penalty: Penalty,
-    /// Proxies whose word on their clients' addresses is taken (PROXY protocol, version 2).
+    /// Proxies that are trusted to report the addresses of their clients (PROXY protocol, version 2).
     pub proxies: Vec<Prefix>,
-    /// The share of clients' descriptors that is kept for known clients, in parts of 1.
+    /// The fraction of the clients' descriptors that is reserved for known clients.
     pub reserve: f64,
-    /// The adaptive limit of requests under way, where one is wanted.
+    /// The adaptive limit of concurrent requests; absent to disable it.
     pub adaptive: Option<AdaptiveRules>,
 }
 
@@ -91,7 +92,7 @@
             known: Vec::new(),
             learn_calls: 20.0,
             learn_half_ms: 600_000,
-            spoilt_ms: 60_000,
+            suspension_ms: 60_000,
             penalty: Penalty::default(),
             proxies: Vec::new(),
             reserve: 0.25,
@@ -100,7 +101,7 @@
     }
 }
 
-/// What is wrong with the rules; it names the key.
+/// An invalid setting, with its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RulesError(pub String);
 
@@ -112,13 +113,13 @@
 impl std::error::Error for RulesError {}
 
 impl Rules {
-    /// Checks them, for a process with so many descriptors.
+    /// Validates the settings for a process with this many descriptors.
     ///
     /// # Errors
-    /// The first fault, with its key and what would do.
+    /// The first invalid setting, with its key and the allowed values.
     pub fn check(&self, descriptors: usize) -> Result<(), RulesError> {
-        let wrong = |wrong: bool, what: String| if wrong { Err(RulesError(what)) } else { Ok(()) };
-        wrong(
+        let reject_if = |invalid: bool, what: String| if invalid { Err(RulesError(what)) } else { Ok(()) };
+        reject_if(
             self.entries < 2 * descriptors || self.entries > 1 << 22,
             format!(
                 "entries must be at least {}, twice the descriptors, and at most {}",
@@ -130,29 +131,41 @@
             [("address", &self.address), ("neighbourhood", &self.neighbourhood), ("tenant", &self.tenant)];
         for (level, caps) in levels {
             for (name, rate) in [("connect_rate", &caps.connect_rate), ("request_rate", &caps.request_rate)] {
-                let sane = rate.is_none_or(|r| r.is_valid());
-                wrong(!sane, format!("{level}.{name}: per_second above 0 and burst of 1 at least"))?;
+                let valid = rate.is_none_or(|r| r.is_valid());
+                reject_if(
+                    !valid,
+                    format!("{level}.{name}: per_second must be above 0 and burst at least 1"),
+                )?;
             }
-            let none = [caps.connections, caps.open].contains(&Some(0)) || caps.open_bytes == Some(0);
-            wrong(none, format!("{level}: a cap of 0 lets nobody in; leave it out, or block the prefix"))?;
+            let zero_cap = [caps.connections, caps.open].contains(&Some(0)) || caps.open_bytes == Some(0);
+            reject_if(
+                zero_cap,
+                format!("{level}: a cap of 0 admits nobody; omit the cap, or block the prefix"),
+            )?;
         }
         let tenant = self.tenant.connections.is_some() || self.tenant.connect_rate.is_some();
-        wrong(tenant, "tenant: connections have no tenant; cap open, open_bytes or request_rate".into())?;
-        wrong(!(1.0..=1e6).contains(&self.known_factor), "known_factor must be 1 at least".into())?;
-        wrong(!(0.0..=1e9).contains(&self.learn_calls), "learn_calls must not be negative".into())?;
-        wrong(self.learn_half_ms == 0, "learn_half_ms must be above 0".into())?;
-        wrong(!(0.0..=0.9).contains(&self.reserve), "reserve must be 0 to 0.9".into())?;
+        reject_if(tenant, "tenant: connections have no tenant; cap open, open_bytes or request_rate".into())?;
+        reject_if(!(1.0..=1e6).contains(&self.known_factor), "known_factor must be at least 1".into())?;
+        reject_if(!(0.0..=1e9).contains(&self.learn_calls), "learn_calls must not be negative".into())?;
+        reject_if(self.learn_half_ms == 0, "learn_half_ms must be above 0".into())?;
+        reject_if(!(0.0..=0.9).contains(&self.reserve), "reserve must be 0 to 0.9".into())?;
         let p = &self.penalty;
-        wrong(p.refusals == 0 || p.window_ms == 0, "penalty: refusals and window_ms must be above 0".into())?;
-        let times = p.first_ms == 0 || p.longest_ms < p.first_ms || p.longest_ms > 86_400_000;
-        wrong(times, "penalty: first_ms above 0, longest_ms not below it and a day at most".into())?;
-        let many = self.known.len().max(self.proxies.len()) > MAX_PREFIXES;
-        wrong(many, format!("more than {MAX_PREFIXES} prefixes"))?;
-        let bad = self.adaptive.as_ref().and_then(|a| a.validation_error());
-        wrong(bad.is_some(), format!("adaptive: {}", bad.unwrap_or_default()))
+        reject_if(
+            p.refusals == 0 || p.window_ms == 0,
+            "penalty: refusals and window_ms must be above 0".into(),
+        )?;
+        let durations_invalid = p.first_ms == 0 || p.longest_ms < p.first_ms || p.longest_ms > 86_400_000;
+        reject_if(
+            durations_invalid,
+            "penalty: first_ms must be above 0, longest_ms at least first_ms and at most one day".into(),
+        )?;
+        let too_many = self.known.len().max(self.proxies.len()) > MAX_PREFIXES;
+        reject_if(too_many, format!("more than {MAX_PREFIXES} prefixes"))?;
+        let adaptive_error = self.adaptive.as_ref().and_then(|a| a.validation_error());
+        reject_if(adaptive_error.is_some(), format!("adaptive: {}", adaptive_error.unwrap_or_default()))
     }
 
-    pub(crate) fn spoilt(&self) -> Micros {
-        self.spoilt_ms as Micros * 1000
+    pub(crate) fn suspension(&self) -> Micros {
+        self.suspension_ms as Micros * 1000
     }
 }
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -1,8 +1,8 @@
-//! A bounded table of addresses that keeps the heaviest, whatever comes.
+//! A bounded table of addresses that keeps the entries of the highest weight.
 //!
-//! Space-saving (Metwally, Agrawal and El Abbadi, 2005) over weights with forward decay (Cormode, Shkapenyuk,
-//! Srivastava and Xu, 2009): what comes later weighs more instead of what came earlier being aged, so no entry is
-//! walked. Weights are kept as binary logarithms.
+//! It uses the Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005) on weights with forward decay (Cormode,
+//! Shkapenyuk, Srivastava and Xu, 2009): newer events get exponentially higher weights, so that old entries need not be
+//! visited to age them. Weights are stored as binary logarithms.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,44 +11,44 @@
 use crate::prefix::Prefix;
 use crate::rate::RateLimiter;
 
-/// Weights count half after this.
-const HALF: f64 = 600_000_000.0;
-/// Weights are compared to a millionth of a doubling.
-const STEP: f64 = (1 << 20) as f64;
+/// The half-life of weights.
+const HALF_LIFE_US: f64 = 600_000_000.0;
+/// The resolution of scores: steps per doubling of the weight.
+const SCORE_STEPS: f64 = (1 << 20) as f64;
 
-/// What is remembered of one address or neighbourhood.
+/// The state of one client address or neighbourhood.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AddressEntry {
-    /// Connections that it holds.
+    /// Open connections.
     pub connections: u32,
-    /// Requests that are open.
+    /// Open requests.
     pub open: u32,
-    /// Bytes of their bodies.
+    /// Body bytes of the open requests.
     pub bytes: u64,
-    /// New connections against their rate.
-    pub connect: RateLimiter,
-    /// Requests against theirs.
-    pub request: RateLimiter,
-    /// Refusals since it came into the table.
+    /// The rate limiter of new connections.
+    pub connect_limiter: RateLimiter,
+    /// The rate limiter of requests.
+    pub request_limiter: RateLimiter,
+    /// Refusals since the entry was created.
     pub refused: u64,
-    /// Refusals within the penalty's window, and when that began.
-    pub lately: u32,
-    /// When the window began.
-    pub window: Micros,
-    /// Closed at accept until then.
+    /// Refusals within the current penalty window.
+    pub recent_refusals: u32,
+    /// The start of the penalty window.
+    pub window_start: Micros,
+    /// The end of the penalty: until then new connections are closed at accept.
     pub closed_until: Micros,
-    /// How often in a row; each doubles the next penalty.
+    /// The number of consecutive penalties; each doubles the duration of the next one.
     pub level: u32,
-    /// Served calls, counting half after the rules' time, as of `served_at`.
+    /// Served calls, decayed with the half-life in the rules, as of `served_at`.
     pub served: f64,
-    /// When that was.
+    /// The time of the last update of `served`.
     pub served_at: Micros,
-    /// Not known until then, whatever it was served.
-    pub spoilt_until: Micros,
-    /// Whether it is in the order of those that may be pushed out, and its weight there.
+    /// Until then the client is not known by its served calls.
+    pub suspended_until: Micros,
+    /// The logarithm of the weight in units of `1 / SCORE_STEPS`; `i64::MIN` for a weight of zero.
     score: i64,
-    /// The weight that it took over from whom it pushed out: its own may be less by as much.
-    error: i64,
+    /// The score inherited from the evicted entry: the entry's own weight may be lower by that weight.
+    inherited_score: i64,
 }
 
 impl AddressEntry {
@@ -57,62 +57,62 @@
     }
 }
 
-/// See the module's page.
+/// A bounded table of addresses; see the module documentation.
 pub struct AddressTable {
-    most: usize,
+    capacity: usize,
     entries: HashMap<Prefix, AddressEntry>,
-    /// Those that may be pushed out, lightest first.
-    idle: BTreeSet<(i64, Prefix)>,
-    /// Entries that were pushed out.
-    pub pushed_out: u64,
+    /// The inactive entries, which may be evicted, by ascending score.
+    evictable: BTreeSet<(i64, Prefix)>,
+    /// The number of evicted entries.
+    pub evicted: u64,
 }
 
 fn log_weight(now: Micros, weight: f64) -> f64 {
-    weight.max(1e-9).log2() + now as f64 / HALF
+    weight.max(1e-9).log2() + now as f64 / HALF_LIFE_US
 }
 
-/// The logarithm of a sum.
-fn add(a: f64, b: f64) -> f64 {
+/// The binary logarithm of the sum of two weights, given their logarithms.
+fn log2_sum(a: f64, b: f64) -> f64 {
     let (high, low) = if a > b { (a, b) } else { (b, a) };
     high + (low - high).exp2().ln_1p() / std::f64::consts::LN_2
 }
 
 impl AddressTable {
-    /// With room for so many, one at least.
-    pub fn new(most: usize) -> Self {
-        Self { most: most.max(1), entries: HashMap::new(), idle: BTreeSet::new(), pushed_out: 0 }
+    /// Creates a table with the given capacity, at least one.
+    pub fn new(capacity: usize) -> Self {
+        Self { capacity: capacity.max(1), entries: HashMap::new(), evictable: BTreeSet::new(), evicted: 0 }
     }
 
-    /// Entries.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Room for so many from now on; what is too much goes, lightest first, unless it is active.
-    pub fn set_capacity(&mut self, most: usize) {
-        self.most = most.max(1);
-        while self.entries.len() > self.most && self.push_out().is_some() {}
+    /// Changes the capacity. Evicts inactive entries of the lowest weight until the table fits, if there are enough.
+    pub fn set_capacity(&mut self, capacity: usize) {
+        self.capacity = capacity.max(1);
+        while self.entries.len() > self.capacity && self.evict_lightest().is_some() {}
     }
 
-    fn push_out(&mut self) -> Option<i64> {
-        let (score, lightest) = self.idle.pop_first()?;
+    fn evict_lightest(&mut self) -> Option<i64> {
+        let (score, lightest) = self.evictable.pop_first()?;
         self.entries.remove(&lightest);
-        self.pushed_out += 1;
+        self.evicted += 1;
         Some(score)
     }
 
-    /// An entry as it is.
+    /// The entry of a prefix, without changing its weight.
     pub fn get(&self, key: &Prefix) -> Option<&AddressEntry> {
         self.entries.get(key)
     }
 
-    /// Adds weight to an entry, which is made where there is none: in the lightest one's place if need be. `None`
-    /// where all are active: they are as many as there is room for. Then lets it be changed.
+    /// Adds weight to an entry and applies `change` to it. A missing entry is created; in a full table it replaces the
+    /// inactive entry of the lowest weight. Returns `None` if the table is full of active entries.
     pub fn update<T>(
         &mut self,
         now: Micros,
@@ -121,38 +121,46 @@
         change: impl FnOnce(&mut AddressEntry) -> T,
     ) -> Option<T> {
         if !self.entries.contains_key(&key) {
-            let error = match self.entries.len() >= self.most {
-                true => self.push_out()?,
+            let inherited_score = match self.entries.len() >= self.capacity {
+                true => self.evict_lightest()?,
                 false => i64::MIN,
             };
-            self.entries.insert(key, AddressEntry { score: error, error, ..AddressEntry::default() });
+            self.entries.insert(
+                key,
+                AddressEntry { score: inherited_score, inherited_score, ..AddressEntry::default() },
+            );
         }
         let entry = self.entries.get_mut(&key)?;
-        self.idle.remove(&(entry.score, key));
+        self.evictable.remove(&(entry.score, key));
         if weight > 0.0 {
             let own = log_weight(now, weight);
-            let sum = if entry.score == i64::MIN { own } else { add(entry.score as f64 / STEP, own) };
-            entry.score = (sum * STEP) as i64;
+            let sum =
+                if entry.score == i64::MIN { own } else { log2_sum(entry.score as f64 / SCORE_STEPS, own) };
+            entry.score = (sum * SCORE_STEPS) as i64;
         }
         let result = change(entry);
         if !entry.is_active() {
-            self.idle.insert((entry.score, key));
+            self.evictable.insert((entry.score, key));
         }
         Some(result)
     }
 
-    /// The heaviest, heaviest first, with how much of their weight may be others'.
-    pub fn heaviest(&self, now: Micros, most: usize) -> Vec<(Prefix, f64, f64, &AddressEntry)> {
+    /// The entries of the highest weight in descending order: prefix, weight, the part of the weight that may be inherited
+    /// from evicted entries, and the entry.
+    pub fn heaviest(&self, now: Micros, max_entries: usize) -> Vec<(Prefix, f64, f64, &AddressEntry)> {
         let weight = |score: i64| match score {
             i64::MIN => 0.0,
-            score => (score as f64 / STEP - now as f64 / HALF).exp2(),
+            score => (score as f64 / SCORE_STEPS - now as f64 / HALF_LIFE_US).exp2(),
         };
         let mut all: Vec<_> = self.entries.iter().collect();
         all.sort_by_key(|(key, e)| (std::cmp::Reverse(e.score), **key));
-        all.into_iter().take(most).map(|(key, e)| (*key, weight(e.score), weight(e.error), e)).collect()
+        all.into_iter()
+            .take(max_entries)
+            .map(|(key, e)| (*key, weight(e.score), weight(e.inherited_score), e))
+            .collect()
     }
 
-    /// Entries with something worth telling a successor.
+    /// All entries, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (&Prefix, &AddressEntry)> {
         self.entries.iter()
     }
--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -144,7 +144,7 @@
     let (first, weight, error, entry) = per_client.heaviest(2 * S, 1)[0];
     assert_eq!((first, entry.refused), (Prefix::client(worst), 5_000));
     assert!(weight - error > 40_000.0, "{weight} {error}");
-    assert!(per_client.pushed_out > 990_000);
+    assert!(per_client.evicted > 990_000);
 }
 
 /// A penalty doubles, is capped, and ends by itself; while it lasts nothing is read.
@@ -364,7 +364,7 @@
     for n in 0..2 {
         admission.connect(S, address(n)).unwrap();
     }
-    assert_eq!(admission.connect(S, address(2)), Err(RefusalReason::AddressTable));
+    assert_eq!(admission.connect(S, address(2)), Err(RefusalReason::TableFull));
     assert_eq!(admission.client_status(S, address(2)), ClientStatus::Unknown);
     admission.connection_closed(S, address(0));
     assert!(admission.connect(S, address(2)).is_ok());
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -555,7 +555,7 @@
         serde_json::json!({"descriptors": ledger(&e.ledger), "memory": ledger(&e.memory),
             "clients": {"known": e.known, "others": e.clients.len() - e.known},
             "refused": gate.total_refusals, "closed_for_want_of_descriptors": e.closed, "system_exhausted": e.starved,
-            "addresses": near.len(), "pushed_out": near.pushed_out, "penalties": penalties,
+            "addresses": near.len(), "pushed_out": near.evicted, "penalties": penalties,
             "blocked": list(blocked.collect()), "known": list(known.collect()), "adaptive": adaptive,
             "top": top(near), "top_neighbourhoods": top(wide)})
     }
