--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -458,6 +458,7 @@
         } else {
             self.others += 1;
         }
+        // Load, the caps of the tenant and a full table are not the client's fault.
         if !reason.is_client_fault() {
             return;
         }
--- a/crates/drafts/src/evaluate.rs
+++ b/crates/drafts/src/evaluate.rs
@@ -1,61 +1,62 @@
-//! What the evidence of one workload says: whose counts are believed, since when the rates are the same, and which draft gives the
-//! most useful tokens a second in each band.
+//! Evaluates the evidence of one workload: which members' counts are used, since when the rates have been stable, and which draft
+//! yields the most useful tokens per second in each load band.
 //!
-//! A function of its rows alone: the same evidence gives the same verdict at any member.
+//! The result depends only on the rows, the table in force and the settings, so that members with the same evidence reach the same
+//! result.
 
 use crate::confidence;
 use crate::settings::Settings;
 use crate::tally::{Rate, Row, Tally};
 use crate::types::{Draft, LOAD_BANDS, MAX_DRAFT_TOKENS};
 
-/// How often older evidence is cut off in one look: two changes within a window, and one more.
-const CUTS: usize = 3;
-/// Members of whom there must be so many before one of them can be said to disagree.
-const QUORUM: usize = 3;
+/// The maximum number of cuts of older evidence in one evaluation: enough for two changes within a window, plus one.
+const MAX_CUTS: usize = 3;
+/// The minimum number of members with enough evidence before one of them can be an outlier.
+const MIN_REPORTERS_FOR_OUTLIERS: usize = 3;
 
-/// Why a teller's counts do not weigh.
+/// A reporter whose counts are excluded, and why.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Outlier {
-    pub teller: usize,
+    pub reporter: usize,
     pub why: String,
 }
 
-/// What is said of one band.
+/// The evaluation of one load band.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Band {
-    /// The best by what is known, bounds aside, and its tokens a second.
+pub(crate) struct BandEvaluation {
+    /// The draft with the highest estimated throughput, without regard to confidence intervals, and its tokens per second.
     pub best: Option<(Draft, f64)>,
-    /// Of the draft in force.
-    pub now: Option<f64>,
-    /// What should take its place.
-    pub better: Option<Draft>,
-    /// How much better the best is than what is in force, and at least.
+    /// Tokens per second of the draft in force.
+    pub in_force_value: Option<f64>,
+    /// The draft that should replace the one in force.
+    pub replacement: Option<Draft>,
+    /// The estimated lead over the draft in force, as a fraction, and its lower confidence bound.
     pub lead: f64,
-    pub lead_low: f64,
-    /// By drafter, from 1: the best length.
-    pub lengths: Vec<Option<u8>>,
-    /// Too little is known of some drafter.
-    pub insufficient: bool,
+    pub lead_lower_bound: f64,
+    /// The best length by drafter (from 1).
+    pub best_lengths: Vec<Option<u8>>,
+    /// The evidence about some drafter is insufficient.
+    pub needs_exploration: bool,
     pub why: &'static str,
 }
 
-/// See the module's page.
+/// The evaluation of one workload; see the module documentation.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Verdict {
-    pub bands: Vec<Band>,
+pub(crate) struct Evaluation {
+    pub bands: Vec<BandEvaluation>,
     pub outliers: Vec<Outlier>,
-    /// Epochs of evidence that count, by drafter.
-    pub since: Vec<u32>,
-    /// Acceptance by drafter and position, of those believed.
-    pub rates: Vec<Vec<f64>>,
+    /// The number of epochs of evidence that are used, by drafter.
+    pub stable_epochs: Vec<u32>,
+    /// The acceptance rate by drafter and position, without outliers.
+    pub acceptance: Vec<Vec<f64>>,
     pub rounds: f64,
-    pub tellers: usize,
+    pub reporters: usize,
 }
 
-/// Factors by which no teller has more than its share of the rounds.
+/// Weights under which no reporter has more than its maximum share of the rounds.
 fn weights(rounds: &[f64], settings: &Settings) -> Vec<f64> {
-    let told = rounds.iter().filter(|r| **r > 0.0).count().max(1) as f64;
-    let share = settings.share.max(1.5 / told).min(1.0);
+    let reporting = rounds.iter().filter(|r| **r > 0.0).count().max(1) as f64;
+    let share = settings.share.max(1.5 / reporting).min(1.0);
     let mut cap = rounds.iter().copied().fold(0.0, f64::max);
     for _ in 0..32 {
         cap = cap.min(share * rounds.iter().map(|r| r.min(cap)).sum::<f64>());
@@ -73,14 +74,14 @@
     }
 }
 
-/// A figure whose change is looked for: a position's rate, or the time of a round.
+/// A metric that is checked for changes: the acceptance rate of a position (drafter, position) or the time per round (band, draft).
 #[derive(Clone, Copy)]
-enum Figure {
+enum Metric {
     Rate(u8, usize),
     Cost(u8, Draft),
 }
 
-/// Count, sum and sum of squares of a figure.
+/// Count, sum and sum of squares of a metric.
 #[derive(Clone, Copy, Default)]
 struct Moments {
     n: f64,
@@ -89,21 +90,21 @@
 }
 
 impl Moments {
-    fn of(tally: &Tally, figure: Figure, settings: &Settings) -> Self {
-        match figure {
-            Figure::Rate(drafter, at) => {
+    fn of(tally: &Tally, metric: Metric, settings: &Settings) -> Self {
+        match metric {
+            Metric::Rate(drafter, at) => {
                 let Rate { rounds, hits } = tally.rates(drafter)[at];
                 let (n, sum) = (rounds / settings.cluster, hits / settings.cluster);
                 Self { n, sum, squares: sum }
             }
-            Figure::Cost(band, draft) => {
+            Metric::Cost(band, draft) => {
                 let cost = tally.cost(band, draft);
                 Self { n: cost.calls, sum: cost.mean() * cost.calls, squares: cost.squares }
             }
         }
     }
 
-    fn less(self, other: Self) -> Self {
+    fn without_part(self, other: Self) -> Self {
         Self { n: self.n - other.n, sum: self.sum - other.sum, squares: self.squares - other.squares }
     }
 
@@ -115,57 +116,63 @@
         (self.squares / self.n.max(1e-9) - self.mean().powi(2)).max(0.0)
     }
 
-    /// How surely two differ, in squared errors; `None` where they may be the same.
-    fn apart(&self, other: &Self, least: f64, alpha: f64) -> Option<f64> {
+    /// The squared difference of the means in standard errors, or `None` if the difference may be chance.
+    fn significance(&self, other: &Self, least: f64, alpha: f64) -> Option<f64> {
         if self.n < least || other.n < least {
             return None;
         }
         let error = (self.variance() / self.n + other.variance() / other.n).sqrt();
         let gap = (self.mean() - other.mean()).abs();
-        // Below a hundredth nothing is a change, however sure.
-        let small = 0.01 * self.mean().max(other.mean());
-        (gap > small + error * confidence::standard_errors(self.n.min(other.n), alpha))
+        // A difference below 1 % is not a change, however significant.
+        let min_gap = 0.01 * self.mean().max(other.mean());
+        (gap > min_gap + error * confidence::standard_errors(self.n.min(other.n), alpha))
             .then(|| (gap / error.max(1e-9)).powi(2))
     }
 }
 
-/// Which rows speak of a figure.
-fn counts(row: &Row, figure: Figure) -> bool {
-    match figure {
-        Figure::Rate(drafter, at) => row.draft.drafter == drafter && (row.draft.length as usize) > at,
-        Figure::Cost(band, draft) => row.band == band && row.draft == draft,
+/// Whether a row contributes to a metric.
+fn contributes(row: &Row, metric: Metric) -> bool {
+    match metric {
+        Metric::Rate(drafter, at) => row.draft.drafter == drafter && (row.draft.length as usize) > at,
+        Metric::Cost(band, draft) => row.band == band && row.draft == draft,
     }
 }
 
-fn tally<'a>(rows: impl Iterator<Item = &'a Row>, figure: Figure, weights: &[f64]) -> Tally {
+fn tally<'a>(rows: impl Iterator<Item = &'a Row>, metric: Metric, weights: &[f64]) -> Tally {
     let mut tally = Tally::default();
-    for row in rows.filter(|r| counts(r, figure)) {
-        match figure {
-            Figure::Rate(..) => tally.count_rates(row, weights[row.teller]),
-            Figure::Cost(..) => tally.count_cost(row, weights[row.teller]),
+    for row in rows.filter(|r| contributes(r, metric)) {
+        match metric {
+            Metric::Rate(..) => tally.count_rates(row, weights[row.reporter]),
+            Metric::Cost(..) => tally.count_cost(row, weights[row.reporter]),
         }
     }
     tally
 }
 
-/// Epochs since which these figures are the same: 'a window' where nothing changed. A change counts only where it is seen without
-/// any one of the tellers as well, or nobody could be trusted to keep the evidence of the others.
-fn since(rows: &[Row], figures: &[Figure], weights: &[f64], alone: bool, settings: &Settings) -> u32 {
+/// The number of latest epochs during which the metrics are stable; the whole window if nothing changed. A change counts only if it
+/// is still significant without any single reporter; otherwise one reporter alone could discard the evidence of the others.
+fn stable_epochs(
+    rows: &[Row],
+    metrics: &[Metric],
+    weights: &[f64],
+    single_member: bool,
+    settings: &Settings,
+) -> u32 {
     let mut window = settings.window;
     let least = f64::from(settings.least_rounds) / 4.0 / settings.cluster;
-    let alpha = settings.alpha / (f64::from(settings.window) * figures.len().max(1) as f64);
-    for _ in 0..CUTS {
-        let mut strongest: Option<(f64, u32, Figure)> = None;
-        for figure in figures {
-            let least = if matches!(figure, Figure::Cost(..)) { least / 5.0 } else { least };
+    let alpha = settings.alpha / (f64::from(settings.window) * metrics.len().max(1) as f64);
+    for _ in 0..MAX_CUTS {
+        let mut strongest: Option<(f64, u32, Metric)> = None;
+        for metric in metrics {
+            let least = if matches!(metric, Metric::Cost(..)) { least / 5.0 } else { least };
             let mut ages = vec![Moments::default(); window as usize];
             let mut by_age: Vec<Vec<&Row>> = vec![Vec::new(); window as usize];
-            for row in rows.iter().filter(|r| r.age < window && counts(r, *figure)) {
+            for row in rows.iter().filter(|r| r.age < window && contributes(r, *metric)) {
                 by_age[row.age as usize].push(row);
             }
             for (moments, rows) in ages.iter_mut().zip(&by_age) {
                 if !rows.is_empty() {
-                    *moments = Moments::of(&tally(rows.iter().copied(), *figure, weights), *figure, settings);
+                    *moments = Moments::of(&tally(rows.iter().copied(), *metric, weights), *metric, settings);
                 }
             }
             let sum = |of: &[Moments]| {
@@ -177,27 +184,30 @@
                 })
             };
             for split in 1..window {
-                let (young, old) = (sum(&ages[..split as usize]), sum(&ages[split as usize..]));
-                if let Some(apart) = young.apart(&old, least, alpha) {
-                    if strongest.as_ref().is_none_or(|s| apart > s.0) {
-                        strongest = Some((apart, split, *figure));
+                let (recent, older) = (sum(&ages[..split as usize]), sum(&ages[split as usize..]));
+                if let Some(significance) = recent.significance(&older, least, alpha) {
+                    if strongest.as_ref().is_none_or(|s| significance > s.0) {
+                        strongest = Some((significance, split, *metric));
                     }
                 }
             }
         }
-        let Some((_, split, figure)) = strongest else { break };
-        let least = if matches!(figure, Figure::Cost(..)) { least / 5.0 } else { least };
-        let side = |young: bool, teller: Option<usize>| {
-            let rows = rows.iter().filter(move |r| r.age < window && (r.age < split) == young);
-            let rows = rows.filter(move |r| teller.is_none_or(|t| r.teller == t));
-            Moments::of(&tally(rows, figure, weights), figure, settings)
+        let Some((_, split, metric)) = strongest else { break };
+        let least = if matches!(metric, Metric::Cost(..)) { least / 5.0 } else { least };
+        let part_moments = |recent: bool, reporter: Option<usize>| {
+            let rows = rows.iter().filter(move |r| r.age < window && (r.age < split) == recent);
+            let rows = rows.filter(move |r| reporter.is_none_or(|t| r.reporter == t));
+            Moments::of(&tally(rows, metric, weights), metric, settings)
         };
-        let (young, old) = (side(true, None), side(false, None));
+        let (recent, older) = (part_moments(true, None), part_moments(false, None));
         let without = |t: usize| {
-            let (young, old) = (young.less(side(true, Some(t))), old.less(side(false, Some(t))));
-            young.apart(&old, least / 2.0, alpha.max(0.01)).is_some()
+            let (recent, older) = (
+                recent.without_part(part_moments(true, Some(t))),
+                older.without_part(part_moments(false, Some(t))),
+            );
+            recent.significance(&older, least / 2.0, alpha.max(0.01)).is_some()
         };
-        if !alone && !(0..weights.len()).filter(|t| weights[*t] > 0.0).all(without) {
+        if !single_member && !(0..weights.len()).filter(|t| weights[*t] > 0.0).all(without) {
             break;
         }
         window = split;
@@ -205,30 +215,30 @@
     window
 }
 
-/// Who says what the others do not.
+/// The reporters whose rates or times deviate from the median of all.
 fn outliers(tallies: &[Tally], settings: &Settings) -> Vec<Outlier> {
     let mut found: Vec<Outlier> = Vec::new();
     let least = f64::from(settings.least_rounds) / 4.0;
-    let mut add = |teller: usize, why: String| {
-        if !found.iter().any(|o| o.teller == teller) {
-            found.push(Outlier { teller, why });
+    let mut add = |reporter: usize, why: String| {
+        if !found.iter().any(|o| o.reporter == reporter) {
+            found.push(Outlier { reporter, why });
         }
     };
     for drafter in 1..=settings.drafters {
         for at in 0..settings.longest as usize {
             let of = |t: &Tally| t.rates(drafter)[at];
             let known: Vec<usize> = (0..tallies.len()).filter(|t| of(&tallies[*t]).rounds >= least).collect();
-            if known.len() < QUORUM {
+            if known.len() < MIN_REPORTERS_FOR_OUTLIERS {
                 continue;
             }
-            let middle = median(known.iter().map(|t| of(&tallies[*t]).rate()).collect());
+            let center = median(known.iter().map(|t| of(&tallies[*t]).rate()).collect());
             for t in known {
                 let Rate { rounds, hits } = of(&tallies[t]);
                 let n = rounds / settings.cluster;
                 let (low, high) = confidence::rate_interval(hits / settings.cluster, n, settings.alpha);
-                if low > middle + settings.tolerance || high < middle - settings.tolerance {
+                if low > center + settings.tolerance || high < center - settings.tolerance {
                     let (at, rate) = (at + 1, hits / rounds);
-                    add(t, format!("drafter {drafter}, position {at}: accepted {rate:.2}, the members' median is {middle:.2}"));
+                    add(t, format!("drafter {drafter}, position {at}: accepted {rate:.2}, the members' median is {center:.2}"));
                 }
             }
         }
@@ -239,16 +249,16 @@
             let draft = Draft { drafter, length };
             let known = |t: &usize| tallies[*t].cost(band, draft).calls >= least / 5.0;
             let known: Vec<usize> = (0..tallies.len()).filter(known).collect();
-            if known.len() < QUORUM {
+            if known.len() < MIN_REPORTERS_FOR_OUTLIERS {
                 continue;
             }
-            let middle = median(known.iter().map(|t| tallies[*t].cost(band, draft).mean()).collect());
+            let center = median(known.iter().map(|t| tallies[*t].cost(band, draft).mean()).collect());
             for t in known {
                 let mean = tallies[t].cost(band, draft).mean();
-                if mean > middle * (1.0 + settings.cost_tolerance)
-                    || mean < middle / (1.0 + settings.cost_tolerance)
+                if mean > center * (1.0 + settings.cost_tolerance)
+                    || mean < center / (1.0 + settings.cost_tolerance)
                 {
-                    add(t, format!("draft {draft}, band {band}: {mean:.0} us a round, the members' median is {middle:.0} us"));
+                    add(t, format!("draft {draft}, band {band}: {mean:.0} us a round, the members' median is {center:.0} us"));
                 }
             }
         }
@@ -256,21 +266,25 @@
     found
 }
 
-/// Time of a round by length, as a line: a base, and each drafted token.
+/// The time per round as a linear function of the draft length, fitted by least squares.
 #[derive(Clone, Copy, Debug)]
-struct Line {
-    base: f64,
-    each: f64,
+struct CostModel {
+    base_us: f64,
+    per_token_us: f64,
+    /// The variance of the time per round.
     variance: f64,
-    n: f64,
-    middle: f64,
-    spread: f64,
+    /// The number of calls.
+    calls: f64,
+    mean_length: f64,
+    /// The sum over calls of the squared deviation from `mean_length`.
+    length_spread: f64,
+    /// The shortest and the longest length with enough calls.
     shortest: u8,
     longest: u8,
 }
 
-impl Line {
-    /// `None` without two lengths of which enough is known.
+impl CostModel {
+    /// Fits the model. `None` without enough calls at two different lengths.
     fn of(tally: &Tally, band: u8, drafter: u8, least: f64) -> Option<Self> {
         let drafts = (0..=MAX_DRAFT_TOKENS)
             .map(|length| Draft { drafter: if length == 0 { 0 } else { drafter }, length });
@@ -280,82 +294,98 @@
         if shortest == longest {
             return None;
         }
-        let n: f64 = known.iter().map(|(_, c)| c.calls).sum();
+        let calls: f64 = known.iter().map(|(_, c)| c.calls).sum();
         let mean = |of: &dyn Fn(f64, f64) -> f64| {
-            known.iter().map(|(l, c)| c.calls * of(f64::from(*l), c.mean())).sum::<f64>() / n
+            known.iter().map(|(l, c)| c.calls * of(f64::from(*l), c.mean())).sum::<f64>() / calls
         };
-        let (middle, time) = (mean(&|l, _| l), mean(&|_, t| t));
-        let spread = mean(&|l, _| (l - middle).powi(2)) * n;
-        let each = mean(&|l, t| (l - middle) * (t - time)) * n / spread.max(1e-9);
-        let variance = known.iter().map(|(_, c)| c.calls * c.variance()).sum::<f64>() / n;
-        Some(Self { base: time - each * middle, each, variance, n, middle, spread, shortest, longest })
+        let (mean_length, time) = (mean(&|l, _| l), mean(&|_, t| t));
+        let length_spread = mean(&|l, _| (l - mean_length).powi(2)) * calls;
+        let per_token_us = mean(&|l, t| (l - mean_length) * (t - time)) * calls / length_spread.max(1e-9);
+        let variance = known.iter().map(|(_, c)| c.calls * c.variance()).sum::<f64>() / calls;
+        Some(Self {
+            base_us: time - per_token_us * mean_length,
+            per_token_us,
+            variance,
+            calls,
+            mean_length,
+            length_spread,
+            shortest,
+            longest,
+        })
     }
 
     fn at(&self, length: u8) -> f64 {
-        (self.base + self.each * f64::from(length)).max(1.0)
+        (self.base_us + self.per_token_us * f64::from(length)).max(1.0)
     }
 
     fn error(&self, length: u8, alpha: f64) -> f64 {
-        let off = f64::from(length) - self.middle;
-        (self.variance * (1.0 / self.n + off * off / self.spread.max(1e-9))).sqrt()
-            * confidence::standard_errors(self.n, alpha)
+        let off = f64::from(length) - self.mean_length;
+        (self.variance * (1.0 / self.calls + off * off / self.length_spread.max(1e-9))).sqrt()
+            * confidence::standard_errors(self.calls, alpha)
     }
 }
 
-/// Drafts of one band, weighed by one tally.
-struct Scale<'a> {
+/// Compares the drafts of one load band by one tally.
+struct DraftComparison<'a> {
     tally: &'a Tally,
-    lines: Vec<Option<Line>>,
+    cost_models: Vec<Option<CostModel>>,
     least: f64,
     settings: &'a Settings,
 }
 
-impl<'a> Scale<'a> {
+impl<'a> DraftComparison<'a> {
     fn new(tally: &'a Tally, band: u8, least: f64, settings: &'a Settings) -> Self {
-        let lines = (1..=settings.drafters).map(|d| Line::of(tally, band, d, least / 20.0)).collect();
-        Self { tally, lines, least, settings }
+        let cost_models =
+            (1..=settings.drafters).map(|d| CostModel::of(tally, band, d, least / 20.0)).collect();
+        Self { tally, cost_models, least, settings }
     }
 
-    fn line(&self, draft: Draft, beside: Draft) -> Option<&Line> {
-        let drafter = if draft.drafter > 0 { draft.drafter } else { beside.drafter };
+    fn cost_model(&self, draft: Draft, other: Draft) -> Option<&CostModel> {
+        let drafter = if draft.drafter > 0 { draft.drafter } else { other.drafter };
         match drafter {
-            // Nothing drafted: any line that is known says what that costs.
-            0 => self.lines.iter().flatten().next(),
-            d => self.lines[(d - 1) as usize].as_ref(),
+            // Without drafting, the cost model of any drafter gives the base time.
+            0 => self.cost_models.iter().flatten().next(),
+            d => self.cost_models[(d - 1) as usize].as_ref(),
         }
     }
 
-    /// Whether enough is known of it, in lengths that were tried.
-    fn ready(&self, draft: Draft, beside: Draft) -> bool {
-        let known = |line: &Line| draft.length + 1 >= line.shortest && draft.length <= line.longest;
+    /// Whether the evidence about a draft is sufficient and its length is within the range of tried lengths or one below it.
+    fn has_evidence(&self, draft: Draft, other: Draft) -> bool {
+        let known = |cost_model: &CostModel| {
+            draft.length + 1 >= cost_model.shortest && draft.length <= cost_model.longest
+        };
         let rates = &self.tally.rates(draft.drafter)[..draft.length as usize];
-        self.line(draft, beside).is_some_and(known) && rates.iter().all(|r| r.rounds >= self.least)
+        self.cost_model(draft, other).is_some_and(known) && rates.iter().all(|r| r.rounds >= self.least)
     }
 
-    /// Tokens of the positions after `from` and up to `to`, a round, and their bound's half width.
+    /// The accepted tokens per round at the positions after `from` and up to `to`, and the half width of the confidence interval.
     fn tokens(&self, drafter: u8, from: u8, to: u8) -> (f64, f64) {
         let rates = &self.tally.rates(drafter)[from as usize..to as usize];
         let Some(last) = rates.last() else { return (0.0, 0.0) };
         let mean: f64 = rates.iter().map(Rate::rate).sum();
-        // Accepted tokens are a chain: as many as this with the rate of its position.
+        // Tokens are accepted in sequence: position k is accepted only after all positions before it, so that the second moment is
+        // the sum of (2k + 1) times the rate of position k, counted from 0.
         let second: f64 = rates.iter().enumerate().map(|(k, r)| (2 * k + 1) as f64 * r.rate()).sum();
         let n = (last.rounds / self.settings.cluster).max(1.0);
         let variance = (second - mean * mean).max(0.0) + 1.0 / n;
         (mean, (variance / n).sqrt() * confidence::standard_errors(n, self.settings.alpha))
     }
 
-    /// Useful tokens a second.
-    fn value(&self, draft: Draft, beside: Draft) -> f64 {
+    /// Useful tokens per second.
+    fn value(&self, draft: Draft, other: Draft) -> f64 {
         let tokens = 1.0 + self.tokens(draft.drafter, 0, draft.length).0;
-        self.line(draft, beside).map_or(0.0, |line| 1e6 * tokens / line.at(draft.length))
+        self.cost_model(draft, other).map_or(0.0, |cost_model| 1e6 * tokens / cost_model.at(draft.length))
     }
 
-    /// By how much one is better than another, and at least, as a share.
+    /// The lead of `to` over `from` as a fraction, and its lower confidence bound.
     fn lead(&self, from: Draft, to: Draft) -> (f64, f64) {
-        let (Some(a), Some(b)) = (self.line(from, to), self.line(to, from)) else { return (0.0, -1.0) };
+        let (Some(a), Some(b)) = (self.cost_model(from, to), self.cost_model(to, from)) else {
+            return (0.0, -1.0);
+        };
         let alpha = self.settings.alpha;
         let low = if from.drafter == to.drafter || from.length == 0 || to.length == 0 {
-            // What both have in common does not speak for either.
+            // The positions that both drafts have in common contribute to both throughputs, so that only the difference is
+            // uncertain.
             let drafter = from.drafter.max(to.drafter);
             let (short, long) = (from.length.min(to.length), from.length.max(to.length));
             let ((common, c), (more, m)) =
@@ -377,108 +407,118 @@
     }
 }
 
-/// Everything on the menu.
-pub(crate) fn menu(settings: &Settings) -> impl Iterator<Item = Draft> + use<> {
+/// All drafts that the settings allow.
+pub(crate) fn allowed_drafts(settings: &Settings) -> impl Iterator<Item = Draft> + use<> {
     let (drafters, longest) = (settings.drafters, settings.longest);
     let drafted =
         (1..=drafters).flat_map(move |drafter| (1..=longest).map(move |length| Draft { drafter, length }));
     std::iter::once(Draft::OFF).chain(drafted)
 }
 
-/// Looks at one band.
-fn band(at: u8, in_force: Draft, all: &Tally, parts: &[Tally], alone: bool, settings: &Settings) -> Band {
+/// Evaluates one load band.
+fn evaluate_band(
+    at: u8,
+    in_force: Draft,
+    all: &Tally,
+    parts: &[Tally],
+    single_member: bool,
+    settings: &Settings,
+) -> BandEvaluation {
     let least = f64::from(settings.least_rounds);
-    let scale = Scale::new(all, at, least, settings);
-    let mut verdict = Band { why: "too little is known", insufficient: true, ..Band::default() };
-    let ready: Vec<Draft> = menu(settings).filter(|d| scale.ready(*d, *d)).collect();
+    let comparison = DraftComparison::new(all, at, least, settings);
+    let mut evaluation =
+        BandEvaluation { why: "too little is known", needs_exploration: true, ..BandEvaluation::default() };
+    let candidates: Vec<Draft> =
+        allowed_drafts(settings).filter(|d| comparison.has_evidence(*d, *d)).collect();
     let best_of = |drafts: &mut dyn Iterator<Item = Draft>| {
-        drafts.map(|d| (d, scale.value(d, d))).max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))
+        drafts.map(|d| (d, comparison.value(d, d))).max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))
     };
-    verdict.best = best_of(&mut ready.iter().copied());
-    let lengths = (1..=settings.drafters).map(|drafter| {
-        best_of(&mut ready.iter().copied().filter(|d| d.drafter == drafter)).map(|(d, _)| d.length)
+    evaluation.best = best_of(&mut candidates.iter().copied());
+    let best_lengths = (1..=settings.drafters).map(|drafter| {
+        best_of(&mut candidates.iter().copied().filter(|d| d.drafter == drafter)).map(|(d, _)| d.length)
     });
-    verdict.lengths = lengths.collect();
-    let full = |drafter: u8| {
-        let whole = scale.ready(Draft { drafter, length: settings.longest }, Draft::OFF);
-        whole && scale.lines[(drafter - 1) as usize].is_some_and(|l| l.shortest == 0)
+    evaluation.best_lengths = best_lengths.collect();
+    let fully_tried = |drafter: u8| {
+        let longest_tried = comparison.has_evidence(Draft { drafter, length: settings.longest }, Draft::OFF);
+        longest_tried && comparison.cost_models[(drafter - 1) as usize].is_some_and(|l| l.shortest == 0)
     };
-    verdict.insufficient = !(1..=settings.drafters).all(full);
-    if !scale.ready(in_force, in_force) {
-        return verdict;
+    evaluation.needs_exploration = !(1..=settings.drafters).all(fully_tried);
+    if !comparison.has_evidence(in_force, in_force) {
+        return evaluation;
     }
-    verdict.now = Some(scale.value(in_force, in_force));
+    evaluation.in_force_value = Some(comparison.value(in_force, in_force));
     let mut leads: Vec<_> =
-        ready.iter().filter(|d| **d != in_force).map(|d| (*d, scale.lead(in_force, *d))).collect();
+        candidates.iter().filter(|d| **d != in_force).map(|d| (*d, comparison.lead(in_force, *d))).collect();
     leads.sort_by(|a, b| b.1 .0.total_cmp(&a.1 .0).then(a.0.cmp(&b.0)));
     if let Some((_, (lead, low))) = leads.first() {
-        (verdict.lead, verdict.lead_low) = (*lead, *low);
+        (evaluation.lead, evaluation.lead_lower_bound) = (*lead, *low);
     }
-    verdict.why = "nothing is better by the hysteresis";
+    evaluation.why = "nothing is better by the hysteresis";
     for (draft, (lead, low)) in leads {
         if lead < settings.hysteresis {
             break;
         }
         if low <= 0.0 {
-            verdict.why = "what looks better may be chance";
+            evaluation.why = "what looks better may be chance";
             continue;
         }
         let without = |part: &Tally| {
             let mut rest = all.clone();
             rest.add(part, -1.0);
-            let scale = Scale::new(&rest, at, least / 2.0, settings);
-            scale.ready(in_force, draft)
-                && scale.ready(draft, in_force)
-                && scale.lead(in_force, draft).0 >= settings.hysteresis / 2.0
+            let comparison = DraftComparison::new(&rest, at, least / 2.0, settings);
+            comparison.has_evidence(in_force, draft)
+                && comparison.has_evidence(draft, in_force)
+                && comparison.lead(in_force, draft).0 >= settings.hysteresis / 2.0
         };
-        if alone || parts.iter().filter(|p| p.rounds > 0.0).all(without) {
-            (verdict.better, verdict.lead, verdict.lead_low) = (Some(draft), lead, low);
-            verdict.why = "a better draft is known";
+        if single_member || parts.iter().filter(|p| p.rounds > 0.0).all(without) {
+            (evaluation.replacement, evaluation.lead, evaluation.lead_lower_bound) = (Some(draft), lead, low);
+            evaluation.why = "a better draft is known";
             break;
         }
-        verdict.why = "it rests on the counts of one member";
+        evaluation.why = "it rests on the counts of one member";
     }
-    verdict
+    evaluation
 }
 
-/// Looks at the rows of one workload. `alone`: no other member is heard, so that this one's counts have to do.
+/// Evaluates the rows of one workload. `single_member`: the fleet has no other member, so that the counts of one reporter suffice.
 pub(crate) fn evaluate(
     rows: &[Row],
-    tellers: usize,
-    alone: bool,
+    reporters: usize,
+    single_member: bool,
     in_force: impl Fn(u8) -> Draft,
     settings: &Settings,
-) -> Verdict {
-    let mut rounds = vec![0.0; tellers];
-    rows.iter().for_each(|r| rounds[r.teller] += r.rounds);
+) -> Evaluation {
+    let mut rounds = vec![0.0; reporters];
+    rows.iter().for_each(|r| rounds[r.reporter] += r.rounds);
     let first = weights(&rounds, settings);
-    let since_rate: Vec<u32> = (1..=settings.drafters)
+    let stable_rate_epochs: Vec<u32> = (1..=settings.drafters)
         .map(|drafter| {
-            let figures: Vec<Figure> =
-                (0..settings.longest as usize).map(|at| Figure::Rate(drafter, at)).collect();
-            since(rows, &figures, &first, alone, settings)
+            let metrics: Vec<Metric> =
+                (0..settings.longest as usize).map(|at| Metric::Rate(drafter, at)).collect();
+            stable_epochs(rows, &metrics, &first, single_member, settings)
         })
         .collect();
-    let since_cost: Vec<u32> = (0..LOAD_BANDS)
+    let stable_cost_epochs: Vec<u32> = (0..LOAD_BANDS)
         .map(|band| {
-            let figures: Vec<Figure> = menu(settings).map(|draft| Figure::Cost(band, draft)).collect();
-            since(rows, &figures, &first, alone, settings)
+            let metrics: Vec<Metric> =
+                allowed_drafts(settings).map(|draft| Metric::Cost(band, draft)).collect();
+            stable_epochs(rows, &metrics, &first, single_member, settings)
         })
         .collect();
-    let mut tallies = vec![Tally::default(); tellers];
+    let mut tallies = vec![Tally::default(); reporters];
     for row in rows {
-        let tally = &mut tallies[row.teller];
-        if row.draft.length > 0 && row.age < since_rate[(row.draft.drafter - 1) as usize] {
+        let tally = &mut tallies[row.reporter];
+        if row.draft.length > 0 && row.age < stable_rate_epochs[(row.draft.drafter - 1) as usize] {
             tally.count_rates(row, 1.0);
         }
-        if row.age < since_cost[row.band as usize] {
+        if row.age < stable_cost_epochs[row.band as usize] {
             tally.count_cost(row, 1.0);
             tally.rounds += row.rounds;
         }
     }
     let outliers = outliers(&tallies, settings);
     let mut rounds: Vec<f64> = tallies.iter().map(|t| t.rounds).collect();
-    outliers.iter().for_each(|o| rounds[o.teller] = 0.0);
+    outliers.iter().for_each(|o| rounds[o.reporter] = 0.0);
     let mut all = Tally::default();
     let parts: Vec<Tally> = tallies
         .iter()
@@ -490,15 +530,17 @@
             part
         })
         .collect();
-    let bands = (0..LOAD_BANDS).map(|at| band(at, in_force(at), &all, &parts, alone, settings)).collect();
+    let bands = (0..LOAD_BANDS)
+        .map(|at| evaluate_band(at, in_force(at), &all, &parts, single_member, settings))
+        .collect();
     let rates = |d: u8| all.rates(d)[..settings.longest as usize].iter().map(Rate::rate).collect();
-    Verdict {
+    Evaluation {
         bands,
         outliers,
-        since: since_rate,
-        rates: (1..=settings.drafters).map(rates).collect(),
+        stable_epochs: stable_rate_epochs,
+        acceptance: (1..=settings.drafters).map(rates).collect(),
         rounds: all.rounds,
-        tellers: rounds.iter().filter(|r| **r > 0.0).count(),
+        reporters: rounds.iter().filter(|r| **r > 0.0).count(),
     }
 }
 
--- a/crates/drafts/src/evaluate/tests.rs
+++ b/crates/drafts/src/evaluate/tests.rs
@@ -6,39 +6,39 @@
 const FIVE: Draft = Draft { drafter: 1, length: 5 };
 
 /// Rows of one teller and epoch: off, four and five tokens, so many calls of 20 rounds each.
-fn rows(teller: usize, age: u32, calls: f64, fifth: f64) -> Vec<Row> {
+fn rows(reporter: usize, age: u32, calls: f64, fifth: f64) -> Vec<Row> {
     let row = |draft: Draft, micros: f64| {
         let rounds = calls * 20.0;
         let mut accepted = [0.0; 8];
         let rates = [0.8, 0.7, 0.6, 0.5, fifth];
         accepted.iter_mut().zip(rates).take(draft.length as usize).for_each(|(k, rate)| *k = rounds * rate);
         let squares = calls * micros * micros * 1.02;
-        Row { teller, age, draft, band: 0, calls, rounds, micros: rounds * micros, squares, accepted }
+        Row { reporter, age, draft, band: 0, calls, rounds, micros: rounds * micros, squares, accepted }
     };
     vec![row(Draft::OFF, 10_000.0), row(FOUR, 10_400.0), row(FIVE, 10_500.0)]
 }
 
-fn verdict(rows: &[Row], tellers: usize) -> Verdict {
-    evaluate(rows, tellers, false, |_| FOUR, &Settings::default())
+fn evaluation(rows: &[Row], reporters: usize) -> Evaluation {
+    evaluate(rows, reporters, false, |_| FOUR, &Settings::default())
 }
 
 #[test]
 fn what_may_be_chance_moves_nothing_and_more_of_it_does() {
     let of = |calls: f64| (0..3).flat_map(|t| rows(t, 0, calls, 0.2)).collect::<Vec<_>>();
-    let few = verdict(&of(20.0), 3);
-    assert_eq!((few.bands[0].better, few.bands[0].why), (None, "what looks better may be chance"));
-    assert!(few.bands[0].lead > 0.04 && few.bands[0].lead_low < 0.0, "{:?}", few.bands[0]);
-    let many = verdict(&of(2_000.0), 3);
-    assert_eq!(many.bands[0].better, Some(FIVE), "{:?}", many.bands[0]);
-    assert!(many.bands[0].lead_low > 0.0);
+    let few = evaluation(&of(20.0), 3);
+    assert_eq!((few.bands[0].replacement, few.bands[0].why), (None, "what looks better may be chance"));
+    assert!(few.bands[0].lead > 0.04 && few.bands[0].lead_lower_bound < 0.0, "{:?}", few.bands[0]);
+    let many = evaluation(&of(2_000.0), 3);
+    assert_eq!(many.bands[0].replacement, Some(FIVE), "{:?}", many.bands[0]);
+    assert!(many.bands[0].lead_lower_bound > 0.0);
 }
 
 #[test]
 fn what_is_better_by_less_than_the_hysteresis_moves_nothing() {
     let of: Vec<Row> = (0..3).flat_map(|t| rows(t, 0, 50_000.0, 0.06)).collect();
-    let verdict = verdict(&of, 3);
+    let evaluation = evaluation(&of, 3);
     assert_eq!(
-        (verdict.bands[0].better, verdict.bands[0].why),
+        (evaluation.bands[0].replacement, evaluation.bands[0].why),
         (None, "nothing is better by the hysteresis")
     );
 }
@@ -46,12 +46,12 @@
 #[test]
 fn evidence_from_before_a_change_is_cut_off_where_it_was_and_not_by_one_alone() {
     let of = |new: &dyn Fn(usize) -> f64| -> Vec<Row> {
-        let each = |t: usize, age: u32| rows(t, age, 200.0, if age < 3 { new(t) } else { 0.45 });
-        (0..4).flat_map(|t| (0..12).flat_map(move |age| each(t, age))).collect()
+        let per_token_us = |t: usize, age: u32| rows(t, age, 200.0, if age < 3 { new(t) } else { 0.45 });
+        (0..4).flat_map(|t| (0..12).flat_map(move |age| per_token_us(t, age))).collect()
     };
-    assert_eq!(verdict(&of(&|_| 0.45), 4).since, [12], "nothing changed");
-    assert_eq!(verdict(&of(&|_| 0.1), 4).since, [3], "all saw it");
-    assert_eq!(verdict(&of(&|t| if t == 0 { 0.0 } else { 0.45 }), 4).since, [12], "one says so");
+    assert_eq!(evaluation(&of(&|_| 0.45), 4).stable_epochs, [12], "nothing changed");
+    assert_eq!(evaluation(&of(&|_| 0.1), 4).stable_epochs, [3], "all saw it");
+    assert_eq!(evaluation(&of(&|t| if t == 0 { 0.0 } else { 0.45 }), 4).stable_epochs, [12], "one says so");
 }
 
 #[test]
@@ -60,8 +60,8 @@
     for rounds in [vec![1e9, 10.0, 10.0, 10.0, 10.0], vec![5.0; 7], vec![1e6, 1e3], vec![0.0, 7.0]] {
         let weights = weights(&rounds, &settings);
         let weighed: Vec<f64> = rounds.iter().zip(&weights).map(|(r, w)| r * w).collect();
-        let told = rounds.iter().filter(|r| **r > 0.0).count() as f64;
-        let share = settings.share.max(1.5 / told).min(1.0);
+        let reporting = rounds.iter().filter(|r| **r > 0.0).count() as f64;
+        let share = settings.share.max(1.5 / reporting).min(1.0);
         let most = weighed.iter().copied().fold(0.0, f64::max);
         assert!(most <= share * weighed.iter().sum::<f64>() * 1.01, "{rounds:?}: {weighed:?}");
     }
--- a/crates/drafts/src/explore/tests.rs
+++ b/crates/drafts/src/explore/tests.rs
@@ -9,9 +9,9 @@
         let mut purses = vec![ExplorationBudget::new(Duration::ZERO); members];
         let mut spent = 0;
         for second in 1..=60 {
-            for purse in &mut purses {
-                purse.fill(Duration::from_secs(second), members, &settings);
-                spent += (0..100).filter(|_| purse.take()).count();
+            for budget in &mut purses {
+                budget.refill(Duration::from_secs(second), members, &settings);
+                spent += (0..100).filter(|_| budget.take()).count();
             }
         }
         assert!(spent <= 60 * 20 + 2 * 20 + members, "{members} members: {spent} calls");
--- a/crates/drafts/src/learner.rs
+++ b/crates/drafts/src/learner.rs
@@ -1,137 +1,143 @@
-//! The part as a whole: counts, tellings, looks at the evidence, and what follows from them.
+//! The learner: counts calls, exchanges rows with other members, evaluates the evidence and proposes draft tables.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::evaluate::{self, Verdict};
+use crate::evaluate::{self, Evaluation};
 use crate::explore::{Arms, ExplorationBudget};
 use crate::settings::{Settings, SettingsError};
 use crate::store::{sums_of, Key, Source, Store, Sums};
 use crate::tally::Row;
 use crate::types::{CallStats, Draft, DraftTable, MemberId, Rejection, Workload, LOAD_BANDS};
 use crate::view::{BandView, MemberView, View, WorkloadView};
-use crate::wire::{self, Whose};
+use crate::wire::{self, RowsOwner};
 
 const HOUR: Duration = Duration::from_secs(3_600);
-/// Versions of the table whose tokens a second are shown of a workload.
-const SHOWN_VERSIONS: usize = 8;
+/// The maximum number of table versions whose throughput the view shows for a workload.
+const MAX_SHOWN_VERSIONS: usize = 8;
 
-/// What is to be done.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// One datagram of at most [`crate::MAX_DATAGRAM_BYTES`], which may be lost, doubled, late or reordered.
+    /// Send a datagram of at most [`crate::MAX_DATAGRAM_BYTES`]. It may be lost, duplicated, delayed or reordered.
     Send {
-        /// To this member's like part.
+        /// The member whose learner is to receive it.
         to: MemberId,
-        /// The bytes.
+        /// The content.
         data: Vec<u8>,
     },
-    /// One line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// See the crate's page.
+/// Learns the best draft for each workload and load band; see the crate documentation.
 #[derive(Clone, Debug)]
 pub struct DraftLearner {
     settings: Settings,
-    me: MemberId,
-    life: u64,
+    own_id: MemberId,
+    incarnation: u64,
     store: Store,
-    /// Workloads by their number; one that nobody counts any more makes room.
-    words: Vec<Option<Workload>>,
-    numbers: BTreeMap<Workload, u16>,
+    /// Workloads by number. The slot of a workload without rows is reused.
+    workloads: Vec<Option<Workload>>,
+    workload_numbers: BTreeMap<Workload, u16>,
     roster: Vec<MemberId>,
-    /// Others that are heard.
+    /// The number of other members that are currently heard.
     heard: usize,
     version: u64,
     table: DraftTable,
-    /// When tables came into force, of the last hour.
-    changes: VecDeque<Duration>,
-    born: Duration,
-    proposed: Option<Duration>,
+    /// When tables came into force within the last hour.
+    table_changes: VecDeque<Duration>,
+    started_at: Duration,
+    proposal_checked_at: Option<Duration>,
+    /// The drafts to try, by workload and load band.
     arms: BTreeMap<(u16, u8), Arms>,
-    verdicts: BTreeMap<u16, (Vec<MemberId>, Verdict)>,
-    purse: ExplorationBudget,
-    tell_at: Duration,
-    review_at: Duration,
-    /// Whom to tell next, of whom, and from which rows on: new ones, old ones, hearsay.
-    turn: usize,
-    about: usize,
+    /// The reporters and the evaluation by workload, as of the last review.
+    evaluations: BTreeMap<u16, (Vec<MemberId>, Evaluation)>,
+    budget: ExplorationBudget,
+    next_send: Duration,
+    next_review: Duration,
+    /// The next member to send own rows to.
+    next_receiver: usize,
+    /// The next incarnation to relay, and the next member to relay to.
+    next_relay: usize,
+    /// The positions from which the next datagrams take rows: new own rows, old own rows, relayed rows.
     cursors: [usize; 3],
-    refused: BTreeMap<Rejection, u64>,
-    said: BTreeSet<(u16, MemberId)>,
+    rejections: BTreeMap<Rejection, u64>,
+    /// Outliers that are already logged, by workload and member.
+    logged_outliers: BTreeSet<(u16, MemberId)>,
 }
 
 impl DraftLearner {
-    /// Begins a life of this member. `life` tells it from all its others; `seed` only spreads tellings over the members.
+    /// Starts an incarnation of this member. `incarnation` is unique among all incarnations of the member; `seed` only spreads the
+    /// sending times and the order of receivers.
     ///
     /// # Errors
-    /// Settings out of their bounds.
+    /// A setting is out of its bounds.
     pub fn new(
         settings: Settings,
-        me: MemberId,
-        life: u64,
+        own_id: MemberId,
+        incarnation: u64,
         seed: u64,
         now: Duration,
     ) -> Result<Self, SettingsError> {
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
         let first = settings.period.mul_f64(rng.f64());
-        let (store, purse) = (Store::new(me, life, now), ExplorationBudget::new(now));
+        let (store, budget) = (Store::new(own_id, incarnation, now), ExplorationBudget::new(now));
         Ok(Self {
-            me,
-            life,
+            own_id,
+            incarnation,
             store,
-            words: Vec::new(),
-            numbers: BTreeMap::new(),
+            workloads: Vec::new(),
+            workload_numbers: BTreeMap::new(),
             roster: Vec::new(),
             heard: 0,
             version: 0,
             table: DraftTable::new(),
-            changes: VecDeque::new(),
-            born: now,
-            proposed: None,
+            table_changes: VecDeque::new(),
+            started_at: now,
+            proposal_checked_at: None,
             arms: BTreeMap::new(),
-            verdicts: BTreeMap::new(),
-            purse,
-            tell_at: now + first,
-            review_at: now + settings.review,
-            turn: rng.usize(..1 << 16),
-            about: rng.usize(..1 << 16),
+            evaluations: BTreeMap::new(),
+            budget,
+            next_send: now + first,
+            next_review: now + settings.review,
+            next_receiver: rng.usize(..1 << 16),
+            next_relay: rng.usize(..1 << 16),
             cursors: [0; 3],
-            refused: BTreeMap::new(),
-            said: BTreeSet::new(),
+            rejections: BTreeMap::new(),
+            logged_outliers: BTreeSet::new(),
             settings,
         })
     }
 
-    /// Who the others are, and how many of them are heard. Rows of who is not among them are dropped at the next look.
+    /// Sets the other members, and how many of them are heard. Rows of other members are dropped at the next review.
     pub fn set_members(&mut self, others: impl IntoIterator<Item = MemberId>, heard: usize) {
-        self.roster = others.into_iter().filter(|n| *n != self.me).collect();
+        self.roster = others.into_iter().filter(|n| *n != self.own_id).collect();
         self.roster.sort();
         self.roster.dedup();
         self.heard = heard.min(self.roster.len());
     }
 
-    /// The table that is in force from now on.
+    /// Sets the table that is in force from now on.
     pub fn set_table(&mut self, now: Duration, version: u64, table: DraftTable) {
         self.version = version;
         if table != self.table {
             self.table = table;
-            self.changes.push_back(now);
-            // One more than the bound cannot be told from the bound.
-            if self.changes.len() > self.settings.versions_hour as usize {
-                self.changes.pop_front();
+            self.table_changes.push_back(now);
+            // More entries than the limit make no difference to the check against it.
+            if self.table_changes.len() > self.settings.versions_hour as usize {
+                self.table_changes.pop_front();
             }
         }
     }
 
-    /// What it goes by.
+    /// The settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The version in force, and its table.
+    /// The version and the table in force.
     pub fn table(&self) -> (u64, &DraftTable) {
         (self.version, &self.table)
     }
@@ -145,165 +151,184 @@
         }
     }
 
-    /// What a call of this workload runs: what is in force, or now and then something to learn from. `lot` is uniform in [0, 1).
-    pub fn choose(&mut self, workload: &Workload, band: u8, table: &DraftTable, lot: f64) -> Draft {
+    /// Chooses the draft of a call: the one in force, or sometimes another one for exploration. `sample` is uniform in [0, 1).
+    pub fn choose(&mut self, workload: &Workload, band: u8, table: &DraftTable, sample: f64) -> Draft {
         let draft = self.in_force(workload, band, table);
-        let Some(number) = self.numbers.get(workload) else { return draft };
-        let tried = self.arms.get(&(*number, band)).and_then(|a| a.draw(draft, lot, &self.settings));
-        tried.filter(|_| self.purse.take()).unwrap_or(draft)
+        let Some(number) = self.workload_numbers.get(workload) else { return draft };
+        let tried = self.arms.get(&(*number, band)).and_then(|a| a.draw(draft, sample, &self.settings));
+        tried.filter(|_| self.budget.take()).unwrap_or(draft)
     }
 
-    /// Counts what a call ran.
+    /// Counts a call.
     ///
     /// # Errors
-    /// Figures that cannot be, or no room; nothing is counted then.
-    pub fn record_call(&mut self, now: Duration, ran: &CallStats) -> Result<(), Rejection> {
-        let counted = self.count(now, ran);
-        if let Err(why) = counted {
-            *self.refused.entry(why).or_default() += 1;
+    /// The numbers are impossible or there is no room; nothing is counted then.
+    pub fn record_call(&mut self, now: Duration, call: &CallStats) -> Result<(), Rejection> {
+        let counted = self.try_record(now, call);
+        if let Err(reason) = counted {
+            *self.rejections.entry(reason).or_default() += 1;
         }
         counted
     }
 
-    fn count(&mut self, now: Duration, ran: &CallStats) -> Result<(), Rejection> {
-        let sums = sums_of(ran, &self.settings)?;
-        let workload = self.number(&ran.workload, self.settings.workloads)?;
+    fn try_record(&mut self, now: Duration, call: &CallStats) -> Result<(), Rejection> {
+        let sums = sums_of(call, &self.settings)?;
+        let workload = self.workload_number(&call.workload, self.settings.workloads)?;
         let epoch = self.store.own.epoch(now, &self.settings);
-        let key = Key { epoch, workload, draft: ran.draft, band: ran.band, version: ran.version };
+        let key = Key { epoch, workload, draft: call.draft, band: call.band, version: call.version };
         self.store.count(key, &sums, &self.settings)?;
-        if !self.arms.contains_key(&(workload, ran.band)) {
-            self.arms.insert((workload, ran.band), Arms::of(None, &self.settings));
+        if !self.arms.contains_key(&(workload, call.band)) {
+            self.arms.insert((workload, call.band), Arms::of(None, &self.settings));
         }
         Ok(())
     }
 
-    /// A workload's number; a new one if there are fewer than `most`.
-    fn number(&mut self, word: &Workload, most: usize) -> Result<u16, Rejection> {
-        if let Some(number) = self.numbers.get(word) {
+    /// The number of a workload; a new number if fewer than `max_workloads` are in use.
+    fn workload_number(&mut self, workload: &Workload, max_workloads: usize) -> Result<u16, Rejection> {
+        if let Some(number) = self.workload_numbers.get(workload) {
             return Ok(*number);
         }
-        if self.numbers.len() >= most {
+        if self.workload_numbers.len() >= max_workloads {
             return Err(Rejection::Workloads);
         }
-        let free = self.words.iter().position(Option::is_none).unwrap_or(self.words.len());
-        if free == self.words.len() {
-            self.words.push(None);
+        let free = self.workloads.iter().position(Option::is_none).unwrap_or(self.workloads.len());
+        if free == self.workloads.len() {
+            self.workloads.push(None);
         }
-        self.words[free] = Some(word.clone());
-        self.numbers.insert(word.clone(), free as u16);
+        self.workloads[free] = Some(workload.clone());
+        self.workload_numbers.insert(workload.clone(), free as u16);
         Ok(free as u16)
     }
 
-    /// Takes up a datagram of another member. What cannot be is refused, and counted by its reason.
+    /// Processes a datagram of another member. An invalid one is rejected and counted by the reason.
     pub fn receive(&mut self, now: Duration, from: MemberId, data: &[u8], _out: &mut Vec<Output>) {
-        let taken = wire::read(data).and_then(|heard| self.take(now, from, heard));
-        if let Err(why) = taken {
-            *self.refused.entry(why).or_default() += 1;
+        let merged = wire::read(data).and_then(|datagram| self.merge_datagram(now, from, datagram));
+        if let Err(reason) = merged {
+            *self.rejections.entry(reason).or_default() += 1;
         }
     }
 
-    fn take(&mut self, now: Duration, from: MemberId, heard: wire::Heard) -> Result<(), Rejection> {
-        let on = |name: MemberId| self.roster.binary_search(&name).is_ok();
-        let name = heard.whose.about.unwrap_or(from);
-        if !on(from) || (name != self.me && !on(name)) || (heard.whose.about.is_none() && from == self.me) {
+    fn merge_datagram(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        datagram: wire::Datagram,
+    ) -> Result<(), Rejection> {
+        let on_roster = |member: MemberId| self.roster.binary_search(&member).is_ok();
+        let member = datagram.owner.relayed_for.unwrap_or(from);
+        if !on_roster(from)
+            || (member != self.own_id && !on_roster(member))
+            || (datagram.owner.relayed_for.is_none() && from == self.own_id)
+        {
             return Err(Rejection::UnknownMember);
         }
-        // A teller's own rows are never hearsay, and never somebody else's.
-        if heard.whose.about == Some(from) {
+        // A member does not relay its own rows.
+        if datagram.owner.relayed_for == Some(from) {
             return Err(Rejection::UnknownMember);
         }
-        let mut rows = Vec::with_capacity(heard.rows.len());
-        for (key, sums) in heard.rows {
+        let mut rows = Vec::with_capacity(datagram.rows.len());
+        for (key, sums) in datagram.rows {
             if !self.settings.allows(key.draft) {
                 return Err(Rejection::Draft);
             }
             sums.check(key.draft, &self.settings)?;
             rows.push((key, sums));
         }
-        // Words of others fill half of the room at the most: who makes words up does not keep this one from counting its own.
+        // Workloads reported by others use at most half of the capacity, so that a member that invents workloads cannot keep this
+        // one from counting its own.
         let half = self.settings.workloads.div_ceil(2);
-        let mut numbers = Vec::with_capacity(heard.words.len());
-        for word in &heard.words {
-            numbers.push(self.number(word, half).ok());
+        let mut numbers = Vec::with_capacity(datagram.workloads.len());
+        for workload in &datagram.workloads {
+            numbers.push(self.workload_number(workload, half).ok());
         }
         if numbers.iter().any(Option::is_none) {
-            *self.refused.entry(Rejection::Workloads).or_default() += 1;
+            *self.rejections.entry(Rejection::Workloads).or_default() += 1;
         }
         let rows: Vec<(Key, Sums)> = rows
             .into_iter()
             .filter_map(|(key, sums)| Some((Key { workload: numbers[key.workload as usize]?, ..key }, sums)))
             .collect();
-        let source = Source { teller: from, name, life: heard.whose.life, clock: heard.whose.clock() };
-        match self.store.hear(now, &source, &rows, &self.settings)? {
+        let source = Source {
+            reporter: from,
+            member,
+            incarnation: datagram.owner.incarnation,
+            clock: datagram.owner.clock(),
+        };
+        match self.store.merge_rows(now, &source, &rows, &self.settings)? {
             0 => Ok(()),
             _ => Err(Rejection::StoreFull),
         }
     }
 
-    /// When something is due.
+    /// The time at which [`DraftLearner::wake`] is due.
     pub fn wake_at(&self) -> Option<Duration> {
-        Some(self.tell_at.min(self.review_at))
+        Some(self.next_send.min(self.next_review))
     }
 
-    /// Does what is due: tells others, forgets, looks at the evidence.
+    /// Runs the timers that are due: sends rows to others, drops old rows, evaluates the evidence.
     pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
-        if now >= self.tell_at {
-            self.purse.fill(now, self.heard + 1, &self.settings);
-            // After a pause nothing is made up for.
-            self.tell_at = now + self.settings.period;
-            self.tell(now, out);
+        if now >= self.next_send {
+            self.budget.refill(now, self.heard + 1, &self.settings);
+            // Periods missed during a pause are skipped.
+            self.next_send = now + self.settings.period;
+            self.send_rows(now, out);
         }
-        if now >= self.review_at {
-            self.review_at = now + self.settings.review;
-            self.forget(now);
+        if now >= self.next_review {
+            self.next_review = now + self.settings.review;
+            self.drop_expired(now);
             self.review(now, out);
         }
     }
 
-    fn forget(&mut self, now: Duration) {
+    /// Drops rows outside the window, table changes older than an hour and workloads without rows.
+    fn drop_expired(&mut self, now: Duration) {
         let roster = &self.roster;
-        self.store.forget(now, &self.settings, |name| roster.binary_search(&name).is_ok());
-        while self.changes.front().is_some_and(|at| now.saturating_sub(*at) >= HOUR) {
-            self.changes.pop_front();
+        self.store.drop_expired(now, &self.settings, |name| roster.binary_search(&name).is_ok());
+        while self.table_changes.front().is_some_and(|at| now.saturating_sub(*at) >= HOUR) {
+            self.table_changes.pop_front();
         }
-        let mut used = vec![false; self.words.len()];
-        self.store.items(now, &self.settings, |item| used[item.key.workload as usize] = true);
-        for (number, word) in self.words.iter_mut().enumerate().filter(|(number, _)| !used[*number]) {
-            if let Some(word) = word.take() {
+        let mut used = vec![false; self.workloads.len()];
+        self.store.for_each_counted(now, &self.settings, |item| used[item.key.workload as usize] = true);
+        for (number, workload) in self.workloads.iter_mut().enumerate().filter(|(number, _)| !used[*number]) {
+            if let Some(workload) = workload.take() {
                 let number = number as u16;
-                self.numbers.remove(&word);
+                self.workload_numbers.remove(&workload);
                 self.arms.retain(|(n, _), _| *n != number);
-                self.verdicts.remove(&number);
-                self.said.retain(|(n, _)| *n != number);
+                self.evaluations.remove(&number);
+                self.logged_outliers.retain(|(n, _)| *n != number);
             }
         }
     }
 
-    /// Tells some others of one's own rows, and one of somebody else's as heard from that one itself.
-    fn tell(&mut self, now: Duration, out: &mut Vec<Output>) {
+    /// Sends own rows to some members, and relays to one member the rows that another one reported itself.
+    fn send_rows(&mut self, now: Duration, out: &mut Vec<Output>) {
         if self.roster.is_empty() {
             return;
         }
-        let words = &self.words;
-        let word = |n: u16| words[n as usize].clone().expect("a number in use has its word");
+        let workloads = &self.workloads;
+        let workload = |n: u16| workloads[n as usize].clone().expect("a number in use has a workload");
         let epoch = self.store.own.epoch(now, &self.settings);
         let millis = |d: Duration| d.as_millis().min(u128::from(u64::MAX)) as u64;
         for _ in 0..self.settings.fanout.min(self.roster.len()) {
-            self.turn += 1;
-            let to = self.roster[self.turn % self.roster.len()];
-            // New rows first, which still grow; then old ones, in turn, as any datagram may have been lost.
+            self.next_receiver += 1;
+            let to = self.roster[self.next_receiver % self.roster.len()];
+            // New rows first, which still grow. Old rows are repeated in turn, because datagrams may have been lost.
             let rows = self.store.own.rows.iter().filter(|(key, _)| epoch - key.epoch < self.settings.window);
             let (new, old): (Vec<_>, Vec<_>) = rows.partition(|(key, _)| key.epoch + 1 >= epoch);
             if new.is_empty() && old.is_empty() {
                 break;
             }
-            let [first, second, _] = &mut self.cursors;
-            let whose = Whose { about: None, life: self.life, clock: millis(self.store.own.clock(now)) };
+            let [new_cursor, old_cursor, _] = &mut self.cursors;
+            let owner = RowsOwner {
+                relayed_for: None,
+                incarnation: self.incarnation,
+                clock_ms: millis(self.store.own.clock(now)),
+            };
             let rotated = |of: &[_], at: usize| {
                 of.iter().cycle().skip(at % of.len().max(1)).take(of.len()).copied().collect()
             };
-            let (new, old): (Vec<_>, Vec<_>) = (rotated(&new, *first), rotated(&old, *second));
-            // Two new ones for each old one, so that neither waits for the other.
+            let (new, old): (Vec<_>, Vec<_>) = (rotated(&new, *new_cursor), rotated(&old, *old_cursor));
+            // Two new rows for each old row, so that neither kind delays the other.
             let mut mixed = Vec::with_capacity(new.len() + old.len());
             let (mut n, mut o) = (new.iter(), old.iter());
             loop {
@@ -314,47 +339,53 @@
                     break;
                 }
             }
-            let (data, taken) = wire::write(whose, mixed.iter().map(|(r, _)| *r), word);
-            let fresh = mixed[..taken].iter().filter(|(_, new)| *new).count();
-            *first = first.wrapping_add(fresh);
-            *second = second.wrapping_add(taken - fresh);
+            let (data, taken) = wire::write(owner, mixed.iter().map(|(r, _)| *r), workload);
+            let new_taken = mixed[..taken].iter().filter(|(_, new)| *new).count();
+            *new_cursor = new_cursor.wrapping_add(new_taken);
+            *old_cursor = old_cursor.wrapping_add(taken - new_taken);
             out.push(Output::Send { to, data });
         }
-        // What others told of themselves, the dead among them; what they told of others stays here.
-        let lives = self.store.others.iter().flat_map(|(name, lives)| lives.iter().map(move |l| (*name, l)));
-        let lives: Vec<_> = lives.filter_map(|(name, l)| Some((name, l.id, l.direct.as_ref()?))).collect();
-        let lives: Vec<_> = lives.into_iter().filter(|(.., r)| !r.rows.is_empty()).collect();
-        if lives.is_empty() {
+        // Relays only rows that their member reported itself, also those of members that are gone.
+        let incarnations = self
+            .store
+            .others
+            .iter()
+            .flat_map(|(member, incarnations)| incarnations.iter().map(move |l| (*member, l)));
+        let incarnations: Vec<_> =
+            incarnations.filter_map(|(member, l)| Some((member, l.id, l.direct.as_ref()?))).collect();
+        let incarnations: Vec<_> = incarnations.into_iter().filter(|(.., r)| !r.rows.is_empty()).collect();
+        if incarnations.is_empty() {
             return;
         }
-        let (name, life, record) = lives[self.about % lives.len()];
-        let to = self.roster[(self.about / lives.len()) % self.roster.len()];
-        self.about = (self.about + 1) % (1 << 40);
+        let (member, incarnation, record) = incarnations[self.next_relay % incarnations.len()];
+        let to = self.roster[(self.next_relay / incarnations.len()) % self.roster.len()];
+        self.next_relay = (self.next_relay + 1) % (1 << 40);
         let epoch = record.epoch(now, &self.settings);
         let rows =
             record.rows.iter().filter(|(key, _)| epoch.saturating_sub(key.epoch) < self.settings.window);
         let rows: Vec<_> = rows.collect();
-        let whose = Whose { about: Some(name), life, clock: millis(record.clock(now)) };
+        let owner = RowsOwner { relayed_for: Some(member), incarnation, clock_ms: millis(record.clock(now)) };
         let start = self.cursors[2] % rows.len().max(1);
-        let (data, taken) = wire::write(whose, rows[start..].iter().chain(&rows[..start]).copied(), word);
+        let (data, taken) = wire::write(owner, rows[start..].iter().chain(&rows[..start]).copied(), workload);
         self.cursors[2] = self.cursors[2].wrapping_add(taken.min(7));
-        if to != name && taken > 0 {
+        if to != member && taken > 0 {
             out.push(Output::Send { to, data });
         }
     }
 
-    fn look(&self, now: Duration, table: &DraftTable) -> BTreeMap<u16, (Vec<MemberId>, Verdict)> {
+    /// Evaluates the rows of all workloads, with `table` as the table in force.
+    fn evaluate_all(&self, now: Duration, table: &DraftTable) -> BTreeMap<u16, (Vec<MemberId>, Evaluation)> {
         let mut rows: BTreeMap<u16, (Vec<MemberId>, Vec<Row>)> = BTreeMap::new();
-        self.store.items(now, &self.settings, |item| {
-            let (tellers, rows) = rows.entry(item.key.workload).or_default();
-            let teller = tellers.iter().position(|t| *t == item.teller).unwrap_or(tellers.len());
-            if teller == tellers.len() {
-                tellers.push(item.teller);
+        self.store.for_each_counted(now, &self.settings, |item| {
+            let (reporters, rows) = rows.entry(item.key.workload).or_default();
+            let reporter = reporters.iter().position(|t| *t == item.reporter).unwrap_or(reporters.len());
+            if reporter == reporters.len() {
+                reporters.push(item.reporter);
             }
             let (sums, mut accepted) = (item.sums, [0.0; 8]);
             accepted.iter_mut().zip(sums.accepted).for_each(|(to, from)| *to = from as f64);
             rows.push(Row {
-                teller,
+                reporter,
                 age: item.age,
                 draft: item.key.draft,
                 band: item.key.band,
@@ -365,121 +396,132 @@
                 accepted,
             });
         });
-        let judged = rows.into_iter().filter_map(|(number, (tellers, mut rows))| {
-            let word = self.words[number as usize].as_ref()?;
-            // The same order at every member, or sums of fractions would differ in their last digits.
-            let mut order: Vec<usize> = (0..tellers.len()).collect();
-            order.sort_by_key(|t| tellers[*t]);
+        let evaluated = rows.into_iter().filter_map(|(number, (reporters, mut rows))| {
+            let workload = self.workloads[number as usize].as_ref()?;
+            // The same order at every member; otherwise floating-point sums would differ in the last digits.
+            let mut order: Vec<usize> = (0..reporters.len()).collect();
+            order.sort_by_key(|t| reporters[*t]);
             let mut rank = vec![0; order.len()];
             order.iter().enumerate().for_each(|(to, from)| rank[*from] = to);
-            rows.iter_mut().for_each(|r| r.teller = rank[r.teller]);
+            rows.iter_mut().for_each(|r| r.reporter = rank[r.reporter]);
             rows.sort_by(|a, b| {
-                let key = |r: &Row| (r.teller, r.age, r.draft, r.band);
+                let key = |r: &Row| (r.reporter, r.age, r.draft, r.band);
                 key(a).cmp(&key(b)).then(a.micros.total_cmp(&b.micros))
             });
-            let tellers: Vec<MemberId> = order.iter().map(|t| tellers[*t]).collect();
-            let alone = self.heard == 0 && self.roster.is_empty();
-            let in_force = |band| self.in_force(word, band, table);
-            let verdict = evaluate::evaluate(&rows, tellers.len(), alone, in_force, &self.settings);
-            Some((number, (tellers, verdict)))
+            let reporters: Vec<MemberId> = order.iter().map(|t| reporters[*t]).collect();
+            let single_member = self.heard == 0 && self.roster.is_empty();
+            let in_force = |band| self.in_force(workload, band, table);
+            let evaluation =
+                evaluate::evaluate(&rows, reporters.len(), single_member, in_force, &self.settings);
+            Some((number, (reporters, evaluation)))
         });
-        judged.collect()
+        evaluated.collect()
     }
 
+    /// Updates the evaluations and the exploration arms, and logs new outliers.
     fn review(&mut self, now: Duration, out: &mut Vec<Output>) {
-        self.verdicts = self.look(now, &self.table);
-        for (number, (tellers, verdict)) in &self.verdicts {
+        self.evaluations = self.evaluate_all(now, &self.table);
+        for (number, (reporters, evaluation)) in &self.evaluations {
             for ((_, band), arms) in self.arms.range_mut((*number, 0)..=(*number, LOAD_BANDS)) {
-                *arms = Arms::of(verdict.bands.get(*band as usize), &self.settings);
+                *arms = Arms::of(evaluation.bands.get(*band as usize), &self.settings);
             }
-            for outlier in &verdict.outliers {
-                let name = tellers[outlier.teller];
-                if self.said.insert((*number, name)) {
-                    let word = self.words[*number as usize].as_ref().map_or("?", Workload::as_str);
+            for outlier in &evaluation.outliers {
+                let name = reporters[outlier.reporter];
+                if self.logged_outliers.insert((*number, name)) {
+                    let workload = self.workloads[*number as usize].as_ref().map_or("?", Workload::as_str);
                     let why = &outlier.why;
-                    out.push(Output::Log(format!("drafts of {word}: member {} is left out: {why}", name.0)));
+                    out.push(Output::Log(format!(
+                        "drafts of {workload}: member {} is left out: {why}",
+                        name.0
+                    )));
                 }
             }
-            let out_now: BTreeSet<MemberId> = verdict.outliers.iter().map(|o| tellers[o.teller]).collect();
-            self.said.retain(|(n, name)| n != number || out_now.contains(name));
+            let out_now: BTreeSet<MemberId> =
+                evaluation.outliers.iter().map(|o| reporters[o.reporter]).collect();
+            self.logged_outliers.retain(|(n, name)| n != number || out_now.contains(name));
         }
     }
 
-    /// Tables of the last hour as they bound the next one. Of the time before this life it takes the most that may have been.
-    fn recent(&self, now: Duration) -> usize {
+    /// The number of tables within the last hour. For the part of the hour before this incarnation it assumes the maximum rate.
+    fn recent_versions(&self, now: Duration) -> usize {
         let most = self.settings.versions_hour as usize;
-        let seen = self.changes.iter().filter(|at| now.saturating_sub(**at) < HOUR).count();
-        let lived = now.saturating_sub(self.born).as_secs_f64() / HOUR.as_secs_f64();
+        let seen = self.table_changes.iter().filter(|at| now.saturating_sub(**at) < HOUR).count();
+        let lived = now.saturating_sub(self.started_at).as_secs_f64() / HOUR.as_secs_f64();
         let before = (most as f64 * (1.0 - lived).max(0.0)).ceil() as usize;
         seen + before
     }
 
-    /// The table that should be in force, where it is better than this one by more than chance and the hysteresis, no one member's
-    /// counts alone say so, and there is room for another version within the hour. The same at any member of the same evidence.
+    /// Proposes a table, if one is better than the table in force by more than chance and the hysteresis, not by the counts of a
+    /// single member alone, and the hourly limit of versions allows it. Members with the same evidence propose the same table.
     pub fn propose(&mut self, now: Duration, in_force: &DraftTable, version: u64) -> Option<DraftTable> {
-        if self.recent(now) >= self.settings.versions_hour as usize {
+        if self.recent_versions(now) >= self.settings.versions_hour as usize {
             return None;
         }
-        if self.proposed.is_some_and(|at| now.saturating_sub(at) < self.settings.review) {
+        if self.proposal_checked_at.is_some_and(|at| now.saturating_sub(at) < self.settings.review) {
             return None;
         }
-        self.proposed = Some(now);
+        self.proposal_checked_at = Some(now);
         if version < self.version {
             return None;
         }
         let mut table = in_force.clone();
-        for (number, (_, verdict)) in self.look(now, in_force) {
-            let Some(word) = &self.words[number as usize] else { continue };
-            for (band, verdict) in verdict.bands.iter().enumerate() {
-                if let Some(better) = verdict.better {
-                    table.insert((word.clone(), band as u8), better);
+        for (number, (_, evaluation)) in self.evaluate_all(now, in_force) {
+            let Some(workload) = &self.workloads[number as usize] else { continue };
+            for (band, evaluation) in evaluation.bands.iter().enumerate() {
+                if let Some(replacement) = evaluation.replacement {
+                    table.insert((workload.clone(), band as u8), replacement);
                 }
             }
         }
         (table != *in_force).then_some(table)
     }
 
-    /// What is believed, and why.
+    /// The state of the learner for operators.
     pub fn view(&self, now: Duration) -> View {
         let mut members: BTreeMap<MemberId, MemberView> = BTreeMap::new();
         let mut versions: BTreeMap<(u16, u64), (u64, u64)> = BTreeMap::new();
-        self.store.items(now, &self.settings, |item| {
+        self.store.for_each_counted(now, &self.settings, |item| {
             let sum = versions.entry((item.key.workload, item.key.version)).or_default();
             (sum.0, sum.1) = (sum.0.saturating_add(item.sums.tokens), sum.1.saturating_add(item.sums.micros));
         });
         let own: u64 = self.store.own.rows.values().map(|s| s.rounds).fold(0, u64::saturating_add);
-        members.insert(self.me, MemberView { member: self.me.0, lives: 1, rounds: own, hearsay: 0 });
+        members.insert(self.own_id, MemberView { member: self.own_id.0, lives: 1, rounds: own, hearsay: 0 });
         for (name, lives) in &self.store.others {
             let view = members
                 .entry(*name)
                 .or_insert_with(|| MemberView { member: name.0, ..MemberView::default() });
-            for life in lives {
+            for incarnation in lives {
                 let sum =
                     |r: &crate::store::Record| r.rows.values().map(|s| s.rounds).fold(0, u64::saturating_add);
                 view.lives += 1;
-                view.rounds = view.rounds.saturating_add(life.direct.as_ref().map_or(0, sum));
-                view.hearsay = view.hearsay.saturating_add(life.told.as_ref().map_or(0, |(_, r)| sum(r)));
+                view.rounds = view.rounds.saturating_add(incarnation.direct.as_ref().map_or(0, sum));
+                view.hearsay =
+                    view.hearsay.saturating_add(incarnation.relayed.as_ref().map_or(0, |(_, r)| sum(r)));
             }
         }
         let mut workloads = BTreeMap::new();
-        for (number, (tellers, verdict)) in &self.verdicts {
-            let Some(word) = &self.words[*number as usize] else { continue };
-            let bands = verdict.bands.iter().enumerate().map(|(band, b)| BandView {
-                in_force: self.in_force(word, band as u8, &self.table).to_string(),
-                in_force_tokens: b.now,
+        for (number, (reporters, evaluation)) in &self.evaluations {
+            let Some(workload) = &self.workloads[*number as usize] else { continue };
+            let bands = evaluation.bands.iter().enumerate().map(|(band, b)| BandView {
+                in_force: self.in_force(workload, band as u8, &self.table).to_string(),
+                in_force_tokens: b.in_force_value,
                 best: b.best.map(|(d, _)| d.to_string()),
                 best_tokens: b.best.map(|(_, value)| value),
                 lead: b.lead,
-                lead_at_least: b.lead_low,
+                lead_at_least: b.lead_lower_bound,
                 why: b.why.into(),
             });
-            let shown = versions.range((*number, 0)..=(*number, u64::MAX)).rev().take(SHOWN_VERSIONS);
+            let shown = versions.range((*number, 0)..=(*number, u64::MAX)).rev().take(MAX_SHOWN_VERSIONS);
             let view = WorkloadView {
-                rounds: verdict.rounds as u64,
-                members: verdict.tellers,
-                left_out: verdict.outliers.iter().map(|o| (tellers[o.teller].0, o.why.clone())).collect(),
-                epochs: verdict.since.clone(),
-                acceptance: verdict.rates.clone(),
+                rounds: evaluation.rounds as u64,
+                members: evaluation.reporters,
+                left_out: evaluation
+                    .outliers
+                    .iter()
+                    .map(|o| (reporters[o.reporter].0, o.why.clone()))
+                    .collect(),
+                epochs: evaluation.stable_epochs.clone(),
+                acceptance: evaluation.acceptance.clone(),
                 bands: bands.collect(),
                 versions: shown
                     .map(|((_, version), (tokens, micros))| {
@@ -487,14 +529,14 @@
                     })
                     .collect(),
             };
-            workloads.insert(word.to_string(), view);
+            workloads.insert(workload.to_string(), view);
         }
         View {
             version: self.version,
-            versions_in_the_hour: self.recent(now),
+            versions_in_the_hour: self.recent_versions(now),
             bound_ms: self.settings.max_evidence_age().as_millis() as u64,
-            rows: self.store.held(),
-            refused: self.refused.iter().map(|(why, n)| (why.to_string(), *n)).collect(),
+            rows: self.store.row_count(),
+            refused: self.rejections.iter().map(|(reason, n)| (reason.to_string(), *n)).collect(),
             members: members.into_values().collect(),
             workloads,
         }
--- a/crates/drafts/src/lib.rs
+++ b/crates/drafts/src/lib.rs
@@ -1,13 +1,18 @@
-//! How far to draft ahead, learnt by a fleet from what was accepted. It owns the sums that every member counts (per workload,
-//! drafter, length and load band), what a member was told of the others' sums, and the choice of the draft table.
+//! Draft lengths for speculative decoding, learned by a fleet from acceptance rates and processing times.
 //!
-//! It promises that a count is never taken twice, however datagrams are doubled, reordered, lost or cut and members restarted; that no
-//! member's counts alone move the table in a fleet of two or more; that the same evidence gives the same table at any member; that
-//! memory, bytes a period, exploration and the number of tables an hour have bounds; and that what changed is forgotten within
-//! [`Settings::max_evidence_age`].
+//! Each member counts calls by workload, drafter, draft length and load band, exchanges its counts with the other members, and
+//! proposes a table of the best draft for each workload and band.
 //!
-//! It knows no socket, no clock and no wall time (time is an argument, of the process's own monotonic clock), nothing of who is
-//! alive (the hub tells it who is heard), of hosts, models or calls, and nothing of how a table comes into force.
+//! The crate guarantees that:
+//!
+//! - no count is used twice, even if datagrams are duplicated, reordered, lost or truncated and members restart;
+//! - in a fleet of two or more, the counts of a single member never change the table;
+//! - the same evidence leads to the same table at every member;
+//! - memory, bytes per period, exploration and the number of tables per hour are bounded;
+//! - outdated evidence is dropped within [`Settings::max_evidence_age`].
+//!
+//! The crate does no I/O and reads no clock: the time is an argument, taken from the monotonic clock of the process. The caller
+//! says which members are heard, and brings tables into force.
 //! See `docs/design/drafts.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/drafts/src/settings.rs
+++ b/crates/drafts/src/settings.rs
@@ -1,58 +1,61 @@
-//! What an operator, or a test, may set.
+//! The settings and their validation.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::types::{Draft, MAX_DRAFT_TOKENS};
 
-/// The same at all members: rows of other epochs or menus are refused.
+/// The settings of the learner. They must be the same at all members: rows with other epochs or drafts are rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Drafters that may be chosen, 1 to this; 0 is off and is always there. 1 to 4.
+    /// The number of drafters to choose from, 1 to 4. Drafter 0, no drafting, is always allowed.
     pub drafters: u8,
-    /// The longest draft, 1 to 8 tokens.
+    /// The maximum draft length, 1 to 8 tokens.
     pub longest: u8,
-    /// What runs where no table says anything.
+    /// The draft of workloads and bands that the table does not contain.
     pub start: Draft,
-    /// Between two tellings. 50 ms to 60 s.
+    /// The interval between two rounds of sending rows, 50 ms to 60 s.
     pub period: Duration,
-    /// Others told of one's own sums each period, one datagram each; one more is told of somebody else's. 1 to 16.
+    /// The number of members that own rows are sent to each period, one datagram each, 1 to 16. One more datagram relays rows of
+    /// another member.
     pub fanout: usize,
-    /// What is counted into one row. At least one period.
+    /// The time span that one row counts, at least one period.
     pub epoch: Duration,
-    /// Epochs that count; older ones are forgotten. 2 to 32.
+    /// The number of epochs that count, 2 to 32; older ones are dropped.
     pub window: u32,
-    /// Between two looks at the evidence. At least one period.
+    /// The interval between two evaluations of the evidence, at least one period.
     pub review: Duration,
-    /// Rounds without which nothing is said of a position, and a quarter of it in calls for a cost. 50 to 1,000,000.
+    /// The minimum number of rounds for an estimate of a position's acceptance rate, 50 to 1,000,000. Other minimums, such as that
+    /// of calls for an estimate of the time per round, are fixed fractions of it.
     pub least_rounds: u32,
-    /// A table must be better by this share. 0 to 0.5.
+    /// The minimum improvement that justifies a new table, as a fraction, 0 to 0.5.
     pub hysteresis: f64,
-    /// The chance of ever being wrong, per bound. 0 to 0.2, excluded.
+    /// The probability that a confidence interval is ever wrong, above 0 and below 0.2.
     pub alpha: f64,
-    /// Rounds of one call that count as one: those of one text are alike. 1 to 100.
+    /// The number of rounds that count as one independent sample, 1 to 100: rounds of the same call are correlated.
     pub cluster: f64,
-    /// Share of calls that try something else while too little is known; a quarter of it after. 0 to 0.2.
+    /// The fraction of calls that explore while the evidence is insufficient, 0 to 0.2; a quarter of it afterwards.
     pub explore: f64,
-    /// Calls a second that the whole fleet may spend on that, split over those who are heard. 0 to 100,000.
+    /// The maximum number of exploration calls per second of the whole fleet, split over the members that are heard, 0 to
+    /// 100,000.
     pub explore_rate: f64,
-    /// The largest share of the evidence that one member has, where there are enough of them. 0.1 to 1.
+    /// The maximum share of one member in the evidence, if there are enough members, 0.1 to 1.
     pub share: f64,
-    /// A member whose acceptance is further from the members' median than this is left out. 0.01 to 1.
+    /// The deviation of an acceptance rate from the members' median above which a member is excluded, 0.01 to 1.
     pub tolerance: f64,
-    /// The same of the time of a round, as a share of the median. 0.05 to 10.
+    /// The same for the time per round, as a fraction of the median, 0.05 to 10.
     pub cost_tolerance: f64,
-    /// Tables an hour, of the whole fleet. 1 to 3,600.
+    /// The maximum number of tables per hour of the whole fleet, 1 to 3,600.
     pub versions_hour: u32,
-    /// Workloads. 1 to 1,024.
+    /// The maximum number of workloads, 1 to 1,024.
     pub workloads: usize,
-    /// Rows held of one life of a member. 16 to 65,536.
+    /// The maximum number of rows of one incarnation of a member, 16 to 65,536.
     pub rows: usize,
-    /// Rows held of all. At least `rows`.
+    /// The maximum number of rows of all members, at least `rows`.
     pub rows_in_all: usize,
-    /// Lives held of one member. 1 to 16.
+    /// The maximum number of incarnations of one member, 1 to 16.
     pub lives: usize,
-    /// The longest time of a round that is believed. Up to 60 s.
+    /// The maximum plausible time per round, up to 60 s.
     pub longest_round: Duration,
 }
 
@@ -86,12 +89,12 @@
     }
 }
 
-/// What is wrong with settings: the key and what is allowed.
+/// An invalid setting: its key and the allowed values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     /// The key, as in [`Settings`].
     pub key: &'static str,
-    /// What is allowed.
+    /// The allowed values.
     pub wanted: &'static str,
 }
 
@@ -104,8 +107,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
+    /// Validates the settings.
+    ///
     /// # Errors
-    /// The first key that is out of its bounds.
+    /// The first setting that is out of its bounds.
     pub fn check(&self) -> Result<(), SettingsError> {
         let ms = Duration::from_millis;
         let checks = [
@@ -137,20 +142,21 @@
         wrong.map_or(Ok(()), |(_, key, wanted)| Err(SettingsError { key, wanted }))
     }
 
-    /// Whether a draft is on the menu.
+    /// Whether a draft uses an allowed drafter and length.
     pub fn allows(&self, draft: Draft) -> bool {
         draft.drafter <= self.drafters
             && draft.length <= self.longest
             && (draft.drafter == 0) == (draft.length == 0)
     }
 
-    /// How long what no longer holds can weigh on a choice: a window and the epoch that it began in. Rates that change by more than
-    /// the bounds' width are noticed earlier, by `least_rounds` of the new ones and a look.
+    /// The maximum time for which outdated evidence influences a choice: the window, the epoch in which it began, and one review
+    /// interval. A change of rates larger than the confidence intervals is noticed earlier: at the first review after `least_rounds`
+    /// rounds with the new rates.
     pub fn max_evidence_age(&self) -> Duration {
         self.epoch * (self.window + 1) + self.review
     }
 
-    /// Bytes that one member sends a second at the most.
+    /// The maximum number of bytes per second that one member sends.
     pub fn max_bytes_per_second(&self) -> f64 {
         (self.fanout + 1) as f64 * crate::wire::MAX_DATAGRAM_BYTES as f64 / self.period.as_secs_f64()
     }
--- a/crates/drafts/src/store.rs
+++ b/crates/drafts/src/store.rs
@@ -1,7 +1,9 @@
-//! What every member counted: rows of sums that only grow, per member and life, by epochs of that life's own clock.
+//! The counts of all members: rows of sums that only grow, by member, incarnation and epoch. Epochs are counted on the clock of
+//! the incarnation.
 //!
-//! A row is merged by taking the larger of each figure, so that a datagram that comes twice, late or out of order adds nothing. What
-//! a member says of itself stands apart from what another says of it: hearsay is never told on, and weighs with its teller.
+//! Rows are merged by the maximum of each sum, so that a duplicated, delayed or reordered datagram adds nothing. Rows that a
+//! member reports itself are kept apart from rows that another member relays for it. Relayed rows are never relayed again, and
+//! their weight counts towards the member that relayed them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,79 +14,79 @@
 /// What a row counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Key {
-    /// Of its member's life.
+    /// The epoch, on the clock of the member's incarnation.
     pub epoch: u32,
     pub workload: u16,
     pub draft: Draft,
     pub band: u8,
-    /// The table under which it ran.
+    /// The version of the table under which the calls ran.
     pub version: u64,
 }
 
 impl Key {
-    fn first(epoch: u32) -> Self {
+    fn first_of_epoch(epoch: u32) -> Self {
         Self { epoch, workload: 0, draft: Draft::OFF, band: 0, version: 0 }
     }
 }
 
-/// The sums of a row. Each only grows.
+/// The sums of a row; each of them only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Sums {
     pub calls: u64,
     pub rounds: u64,
     pub tokens: u64,
-    /// Time of work, microseconds.
+    /// Processing time, in microseconds.
     pub micros: u64,
-    /// Squares of each call's microseconds a round.
+    /// The sum over calls of the squared time per round, in square microseconds.
     pub squares: u64,
-    /// By position.
+    /// Accepted tokens by position.
     pub accepted: [u64; MAX_DRAFT_TOKENS as usize],
 }
 
 impl Sums {
     pub(crate) fn add(&mut self, more: &Sums) {
-        self.join(more, u64::saturating_add);
+        self.combine(more, u64::saturating_add);
     }
 
-    /// The larger of each.
+    /// Takes the maximum of each sum.
     pub(crate) fn merge(&mut self, other: &Sums) {
-        self.join(other, std::cmp::Ord::max);
+        self.combine(other, std::cmp::Ord::max);
     }
 
-    fn join(&mut self, other: &Sums, one: fn(u64, u64) -> u64) {
-        self.calls = one(self.calls, other.calls);
-        self.rounds = one(self.rounds, other.rounds);
-        self.tokens = one(self.tokens, other.tokens);
-        self.micros = one(self.micros, other.micros);
-        self.squares = one(self.squares, other.squares);
+    fn combine(&mut self, other: &Sums, combine_sums: fn(u64, u64) -> u64) {
+        self.calls = combine_sums(self.calls, other.calls);
+        self.rounds = combine_sums(self.rounds, other.rounds);
+        self.tokens = combine_sums(self.tokens, other.tokens);
+        self.micros = combine_sums(self.micros, other.micros);
+        self.squares = combine_sums(self.squares, other.squares);
         for (a, b) in self.accepted.iter_mut().zip(other.accepted) {
-            *a = one(*a, b);
+            *a = combine_sums(*a, b);
         }
     }
 
-    /// Whether such figures can be.
+    /// Checks that the sums are possible for this draft.
     pub(crate) fn check(&self, draft: Draft, settings: &Settings) -> Result<(), Rejection> {
         if self.calls == 0 || self.rounds < self.calls {
             return Err(Rejection::Rounds);
         }
-        let (drafted, beyond) = self.accepted.split_at(draft.length as usize);
-        if beyond.iter().any(|k| *k > 0) {
+        let (drafted, undrafted) = self.accepted.split_at(draft.length as usize);
+        if undrafted.iter().any(|k| *k > 0) {
             return Err(Rejection::Positions);
         }
-        let mut before = self.rounds;
+        let mut previous = self.rounds;
         for k in drafted {
-            if *k > std::mem::replace(&mut before, *k) {
+            if *k > std::mem::replace(&mut previous, *k) {
                 return Err(Rejection::Accepted);
             }
         }
-        let most = drafted.iter().fold(self.rounds, |sum, k| sum.saturating_add(*k));
-        if self.tokens > most {
+        let max_tokens = drafted.iter().fold(self.rounds, |sum, k| sum.saturating_add(*k));
+        if self.tokens > max_tokens {
             return Err(Rejection::Tokens);
         }
-        let longest = settings.longest_round.as_micros() as u64;
+        let max_round_us = settings.longest_round.as_micros() as u64;
         if self.micros == 0
-            || self.micros > self.rounds.saturating_mul(longest)
-            || self.squares > self.calls.saturating_mul(longest.saturating_mul(longest))
+            || self.micros > self.rounds.saturating_mul(max_round_us)
+            || self.squares > self.calls.saturating_mul(max_round_us.saturating_mul(max_round_us))
         {
             return Err(Rejection::Time);
         }
@@ -92,22 +94,22 @@
     }
 }
 
-/// The rows of one life, as one teller has them, and what its clock reads.
+/// The rows of one incarnation as one member reports them, and the incarnation's clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
     clock: Duration,
-    /// When that was, by the clock here.
-    at: Duration,
+    /// The local time at which `clock` was read.
+    read_at: Duration,
     pub rows: BTreeMap<Key, Sums>,
 }
 
 impl Record {
-    pub(crate) fn new(clock: Duration, at: Duration) -> Self {
-        Self { clock, at, rows: BTreeMap::new() }
+    pub(crate) fn new(clock: Duration, read_at: Duration) -> Self {
+        Self { clock, read_at, rows: BTreeMap::new() }
     }
 
     pub(crate) fn clock(&self, now: Duration) -> Duration {
-        self.clock.saturating_add(now.saturating_sub(self.at))
+        self.clock.saturating_add(now.saturating_sub(self.read_at))
     }
 
     pub(crate) fn epoch(&self, now: Duration, settings: &Settings) -> u32 {
@@ -115,130 +117,147 @@
         epochs.min(u128::from(u32::MAX)) as u32
     }
 
-    /// Its clock reads at least this: it never goes back, and what came late is no younger for it.
-    fn hear(&mut self, now: Duration, clock: Duration) {
-        (self.clock, self.at) = (self.clock(now).max(clock), now);
+    /// Advances the clock to at least this reading. It never goes back, so that a delayed datagram does not make rows look
+    /// younger.
+    fn advance_clock(&mut self, now: Duration, clock: Duration) {
+        (self.clock, self.read_at) = (self.clock(now).max(clock), now);
     }
 
-    fn forget(&mut self, now: Duration, settings: &Settings) {
+    fn drop_expired(&mut self, now: Duration, settings: &Settings) {
         let oldest = (self.epoch(now, settings) + 1).saturating_sub(settings.window);
         if self.rows.first_key_value().is_some_and(|(key, _)| key.epoch < oldest) {
-            self.rows = self.rows.split_off(&Key::first(oldest));
+            self.rows = self.rows.split_off(&Key::first_of_epoch(oldest));
         }
     }
 }
 
-/// A life of another member, or an older one of this.
+/// An incarnation of another member, or an earlier incarnation of this one.
 #[derive(Clone, Debug)]
-pub(crate) struct Life {
+pub(crate) struct Incarnation {
     pub id: u64,
-    /// As it says itself.
+    /// The rows that the member reports itself.
     pub direct: Option<Record>,
-    /// As another says.
-    pub told: Option<(MemberId, Record)>,
-    touched: Duration,
+    /// The rows that another member relays.
+    pub relayed: Option<(MemberId, Record)>,
+    last_heard: Duration,
 }
 
-/// One row as it counts: with whom it weighs, and how many epochs ago it was.
-pub(crate) struct Item<'a> {
-    pub teller: MemberId,
+/// One row that counts: the member whose weight it adds to, and its age in epochs.
+pub(crate) struct CountedRow<'a> {
+    pub reporter: MemberId,
     pub age: u32,
     pub key: &'a Key,
     pub sums: &'a Sums,
 }
 
-/// Everything that is held.
+/// The rows of all members.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
-    me: MemberId,
-    life: u64,
+    own_id: MemberId,
+    incarnation: u64,
     pub own: Record,
-    pub others: BTreeMap<MemberId, Vec<Life>>,
-    held: usize,
+    pub others: BTreeMap<MemberId, Vec<Incarnation>>,
+    row_count: usize,
 }
 
-/// Who says it, of whom, and what that one's clock reads.
+/// The origin of rows: the reporter, the member and incarnation that they belong to, and that incarnation's clock.
 pub(crate) struct Source {
-    pub teller: MemberId,
-    pub name: MemberId,
-    pub life: u64,
+    pub reporter: MemberId,
+    pub member: MemberId,
+    pub incarnation: u64,
     pub clock: Duration,
 }
 
 impl Store {
-    pub(crate) fn new(me: MemberId, life: u64, now: Duration) -> Self {
-        Self { me, life, own: Record::new(Duration::ZERO, now), others: BTreeMap::new(), held: 0 }
+    pub(crate) fn new(own_id: MemberId, incarnation: u64, now: Duration) -> Self {
+        Self {
+            own_id,
+            incarnation,
+            own: Record::new(Duration::ZERO, now),
+            others: BTreeMap::new(),
+            row_count: 0,
+        }
     }
 
-    /// Rows of all.
-    pub(crate) fn held(&self) -> usize {
-        self.held
+    /// The number of rows of all members.
+    pub(crate) fn row_count(&self) -> usize {
+        self.row_count
     }
 
-    /// Adds to a row of one's own.
+    /// Adds to a row of this member.
     pub(crate) fn count(&mut self, key: Key, more: &Sums, settings: &Settings) -> Result<(), Rejection> {
         if !self.own.rows.contains_key(&key) {
-            if self.own.rows.len() >= settings.rows || self.held >= settings.rows_in_all {
+            if self.own.rows.len() >= settings.rows || self.row_count >= settings.rows_in_all {
                 return Err(Rejection::StoreFull);
             }
-            self.held += 1;
+            self.row_count += 1;
         }
         self.own.rows.entry(key).or_default().add(more);
         Ok(())
     }
 
-    /// The record that a source speaks of, and who else's rows must make room for it: nobody's but those of its own member.
+    /// The record for a source. If the member has the maximum number of incarnations, one of the same member is evicted; rows
+    /// of other members are never evicted for it.
     fn record(
         &mut self,
         now: Duration,
         from: &Source,
         settings: &Settings,
     ) -> Result<&mut Record, Rejection> {
-        if from.name == self.me && from.life == self.life {
+        if from.member == self.own_id && from.incarnation == self.incarnation {
             return Err(Rejection::UnknownMember);
         }
-        let direct = from.teller == from.name;
-        let lives = self.others.entry(from.name).or_default();
-        let at = match lives.iter().position(|l| l.id == from.life) {
+        let direct = from.reporter == from.member;
+        let incarnations = self.others.entry(from.member).or_default();
+        let at = match incarnations.iter().position(|l| l.id == from.incarnation) {
             Some(at) => at,
             None => {
-                if lives.len() >= settings.lives {
-                    // Hearsay makes room first, and never takes it from what was heard.
-                    let first = lives.iter().enumerate().min_by_key(|(_, l)| (l.direct.is_some(), l.touched));
-                    let (at, gone) =
-                        first.map(|(at, l)| (at, l.direct.is_some())).ok_or(Rejection::StoreFull)?;
-                    if gone && !direct {
+                if incarnations.len() >= settings.lives {
+                    // Incarnations known only from relayed rows are evicted first, and relayed rows never evict directly
+                    // reported ones.
+                    let evicted = incarnations
+                        .iter()
+                        .enumerate()
+                        .min_by_key(|(_, l)| (l.direct.is_some(), l.last_heard));
+                    let (at, reported_directly) =
+                        evicted.map(|(at, l)| (at, l.direct.is_some())).ok_or(Rejection::StoreFull)?;
+                    if reported_directly && !direct {
                         return Err(Rejection::StoreFull);
                     }
-                    let life = lives.remove(at);
-                    let records = life.direct.iter().chain(life.told.iter().map(|(_, r)| r));
-                    self.held -= records.map(|r| r.rows.len()).sum::<usize>();
+                    let oldest = incarnations.remove(at);
+                    let records = oldest.direct.iter().chain(oldest.relayed.iter().map(|(_, r)| r));
+                    self.row_count -= records.map(|r| r.rows.len()).sum::<usize>();
                 }
-                lives.push(Life { id: from.life, direct: None, told: None, touched: now });
-                lives.len() - 1
+                incarnations.push(Incarnation {
+                    id: from.incarnation,
+                    direct: None,
+                    relayed: None,
+                    last_heard: now,
+                });
+                incarnations.len() - 1
             }
         };
-        let life = &mut lives[at];
-        life.touched = now;
-        let fresh = || Record::new(from.clock, now);
+        let incarnation = &mut incarnations[at];
+        incarnation.last_heard = now;
+        let new_record = || Record::new(from.clock, now);
         let record = if direct {
-            life.direct.get_or_insert_with(fresh)
+            incarnation.direct.get_or_insert_with(new_record)
         } else {
-            &mut life.told.get_or_insert_with(|| (from.teller, fresh())).1
+            &mut incarnation.relayed.get_or_insert_with(|| (from.reporter, new_record())).1
         };
-        record.hear(now, from.clock);
+        record.advance_clock(now, from.clock);
         Ok(record)
     }
 
-    /// Takes up what a source says. Returns how many rows were not taken.
-    pub(crate) fn hear(
+    /// Merges the rows of a source. Returns the number of rows for which there was no room.
+    pub(crate) fn merge_rows(
         &mut self,
         now: Duration,
         from: &Source,
         rows: &[(Key, Sums)],
         settings: &Settings,
     ) -> Result<usize, Rejection> {
-        let mut room = settings.rows_in_all.saturating_sub(self.held);
+        let mut room = settings.rows_in_all.saturating_sub(self.row_count);
         let record = self.record(now, from, settings)?;
         let epoch = record.epoch(now, settings);
         let (mut taken, mut refused) = (0, 0);
@@ -255,78 +274,93 @@
                 refused += 1;
             }
         }
-        self.held += taken;
+        self.row_count += taken;
         Ok(refused)
     }
 
-    /// Drops what is too old to count, and who is not on the roster.
-    pub(crate) fn forget(&mut self, now: Duration, settings: &Settings, on: impl Fn(MemberId) -> bool) {
-        self.own.forget(now, settings);
-        let long = settings.epoch * settings.window * 2;
-        let me = self.me;
-        self.others.retain(|name, lives| {
-            for life in lives.iter_mut() {
-                life.direct.iter_mut().for_each(|r| r.forget(now, settings));
-                life.told.iter_mut().for_each(|(_, r)| r.forget(now, settings));
-                if life.told.as_ref().is_some_and(|(teller, r)| r.rows.is_empty() || !on(*teller)) {
-                    life.told = None;
+    /// Drops rows outside the window, and members that are not on the roster.
+    pub(crate) fn drop_expired(
+        &mut self,
+        now: Duration,
+        settings: &Settings,
+        on_roster: impl Fn(MemberId) -> bool,
+    ) {
+        self.own.drop_expired(now, settings);
+        let clock_retention = settings.epoch * settings.window * 2;
+        let own_id = self.own_id;
+        self.others.retain(|member, incarnations| {
+            for incarnation in incarnations.iter_mut() {
+                incarnation.direct.iter_mut().for_each(|r| r.drop_expired(now, settings));
+                incarnation.relayed.iter_mut().for_each(|(_, r)| r.drop_expired(now, settings));
+                if incarnation
+                    .relayed
+                    .as_ref()
+                    .is_some_and(|(reporter, r)| r.rows.is_empty() || !on_roster(*reporter))
+                {
+                    incarnation.relayed = None;
                 }
             }
-            // The clock of a life outlasts its rows: a datagram that was long on its way is not taken for new.
-            lives.retain(|l| now.saturating_sub(l.touched) < long);
-            (*name == me || on(*name)) && !lives.is_empty()
+            // The clock of an incarnation is kept longer than its rows, so that a datagram with a long delay does not count as
+            // new.
+            incarnations.retain(|l| now.saturating_sub(l.last_heard) < clock_retention);
+            (*member == own_id || on_roster(*member)) && !incarnations.is_empty()
         });
         let records = self.others.values().flatten();
-        let records = records.flat_map(|l| l.direct.iter().chain(l.told.iter().map(|(_, r)| r)));
-        self.held = self.own.rows.len() + records.map(|r| r.rows.len()).sum::<usize>();
+        let records = records.flat_map(|l| l.direct.iter().chain(l.relayed.iter().map(|(_, r)| r)));
+        self.row_count = self.own.rows.len() + records.map(|r| r.rows.len()).sum::<usize>();
     }
 
-    /// All rows that count. Of a row that a member told itself, what others say is passed over.
-    pub(crate) fn items(&self, now: Duration, settings: &Settings, mut each: impl FnMut(Item<'_>)) {
-        let mut all = |teller: MemberId, record: &Record, but: Option<&Record>| {
+    /// Calls `each` for all rows that count. A relayed row is skipped if the member reported the same row itself.
+    pub(crate) fn for_each_counted(
+        &self,
+        now: Duration,
+        settings: &Settings,
+        mut each: impl FnMut(CountedRow<'_>),
+    ) {
+        let mut visit = |reporter: MemberId, record: &Record, reported: Option<&Record>| {
             let epoch = record.epoch(now, settings);
             for (key, sums) in &record.rows {
                 let age = epoch.saturating_sub(key.epoch);
-                if age < settings.window && !but.is_some_and(|b| b.rows.contains_key(key)) {
-                    each(Item { teller, age, key, sums });
+                if age < settings.window && !reported.is_some_and(|r| r.rows.contains_key(key)) {
+                    each(CountedRow { reporter, age, key, sums });
                 }
             }
         };
-        all(self.me, &self.own, None);
-        for (name, lives) in &self.others {
-            for life in lives {
-                if let Some(record) = &life.direct {
-                    all(*name, record, None);
+        visit(self.own_id, &self.own, None);
+        for (member, incarnations) in &self.others {
+            for incarnation in incarnations {
+                if let Some(record) = &incarnation.direct {
+                    visit(*member, record, None);
                 }
-                if let Some((teller, record)) = &life.told {
-                    all(*teller, record, life.direct.as_ref());
+                if let Some((reporter, record)) = &incarnation.relayed {
+                    visit(*reporter, record, incarnation.direct.as_ref());
                 }
             }
         }
     }
 }
 
-/// The row of one call.
-pub(crate) fn sums_of(ran: &crate::CallStats, settings: &Settings) -> Result<Sums, Rejection> {
-    if ran.band >= LOAD_BANDS {
+/// The sums of one call.
+pub(crate) fn sums_of(call: &crate::CallStats, settings: &Settings) -> Result<Sums, Rejection> {
+    if call.band >= LOAD_BANDS {
         return Err(Rejection::Band);
     }
-    if !settings.allows(ran.draft) {
+    if !settings.allows(call.draft) {
         return Err(Rejection::Draft);
     }
-    if ran.accepted.len() != ran.draft.length as usize {
+    if call.accepted.len() != call.draft.length as usize {
         return Err(Rejection::Positions);
     }
-    let rounds = u64::from(ran.rounds);
-    let micros = ran.time.as_micros().min(u128::from(u64::MAX)) as u64;
+    let rounds = u64::from(call.rounds);
+    let micros = call.time.as_micros().min(u128::from(u64::MAX)) as u64;
     let each = micros / rounds.max(1);
     let mut accepted = [0; MAX_DRAFT_TOKENS as usize];
-    for (to, from) in accepted.iter_mut().zip(&ran.accepted) {
+    for (to, from) in accepted.iter_mut().zip(&call.accepted) {
         *to = u64::from(*from);
     }
     let squares = each.saturating_mul(each);
-    let sums = Sums { calls: 1, rounds, tokens: u64::from(ran.tokens), micros, squares, accepted };
-    sums.check(ran.draft, settings).map(|()| sums)
+    let sums = Sums { calls: 1, rounds, tokens: u64::from(call.tokens), micros, squares, accepted };
+    sums.check(call.draft, settings).map(|()| sums)
 }
 
 #[cfg(test)]
--- a/crates/drafts/src/store/tests.rs
+++ b/crates/drafts/src/store/tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 
 fn sums() -> impl Strategy<Value = Sums> {
-    let figure = || 0..=u64::MAX;
-    (figure(), figure(), figure(), figure(), figure(), proptest::array::uniform8(figure())).prop_map(
+    let metric = || 0..=u64::MAX;
+    (metric(), metric(), metric(), metric(), metric(), proptest::array::uniform8(metric())).prop_map(
         |(calls, rounds, tokens, micros, squares, accepted)| Sums {
             calls,
             rounds,
@@ -57,8 +57,8 @@
     let settings = Settings::default();
     let secs = Duration::from_secs;
     let mut record = Record::new(secs(100), secs(0));
-    record.hear(secs(50), secs(110));
+    record.advance_clock(secs(50), secs(110));
     assert_eq!(record.clock(secs(60)), secs(160), "its clock went on meanwhile");
-    record.hear(secs(60), secs(400));
+    record.advance_clock(secs(60), secs(400));
     assert_eq!(record.epoch(secs(60), &settings), 400 / 15);
 }
--- a/crates/drafts/src/tally.rs
+++ b/crates/drafts/src/tally.rs
@@ -1,11 +1,11 @@
-//! Sums of one workload by teller, with what is too old left away: what the judge looks at.
+//! The sums of one workload and one reporter that the evaluation uses, without outdated rows.
 
 use crate::types::{Draft, LOAD_BANDS, MAX_DRAFT_TOKENS};
 
-const DRAFTERS: usize = 4;
+const MAX_DRAFTERS: usize = 4;
 const POSITIONS: usize = MAX_DRAFT_TOKENS as usize;
 
-/// Of one position: rounds in which it was drafted, and in how many it was accepted.
+/// The acceptance at one position: the rounds in which it was drafted and those in which it was accepted.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rate {
     pub rounds: f64,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Of one length in one band: time.
+/// The processing time of one draft in one load band.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Cost {
     pub calls: f64,
@@ -32,24 +32,24 @@
 }
 
 impl Cost {
-    /// Microseconds a round.
+    /// The mean time per round, in microseconds.
     pub(crate) fn mean(&self) -> f64 {
         self.micros / self.rounds.max(1e-9)
     }
 
-    /// Of the calls' microseconds a round.
+    /// The variance over calls of the time per round.
     pub(crate) fn variance(&self) -> f64 {
         (self.squares / self.calls.max(1e-9) - self.mean().powi(2)).max(0.0)
     }
 }
 
-/// See the module's page.
+/// Sums of acceptance and processing time; see the module documentation.
 #[derive(Clone, Debug)]
 pub(crate) struct Tally {
-    /// By drafter (from 1) and position.
-    rates: [[Rate; POSITIONS]; DRAFTERS],
-    /// By band and length; nothing drafted is the same of all drafters.
-    costs: [[[Cost; POSITIONS + 1]; DRAFTERS]; LOAD_BANDS as usize],
+    /// Acceptance by drafter (from 1) and position.
+    rates: [[Rate; POSITIONS]; MAX_DRAFTERS],
+    /// Processing time by band, drafter and length. Length 0 is shared by all drafters and stored with drafter 1.
+    costs: [[[Cost; POSITIONS + 1]; MAX_DRAFTERS]; LOAD_BANDS as usize],
     pub rounds: f64,
 }
 
@@ -59,11 +59,11 @@
     }
 }
 
-/// One row, as the judge has it.
+/// One row as the evaluation reads it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Row {
-    /// A place among the tellers.
-    pub teller: usize,
+    /// The index of the reporter.
+    pub reporter: usize,
     pub age: u32,
     pub draft: Draft,
     pub band: u8,
@@ -75,7 +75,7 @@
 }
 
 impl Tally {
-    /// Of one drafter.
+    /// The acceptance of one drafter by position.
     pub(crate) fn rates(&self, drafter: u8) -> &[Rate; POSITIONS] {
         &self.rates[(drafter.max(1) - 1) as usize]
     }
@@ -104,7 +104,7 @@
         cost.squares += weight * row.squares;
     }
 
-    /// Adds another's, by its weight; below zero takes it away.
+    /// Adds the sums of `other` times `weight`; a negative weight subtracts them.
     pub(crate) fn add(&mut self, other: &Tally, weight: f64) {
         self.rounds += weight * other.rounds;
         for (to, from) in self.rates.iter_mut().flatten().zip(other.rates.iter().flatten()) {
--- a/crates/drafts/src/types.rs
+++ b/crates/drafts/src/types.rs
@@ -1,4 +1,4 @@
-//! The vocabulary: workloads, drafts, tables, and what a call ran.
+//! The public types: workloads, drafts, tables, and the statistics of a call.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,34 +7,36 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Load bands: 0 is idle, the last is full.
+/// The number of load bands of a host: 0 is idle, the last one is full.
 pub const LOAD_BANDS: u8 = 4;
-/// The longest draft, in tokens.
+/// The maximum draft length, in tokens.
 pub const MAX_DRAFT_TOKENS: u8 = 8;
-/// The longest word of a workload, in bytes: it is a part of a document's key.
+/// The maximum length of a workload's name, in bytes: the name is part of a key of the agreed document.
 const MAX_WORKLOAD_NAME_BYTES: usize = 64;
 
-/// A member, by the number that stands for its name.
+/// The number of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u32);
 
-/// What is drafted for: a class, or a class and a tenant.
+/// The unit that drafts are learned for: a class, or a class and a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Workload(std::sync::Arc<str>);
 
 impl Workload {
+    /// Creates a workload from its name.
+    ///
     /// # Errors
-    /// Where it is not 1 to 64 bytes of printable ASCII without `/`, `,`, `=`.
-    pub fn new(word: &str) -> Result<Self, Rejection> {
+    /// The name is not 1 to 64 bytes of printable ASCII without `/`, `,`, `=`.
+    pub fn new(name: &str) -> Result<Self, Rejection> {
         let plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'/' | b',' | b'=');
-        if word.is_empty() || word.len() > MAX_WORKLOAD_NAME_BYTES || !word.bytes().all(plain) {
+        if name.is_empty() || name.len() > MAX_WORKLOAD_NAME_BYTES || !name.bytes().all(plain) {
             return Err(Rejection::Workload);
         }
-        Ok(Self(word.into()))
+        Ok(Self(name.into()))
     }
 
-    /// The word.
+    /// The name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -43,8 +45,8 @@
 impl TryFrom<String> for Workload {
     type Error = Rejection;
 
-    fn try_from(word: String) -> Result<Self, Rejection> {
-        Self::new(&word)
+    fn try_from(name: String) -> Result<Self, Rejection> {
+        Self::new(&name)
     }
 }
 
@@ -60,17 +62,17 @@
     }
 }
 
-/// Who drafts, and how far.
+/// A drafter and a draft length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Draft {
-    /// 0: off.
+    /// The drafter, 0 for no drafting.
     pub drafter: u8,
-    /// Tokens, 0 to 8; 0 exactly where the drafter is.
+    /// The draft length in tokens, 0 to 8; 0 if and only if `drafter` is 0.
     pub length: u8,
 }
 
 impl Draft {
-    /// Nothing is drafted.
+    /// No drafting.
     pub const OFF: Draft = Draft { drafter: 0, length: 0 };
 }
 
@@ -94,63 +96,63 @@
     }
 }
 
-/// What runs by workload and load band. What is not in it runs as the settings' `start`.
+/// The draft by workload and load band. An absent entry means the settings' `start`.
 pub type DraftTable = BTreeMap<(Workload, u8), Draft>;
 
-/// What one call ran, as its answer tells.
+/// The statistics of one call, as the host's answer reports them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallStats {
-    /// For whom.
+    /// The workload of the call.
     pub workload: Workload,
-    /// The draft that it ran under.
+    /// The draft that the call ran with.
     pub draft: Draft,
-    /// The load band that it ran in, 0 to 3.
+    /// The load band of the host, 0 to 3.
     pub band: u8,
-    /// The version of the table that was in force.
+    /// The version of the table in force.
     pub version: u64,
-    /// Rounds of drafting; of steps where nothing is drafted.
+    /// Drafting rounds; steps if nothing is drafted.
     pub rounds: u32,
-    /// How often the drafted token of each position was accepted, one figure for each position of the draft.
+    /// The number of accepted tokens by position, one entry for each position of the draft.
     pub accepted: Vec<u32>,
-    /// Useful tokens; at most one a round and those that were accepted.
+    /// Useful tokens: at most one per round plus the accepted ones.
     pub tokens: u32,
-    /// Time of work.
+    /// Processing time.
     pub time: Duration,
 }
 
-/// Why a count was not taken.
+/// Why a call or a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rejection {
-    /// A workload's word has a wrong form.
+    /// The name of a workload is malformed.
     Workload,
-    /// More workloads than the settings have room for.
+    /// The maximum number of workloads is reached.
     Workloads,
-    /// No draft, or none of the menu.
+    /// The draft is malformed, or the settings do not allow it.
     Draft,
-    /// No such load band.
+    /// The load band does not exist.
     Band,
-    /// No round, or fewer rounds than calls.
+    /// No rounds, or fewer rounds than calls.
     Rounds,
-    /// Figures for other positions than those of the draft.
+    /// The accepted counts do not match the positions of the draft.
     Positions,
-    /// More were accepted at a position than at the one before it, or than there were rounds.
+    /// More accepted tokens at a position than at the one before it, or than rounds.
     Accepted,
-    /// More tokens than such drafts can give.
+    /// More tokens than the draft can yield.
     Tokens,
-    /// No time, or more a round than is believed.
+    /// No processing time, or more per round than the settings allow.
     Time,
-    /// No room for another row.
+    /// The maximum number of rows is reached.
     StoreFull,
-    /// A datagram that cannot be read.
+    /// The datagram is malformed.
     Malformed,
-    /// Of a member that is not on the roster, or in this member's own name.
+    /// The sender or the subject is not on the roster, or the sender claims to be this member.
     UnknownMember,
-    /// Of an epoch that its member's own clock has not reached or has left behind.
+    /// The epoch is in the future or outside the window, on the clock of the member's incarnation.
     Epoch,
 }
 
 impl Rejection {
-    /// What is told to staff.
+    /// The text shown to operators. It is a key in the JSON view, so it must not change.
     pub fn reason(self) -> &'static str {
         match self {
             Rejection::Workload => "a workload's word is 1 to 64 bytes of printable ASCII without / , =",
--- a/crates/drafts/src/types/tests.rs
+++ b/crates/drafts/src/types/tests.rs
@@ -25,7 +25,7 @@
 #[case::none("", false)]
 #[case::path("a/b", false)]
 #[case::blank("a b", false)]
-fn workloads_are_words(#[case] word: &str, #[case] right: bool) {
-    assert_eq!(Workload::new(word).is_ok(), right);
+fn workloads_are_words(#[case] name: &str, #[case] right: bool) {
+    assert_eq!(Workload::new(name).is_ok(), right);
     assert!(Workload::new(&"x".repeat(65)).is_err());
 }
--- a/crates/drafts/src/view.rs
+++ b/crates/drafts/src/view.rs
@@ -1,75 +1,76 @@
-//! What staff are shown.
+//! The state that operators are shown, serialized as JSON.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// What is believed and why, in one piece.
+/// A snapshot of the learner.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct View {
-    /// The version whose table is in force.
+    /// The version of the table in force.
     pub version: u64,
-    /// Tables that came into force within the last hour, as seen here or, of the time before this life, assumed.
+    /// The number of tables that came into force within the last hour: seen by this incarnation, plus the assumed maximum before
+    /// it.
     pub versions_in_the_hour: usize,
-    /// How long what changed can still weigh, milliseconds.
+    /// The maximum time for which outdated evidence counts, in milliseconds.
     pub bound_ms: u64,
-    /// Rows held of all.
+    /// The number of rows of all members.
     pub rows: usize,
-    /// Counts that were not taken, by reason.
+    /// The number of rejected counts and datagrams, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Who told what.
+    /// The members that rows are held of.
     pub members: Vec<MemberView>,
-    /// By workload.
+    /// The evaluation by workload.
     pub workloads: BTreeMap<String, WorkloadView>,
 }
 
-/// One member's lives.
+/// The rows of one member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct MemberView {
-    /// Its number.
+    /// The number of the member.
     pub member: u32,
-    /// Lives of it that still count.
+    /// The number of its incarnations that are held.
     pub lives: usize,
-    /// Rounds that it told itself.
+    /// Rounds that the member reported itself.
     pub rounds: u64,
-    /// Rounds that others told of it.
+    /// Rounds that other members relayed for it.
     pub hearsay: u64,
 }
 
-/// One workload.
+/// The evaluation of one workload.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct WorkloadView {
-    /// Rounds that count.
+    /// The weighted number of rounds.
     pub rounds: u64,
-    /// Members whose counts weigh.
+    /// The number of members whose counts are used.
     pub members: usize,
-    /// Members whose counts do not, and why.
+    /// The members whose counts are excluded as outliers, and why.
     pub left_out: BTreeMap<u32, String>,
-    /// Epochs of evidence that count, by drafter: fewer than the window after a change of the rates.
+    /// The number of epochs of evidence that are used, by drafter: fewer than the window after a change of the acceptance rates.
     pub epochs: Vec<u32>,
-    /// Acceptance by drafter and position.
+    /// The acceptance rate by drafter and position.
     pub acceptance: Vec<Vec<f64>>,
-    /// By load band, 0 to 3.
+    /// The evaluation by load band, 0 to 3.
     pub bands: Vec<BandView>,
-    /// Useful tokens a second by version of the table, newest last.
+    /// Useful tokens per second by version of the table, newest last.
     pub versions: BTreeMap<u64, f64>,
 }
 
-/// One load band of a workload.
+/// The evaluation of one load band of a workload.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct BandView {
-    /// `DRAFTER:LENGTH`.
+    /// The draft in force, as `DRAFTER:LENGTH`.
     pub in_force: String,
-    /// Useful tokens a second of work under it, where known.
+    /// Useful tokens per second of processing time with the draft in force, if known.
     pub in_force_tokens: Option<f64>,
-    /// The best by what is known.
+    /// The draft with the highest estimated throughput.
     pub best: Option<String>,
-    /// Useful tokens a second of work under that.
+    /// Useful tokens per second of processing time with the best draft.
     pub best_tokens: Option<f64>,
-    /// By how much the best is better, and at least, as a share.
+    /// The estimated lead of the best draft over the one in force, as a fraction.
     pub lead: f64,
-    /// See `lead`.
+    /// The lower confidence bound of `lead`.
     pub lead_at_least: f64,
-    /// Why the table stays, or that it should not.
+    /// Why the draft in force is kept or should be replaced.
     pub why: String,
 }
--- a/crates/drafts/src/wire.rs
+++ b/crates/drafts/src/wire.rs
@@ -1,4 +1,5 @@
-//! Datagrams: some rows of one life, and what its clock reads. Encoded with `postcard`; read whole or not at all.
+//! The datagram format: some rows of one incarnation and the reading of its clock, encoded with `postcard`. A malformed datagram is
+//! rejected as a whole.
 
 use std::time::Duration;
 
@@ -7,33 +8,33 @@
 use crate::store::{Key, Sums};
 use crate::types::{Draft, MemberId, Rejection, Workload, LOAD_BANDS, MAX_DRAFT_TOKENS};
 
-/// The longest datagram, in bytes: what the carrier takes, less its own.
+/// The maximum size of a datagram: the payload limit of the transport less its own overhead.
 pub const MAX_DATAGRAM_BYTES: usize = 1_190;
-/// The first byte. Another version of the format has another.
-const FORMAT: u8 = 1;
-/// Rows that a datagram may say it has: none that fits has more.
-const MOST_ROWS: u16 = 256;
+/// The first byte of a datagram; it changes with the format.
+const FORMAT_VERSION: u8 = 1;
+/// The maximum row count in a header; more rows than this do not fit into a datagram.
+const MAX_ROWS: u16 = 256;
 
-/// Whose rows they are.
+/// The member and incarnation that the rows belong to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Whose {
-    /// Somebody else, where it is hearsay.
-    pub about: Option<MemberId>,
-    pub life: u64,
-    /// Milliseconds.
-    pub clock: u64,
+pub(crate) struct RowsOwner {
+    /// The member, if the rows are relayed; otherwise they belong to the sender.
+    pub relayed_for: Option<MemberId>,
+    pub incarnation: u64,
+    /// The incarnation's clock, in milliseconds.
+    pub clock_ms: u64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Head {
-    whose: Whose,
-    words: Vec<Workload>,
+struct Header {
+    owner: RowsOwner,
+    workloads: Vec<Workload>,
     rows: u16,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Row {
-    word: u8,
+struct EncodedRow {
+    workload: u8,
     draft: Draft,
     band: u8,
     epoch: u32,
@@ -46,30 +47,30 @@
     accepted: Vec<u64>,
 }
 
-/// What a datagram says. Its keys' workloads are numbers of `words`.
+/// A decoded datagram. The workloads in the keys are indices into `workloads`.
 #[derive(Debug)]
-pub(crate) struct Heard {
-    pub whose: Whose,
-    pub words: Vec<Workload>,
+pub(crate) struct Datagram {
+    pub owner: RowsOwner,
+    pub workloads: Vec<Workload>,
     pub rows: Vec<(Key, Sums)>,
 }
 
-/// Puts rows into one datagram for as long as they fit. Returns it and how many were taken.
+/// Encodes as many rows as fit into one datagram. Returns the datagram and the number of rows in it.
 pub(crate) fn write<'a>(
-    whose: Whose,
+    owner: RowsOwner,
     rows: impl Iterator<Item = (&'a Key, &'a Sums)>,
-    word: impl Fn(u16) -> Workload,
+    workload: impl Fn(u16) -> Workload,
 ) -> (Vec<u8>, usize) {
-    let mut head = Head { whose, words: Vec::new(), rows: 0 };
+    let mut header = Header { owner, workloads: Vec::new(), rows: 0 };
     let (mut numbers, mut body): (Vec<u16>, Vec<u8>) = (Vec::new(), Vec::new());
-    // The head, the longest that it can be without words.
+    // The maximum size of the header without workload names.
     let mut length = 1 + 6 + 20 + 2 + 3;
     for (key, sums) in rows {
         let known = numbers.iter().position(|n| *n == key.workload);
-        let added = if known.is_none() { word(key.workload).as_str().len() + 1 } else { 0 };
-        let place = known.unwrap_or(numbers.len());
-        let row = Row {
-            word: place as u8,
+        let name_bytes = if known.is_none() { workload(key.workload).as_str().len() + 1 } else { 0 };
+        let index = known.unwrap_or(numbers.len());
+        let row = EncodedRow {
+            workload: index as u8,
             draft: key.draft,
             band: key.band,
             epoch: key.epoch,
@@ -82,38 +83,41 @@
             accepted: sums.accepted[..key.draft.length as usize].to_vec(),
         };
         let row = postcard::to_stdvec(&row).unwrap_or_default();
-        if length + added + row.len() > MAX_DATAGRAM_BYTES || head.rows >= MOST_ROWS || row.is_empty() {
+        if length + name_bytes + row.len() > MAX_DATAGRAM_BYTES || header.rows >= MAX_ROWS || row.is_empty() {
             break;
         }
         if known.is_none() {
             numbers.push(key.workload);
-            head.words.push(word(key.workload));
+            header.workloads.push(workload(key.workload));
         }
-        length += added + row.len();
-        head.rows += 1;
+        length += name_bytes + row.len();
+        header.rows += 1;
         body.extend(row);
     }
-    let mut data = vec![FORMAT];
-    data.extend(postcard::to_stdvec(&head).unwrap_or_default());
+    let mut data = vec![FORMAT_VERSION];
+    data.extend(postcard::to_stdvec(&header).unwrap_or_default());
     data.extend(body);
-    (data, head.rows as usize)
+    (data, header.rows as usize)
 }
 
-/// Reads a datagram. One that is cut, too long, of another format or with a key that cannot be is refused whole.
-pub(crate) fn read(data: &[u8]) -> Result<Heard, Rejection> {
-    let Some((&FORMAT, rest)) = data.split_first().filter(|_| data.len() <= MAX_DATAGRAM_BYTES) else {
+/// Decodes a datagram. One that is truncated, too long, of another format or with an impossible key is rejected as a whole.
+pub(crate) fn read(data: &[u8]) -> Result<Datagram, Rejection> {
+    let Some((&FORMAT_VERSION, rest)) = data.split_first().filter(|_| data.len() <= MAX_DATAGRAM_BYTES)
+    else {
         return Err(Rejection::Malformed);
     };
-    let (head, mut rest): (Head, _) = postcard::take_from_bytes(rest).map_err(|_| Rejection::Malformed)?;
-    if head.rows > MOST_ROWS {
+    let (header, mut rest): (Header, _) =
+        postcard::take_from_bytes(rest).map_err(|_| Rejection::Malformed)?;
+    if header.rows > MAX_ROWS {
         return Err(Rejection::Malformed);
     }
-    let mut rows = Vec::with_capacity(head.rows as usize);
-    for _ in 0..head.rows {
-        let (row, next): (Row, _) = postcard::take_from_bytes(rest).map_err(|_| Rejection::Malformed)?;
+    let mut rows = Vec::with_capacity(header.rows as usize);
+    for _ in 0..header.rows {
+        let (row, next): (EncodedRow, _) =
+            postcard::take_from_bytes(rest).map_err(|_| Rejection::Malformed)?;
         rest = next;
         let length = row.draft.length as usize;
-        if row.word as usize >= head.words.len()
+        if row.workload as usize >= header.workloads.len()
             || row.draft.length > MAX_DRAFT_TOKENS
             || row.band >= LOAD_BANDS
             || row.accepted.len() != length
@@ -124,22 +128,22 @@
         accepted[..length].copy_from_slice(&row.accepted);
         let key = Key {
             epoch: row.epoch,
-            workload: u16::from(row.word),
+            workload: u16::from(row.workload),
             draft: row.draft,
             band: row.band,
             version: row.version,
         };
-        let Row { calls, rounds, tokens, micros, squares, .. } = row;
+        let EncodedRow { calls, rounds, tokens, micros, squares, .. } = row;
         rows.push((key, Sums { calls, rounds, tokens, micros, squares, accepted }));
     }
     if !rest.is_empty() {
         return Err(Rejection::Malformed);
     }
-    Ok(Heard { whose: head.whose, words: head.words, rows })
+    Ok(Datagram { owner: header.owner, workloads: header.workloads, rows })
 }
 
-impl Whose {
+impl RowsOwner {
     pub(crate) fn clock(&self) -> Duration {
-        Duration::from_millis(self.clock)
+        Duration::from_millis(self.clock_ms)
     }
 }
