--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What tables, rates, ledgers and gate promise, over random histories.
+//! Tests of the guarantees of tables, rate limits, ledgers and admission control, partly over random histories.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr};
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use wheellink_admission::*;
 
-const S: i64 = 1_000_000;
+const SECOND_US: i64 = 1_000_000;
 
 fn address(n: u32) -> IpAddr {
     Ipv4Addr::from(0x0a00_0000 + n).into()
@@ -26,17 +26,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Never more than its rate and burst in any stretch, and never less than it may have.
+    /// The rate limiter admits exactly what a plain token bucket admits, up to rounding.
     #[test]
-    fn a_rate_is_a_naive_bucket(per_second in 1u32..500, burst in 1u32..50, gaps in prop::collection::vec(0i64..60_000, 1..300)) {
+    fn a_rate_limiter_equals_a_token_bucket(per_second in 1u32..500, burst in 1u32..50, gaps in prop::collection::vec(0i64..60_000, 1..300)) {
         let rate = Rate { per_second: per_second.into(), burst: burst.into() };
-        let (mut tat, mut tokens, mut last, mut now) = (RateLimiter::default(), f64::from(burst), 100 * S, 100 * S);
+        let (mut limiter, mut tokens, mut last, mut now) = (RateLimiter::default(), f64::from(burst), 100 * SECOND_US, 100 * SECOND_US);
         for gap in gaps {
             now += gap;
             tokens = (tokens + (now - last) as f64 * rate.per_second / 1e6).min(rate.burst);
             last = now;
-            let taken = tat.take(now, &rate).is_ok();
-            // The edge itself may round either way.
+            let taken = limiter.take(now, &rate).is_ok();
+            // At the boundary, rounding may decide either way.
             if tokens >= 1.01 {
                 prop_assert!(taken, "{tokens} at {now}");
             } else if tokens < 0.99 {
@@ -48,28 +48,28 @@
         }
     }
 
-    /// A clock that jumps locks nobody out for longer than a burst takes.
+    /// After any jump of the clock, a client waits at most as long as a whole burst takes.
     #[test]
-    fn a_clock_that_jumps_locks_nobody_out(jumps in prop::collection::vec(-4_000_000_000_000i64..4_000_000_000_000, 1..40)) {
+    fn a_clock_jump_does_not_lock_clients_out(jumps in prop::collection::vec(-4_000_000_000_000i64..4_000_000_000_000, 1..40)) {
         let rate = Rate { per_second: 10.0, burst: 5.0 };
-        let mut tat = RateLimiter::default();
+        let mut limiter = RateLimiter::default();
         for jump in jumps {
-            while tat.take(jump, &rate).is_ok() {}
-            prop_assert!(tat.take(jump + 600_000, &rate).is_ok());
+            while limiter.take(jump, &rate).is_ok() {}
+            prop_assert!(limiter.take(jump + 600_000, &rate).is_ok());
         }
     }
 
-    /// Ledgers add up, keep to their limit, and whoever is within a reserve that is not lent is never refused.
+    /// A ledger counts correctly and keeps its limit, and an owner within a reserve that is never lent is never refused.
     #[test]
-    fn a_ledger_keeps_its_limit_and_its_reserves(
+    fn a_ledger_keeps_its_limit_and_reserves(
         reserve in prop::array::uniform5(0usize..8),
         spare in 0usize..10,
-        words in prop::collection::vec((0usize..5, any::<bool>(), 1usize..4), 1..400),
+        operations in prop::collection::vec((0usize..5, any::<bool>(), 1usize..4), 1..400),
     ) {
         let limit = reserve.iter().sum::<usize>() + spare;
         let mut ledger = Ledger::new(limit, reserve).unwrap();
         let mut held = [0usize; 5];
-        for (who, takes, units) in words {
+        for (who, takes, units) in operations {
             let owner = Owner::ALL[who];
             if takes {
                 let within = held[who] + units <= reserve[who];
@@ -78,12 +78,12 @@
                     TakeOutcome::Granted | TakeOutcome::Borrowed => held[who] += units,
                     TakeOutcome::OwedBy(from) => {
                         prop_assert!(within && held[from as usize] > reserve[from as usize]);
-                        prop_assert!(owner == Owner::Known, "only what known clients lend is owed: {:?}", owner);
+                        prop_assert!(owner == Owner::Known, "only the reserve of known clients is lent: {:?}", owner);
                     }
-                    TakeOutcome::Denied => prop_assert!(!within || sum >= limit, "{owner:?} is within its reserve"),
+                    TakeOutcome::Denied => prop_assert!(!within || sum >= limit, "{owner:?} within its reserve is refused"),
                 }
                 if within && owner != Owner::Known {
-                    prop_assert!(held.iter().sum::<usize>() > sum, "{owner:?} within its reserve was refused");
+                    prop_assert!(held.iter().sum::<usize>() > sum, "{owner:?} within its reserve is refused");
                 }
             } else {
                 let units = units.min(held[who]);
@@ -95,19 +95,19 @@
         }
     }
 
-    /// Whatever comes: no table grows beyond its bound, and counts come back to nothing when all have gone.
+    /// For any history, tables stay within their capacity, and all counts return to zero when everything has ended.
     #[test]
-    fn tables_are_bounded_and_counts_come_back(words in prop::collection::vec((0u32..400, 0u8..4, 0i64..200_000), 1..500)) {
+    fn tables_are_bounded_and_counts_return_to_zero(operations in prop::collection::vec((0u32..400, 0u8..4, 0i64..200_000), 1..500)) {
         let mut admission = Admission::new(rules(r#"{"entries":128,"address":{"connections":3,"open":2,"connect_rate":{"per_second":50,"burst":10}}}"#));
-        let (mut now, mut here, mut open) = (100 * S, VecDeque::new(), VecDeque::new());
-        for (n, word, passed) in words {
+        let (mut now, mut connected, mut open) = (100 * SECOND_US, VecDeque::new(), VecDeque::new());
+        for (n, operation, passed) in operations {
             now += passed;
             let from = address(n);
-            match word {
-                0 if here.len() < 64 => here.extend(admission.connect(now, from).map(|_| from)),
-                1 => here.pop_front().iter().for_each(|from| admission.connection_closed(now, *from)),
+            match operation {
+                0 if connected.len() < 64 => connected.extend(admission.connect(now, from).map(|_| from)),
+                1 => connected.pop_front().iter().for_each(|from| admission.connection_closed(now, *from)),
                 2 => {
-                    let asks = here.back().map(|from| info(*from, Some(0), 1.0));
+                    let asks = connected.back().map(|from| info(*from, Some(0), 1.0));
                     open.extend(asks.filter(|a| admission.admit_request(now, a).is_ok()));
                 }
                 _ => open.pop_front().iter().for_each(|a| admission.request_done(now, a, 0, Some(10_000))),
@@ -115,140 +115,140 @@
             prop_assert!(admission.tables().0.len() <= 128 && admission.tables().1.len() <= 128);
         }
         open.iter().for_each(|a| admission.request_done(now, a, 0, None));
-        here.iter().for_each(|from| admission.connection_closed(now, *from));
-        let (per_client, per_neighbourhood) = admission.tables();
-        prop_assert!(per_client.iter().chain(per_neighbourhood.iter()).all(|(_, e)| (e.connections, e.open, e.bytes) == (0, 0, 0)));
+        connected.iter().for_each(|from| admission.connection_closed(now, *from));
+        let (clients, neighbourhoods) = admission.tables();
+        prop_assert!(clients.iter().chain(neighbourhoods.iter()).all(|(_, e)| (e.connections, e.open, e.bytes) == (0, 0, 0)));
     }
 }
 
-/// A million addresses that come once do not push out the worst one.
+/// A flood of a million addresses with one connection each must not evict the entry of a misbehaving client.
 #[test]
-fn the_worst_outlasts_a_million_that_come_once() {
+fn a_misbehaving_client_stays_in_the_table_during_a_flood() {
     let mut admission = Admission::new(rules(r#"{"entries":1024,"address":{"connections":1}}"#));
     let worst = address(1 << 23);
-    admission.connect(S, worst).unwrap();
+    admission.connect(SECOND_US, worst).unwrap();
     for n in 0..5_000 {
         assert_eq!(
-            admission.connect(S + n, worst),
+            admission.connect(SECOND_US + n, worst),
             Err(if n < 50 { RefusalReason::Connections } else { RefusalReason::Penalty })
         );
     }
-    admission.connection_closed(2 * S, worst);
+    admission.connection_closed(2 * SECOND_US, worst);
     for n in 0..1_000_000 {
         let from = address(n);
-        admission.connect(2 * S, from).unwrap();
-        admission.connection_closed(2 * S, from);
+        admission.connect(2 * SECOND_US, from).unwrap();
+        admission.connection_closed(2 * SECOND_US, from);
     }
-    let (per_client, _) = admission.tables();
-    assert_eq!(per_client.len(), 1024);
-    let (first, weight, error, entry) = per_client.heaviest(2 * S, 1)[0];
+    let (clients, _) = admission.tables();
+    assert_eq!(clients.len(), 1024);
+    let (first, weight, error, entry) = clients.heaviest(2 * SECOND_US, 1)[0];
     assert_eq!((first, entry.refused), (Prefix::client(worst), 5_000));
     assert!(weight - error > 40_000.0, "{weight} {error}");
-    assert!(per_client.evicted > 990_000);
+    assert!(clients.evicted > 990_000);
 }
 
-/// A penalty doubles, is capped, and ends by itself; while it lasts nothing is read.
+/// Penalties double up to the maximum and end by themselves. During a penalty connections are closed at accept.
 #[test]
-fn a_penalty_doubles_and_ends_by_itself() {
+fn penalties_double_up_to_the_maximum_and_end() {
     let mut admission = Admission::new(rules(
         r#"{"entries":128,"address":{"connections":1},"penalty":{"refusals":3,"window_ms":1000,"first_ms":1000,"longest_ms":4000}}"#,
     ));
-    let bad = address(7);
-    admission.connect(S, bad).unwrap();
-    let mut now = S;
+    let misbehaving = address(7);
+    admission.connect(SECOND_US, misbehaving).unwrap();
+    let mut now = SECOND_US;
     let mut closed = Vec::new();
     for _ in 0..5 {
-        while admission.connect(now, bad) != Err(RefusalReason::Penalty) {
+        while admission.connect(now, misbehaving) != Err(RefusalReason::Penalty) {
             now += 1000;
         }
-        let begun = now;
-        while admission.connect(now, bad) == Err(RefusalReason::Penalty) {
+        let started = now;
+        while admission.connect(now, misbehaving) == Err(RefusalReason::Penalty) {
             now += 100_000;
         }
-        closed.push((now - begun + 50_000) / S);
+        closed.push((now - started + 50_000) / SECOND_US);
     }
     assert_eq!(closed, [1, 2, 4, 4, 4]);
-    // A minute of peace, and it begins with the first again.
-    now += 60 * S;
-    while admission.connect(now, bad) != Err(RefusalReason::Penalty) {
+    // After a minute without refusals the next penalty has the initial duration again.
+    now += 60 * SECOND_US;
+    while admission.connect(now, misbehaving) != Err(RefusalReason::Penalty) {
         now += 1000;
     }
-    assert!(admission.connect(now + S, bad) != Err(RefusalReason::Penalty));
-    // A clock that jumps back an hour does not make it last an hour.
-    assert!(admission.connect(now - 3600 * S, bad) != Err(RefusalReason::Penalty));
-    // And by hand it ends at once.
-    while admission.connect(now, bad) != Err(RefusalReason::Penalty) {}
-    admission.unblock(now, Prefix::client(bad));
-    assert_eq!(admission.connect(now, bad), Err(RefusalReason::Connections));
+    assert!(admission.connect(now + SECOND_US, misbehaving) != Err(RefusalReason::Penalty));
+    // A clock that jumps back by an hour does not extend the penalty by an hour.
+    assert!(admission.connect(now - 3600 * SECOND_US, misbehaving) != Err(RefusalReason::Penalty));
+    // An operator ends a penalty at once.
+    while admission.connect(now, misbehaving) != Err(RefusalReason::Penalty) {}
+    admission.unblock(now, Prefix::client(misbehaving));
+    assert_eq!(admission.connect(now, misbehaving), Err(RefusalReason::Connections));
 }
 
-/// Served calls make a client known, bad behaviour spoils that, and it comes back.
+/// Served calls make a client known. A refusal for its own behaviour suspends this for a time.
 #[test]
-fn known_is_who_was_served_and_behaves() {
+fn served_clients_become_known_unless_they_misbehave() {
     let mut admission = Admission::new(rules(
         r#"{"entries":128,"address":{"connections":2},"learn_calls":5,"spoilt_ms":10000}"#,
     ));
-    let (teacher, listed) = (address(1), address(2));
+    let (served_client, listed) = (address(1), address(2));
     assert!(admission.set_known(Prefix::of(listed), true));
-    assert_eq!(admission.client_status(S, teacher), ClientStatus::Unknown);
-    assert_eq!(admission.client_status(S, listed), ClientStatus::Known);
-    admission.connect(S, teacher).unwrap();
+    assert_eq!(admission.client_status(SECOND_US, served_client), ClientStatus::Unknown);
+    assert_eq!(admission.client_status(SECOND_US, listed), ClientStatus::Known);
+    admission.connect(SECOND_US, served_client).unwrap();
     for _ in 0..6 {
-        let call = info(teacher, None, 1.0);
-        admission.admit_request(S, &call).unwrap();
-        admission.request_done(S, &call, 0, Some(1000));
+        let call = info(served_client, None, 1.0);
+        admission.admit_request(SECOND_US, &call).unwrap();
+        admission.request_done(SECOND_US, &call, 0, Some(1000));
     }
-    assert_eq!(admission.client_status(S, teacher), ClientStatus::Known);
-    // Known clients have four times the caps; beyond that it is bad behaviour.
+    assert_eq!(admission.client_status(SECOND_US, served_client), ClientStatus::Known);
+    // Known clients have four times the caps; exceeding those is misbehaviour.
     for _ in 0..7 {
-        assert_eq!(admission.connect(S, teacher), Ok(ClientStatus::Known));
+        assert_eq!(admission.connect(SECOND_US, served_client), Ok(ClientStatus::Known));
     }
-    assert_eq!(admission.connect(S, teacher), Err(RefusalReason::Connections));
-    assert_eq!(admission.client_status(S + 1, teacher), ClientStatus::Unknown, "spoilt");
-    assert_eq!(admission.client_status(S + 11 * S, teacher), ClientStatus::Known);
+    assert_eq!(admission.connect(SECOND_US, served_client), Err(RefusalReason::Connections));
+    assert_eq!(admission.client_status(SECOND_US + 1, served_client), ClientStatus::Unknown, "suspended");
+    assert_eq!(admission.client_status(SECOND_US + 11 * SECOND_US, served_client), ClientStatus::Known);
     assert_eq!(
-        admission.client_status(S + 3600 * S, teacher),
+        admission.client_status(SECOND_US + 3600 * SECOND_US, served_client),
         ClientStatus::Unknown,
-        "calls of an hour ago count for little"
+        "calls decay within an hour"
     );
-    // A known one that shares its neighbourhood with a bad one is not spoilt with it.
-    let bad = address(3);
+    // A known client is not affected by a misbehaving client in its neighbourhood.
+    let misbehaving = address(3);
     for _ in 0..60 {
-        let _ = admission.connect(2 * S, bad);
+        let _ = admission.connect(2 * SECOND_US, misbehaving);
     }
-    assert_eq!(admission.connect(2 * S, listed), Ok(ClientStatus::Known));
+    assert_eq!(admission.connect(2 * SECOND_US, listed), Ok(ClientStatus::Known));
     assert!(admission.block(Prefix::client(listed)));
-    assert_eq!(admission.connect(2 * S, listed), Err(RefusalReason::Blocked));
+    assert_eq!(admission.connect(2 * SECOND_US, listed), Err(RefusalReason::Blocked));
 }
 
-/// Each tenant gets its share within a second, however far above it another was.
+/// A tenant gets its share within a second although another tenant uses the whole limit.
 #[rstest]
-fn a_tenant_above_its_share_gives_way(#[values(1, 2, 3)] seed: u64) {
+fn a_tenant_above_its_share_yields(#[values(1, 2, 3)] seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut adaptive = AdaptiveLimit::new(AdaptiveRules { least: 100, most: 100, tolerance: 3.0 });
     let mut open: VecDeque<(i64, usize)> = VecDeque::new();
     let (mut now, mut served) = (0, [[0u32; 2]; 5]);
-    // Calls of 50 ms; tenant 0 asks for ten times its half, tenant 1 comes in after two seconds.
-    while now < 5 * S {
+    // Calls take 50 ms. Tenant 0 requests ten times its half, tenant 1 starts after two seconds.
+    while now < 5 * SECOND_US {
         now += 100;
         while open.front().is_some_and(|(end, _)| *end <= now) {
             let (_, tenant) = open.pop_front().unwrap();
             adaptive.done(now, 0, Some(tenant), Some(50_000));
         }
-        let asks = if now < 2 * S { 0 } else { usize::from(rng.bool()) };
+        let asks = if now < 2 * SECOND_US { 0 } else { usize::from(rng.bool()) };
         if adaptive.take(now, 1.0, Some(asks), 0.5).is_ok() {
             open.push_back((now + 50_000, asks));
-            served[(now / S).min(4) as usize][asks] += 1;
+            served[(now / SECOND_US).min(4) as usize][asks] += 1;
         }
     }
-    assert!(served[1][0] > 1900, "alone it has all: {served:?}");
+    assert!(served[1][0] > 1900, "a single tenant gets the whole limit: {served:?}");
     assert!(served[3][0].abs_diff(served[3][1]) < 150, "{served:?}");
     assert!(adaptive.state().1 <= 100);
 }
 
-/// The limit falls while times are beyond their floor, and rises again; the least worth go first.
+/// The limit falls while service times are above the tolerance and rises afterwards. Requests of low value are refused first.
 #[test]
-fn the_limit_follows_the_hosts() {
+fn the_adaptive_limit_follows_service_times() {
     let mut adaptive = AdaptiveLimit::new(AdaptiveRules { least: 4, most: 200, tolerance: 3.0 });
     let mut now = 0;
     let mut round = |adaptive: &mut AdaptiveLimit, took: i64, rounds: u32| {
@@ -267,126 +267,137 @@
     assert!(round(&mut adaptive, 900_000, 100) >= 4);
     assert!(round(&mut adaptive, 100_000, 150) > 150);
     while adaptive.take(now, 0.0, None, 1.0).is_ok() {}
-    let cheap = adaptive.state().1;
-    assert!(f64::from(cheap) <= 0.8 * 200.0 + 1.0);
-    assert!(adaptive.take(now, 1.0, None, 1.0).is_ok(), "what is worth more still is taken");
+    let low_value_admitted = adaptive.state().1;
+    assert!(f64::from(low_value_admitted) <= 0.8 * 200.0 + 1.0);
+    assert!(adaptive.take(now, 1.0, None, 1.0).is_ok(), "a request of higher value is still admitted");
 }
 
 #[test]
-fn a_ledger_lends_what_known_clients_do_not_use_and_is_owed_it_back() {
-    // Hosts 4, known 4, others 0, operators 1, own 1; 2 anybody's.
-    let mut l = Ledger::new(12, [4, 4, 0, 1, 1]).unwrap();
-    assert_eq!((0..2).map(|_| l.take(Owner::Others, 1)).collect::<Vec<_>>(), [TakeOutcome::Granted; 2]);
-    assert_eq!((0..4).map(|_| l.take(Owner::Others, 1)).collect::<Vec<_>>(), [TakeOutcome::Borrowed; 4]);
-    assert_eq!(l.take(Owner::Others, 1), TakeOutcome::Denied, "hosts, operators and own lend nothing");
-    assert_eq!(l.take(Owner::Known, 1), TakeOutcome::OwedBy(Owner::Others));
-    l.release(Owner::Others, 1);
-    assert_eq!(l.take(Owner::Known, 1), TakeOutcome::Granted);
+fn the_unused_reserve_of_known_clients_is_lent_and_returned() {
+    // Reserves: hosts 4, known 4, others 0, operators 1, own 1; 2 units are not reserved.
+    let mut ledger = Ledger::new(12, [4, 4, 0, 1, 1]).unwrap();
+    assert_eq!((0..2).map(|_| ledger.take(Owner::Others, 1)).collect::<Vec<_>>(), [TakeOutcome::Granted; 2]);
+    assert_eq!((0..4).map(|_| ledger.take(Owner::Others, 1)).collect::<Vec<_>>(), [TakeOutcome::Borrowed; 4]);
+    assert_eq!(
+        ledger.take(Owner::Others, 1),
+        TakeOutcome::Denied,
+        "the reserves of hosts, operators and own are not lent"
+    );
+    assert_eq!(ledger.take(Owner::Known, 1), TakeOutcome::OwedBy(Owner::Others));
+    ledger.release(Owner::Others, 1);
+    assert_eq!(ledger.take(Owner::Known, 1), TakeOutcome::Granted);
     assert!(
-        (0..4).all(|_| l.take(Owner::Hosts, 1) == TakeOutcome::Granted),
-        "a call that was taken reaches its host"
+        (0..4).all(|_| ledger.take(Owner::Hosts, 1) == TakeOutcome::Granted),
+        "an admitted call reaches its host"
     );
-    // The limit falls below what is in use: nothing more is taken until enough has gone.
-    l.set_limits(6, [2, 2, 0, 1, 1]).unwrap();
-    assert_eq!((l.total_held(), l.take(Owner::Hosts, 1)), (10, TakeOutcome::Denied));
-    assert!(l.set_limits(3, [2, 2, 0, 1, 1]).unwrap_err().0.contains("more than the limit of 3"));
+    // The limit falls below what is held: nothing is granted until enough units are released.
+    ledger.set_limits(6, [2, 2, 0, 1, 1]).unwrap();
+    assert_eq!((ledger.total_held(), ledger.take(Owner::Hosts, 1)), (10, TakeOutcome::Denied));
+    assert!(ledger.set_limits(3, [2, 2, 0, 1, 1]).unwrap_err().0.contains("more than the limit of 3"));
 }
 
-/// The system says that it has no more although the ledger has room.
+/// The system runs out of units although the ledger has room: the ceiling falls and rises again in doubling steps.
 #[test]
-fn a_starved_ledger_recovers_by_and_by() {
-    let mut l = Ledger::new(100, [10, 10, 0, 1, 1]).unwrap();
+fn an_exhausted_ledger_recovers_step_by_step() {
+    let mut ledger = Ledger::new(100, [10, 10, 0, 1, 1]).unwrap();
     for _ in 0..5 {
-        l.take(Owner::Others, 1);
+        ledger.take(Owner::Others, 1);
     }
-    l.set_exhausted(10 * S);
-    assert_eq!((l.limit(), l.take(Owner::Hosts, 1)), (5, TakeOutcome::OwedBy(Owner::Others)));
-    l.tick(10 * S + S / 10);
+    ledger.set_exhausted(10 * SECOND_US);
+    assert_eq!((ledger.limit(), ledger.take(Owner::Hosts, 1)), (5, TakeOutcome::OwedBy(Owner::Others)));
+    ledger.tick(10 * SECOND_US + SECOND_US / 10);
     assert_eq!(
-        (l.take(Owner::Hosts, 1), l.take(Owner::Others, 1)),
+        (ledger.take(Owner::Hosts, 1), ledger.take(Owner::Others, 1)),
         (TakeOutcome::Granted, TakeOutcome::Denied)
     );
-    l.tick(5 * S);
-    l.tick(5 * S + S / 5);
-    assert_eq!(l.limit(), 5 + 1 + 2 + 4, "a clock that jumps back does not stop it");
-    l.set_exhausted(6 * S);
-    assert_eq!(l.limit(), 6, "again, and by one again");
-    l.tick(1000 * S);
-    assert_eq!(l.limit(), 100);
+    ledger.tick(5 * SECOND_US);
+    ledger.tick(5 * SECOND_US + SECOND_US / 5);
+    assert_eq!(ledger.limit(), 5 + 1 + 2 + 4, "a clock that jumps back does not stop the recovery");
+    ledger.set_exhausted(6 * SECOND_US);
+    assert_eq!(ledger.limit(), 6, "the steps start at one again");
+    ledger.tick(1000 * SECOND_US);
+    assert_eq!(ledger.limit(), 100);
 }
 
-/// What one process learnt another takes up; it is as strict and as kind.
+/// A successor process inherits penalties, blocks and known clients.
 #[test]
-fn a_successor_knows_whom_to_refuse() {
+fn a_successor_inherits_the_learned_state() {
     let text = r#"{"entries":128,"address":{"connections":1},"known":["10.9.0.0/16"],"learn_calls":3}"#;
     let mut old = Admission::new(rules(text));
-    let (bad, good) = (address(1), address(2));
-    old.connect(S, bad).unwrap();
+    let (misbehaving, good) = (address(1), address(2));
+    old.connect(SECOND_US, misbehaving).unwrap();
     for _ in 0..60 {
-        let _ = old.connect(S, bad);
+        let _ = old.connect(SECOND_US, misbehaving);
     }
     for _ in 0..4 {
-        old.request_done(S, &info(good, None, 1.0), 0, Some(1));
+        old.request_done(SECOND_US, &info(good, None, 1.0), 0, Some(1));
     }
     old.block("10.1.0.0/16".parse().unwrap());
     old.set_known("10.2.0.0/16".parse().unwrap(), true);
-    let told = serde_json::to_string(&old.learned_state(S)).unwrap();
+    let handed_over = serde_json::to_string(&old.learned_state(SECOND_US)).unwrap();
     let mut new = Admission::new(rules(text));
-    new.restore(S, serde_json::from_str(&told).unwrap());
-    assert_eq!(new.connect(S + 1, bad), Err(RefusalReason::Penalty));
-    assert_eq!(new.client_status(S + 1, good), ClientStatus::Known);
-    assert_eq!(new.connect(S + 1, "10.1.2.3".parse().unwrap()), Err(RefusalReason::Blocked));
-    assert_eq!(new.client_status(S + 1, "10.2.2.3".parse().unwrap()), ClientStatus::Known);
+    new.restore(SECOND_US, serde_json::from_str(&handed_over).unwrap());
+    assert_eq!(new.connect(SECOND_US + 1, misbehaving), Err(RefusalReason::Penalty));
+    assert_eq!(new.client_status(SECOND_US + 1, good), ClientStatus::Known);
+    assert_eq!(new.connect(SECOND_US + 1, "10.1.2.3".parse().unwrap()), Err(RefusalReason::Blocked));
+    assert_eq!(new.client_status(SECOND_US + 1, "10.2.2.3".parse().unwrap()), ClientStatus::Known);
 }
 
-/// Other caps at a reload, and nothing is forgotten.
+/// A reload changes the caps and keeps the counts.
 #[test]
-fn a_reload_forgets_no_count() {
+fn a_reload_keeps_counts() {
     let mut admission =
         Admission::new(rules(r#"{"entries":128,"address":{"connections":9},"known":["10.0.0.0/24"]}"#));
     let from = address(1);
     for _ in 0..5 {
-        let _ = admission.connect(S, from);
+        let _ = admission.connect(SECOND_US, from);
     }
     admission.set_rules(rules(r#"{"entries":128,"address":{"connections":5}}"#));
-    assert_eq!(admission.client_status(S, from), ClientStatus::Unknown, "the new file does not know it");
-    assert_eq!(admission.connect(S, from), Err(RefusalReason::Connections));
-    admission.connection_closed(S, from);
-    assert!(admission.connect(S, from).is_ok());
+    assert_eq!(
+        admission.client_status(SECOND_US, from),
+        ClientStatus::Unknown,
+        "the new settings do not list it"
+    );
+    assert_eq!(admission.connect(SECOND_US, from), Err(RefusalReason::Connections));
+    admission.connection_closed(SECOND_US, from);
+    assert!(admission.connect(SECOND_US, from).is_ok());
 }
 
-/// A table whose entries are all active takes nobody new, and does so again when one has gone.
+/// A table full of active entries refuses new addresses until one of them is inactive.
 #[test]
-fn a_table_full_of_active_entries_takes_nobody() {
+fn a_table_full_of_active_entries_refuses_new_addresses() {
     let rules: Rules = serde_json::from_str(r#"{"entries":2}"#).unwrap();
     let mut admission = Admission::new(rules);
-    // Neighbourhoods have a table of their own: these share one.
+    // All these addresses share one neighbourhood, so that only the table of clients is full.
     for n in 0..2 {
-        admission.connect(S, address(n)).unwrap();
+        admission.connect(SECOND_US, address(n)).unwrap();
     }
-    assert_eq!(admission.connect(S, address(2)), Err(RefusalReason::TableFull));
-    assert_eq!(admission.client_status(S, address(2)), ClientStatus::Unknown);
-    admission.connection_closed(S, address(0));
-    assert!(admission.connect(S, address(2)).is_ok());
+    assert_eq!(admission.connect(SECOND_US, address(2)), Err(RefusalReason::TableFull));
+    assert_eq!(admission.client_status(SECOND_US, address(2)), ClientStatus::Unknown);
+    admission.connection_closed(SECOND_US, address(0));
+    assert!(admission.connect(SECOND_US, address(2)).is_ok());
     assert_eq!(admission.tables().0.len(), 2);
 }
 
-/// The log has whom, why and how often, bounded.
+/// The refusal summary lists prefix, reason and count, and is bounded.
 #[test]
-fn refusals_are_told_in_windows() {
+fn refusals_are_summarized_within_bounds() {
     let mut admission = Admission::new(rules(r#"{"entries":1024,"address":{"connections":1}}"#));
-    assert_eq!(admission.take_refusal_summary(S), None);
+    assert_eq!(admission.take_refusal_summary(SECOND_US), None);
     for n in 0..300 {
-        admission.connect(S, address(n)).unwrap();
+        admission.connect(SECOND_US, address(n)).unwrap();
         for _ in 0..=n % 3 {
-            let _ = admission.connect(S, address(n));
+            let _ = admission.connect(SECOND_US, address(n));
         }
     }
-    assert_eq!(admission.take_refusal_summary(S + 1000), None, "not yet");
-    let window = admission.take_refusal_summary(3 * S).unwrap();
+    assert_eq!(admission.take_refusal_summary(SECOND_US + 1000), None, "the interval is not over");
+    let window = admission.take_refusal_summary(3 * SECOND_US).unwrap();
     assert_eq!(window.top.len(), 20);
     let sum: u64 = window.top.iter().map(|(.., n)| n).sum::<u64>() + window.others;
-    assert_eq!((sum, admission.total_refusals, admission.take_refusal_summary(5 * S)), (600, 600, None));
+    assert_eq!(
+        (sum, admission.total_refusals, admission.take_refusal_summary(5 * SECOND_US)),
+        (600, 600, None)
+    );
     assert!(window.top.windows(2).all(|w| w[0].2 >= w[1].2));
 }
 
@@ -401,8 +412,8 @@
 #[case(r#"{"penalty":{"first_ms":100,"longest_ms":50}}"#, "penalty")]
 #[case(r#"{"adaptive":{"least":0,"most":5}}"#, "adaptive: least")]
 #[case(r#"{"adaptive":{"least":1,"most":5,"tolerance":1}}"#, "adaptive: tolerance")]
-fn rules_that_make_no_sense_are_turned_down(#[case] json: &str, #[case] wanted: &str) {
+fn invalid_rules_are_refused_with_the_key(#[case] json: &str, #[case] expected: &str) {
     let rules: Rules = serde_json::from_str(json).unwrap();
-    let problem = rules.check(64).unwrap_err().to_string();
-    assert!(problem.contains(wanted), "{problem}");
+    let error = rules.check(64).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/drafts/src/confidence/tests.rs
+++ b/crates/drafts/src/confidence/tests.rs
@@ -1,17 +1,17 @@
-//! Tests of `bounds` that need its private state.
+//! Unit tests of `confidence`.
 
 use super::*;
 
 #[test]
-fn ln_gamma_is_that_of_the_tables() {
-    for (x, wanted) in [(0.5, 0.572_364_943), (1.0, 0.0), (5.0, 24f64.ln()), (100.5, 361.436_143_3)] {
-        let wanted: f64 = wanted;
-        assert!((ln_gamma(x) - wanted).abs() < 2e-3 * wanted.abs().max(1e-5), "{x}: {}", ln_gamma(x));
+fn ln_gamma_matches_known_values() {
+    for (x, expected) in [(0.5, 0.572_364_943), (1.0, 0.0), (5.0, 24f64.ln()), (100.5, 361.436_143_3)] {
+        let expected: f64 = expected;
+        assert!((ln_gamma(x) - expected).abs() < 2e-3 * expected.abs().max(1e-5), "{x}: {}", ln_gamma(x));
     }
 }
 
 #[test]
-fn the_interval_holds_the_rate_and_narrows() {
+fn the_interval_contains_the_rate_and_narrows() {
     let wide = rate_interval(35.0, 50.0, 0.01);
     let narrow = rate_interval(3500.0, 5000.0, 0.01);
     assert!(
@@ -24,27 +24,27 @@
     assert_eq!(rate_interval(0.0, 0.0, 0.01), (0.0, 1.0));
 }
 
-/// Looked at after every count, the true rate is left out in fewer plays than `alpha` allows.
+/// With an evaluation after every trial, the share of runs that ever exclude the true rate stays near `alpha`.
 #[test]
-fn looking_often_does_not_break_the_bound() {
+fn frequent_evaluation_keeps_the_error_probability() {
     let mut rng = fastrand::Rng::with_seed(7);
     for p in [0.05, 0.5, 0.9] {
-        let mut broken = 0;
+        let mut excluded = 0;
         for _ in 0..200 {
             let mut hits = 0.0;
-            let out = (1..=400).any(|n| {
+            let is_excluded = (1..=400).any(|n| {
                 hits += f64::from(u8::from(rng.f64() < p));
                 let (low, high) = rate_interval(hits, f64::from(n), 0.05);
                 p < low || p > high
             });
-            broken += u32::from(out);
+            excluded += u32::from(is_excluded);
         }
-        assert!(broken <= 20, "{p}: {broken} of 200, 10 are allowed on average");
+        assert!(excluded <= 20, "{p}: {excluded} of 200, 10 are allowed on average");
     }
 }
 
 #[test]
-fn errors_grow_slowly() {
+fn the_width_in_standard_errors_grows_slowly() {
     let (few, tight, many) =
         (standard_errors(100.0, 0.01), standard_errors(2_000.0, 0.01), standard_errors(1e7, 0.01));
     assert!(tight < few && tight < many && many < 7.0 && tight > 2.6, "{few} {tight} {many}");
--- a/crates/drafts/src/explore/tests.rs
+++ b/crates/drafts/src/explore/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of `explore` that need its private state.
+//! Unit tests of `explore`.
 
 use super::*;
 
 #[test]
-fn the_purse_of_a_fleet_is_split() {
+fn the_exploration_budget_is_split_over_the_fleet() {
     let settings = Settings { explore_rate: 20.0, ..Settings::default() };
     for members in [1, 2, 8, 100] {
-        let mut purses = vec![ExplorationBudget::new(Duration::ZERO); members];
+        let mut budgets = vec![ExplorationBudget::new(Duration::ZERO); members];
         let mut spent = 0;
         for second in 1..=60 {
-            for budget in &mut purses {
+            for budget in &mut budgets {
                 budget.refill(Duration::from_secs(second), members, &settings);
                 spent += (0..100).filter(|_| budget.take()).count();
             }
@@ -20,16 +20,16 @@
 }
 
 #[test]
-fn a_draw_keeps_to_its_share() {
+fn draws_keep_to_the_exploration_share() {
     let settings = Settings { explore: 0.04, ..Settings::default() };
     let arms = Arms::of(None, &settings);
     let four = Draft { drafter: 1, length: 4 };
     let tried = (0..10_000).filter_map(|i| arms.draw(four, f64::from(i) / 10_000.0, &settings));
     let tried: Vec<Draft> = tried.collect();
     assert!((200..=400).contains(&tried.len()), "{}", tried.len());
-    for wanted in [Draft::OFF, Draft { drafter: 1, length: 8 }, Draft { drafter: 1, length: 3 }] {
-        assert!(tried.contains(&wanted), "{wanted}");
+    for expected in [Draft::OFF, Draft { drafter: 1, length: 8 }, Draft { drafter: 1, length: 3 }] {
+        assert!(tried.contains(&expected), "{expected}");
     }
-    assert!(!tried.contains(&four), "what is in force is no trial");
+    assert!(!tried.contains(&four), "the draft in force is not explored");
     assert_eq!(arms.draw(four, f64::NAN, &settings), None);
 }
--- a/crates/drafts/src/settings/tests.rs
+++ b/crates/drafts/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `settings` that need its private state.
+//! Unit tests of `settings`.
 
 use super::*;
 use rstest::rstest;
@@ -12,7 +12,7 @@
 #[case::alpha("alpha", |s: &mut Settings| s.alpha = f64::NAN)]
 #[case::explore("explore", |s: &mut Settings| s.explore = 0.5)]
 #[case::rows("rows_in_all", |s: &mut Settings| s.rows_in_all = 100)]
-fn what_is_out_of_bounds_is_named(#[case] key: &str, #[case] change: fn(&mut Settings)) {
+fn a_setting_out_of_bounds_is_named(#[case] key: &str, #[case] change: fn(&mut Settings)) {
     let mut settings = Settings::default();
     assert_eq!(settings.check(), Ok(()));
     change(&mut settings);
--- a/crates/drafts/src/store/tests.rs
+++ b/crates/drafts/src/store/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `store` that need its private state.
+//! Unit tests of `store`.
 
 use super::*;
 use proptest::prelude::*;
@@ -31,9 +31,9 @@
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
     }
 
-    /// What can be by itself can be when merged, so that a reader need not look twice.
+    /// The merge of two valid rows is valid, so that merged rows need no second check.
     #[test]
-    fn what_was_checked_stays_so(k in proptest::collection::vec(0u64..50, 8), rounds in 50u64..90, more in 0u64..90) {
+    fn merged_rows_stay_valid(k in proptest::collection::vec(0u64..50, 8), rounds in 50u64..90, more in 0u64..90) {
         let settings = Settings::default();
         let draft = Draft { drafter: 1, length: 4 };
         let made = |rounds: u64, k: &[u64]| {
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn a_clock_that_comes_late_makes_nothing_younger() {
+fn a_delayed_clock_reading_does_not_make_rows_younger() {
     let settings = Settings::default();
     let secs = Duration::from_secs;
     let mut record = Record::new(secs(100), secs(0));
     record.advance_clock(secs(50), secs(110));
-    assert_eq!(record.clock(secs(60)), secs(160), "its clock went on meanwhile");
+    assert_eq!(record.clock(secs(60)), secs(160), "the clock has advanced");
     record.advance_clock(secs(60), secs(400));
     assert_eq!(record.epoch(secs(60), &settings), 400 / 15);
 }
--- a/crates/drafts/src/types/tests.rs
+++ b/crates/drafts/src/types/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `words` that need its private state.
+//! Unit tests of `types`.
 
 use super::*;
 use rstest::rstest;
@@ -12,7 +12,7 @@
 #[case::no_number("1:x", Err(Rejection::Draft))]
 #[case::one_part("1", Err(Rejection::Draft))]
 #[case::huge("1:999", Err(Rejection::Draft))]
-fn drafts_are_words(#[case] text: &str, #[case] draft: Result<Draft, Rejection>) {
+fn drafts_are_parsed_and_printed(#[case] text: &str, #[case] draft: Result<Draft, Rejection>) {
     assert_eq!(text.parse(), draft);
     if let Ok(draft) = draft {
         assert_eq!(draft.to_string(), text);
@@ -25,7 +25,7 @@
 #[case::none("", false)]
 #[case::path("a/b", false)]
 #[case::blank("a b", false)]
-fn workloads_are_words(#[case] name: &str, #[case] right: bool) {
-    assert_eq!(Workload::new(name).is_ok(), right);
+fn workload_names_are_validated(#[case] name: &str, #[case] valid: bool) {
+    assert_eq!(Workload::new(name).is_ok(), valid);
     assert!(Workload::new(&"x".repeat(65)).is_err());
 }
