--- a/crates/drafts/tests/fleet/mod.rs
+++ b/crates/drafts/tests/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet in simulated time: members that serve calls of known acceptance and cost, a network between them, and one agreed table.
-#![allow(dead_code)] // Each test takes what it needs.
+//! A simulated fleet: members that serve calls with known acceptance rates and costs, a faulty network between them, and one agreed
+//! table. Time is simulated.
+#![allow(dead_code)] // Each test target uses a part of this module.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,18 +11,20 @@
 
 pub const STEP: Duration = Duration::from_millis(250);
 
-/// What is true of a workload: by drafter (from 1) and position, the rate of acceptance given that the one before was accepted; by
-/// band, microseconds of a round and of each drafted token.
+/// The true behaviour of a workload.
 #[derive(Clone)]
 pub struct Truth {
+    /// By drafter (from 1) and position: the acceptance rate, given that the token before was accepted.
     pub rates: Vec<[f64; 8]>,
+    /// By load band: microseconds per round, and per drafted token.
     pub costs: [(f64, f64); 4],
-    /// Spread of a call's time, as a share.
+    /// The relative standard deviation of a call's time.
     pub noise: f64,
 }
 
 impl Truth {
-    /// A chat model beside a small one: the later a position, the better it goes on; a full host pays for each drafted token.
+    /// A chat model with a small drafter: acceptance is high at the middle positions, and on a full host each drafted token is
+    /// expensive.
     pub fn chat() -> Self {
         let rates = vec![[0.72, 0.75, 0.78, 0.78, 0.75, 0.7, 0.65, 0.6]];
         Self {
@@ -31,7 +34,7 @@
         }
     }
 
-    /// Form scripts: the step asked for takes 9 ms; a likely next one run ahead takes its time on an idle host in part only.
+    /// Form scripts: a requested step takes 9 ms; a speculatively run next step costs only a part of that on an idle host.
     pub fn form() -> Self {
         let rates = vec![[0.85, 0.6, 0.35, 0.2, 0.1, 0.05, 0.02, 0.01]];
         Self {
@@ -53,7 +56,7 @@
         (tokens, base + each * f64::from(draft.length))
     }
 
-    /// Useful tokens a second.
+    /// Useful tokens per second.
     pub fn value(&self, draft: Draft, band: u8) -> f64 {
         let (tokens, micros) = self.of(draft, band);
         1e6 * tokens / micros
@@ -101,11 +104,11 @@
 }
 
 /// A draft of the first drafter.
-pub fn one(length: u8) -> Draft {
+pub fn first_drafter(length: u8) -> Draft {
     Draft { drafter: u8::from(length > 0), length }
 }
 
-pub fn word(text: &str) -> Workload {
+pub fn workload_named(text: &str) -> Workload {
     Workload::new(text).unwrap()
 }
 
@@ -114,7 +117,7 @@
     pub drafts: DraftLearner,
     pub table: DraftTable,
     pub version: u64,
-    /// It changes each count that it would tell.
+    /// Forges each count of this member.
     pub forge: Option<fn(&mut CallStats)>,
     pub calls: f64,
     pub alive: bool,
@@ -126,33 +129,34 @@
     pub now: Duration,
     pub rng: fastrand::Rng,
     pub members: Vec<Member>,
-    pub truths: Vec<(Workload, Truth)>,
-    /// The band that calls run in.
+    pub workloads: Vec<(Workload, Truth)>,
+    /// The load band of all calls.
     pub band: u8,
     pub rounds: u32,
     pub loss: f64,
-    pub double: f64,
-    /// Pairs between which nothing goes, in this direction.
-    pub cut: BTreeSet<(u32, u32)>,
-    /// Members that can agree on a version, as a part: fewer than a majority cannot.
-    pub parts: Vec<BTreeSet<u32>>,
+    pub duplication: f64,
+    /// Pairs (from, to) between which all datagrams are lost.
+    pub lost_links: BTreeSet<(u32, u32)>,
+    /// The partitions of the fleet. Only a partition with a majority can agree on a version.
+    pub partitions: Vec<BTreeSet<u32>>,
     pub version: u64,
     pub table: DraftTable,
     pub versions: Vec<(Duration, DraftTable)>,
-    pub tells: bool,
-    wire: Vec<(Duration, MemberId, MemberId, Vec<u8>)>,
-    /// Expected tokens and microseconds of what was run.
+    pub exchanges_rows: bool,
+    in_transit: Vec<(Duration, MemberId, MemberId, Vec<u8>)>,
+    /// The expected tokens of all calls that ran.
     pub tokens: f64,
+    /// The expected microseconds of all calls that ran.
     pub micros: f64,
-    pub notes: Vec<String>,
-    lives: u64,
+    pub log_lines: Vec<String>,
+    incarnations: u64,
 }
 
 impl Fleet {
     pub fn new(
         settings: Settings,
         members: u32,
-        truths: Vec<(Workload, Truth)>,
+        workloads: Vec<(Workload, Truth)>,
         calls: f64,
         seed: u64,
     ) -> Self {
@@ -160,26 +164,26 @@
             now: Duration::ZERO,
             rng: fastrand::Rng::with_seed(seed),
             members: Vec::new(),
-            truths,
+            workloads,
             band: 0,
             rounds: 20,
             loss: 0.0,
-            double: 0.0,
-            cut: BTreeSet::new(),
-            parts: Vec::new(),
+            duplication: 0.0,
+            lost_links: BTreeSet::new(),
+            partitions: Vec::new(),
             version: 1,
             table: DraftTable::new(),
             versions: Vec::new(),
-            tells: true,
-            wire: Vec::new(),
+            exchanges_rows: true,
+            in_transit: Vec::new(),
             tokens: 0.0,
             micros: 0.0,
-            notes: Vec::new(),
-            lives: 0,
+            log_lines: Vec::new(),
+            incarnations: 0,
             settings,
         };
         for name in 1..=members {
-            let drafts = fleet.life(MemberId(name), members);
+            let drafts = fleet.new_learner(MemberId(name), members);
             let (table, version) = (DraftTable::new(), 1);
             fleet.members.push(Member {
                 name: MemberId(name),
@@ -195,29 +199,30 @@
         fleet
     }
 
-    fn life(&mut self, name: MemberId, members: u32) -> DraftLearner {
-        self.lives += 1;
+    fn new_learner(&mut self, name: MemberId, members: u32) -> DraftLearner {
+        self.incarnations += 1;
         let seed = self.rng.u64(..);
-        let mut drafts = DraftLearner::new(self.settings.clone(), name, self.lives, seed, self.now).unwrap();
-        let heard = if self.tells { members as usize - 1 } else { 0 };
-        let others = if self.tells { members } else { 0 };
+        let mut drafts =
+            DraftLearner::new(self.settings.clone(), name, self.incarnations, seed, self.now).unwrap();
+        let heard = if self.exchanges_rows { members as usize - 1 } else { 0 };
+        let others = if self.exchanges_rows { members } else { 0 };
         drafts.set_members((1..=others).map(MemberId), heard);
         drafts
     }
 
-    /// The same, each by itself: nobody tells, and each has a table of its own.
-    pub fn apart(mut self) -> Self {
-        self.tells = false;
+    /// Makes all members independent: they exchange nothing, and each has its own table.
+    pub fn isolated(mut self) -> Self {
+        self.exchanges_rows = false;
         let count = self.members.len() as u32;
         for at in 0..self.members.len() {
-            self.members[at].drafts = self.life(self.members[at].name, count);
+            self.members[at].drafts = self.new_learner(self.members[at].name, count);
         }
         self
     }
 
     pub fn restart(&mut self, at: usize) {
         let (name, count) = (self.members[at].name, self.members.len() as u32);
-        self.members[at].drafts = self.life(name, count);
+        self.members[at].drafts = self.new_learner(name, count);
         self.members[at].alive = true;
         let (now, table, version) = (self.now, self.table.clone(), self.version);
         let m = &mut self.members[at];
@@ -229,7 +234,7 @@
         let due = self.members[at].calls * STEP.as_secs_f64();
         let calls = due as u32 + u32::from(self.rng.f64() < due.fract());
         for _ in 0..calls {
-            let (workload, truth) = &self.truths[self.rng.usize(..self.truths.len())];
+            let (workload, truth) = &self.workloads[self.rng.usize(..self.workloads.len())];
             let m = &mut self.members[at];
             let draft = m.drafts.choose(workload, self.band, &m.table, self.rng.f64());
             let mut ran = truth.ran(&mut self.rng, workload, draft, self.band, m.version, self.rounds);
@@ -245,7 +250,8 @@
 
     fn deliver(&mut self) {
         let due;
-        (due, self.wire) = std::mem::take(&mut self.wire).into_iter().partition(|w| w.0 <= self.now);
+        (due, self.in_transit) =
+            std::mem::take(&mut self.in_transit).into_iter().partition(|w| w.0 <= self.now);
         let mut due: Vec<_> = due;
         self.rng.shuffle(&mut due);
         for (_, from, to, data) in due {
@@ -256,35 +262,35 @@
         }
     }
 
-    fn post(&mut self, from: MemberId, to: MemberId, data: Vec<u8>) {
+    fn send(&mut self, from: MemberId, to: MemberId, data: Vec<u8>) {
         assert!(data.len() <= MAX_DATAGRAM_BYTES);
-        if self.cut.contains(&(from.0, to.0)) || self.rng.f64() < self.loss {
+        if self.lost_links.contains(&(from.0, to.0)) || self.rng.f64() < self.loss {
             return;
         }
-        for _ in 0..1 + usize::from(self.rng.f64() < self.double) {
+        for _ in 0..1 + usize::from(self.rng.f64() < self.duplication) {
             let late = Duration::from_millis(self.rng.u64(1..1_500));
-            self.wire.push((self.now + late, from, to, data.clone()));
+            self.in_transit.push((self.now + late, from, to, data.clone()));
         }
     }
 
     fn may_agree(&self, name: MemberId) -> bool {
-        let part = self.parts.iter().find(|p| p.contains(&name.0));
+        let part = self.partitions.iter().find(|p| p.contains(&name.0));
         part.is_none_or(|p| p.len() * 2 > self.members.len())
     }
 
     fn propose(&mut self, at: usize) {
         let (name, now) = (self.members[at].name, self.now);
-        if self.tells && !self.may_agree(name) {
+        if self.exchanges_rows && !self.may_agree(name) {
             return;
         }
         let m = &mut self.members[at];
         let Some(table) = m.drafts.propose(now, &m.table, m.version) else { return };
-        if self.tells && m.version != self.version {
+        if self.exchanges_rows && m.version != self.version {
             return;
         }
         self.version += 1;
         self.versions.push((now, table.clone()));
-        if self.tells {
+        if self.exchanges_rows {
             self.table = table;
         } else {
             (m.table, m.version) = (table.clone(), self.version);
@@ -299,7 +305,9 @@
             if !self.members[at].alive {
                 continue;
             }
-            if self.tells && self.members[at].version != self.version && self.may_agree(self.members[at].name)
+            if self.exchanges_rows
+                && self.members[at].version != self.version
+                && self.may_agree(self.members[at].name)
             {
                 let (now, version, table) = (self.now, self.version, self.table.clone());
                 let m = &mut self.members[at];
@@ -315,9 +323,9 @@
                     match o {
                         Output::Send { to, data } => {
                             self.members[at].bytes += data.len() as u64;
-                            self.post(self.members[at].name, to, data);
+                            self.send(self.members[at].name, to, data);
                         }
-                        Output::Log(line) => self.notes.push(line),
+                        Output::Log(line) => self.log_lines.push(line),
                     }
                 }
             }
@@ -332,29 +340,29 @@
         }
     }
 
-    /// What was got over this time, as a share of what one who knows the truth would get.
+    /// Runs for `time` and returns the throughput relative to the optimum with known rates.
     pub fn share(&mut self, time: Duration) -> f64 {
         (self.tokens, self.micros) = (0.0, 0.0);
         self.run(time);
-        1e6 * self.tokens / self.micros / self.truths[0].1.best(&self.settings, self.band).1
+        1e6 * self.tokens / self.micros / self.workloads[0].1.best(&self.settings, self.band).1
     }
 
-    /// Steps until what is in force gives this share of the best; `None` if it does not within the time.
+    /// Runs until the draft in force reaches this share of the best throughput; `None` if it does not within `time`.
     pub fn until(&mut self, share: f64, time: Duration) -> Option<Duration> {
-        let begun = self.now;
-        while self.now < begun + time {
+        let started = self.now;
+        while self.now < started + time {
             self.step();
-            let (workload, truth) = &self.truths[0];
+            let (workload, truth) = &self.workloads[0];
             let draft =
                 self.table.get(&(workload.clone(), self.band)).copied().unwrap_or(self.settings.start);
             if truth.value(draft, self.band) >= share * truth.best(&self.settings, self.band).1 {
-                return Some(self.now - begun);
+                return Some(self.now - started);
             }
         }
         None
     }
 
     pub fn draft(&self, workload: &str) -> Draft {
-        self.table.get(&(word(workload), self.band)).copied().unwrap_or(self.settings.start)
+        self.table.get(&(workload_named(workload), self.band)).copied().unwrap_or(self.settings.start)
     }
 }
--- a/crates/drafts/tests/fleets.rs
+++ b/crates/drafts/tests/fleets.rs
@@ -1,10 +1,10 @@
-//! Fleets in simulated time, with faults between their members.
+//! Tests of simulated fleets with faults between their members.
 
 mod fleet;
 
 use std::time::Duration;
 
-use fleet::{one, word, Fleet, Truth};
+use fleet::{first_drafter, workload_named, Fleet, Truth};
 use rstest::rstest;
 use wheellink_drafts::{CallStats, Draft, Settings};
 
@@ -12,12 +12,13 @@
     Duration::from_secs(s)
 }
 
+/// With the default of 30 versions per hour, a new fleet could publish only one table every two minutes.
 fn settings() -> Settings {
     Settings { versions_hour: 120, ..Settings::default() }
 }
 
 fn chat(members: u32, seed: u64) -> Fleet {
-    Fleet::new(settings(), members, vec![(word("chat"), Truth::chat())], 20.0, seed)
+    Fleet::new(settings(), members, vec![(workload_named("chat"), Truth::chat())], 20.0, seed)
 }
 
 #[rstest]
@@ -25,7 +26,7 @@
 #[case::form_scripts(Truth::form())]
 fn a_fleet_finds_the_best_length_of_each_band(#[case] truth: Truth) {
     for band in 0..4 {
-        let mut fleet = Fleet::new(settings(), 4, vec![(word("chat"), truth.clone())], 20.0, 1);
+        let mut fleet = Fleet::new(settings(), 4, vec![(workload_named("chat"), truth.clone())], 20.0, 1);
         fleet.band = band;
         let found = fleet.until(0.97, secs(600));
         assert!(
@@ -40,19 +41,19 @@
 }
 
 #[test]
-fn the_better_of_two_drafters_is_found() {
+fn the_better_of_two_drafters_is_chosen() {
     let mut truth = Truth::chat();
     truth.rates.push([0.9; 8]);
     let two = Settings { drafters: 2, ..settings() };
-    let mut fleet = Fleet::new(two, 4, vec![(word("chat"), truth)], 20.0, 2);
+    let mut fleet = Fleet::new(two, 4, vec![(workload_named("chat"), truth)], 20.0, 2);
     assert!(fleet.until(0.97, secs(900)).is_some(), "{}", fleet.draft("chat"));
     assert_eq!(fleet.draft("chat").drafter, 2);
 }
 
 #[test]
-fn with_much_lost_doubled_and_a_member_that_dies_it_learns_all_the_same() {
+fn a_fleet_learns_despite_loss_duplication_and_a_member_that_dies() {
     let mut fleet = chat(4, 3);
-    (fleet.loss, fleet.double) = (0.3, 0.3);
+    (fleet.loss, fleet.duplication) = (0.3, 0.3);
     fleet.run(secs(40));
     fleet.members[3].alive = false;
     assert!(fleet.until(0.97, secs(600)).is_some(), "{}", fleet.draft("chat"));
@@ -63,12 +64,12 @@
 }
 
 #[test]
-fn a_drift_is_regained_within_the_bound() {
+fn a_drift_of_rates_is_followed_within_the_bound() {
     for seed in 0..3 {
         let mut fleet = chat(4, 10 + seed);
         assert!(fleet.until(0.97, secs(600)).is_some());
         fleet.run(secs(300));
-        fleet.truths[0].1.rates[0] = [0.15; 8];
+        fleet.workloads[0].1.rates[0] = [0.15; 8];
         let regained = fleet.until(0.95, fleet.settings.max_evidence_age());
         assert!(
             regained.is_some(),
@@ -80,59 +81,59 @@
 }
 
 #[test]
-fn costs_that_change_are_learnt_anew() {
+fn a_change_of_costs_is_followed_within_the_bound() {
     let mut fleet = chat(3, 20);
     assert!(fleet.until(0.97, secs(600)).is_some());
     fleet.run(secs(200));
-    fleet.truths[0].1.costs[0] = (30_000.0, 60_000.0);
+    fleet.workloads[0].1.costs[0] = (30_000.0, 60_000.0);
     assert!(fleet.until(0.95, fleet.settings.max_evidence_age()).is_some(), "{}", fleet.draft("chat"));
 }
 
 #[test]
-fn a_minority_publishes_nothing_and_catches_up_when_it_is_back() {
+fn a_minority_publishes_nothing_and_catches_up_after_the_partition() {
     let mut fleet = chat(5, 4);
     assert!(fleet.until(0.97, secs(600)).is_some());
     let (few, many): (Vec<u32>, Vec<u32>) = (vec![1, 2], vec![3, 4, 5]);
     for (a, b) in few.iter().flat_map(|a| many.iter().map(move |b| (*a, *b))) {
-        fleet.cut.extend([(a, b), (b, a)]);
+        fleet.lost_links.extend([(a, b), (b, a)]);
     }
-    fleet.parts = vec![few.into_iter().collect(), many.into_iter().collect()];
+    fleet.partitions = vec![few.into_iter().collect(), many.into_iter().collect()];
     let before = fleet.members[0].version;
-    fleet.truths[0].1.rates[0] = [0.1; 8];
+    fleet.workloads[0].1.rates[0] = [0.1; 8];
     assert!(
         fleet.until(0.95, fleet.settings.max_evidence_age()).is_some(),
-        "the others learn: {}",
+        "the majority learns: {}",
         fleet.draft("chat")
     );
-    assert_eq!(fleet.members[0].version, before, "the two keep what they had");
-    (fleet.cut, fleet.parts) = (Default::default(), Vec::new());
+    assert_eq!(fleet.members[0].version, before, "the minority keeps its version");
+    (fleet.lost_links, fleet.partitions) = (Default::default(), Vec::new());
     fleet.run(secs(10));
     assert!(fleet.members[0].version > before);
     assert_eq!(fleet.members[0].table, fleet.table);
 }
 
-/// Rates that turn over and over: no more versions in any hour than are allowed, nor more for restarts.
+/// Rates that change again and again must not lead to more versions in any hour than the limit, also with restarts.
 #[test]
-fn versions_an_hour_are_bounded() {
+fn versions_per_hour_are_bounded() {
     let few = Settings { versions_hour: 12, ..Settings::default() };
-    let mut fleet = Fleet::new(few, 3, vec![(word("chat"), Truth::chat())], 8.0, 5);
-    for turn in 0..72 {
-        fleet.truths[0].1.rates[0] = if turn % 2 == 0 { [0.9; 8] } else { [0.1; 8] };
+    let mut fleet = Fleet::new(few, 3, vec![(workload_named("chat"), Truth::chat())], 8.0, 5);
+    for change in 0..72 {
+        fleet.workloads[0].1.rates[0] = if change % 2 == 0 { [0.9; 8] } else { [0.1; 8] };
         fleet.run(secs(100));
-        if turn % 6 == 5 {
-            fleet.restart(turn / 6 % 3);
+        if change % 6 == 5 {
+            fleet.restart(change / 6 % 3);
         }
     }
     let at: Vec<Duration> = fleet.versions.iter().map(|(at, _)| *at).collect();
-    assert!(at.len() > 4, "it moved: {at:?}");
-    let most =
+    assert!(at.len() > 4, "the table changes: {at:?}");
+    let max_in_an_hour =
         at.iter().map(|from| at.iter().filter(|t| *t >= from && **t < *from + secs(3_600)).count()).max();
-    assert!(most.is_some_and(|n| n <= 12), "{most:?} in one hour: {at:?}");
+    assert!(max_in_an_hour.is_some_and(|n| n <= 12), "{max_in_an_hour:?} in one hour: {at:?}");
 }
 
-/// Steady rates: it comes to rest.
+/// With steady rates the table settles and does not oscillate.
 #[test]
-fn it_does_not_swing() {
+fn a_steady_fleet_does_not_oscillate() {
     let mut fleet = chat(4, 6);
     fleet.run(secs(900));
     let settled = fleet.versions.len();
@@ -144,7 +145,7 @@
 fn the_same_evidence_gives_the_same_table_at_any_member() {
     for seed in 0..4 {
         let mut fleet = chat(4, 30 + seed);
-        fleet.parts = (1..=4).map(|m| [m].into()).collect();
+        fleet.partitions = (1..=4).map(|m| [m].into()).collect();
         fleet.run(secs(120));
         fleet.members.iter_mut().for_each(|m| m.calls = 0.0);
         fleet.run(secs(12));
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn one_member_alone_moves_no_fleet_but_its_own() {
+fn one_member_alone_changes_only_a_fleet_of_one() {
     let mut fleet = chat(3, 7);
     fleet.members[0].calls = 60.0;
     fleet.members[1].calls = 0.0;
@@ -199,13 +200,13 @@
     }
 }
 
-/// Just within what is taken for honest.
+/// Stays within the tolerance for outliers.
 fn a_little_better(ran: &mut CallStats) {
     let more = ran.rounds / 12;
-    let mut most = ran.rounds;
+    let mut max_hits = ran.rounds;
     for k in &mut ran.accepted {
-        *k = (*k + more).min(most);
-        most = *k;
+        *k = (*k + more).min(max_hits);
+        max_hits = *k;
     }
 }
 
@@ -215,14 +216,15 @@
 #[case::long_is_free(long_is_free)]
 #[case::drafts_cost_much(drafts_cost_much)]
 #[case::a_little_better(a_little_better)]
-fn a_member_that_forges_moves_nothing(#[case] forge: fn(&mut CallStats)) {
+fn a_forging_member_does_not_degrade_the_table(#[case] forge: fn(&mut CallStats)) {
     for band in [0, 3] {
         let mut fleet = chat(5, 8);
         fleet.band = band;
         assert!(fleet.until(0.98, secs(600)).is_some());
         fleet.run(secs(120));
         fleet.members[4].forge = Some(forge);
-        let (best, truth) = (fleet.truths[0].1.best(&fleet.settings, band).1, fleet.truths[0].1.clone());
+        let (best, truth) =
+            (fleet.workloads[0].1.best(&fleet.settings, band).1, fleet.workloads[0].1.clone());
         for _ in 0..60 {
             fleet.run(secs(10));
             let value = truth.value(fleet.draft("chat"), band);
@@ -236,36 +238,38 @@
     }
 }
 
-/// Also from the first, before there is a table.
+/// A member that forges from the start, before there is a table, is excluded as an outlier, and honest members are not.
 #[test]
-fn forged_from_the_start_it_is_left_out() {
+fn a_member_that_forges_from_the_start_is_excluded() {
     let mut fleet = chat(4, 9);
     fleet.members[3].forge = Some(long_is_free);
     assert!(fleet.until(0.97, secs(900)).is_some(), "{:?}", fleet.members[0].drafts.view(fleet.now));
-    assert!(fleet.notes.iter().any(|n| n.contains("member 4 is left out")), "{:?}", fleet.notes);
-    assert!(!fleet.notes.iter().any(|n| n.contains("member 1 is left out")), "{:?}", fleet.notes);
+    assert!(fleet.log_lines.iter().any(|n| n.contains("member 4 is left out")), "{:?}", fleet.log_lines);
+    assert!(!fleet.log_lines.iter().any(|n| n.contains("member 1 is left out")), "{:?}", fleet.log_lines);
 }
 
 #[test]
-fn bytes_and_exploration_keep_to_their_bounds() {
-    let mut fleet = Fleet::new(settings(), 6, vec![(word("chat"), Truth::chat())], 50.0, 11);
+fn bytes_and_exploration_are_bounded() {
+    let mut fleet = Fleet::new(settings(), 6, vec![(workload_named("chat"), Truth::chat())], 50.0, 11);
     fleet.run(secs(120));
-    let most = fleet.settings.max_bytes_per_second() * 121.0;
+    let max_bytes = fleet.settings.max_bytes_per_second() * 121.0;
     assert!(
-        fleet.members.iter().all(|m| m.bytes as f64 <= most),
+        fleet.members.iter().all(|m| m.bytes as f64 <= max_bytes),
         "{:?}",
         fleet.members.iter().map(|m| m.bytes).collect::<Vec<_>>()
     );
-    // Drafts that nobody has in force are trials: of 6 members 50 calls each, at most the fleet's 20 a second.
-    let mut still = Fleet::new(settings(), 6, vec![(word("chat"), Truth::chat())], 50.0, 11);
-    still.parts = (1..=6).map(|m| [m].into()).collect();
-    still.run(secs(60));
+    // Without a table, every other draft than the default is an exploration: at most 20 calls per second of the whole fleet.
+    let mut without_table =
+        Fleet::new(settings(), 6, vec![(workload_named("chat"), Truth::chat())], 50.0, 11);
+    without_table.partitions = (1..=6).map(|m| [m].into()).collect();
+    without_table.run(secs(60));
     let table = Default::default();
     let mut tried = 0;
-    for m in &mut still.members {
+    for m in &mut without_table.members {
         for _ in 0..10_000 {
-            tried += u32::from(m.drafts.choose(&word("chat"), 0, &table, 0.029) != one(0));
+            tried +=
+                u32::from(m.drafts.choose(&workload_named("chat"), 0, &table, 0.029) != first_drafter(0));
         }
     }
-    assert!(tried <= 2 * 20 + 6, "{tried} without a wake between");
+    assert!(tried <= 2 * 20 + 6, "{tried} explorations without a refill of the budget in between");
 }
--- a/crates/drafts/tests/properties.rs
+++ b/crates/drafts/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for any history: nothing counts twice, nothing grows beyond its bound, nothing that is read breaks the reader.
+//! Properties that hold for any history: no count is used twice, memory is bounded, and no datagram breaks the receiver.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 enum Step {
     Serve {
         who: usize,
-        word: u8,
+        workload_index: u8,
         draft: Draft,
         band: u8,
         rounds: u32,
@@ -37,8 +37,8 @@
         which: usize,
         keep: bool,
     },
-    /// Only so many of the bytes come.
-    Half {
+    /// Delivers a datagram truncated to `bytes`.
+    Truncate {
         which: usize,
         bytes: usize,
     },
@@ -56,19 +56,19 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..MEMBERS, 0u8..3, draft(), 0u8..4, 1u32..50)
-            .prop_map(|(who, word, draft, band, rounds)| Step::Serve { who, word, draft, band, rounds }),
+            .prop_map(|(who, workload_index, draft, band, rounds)| Step::Serve { who, workload_index, draft, band, rounds }),
         6 => (0..MEMBERS).prop_map(Step::Wake),
         8 => (any::<usize>(), any::<bool>()).prop_map(|(which, keep)| Step::Deliver { which, keep }),
-        1 => (any::<usize>(), 0usize..MAX_DATAGRAM_BYTES).prop_map(|(which, bytes)| Step::Half { which, bytes }),
+        1 => (any::<usize>(), 0usize..MAX_DATAGRAM_BYTES).prop_map(|(which, bytes)| Step::Truncate { which, bytes }),
         2 => any::<usize>().prop_map(Step::Drop),
         1 => (0..MEMBERS).prop_map(Step::Restart),
     ]
 }
 
-fn ran(word: u8, draft: Draft, band: u8, rounds: u32) -> CallStats {
+fn ran(workload_index: u8, draft: Draft, band: u8, rounds: u32) -> CallStats {
     let accepted: Vec<u32> = (0..u32::from(draft.length)).map(|i| rounds * (8 - i) / 10).collect();
     let tokens = rounds + accepted.iter().sum::<u32>();
-    let workload = Workload::new(&format!("w{word}")).unwrap();
+    let workload = Workload::new(&format!("w{workload_index}")).unwrap();
     CallStats {
         workload,
         draft,
@@ -84,28 +84,42 @@
 struct World {
     members: Vec<DraftLearner>,
     now: Duration,
-    lives: u64,
-    /// Rounds that a member served, in all its lives and in this one.
+    incarnations: u64,
+    /// The rounds that each member served in all its incarnations.
     served: [u64; MEMBERS],
-    this_life: [u64; MEMBERS],
-    wire: Vec<(usize, usize, Vec<u8>)>,
+    /// The rounds that each member served in its current incarnation.
+    this_incarnation: [u64; MEMBERS],
+    in_transit: Vec<(usize, usize, Vec<u8>)>,
 }
 
 impl World {
     fn new() -> Self {
-        let (now, wire) = (Duration::ZERO, Vec::new());
-        let mut world = Self { members: Vec::new(), now, lives: 0, served: [0; 3], this_life: [0; 3], wire };
+        let (now, in_transit) = (Duration::ZERO, Vec::new());
+        let mut world = Self {
+            members: Vec::new(),
+            now,
+            incarnations: 0,
+            served: [0; 3],
+            this_incarnation: [0; 3],
+            in_transit,
+        };
         for who in 0..MEMBERS {
-            let member = world.life(who);
+            let member = world.new_learner(who);
             world.members.push(member);
         }
         world
     }
 
-    fn life(&mut self, who: usize) -> DraftLearner {
-        self.lives += 1;
-        let mut drafts =
-            DraftLearner::new(settings(), MemberId(who as u32), self.lives, self.lives, self.now).unwrap();
+    fn new_learner(&mut self, who: usize) -> DraftLearner {
+        self.incarnations += 1;
+        let mut drafts = DraftLearner::new(
+            settings(),
+            MemberId(who as u32),
+            self.incarnations,
+            self.incarnations,
+            self.now,
+        )
+        .unwrap();
         drafts.set_members((0..MEMBERS as u32).map(MemberId), MEMBERS - 1);
         drafts
     }
@@ -113,10 +127,10 @@
     fn take(&mut self, step: &Step) {
         self.now += Duration::from_millis(100);
         match step.clone() {
-            Step::Serve { who, word, draft, band, rounds } => {
-                self.members[who].record_call(self.now, &ran(word, draft, band, rounds)).unwrap();
+            Step::Serve { who, workload_index, draft, band, rounds } => {
+                self.members[who].record_call(self.now, &ran(workload_index, draft, band, rounds)).unwrap();
                 self.served[who] += u64::from(rounds);
-                self.this_life[who] += u64::from(rounds);
+                self.this_incarnation[who] += u64::from(rounds);
             }
             Step::Wake(who) => {
                 self.now += Duration::from_secs(1);
@@ -125,33 +139,34 @@
                 for o in out {
                     if let Output::Send { to, data } = o {
                         assert!(data.len() <= MAX_DATAGRAM_BYTES);
-                        self.wire.push((who, to.0 as usize, data));
+                        self.in_transit.push((who, to.0 as usize, data));
                     }
                 }
             }
-            Step::Deliver { which, keep } if !self.wire.is_empty() => {
-                let at = which % self.wire.len();
-                let (from, to, data) = if keep { self.wire[at].clone() } else { self.wire.swap_remove(at) };
+            Step::Deliver { which, keep } if !self.in_transit.is_empty() => {
+                let at = which % self.in_transit.len();
+                let (from, to, data) =
+                    if keep { self.in_transit[at].clone() } else { self.in_transit.swap_remove(at) };
                 self.members[to].receive(self.now, MemberId(from as u32), &data, &mut Vec::new());
             }
-            Step::Half { which, bytes } if !self.wire.is_empty() => {
-                let (from, to, data) = self.wire[which % self.wire.len()].clone();
+            Step::Truncate { which, bytes } if !self.in_transit.is_empty() => {
+                let (from, to, data) = self.in_transit[which % self.in_transit.len()].clone();
                 let cut = &data[..bytes.min(data.len() - 1)];
                 self.members[to].receive(self.now, MemberId(from as u32), cut, &mut Vec::new());
             }
-            Step::Drop(which) if !self.wire.is_empty() => {
-                let at = which % self.wire.len();
-                self.wire.swap_remove(at);
+            Step::Drop(which) if !self.in_transit.is_empty() => {
+                let at = which % self.in_transit.len();
+                self.in_transit.swap_remove(at);
             }
             Step::Restart(who) => {
-                self.members[who] = self.life(who);
-                self.this_life[who] = 0;
+                self.members[who] = self.new_learner(who);
+                self.this_incarnation[who] = 0;
             }
             _ => {}
         }
     }
 
-    /// Rounds that one holds of another, told by itself and by others.
+    /// The rounds that member `at` holds of member `of`: reported directly, and relayed.
     fn held(&self, at: usize, of: usize) -> (u64, u64) {
         let view = self.members[at].view(self.now);
         view.members.iter().find(|m| m.member == of as u32).map_or((0, 0), |m| (m.rounds, m.hearsay))
@@ -162,7 +177,7 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(33), ..ProptestConfig::default() })]
 
     #[test]
-    fn nothing_counts_twice(steps in proptest::collection::vec(step(), 1..160)) {
+    fn no_count_is_used_twice(steps in proptest::collection::vec(step(), 1..160)) {
         let mut world = World::new();
         for step in &steps {
             world.take(step);
@@ -172,16 +187,16 @@
                     let (direct, hearsay, most) = (member.rounds, member.hearsay, world.served[member.member as usize]);
                     prop_assert!(direct <= most && hearsay <= most, "at {at}: {member:?} of {most}");
                 }
-                // What weighs is in the sums of the verdicts: never more than all served.
+                // The evaluations never use more rounds than were served.
                 let weighs: u64 = view.workloads.values().map(|w| w.rounds).sum();
                 prop_assert!(weighs <= world.served.iter().sum::<u64>(), "{weighs} weigh at {at}");
             }
         }
-        // All that is still to come arrives, in any order, twice: then this life is known whole.
+        // All outstanding datagrams arrive twice: then all rounds of the current incarnations are known.
         for _ in 0..25 {
             (0..MEMBERS).for_each(|who| world.take(&Step::Wake(who)));
-            while !world.wire.is_empty() {
-                let which = world.wire.len() - 1;
+            while !world.in_transit.is_empty() {
+                let which = world.in_transit.len() - 1;
                 world.take(&Step::Deliver { which, keep: true });
                 world.take(&Step::Deliver { which, keep: false });
             }
@@ -189,52 +204,52 @@
         for at in 0..MEMBERS {
             for of in (0..MEMBERS).filter(|of| *of != at) {
                 let (direct, _) = world.held(at, of);
-                prop_assert!(direct >= world.this_life[of], "{} of {}: {} of {}", at, of, direct, world.this_life[of]);
+                prop_assert!(direct >= world.this_incarnation[of], "{} of {}: {} of {}", at, of, direct, world.this_incarnation[of]);
             }
         }
     }
 
     #[test]
-    fn no_bytes_break_the_reader(
-        noise in proptest::collection::vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES + 20),
+    fn no_datagram_breaks_the_receiver(
+        random_bytes in proptest::collection::vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES + 20),
         flips in proptest::collection::vec((any::<usize>(), any::<u8>()), 1..6),
     ) {
         let mut world = World::new();
         for rounds in 1..20 {
             let draft = Draft { drafter: 1, length: (rounds % 8 + 1) as u8 };
-            world.take(&Step::Serve { who: 0, word: (rounds % 3) as u8, draft, band: 0, rounds });
+            world.take(&Step::Serve { who: 0, workload_index: (rounds % 3) as u8, draft, band: 0, rounds });
         }
         world.take(&Step::Wake(0));
-        let (_, _, real) = world.wire[0].clone();
+        let (_, _, valid) = world.in_transit[0].clone();
         let mut out = Vec::new();
-        world.members[1].receive(world.now, MemberId(0), &noise, &mut out);
-        let mut bent = real.clone();
+        world.members[1].receive(world.now, MemberId(0), &random_bytes, &mut out);
+        let mut corrupted = valid.clone();
         for (at, byte) in flips {
-            let at = at % bent.len();
-            bent[at] ^= byte;
+            let at = at % corrupted.len();
+            corrupted[at] ^= byte;
         }
-        world.members[1].receive(world.now, MemberId(0), &bent, &mut out);
-        world.members[1].receive(world.now, MemberId(77), &real, &mut out);
-        // It goes on to work and to decide.
+        world.members[1].receive(world.now, MemberId(0), &corrupted, &mut out);
+        world.members[1].receive(world.now, MemberId(77), &valid, &mut out);
+        // The receiver continues to send and to evaluate.
         let later = world.now + Duration::from_secs(5);
         world.members[1].wake(later, &mut out);
         let _ = world.members[1].propose(later, &DraftTable::new(), 1);
         let view = world.members[1].view(later);
         prop_assert!(view.rows <= settings().rows_in_all);
-        prop_assert!(view.refused.values().sum::<u64>() > 0, "a stranger is refused at least");
+        prop_assert!(view.refused.values().sum::<u64>() > 0, "at least the unknown member is rejected");
     }
 
-    /// One that makes up lives, words and rows takes no more room than its bound, and leaves others theirs.
+    /// A member that invents incarnations, workloads and rows uses no more than its bounds and leaves room for others.
     #[test]
-    fn what_is_made_up_stays_within_bounds(seed in any::<u64>()) {
+    fn invented_rows_stay_within_bounds(seed in any::<u64>()) {
         let small = Settings { workloads: 8, rows: 32, rows_in_all: 64, lives: 2, ..settings() };
         let now = Duration::from_secs(1);
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut victim = DraftLearner::new(small.clone(), MemberId(1), 1, 1, now).unwrap();
         victim.set_members([MemberId(2), MemberId(3)], 2);
-        for life in 0..12 {
+        for incarnation in 0..12 {
             let big = Settings { rows: 4_096, rows_in_all: 4_096, workloads: 1_024, ..settings() };
-            let mut forger = DraftLearner::new(big, MemberId(2), life, seed, now).unwrap();
+            let mut forger = DraftLearner::new(big, MemberId(2), incarnation, seed, now).unwrap();
             forger.set_members([MemberId(1)], 1);
             for _ in 0..60 {
                 let draft = Draft { drafter: 1, length: rng.u8(1..=8) };
@@ -253,14 +268,14 @@
             prop_assert!(view.rows <= 64, "{} rows", view.rows);
             prop_assert!(view.members.iter().all(|m| m.lives <= 2));
         }
-        let mine = victim.record_call(now, &ran(200, Draft::OFF, 0, 5));
-        // Rows of one member do not fill the whole here, and words of others only the half.
-        prop_assert!(mine.is_ok() || victim.view(now).rows >= 64, "{mine:?}");
+        let own_call = victim.record_call(now, &ran(200, Draft::OFF, 0, 5));
+        // The rows of one member do not fill the whole store here, and workloads of others use at most half of the capacity.
+        prop_assert!(own_call.is_ok() || victim.view(now).rows >= 64, "{own_call:?}");
     }
 }
 
 #[test]
-fn counts_that_cannot_be_are_refused_by_reason() {
+fn impossible_counts_are_rejected_with_the_reason() {
     let now = Duration::from_secs(1);
     let mut drafts = DraftLearner::new(settings(), MemberId(1), 1, 1, now).unwrap();
     let good = ran(0, Draft { drafter: 1, length: 3 }, 0, 10);
@@ -284,6 +299,6 @@
         assert_eq!(drafts.record_call(now, &bad), Err(why), "{bad:?}");
     }
     let view = drafts.view(now);
-    assert_eq!(view.members[0].rounds, 10, "nothing of them was counted");
+    assert_eq!(view.members[0].rounds, 10, "rejected calls are not counted");
     assert_eq!(view.refused.values().sum::<u64>(), 10);
 }
