--- a/crates/admission/src/adaptive.rs
+++ b/crates/admission/src/adaptive.rs
@@ -54,7 +54,7 @@
 const TENANT_ACTIVE_US: Micros = 1_000_000;
 /// The fraction of the limit above which requests of the lowest value are refused; those of the highest are admitted up
 /// to the limit.
-const LOWEST_VALUE_FRACTION: f64 = 0.8;
+const LOW_VALUE_SHARE: f64 = 0.8;
 /// The limit is adjusted only if the peak of concurrent requests reached this fraction of it.
 const BUSY_FRACTION: f64 = 0.7;
 /// The factor of a multiplicative decrease.
@@ -71,7 +71,9 @@
 
 #[derive(Debug, Default)]
 struct Class {
+    /// Service times since the last adjustment.
     samples: Vec<Micros>,
+    /// The lowest median of each floor period, by its start.
     medians: BTreeMap<Micros, Micros>,
 }
 
@@ -141,8 +143,7 @@
             let t = self.tenants.entry(tenant).or_default();
             (t.last_request_at, t.share) = (now, share.max(0.0));
         }
-        let value_limit =
-            self.limit * (LOWEST_VALUE_FRACTION + (1.0 - LOWEST_VALUE_FRACTION) * worth.clamp(0.0, 1.0));
+        let value_limit = self.limit * (LOW_VALUE_SHARE + (1.0 - LOW_VALUE_SHARE) * worth.clamp(0.0, 1.0));
         if f64::from(self.in_flight) + 1.0 > value_limit.max(1.0) {
             return Err(LimitRefusal::Full);
         }
@@ -152,9 +153,8 @@
         let own = self.tenants.get(&tenant);
         if own.is_some_and(|t| f64::from(t.in_flight) + 1.0 > entitled(t).max(1.0)) {
             let others = self.tenants.iter().filter(|(id, t)| **id != tenant && is_active(t));
-            let reserved_for_others: f64 =
-                others.map(|(_, t)| (entitled(t) - f64::from(t.in_flight)).max(0.0)).sum();
-            if self.limit - f64::from(self.in_flight) - reserved_for_others < 1.0 {
+            let reserved: f64 = others.map(|(_, t)| (entitled(t) - f64::from(t.in_flight)).max(0.0)).sum();
+            if self.limit - f64::from(self.in_flight) - reserved < 1.0 {
                 return Err(LimitRefusal::Share);
             }
         }
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -9,28 +9,28 @@
 use crate::adaptive::{AdaptiveLimit, LimitRefusal};
 use crate::prefix::Prefix;
 use crate::rules::{Caps, Rules, MAX_PREFIXES};
-use crate::table::{AddressEntry, AddressTable};
+use crate::table::{AddressTable, Entry};
 
 /// The weight of an admitted connection or request in the address tables.
-const ADMITTED_WEIGHT: f64 = 1.0;
+const ADMITTED: f64 = 1.0;
 /// The weight of a refusal: higher, so that misbehaving clients stay in the tables.
-const REFUSED_WEIGHT: f64 = 10.0;
+const REFUSED: f64 = 10.0;
 /// The maximum number of prefixes that a refusal summary lists; the rest are counted together.
 pub const MAX_SUMMARY_PREFIXES: usize = 20;
 /// The interval between refusal summaries.
 pub const SUMMARY_INTERVAL_US: Micros = 1_000_000;
 /// The maximum number of doublings of a penalty; the maximum duration applies long before.
-const MAX_PENALTY_LEVEL: u32 = 40;
+const MAX_LEVEL: u32 = 40;
 /// The maximum number of entries handed to a successor process, those of the highest weight first.
 const MAX_HANDED_ENTRIES: usize = 2_000;
 /// The maximum number of tenants whose open requests are counted separately.
 const MAX_TENANTS: usize = 1_024;
 /// The suggested wait after a refusal that may soon be over.
-const RETRY_AFTER_US: Micros = 1_000_000;
+const RETRY_US: Micros = 1_000_000;
 
 /// Why a connection or request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RefusalReason {
+pub enum Reason {
     /// The prefix is blocked by an operator.
     Blocked,
     /// The client is penalized for repeated refusals.
@@ -55,30 +55,27 @@
     TableFull,
 }
 
-impl RefusalReason {
+impl Reason {
     /// The name in log lines and responses.
     pub fn as_str(self) -> &'static str {
         match self {
-            RefusalReason::Blocked => "blocked",
-            RefusalReason::Penalty => "penalty",
-            RefusalReason::Connections => "connections",
-            RefusalReason::ConnectRate => "connect_rate",
-            RefusalReason::RequestRate => "request_rate",
-            RefusalReason::Open => "open",
-            RefusalReason::OpenBytes => "open_bytes",
-            RefusalReason::Tenant => "tenant",
-            RefusalReason::Busy => "busy",
-            RefusalReason::Share => "share",
-            RefusalReason::TableFull => "table",
+            Reason::Blocked => "blocked",
+            Reason::Penalty => "penalty",
+            Reason::Connections => "connections",
+            Reason::ConnectRate => "connect_rate",
+            Reason::RequestRate => "request_rate",
+            Reason::Open => "open",
+            Reason::OpenBytes => "open_bytes",
+            Reason::Tenant => "tenant",
+            Reason::Busy => "busy",
+            Reason::Share => "share",
+            Reason::TableFull => "table",
         }
     }
 
     /// Whether the client's own behaviour caused the refusal, rather than the load of the service or the tenant.
     pub fn is_client_fault(self) -> bool {
-        !matches!(
-            self,
-            RefusalReason::Busy | RefusalReason::Share | RefusalReason::TableFull | RefusalReason::Tenant
-        )
+        !matches!(self, Reason::Busy | Reason::Share | Reason::TableFull | Reason::Tenant)
     }
 }
 
@@ -113,7 +110,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RefusalSummary {
     /// Prefix, reason and count, by descending count.
-    pub top: Vec<(Prefix, RefusalReason, u64)>,
+    pub top: Vec<(Prefix, Reason, u64)>,
     /// The number of all other refusals.
     pub others: u64,
 }
@@ -151,9 +148,9 @@
 pub struct Admission {
     rules: Rules,
     /// The state of client addresses.
-    per_client: AddressTable,
+    clients: AddressTable,
     /// The state of neighbourhoods.
-    per_neighbourhood: AddressTable,
+    areas: AddressTable,
     tenants: BTreeMap<Option<usize>, TenantState>,
     blocked: BTreeSet<Prefix>,
     known: BTreeSet<Prefix>,
@@ -161,25 +158,25 @@
     /// When the last refusal summary was taken.
     summary_at: Micros,
     /// Refusals since then that are counted by client and reason.
-    refused: BTreeMap<(Prefix, RefusalReason), u64>,
+    refused: BTreeMap<(Prefix, Reason), u64>,
     /// All other refusals since then.
     others: u64,
     /// The number of refusals since the start.
     pub total_refusals: u64,
 }
 
-fn connection_cap_exceeded(entry: &AddressEntry, caps: &Caps, factor: f64) -> Option<RefusalReason> {
+fn connection_cap(entry: &Entry, caps: &Caps, factor: f64) -> Option<Reason> {
     let most = |cap: u32| (f64::from(cap) * factor) as u64;
     (caps.connections.is_some_and(|cap| u64::from(entry.connections) >= most(cap)))
-        .then_some(RefusalReason::Connections)
+        .then_some(Reason::Connections)
 }
 
-fn request_cap_exceeded(entry: &AddressEntry, caps: &Caps, factor: f64, size: u64) -> Option<RefusalReason> {
+fn request_cap(entry: &Entry, caps: &Caps, factor: f64, size: u64) -> Option<Reason> {
     let most = |cap: f64| (cap * factor) as u64;
     if caps.open.is_some_and(|cap| u64::from(entry.open) >= most(cap.into())) {
-        Some(RefusalReason::Open)
+        Some(Reason::Open)
     } else if caps.open_bytes.is_some_and(|cap| entry.bytes.saturating_add(size) > most(cap as f64)) {
-        Some(RefusalReason::OpenBytes)
+        Some(Reason::OpenBytes)
     } else {
         None
     }
@@ -189,8 +186,8 @@
     /// Creates admission control with rules that passed [`Rules::check`].
     pub fn new(rules: Rules) -> Self {
         Self {
-            per_client: AddressTable::new(rules.entries),
-            per_neighbourhood: AddressTable::new(rules.entries),
+            clients: AddressTable::new(rules.entries),
+            areas: AddressTable::new(rules.entries),
             tenants: BTreeMap::new(),
             blocked: BTreeSet::new(),
             known: rules.known.iter().copied().collect(),
@@ -210,8 +207,8 @@
             self.known.remove(prefix);
         }
         self.known.extend(rules.known.iter().copied());
-        self.per_client.set_capacity(rules.entries);
-        self.per_neighbourhood.set_capacity(rules.entries);
+        self.clients.set_capacity(rules.entries);
+        self.areas.set_capacity(rules.entries);
         match (&mut self.adaptive, &rules.adaptive) {
             (Some(adaptive), Some(rules)) => adaptive.set_rules(rules.clone()),
             (slot, rules) => *slot = rules.clone().map(AdaptiveLimit::new),
@@ -229,7 +226,7 @@
         self.rules.proxies.iter().any(|p| p.contains(from))
     }
 
-    fn recent_served_calls(&self, now: Micros, entry: &AddressEntry) -> f64 {
+    fn recent_served_calls(&self, now: Micros, entry: &Entry) -> f64 {
         let half = self.rules.learn_half_ms as f64 * 1000.0;
         entry.served * (-((now - entry.served_at).max(0) as f64) / half).exp2()
     }
@@ -240,9 +237,9 @@
             return ClientStatus::Known;
         }
         let learns = self.rules.learn_calls > 0.0;
-        let entry = self.per_client.get(&Prefix::client(from)).filter(|_| learns);
+        let entry = self.clients.get(&Prefix::client(from)).filter(|_| learns);
         let suspended =
-            |e: &AddressEntry| e.suspended_until > now && e.suspended_until <= now + self.rules.suspension();
+            |e: &Entry| e.suspended_until > now && e.suspended_until <= now + self.rules.suspension();
         match entry {
             Some(e) if !suspended(e) && self.recent_served_calls(now, e) >= self.rules.learn_calls => {
                 ClientStatus::Known
@@ -251,8 +248,8 @@
         }
     }
 
-    fn factor(&self, client_status: ClientStatus) -> f64 {
-        match client_status {
+    fn factor(&self, status: ClientStatus) -> f64 {
+        match status {
             ClientStatus::Known => self.rules.known_factor,
             ClientStatus::Unknown => 1.0,
         }
@@ -262,10 +259,10 @@
     ///
     /// # Errors
     /// Why the connection must be closed without reading from it; then it does not count.
-    pub fn connect(&mut self, now: Micros, from: ClientAddress) -> Result<ClientStatus, RefusalReason> {
-        let client_status = self.client_status(now, from);
-        match self.try_connect(now, from, client_status) {
-            Ok(()) => Ok(client_status),
+    pub fn connect(&mut self, now: Micros, from: ClientAddress) -> Result<ClientStatus, Reason> {
+        let status = self.client_status(now, from);
+        match self.try_connect(now, from, status) {
+            Ok(()) => Ok(status),
             Err(reason) => {
                 self.record_refusal(now, from, reason);
                 Err(reason)
@@ -273,62 +270,54 @@
         }
     }
 
-    fn try_connect(
-        &mut self,
-        now: Micros,
-        from: ClientAddress,
-        client_status: ClientStatus,
-    ) -> Result<(), RefusalReason> {
+    fn try_connect(&mut self, now: Micros, from: ClientAddress, status: ClientStatus) -> Result<(), Reason> {
         if self.blocked.iter().any(|p| p.contains(from)) {
-            return Err(RefusalReason::Blocked);
+            return Err(Reason::Blocked);
         }
-        let (client_key, neighbourhood_key) = (Prefix::client(from), Prefix::neighbourhood(from));
-        let max_duration = self.rules.penalty.longest_ms as Micros * 1000;
-        let closed = |e: &AddressEntry| e.closed_until > now && e.closed_until <= now + max_duration;
-        if self.per_client.get(&client_key).is_some_and(closed) {
-            return Err(RefusalReason::Penalty);
+        let (client, area) = (Prefix::client(from), Prefix::neighbourhood(from));
+        let longest = self.rules.penalty.longest_ms as Micros * 1000;
+        let closed = |e: &Entry| e.closed_until > now && e.closed_until <= now + longest;
+        if self.clients.get(&client).is_some_and(closed) {
+            return Err(Reason::Penalty);
         }
-        let factor = self.factor(client_status);
+        let factor = self.factor(status);
         // Checks all caps before the rate limits, so that a refusal by a cap uses up no rate.
         let (a, n) = (&self.rules.address, &self.rules.neighbourhood);
-        let exceeded = self.per_client.get(&client_key).and_then(|e| connection_cap_exceeded(e, a, factor));
-        let exceeded = exceeded.or_else(|| {
-            self.per_neighbourhood.get(&neighbourhood_key).and_then(|e| connection_cap_exceeded(e, n, factor))
-        });
-        if let Some(reason) = exceeded {
+        let refusal = self.clients.get(&client).and_then(|e| connection_cap(e, a, factor));
+        let refusal = refusal.or_else(|| self.areas.get(&area).and_then(|e| connection_cap(e, n, factor)));
+        if let Some(reason) = refusal {
             return Err(reason);
         }
-        for (table, key, rate) in [
-            (&mut self.per_client, client_key, &a.connect_rate),
-            (&mut self.per_neighbourhood, neighbourhood_key, &n.connect_rate),
-        ] {
+        for (table, key, rate) in
+            [(&mut self.clients, client, &a.connect_rate), (&mut self.areas, area, &n.connect_rate)]
+        {
             let scaled = rate.map(|r| r.times(factor));
-            let took = table.update(now, key, ADMITTED_WEIGHT, |e| {
+            let took = table.update(now, key, ADMITTED, |e| {
                 scaled.is_none_or(|r| e.connect_limiter.take(now, &r).is_ok())
             });
             match took {
                 Some(true) => {}
-                Some(false) => return Err(RefusalReason::ConnectRate),
-                None => return Err(RefusalReason::TableFull),
+                Some(false) => return Err(Reason::ConnectRate),
+                None => return Err(Reason::TableFull),
             }
         }
-        self.per_client.update(now, client_key, 0.0, |e| e.connections += 1);
-        self.per_neighbourhood.update(now, neighbourhood_key, 0.0, |e| e.connections += 1);
+        self.clients.update(now, client, 0.0, |e| e.connections += 1);
+        self.areas.update(now, area, 0.0, |e| e.connections += 1);
         Ok(())
     }
 
     /// Ends an admitted connection.
     pub fn connection_closed(&mut self, now: Micros, from: ClientAddress) {
-        let decrement = |e: &mut AddressEntry| e.connections = e.connections.saturating_sub(1);
-        self.per_client.update(now, Prefix::client(from), 0.0, decrement);
-        self.per_neighbourhood.update(now, Prefix::neighbourhood(from), 0.0, decrement);
+        let decrement = |e: &mut Entry| e.connections = e.connections.saturating_sub(1);
+        self.clients.update(now, Prefix::client(from), 0.0, decrement);
+        self.areas.update(now, Prefix::neighbourhood(from), 0.0, decrement);
     }
 
     /// Admits a request, which counts until [`Admission::request_done`].
     ///
     /// # Errors
     /// Why the request is refused, and how long to wait before a retry; then it does not count.
-    pub fn admit_request(&mut self, now: Micros, info: &RequestInfo) -> Result<(), (RefusalReason, Micros)> {
+    pub fn admit_request(&mut self, now: Micros, info: &RequestInfo) -> Result<(), (Reason, Micros)> {
         let taken = self.try_request(now, info);
         if let Err((reason, _)) = taken {
             self.record_refusal(now, info.from, reason);
@@ -336,22 +325,18 @@
         taken
     }
 
-    fn try_request(&mut self, now: Micros, info: &RequestInfo) -> Result<(), (RefusalReason, Micros)> {
-        let (client_key, neighbourhood_key) = (Prefix::client(info.from), Prefix::neighbourhood(info.from));
+    fn try_request(&mut self, now: Micros, info: &RequestInfo) -> Result<(), (Reason, Micros)> {
+        let (client, area) = (Prefix::client(info.from), Prefix::neighbourhood(info.from));
         if self.blocked.iter().any(|p| p.contains(info.from)) {
-            return Err((RefusalReason::Blocked, 60 * RETRY_AFTER_US));
+            return Err((Reason::Blocked, 60 * RETRY_US));
         }
         let factor = self.factor(self.client_status(now, info.from));
         let (a, n, t) = (&self.rules.address, &self.rules.neighbourhood, &self.rules.tenant);
-        let exceeded =
-            self.per_client.get(&client_key).and_then(|e| request_cap_exceeded(e, a, factor, info.size));
-        let exceeded = exceeded.or_else(|| {
-            self.per_neighbourhood
-                .get(&neighbourhood_key)
-                .and_then(|e| request_cap_exceeded(e, n, factor, info.size))
-        });
-        if let Some(reason) = exceeded {
-            return Err((reason, RETRY_AFTER_US));
+        let refusal = self.clients.get(&client).and_then(|e| request_cap(e, a, factor, info.size));
+        let refusal =
+            refusal.or_else(|| self.areas.get(&area).and_then(|e| request_cap(e, n, factor, info.size)));
+        if let Some(reason) = refusal {
+            return Err((reason, RETRY_US));
         }
         let tracked = self.tenants.len() < MAX_TENANTS || self.tenants.contains_key(&info.tenant);
         if tracked {
@@ -359,38 +344,36 @@
             let open = t.open.is_some_and(|cap| tenant.open >= cap);
             let bytes = t.open_bytes.is_some_and(|cap| tenant.bytes.saturating_add(info.size) > cap);
             if open || bytes {
-                return Err((RefusalReason::Tenant, RETRY_AFTER_US));
+                return Err((Reason::Tenant, RETRY_US));
             }
         }
-        for (table, key, rate) in [
-            (&mut self.per_client, client_key, &a.request_rate),
-            (&mut self.per_neighbourhood, neighbourhood_key, &n.request_rate),
-        ] {
+        for (table, key, rate) in
+            [(&mut self.clients, client, &a.request_rate), (&mut self.areas, area, &n.request_rate)]
+        {
             let scaled = rate.map(|r| r.times(factor));
-            let took = table.update(now, key, ADMITTED_WEIGHT, |e| {
-                scaled.map_or(Ok(()), |r| e.request_limiter.take(now, &r))
-            });
+            let took = table
+                .update(now, key, ADMITTED, |e| scaled.map_or(Ok(()), |r| e.request_limiter.take(now, &r)));
             match took {
                 Some(Ok(())) => {}
-                Some(Err(wait)) => return Err((RefusalReason::RequestRate, wait)),
-                None => return Err((RefusalReason::TableFull, RETRY_AFTER_US)),
+                Some(Err(wait)) => return Err((Reason::RequestRate, wait)),
+                None => return Err((Reason::TableFull, RETRY_US)),
             }
         }
         if let (Some(rate), Some(tenant)) = (&t.request_rate, self.tenants.get_mut(&info.tenant)) {
-            tenant.rate.take(now, rate).map_err(|wait| (RefusalReason::Tenant, wait))?;
+            tenant.rate.take(now, rate).map_err(|wait| (Reason::Tenant, wait))?;
         }
         if let Some(adaptive) = &mut self.adaptive {
             adaptive.take(now, info.worth, info.tenant, info.share).map_err(|refused| match refused {
-                LimitRefusal::Full => (RefusalReason::Busy, RETRY_AFTER_US),
-                LimitRefusal::Share => (RefusalReason::Share, RETRY_AFTER_US),
+                LimitRefusal::Full => (Reason::Busy, RETRY_US),
+                LimitRefusal::Share => (Reason::Share, RETRY_US),
             })?;
         }
-        let increment = |e: &mut AddressEntry| {
+        let increment = |e: &mut Entry| {
             e.open += 1;
             e.bytes = e.bytes.saturating_add(info.size);
         };
-        self.per_client.update(now, client_key, 0.0, increment);
-        self.per_neighbourhood.update(now, neighbourhood_key, 0.0, increment);
+        self.clients.update(now, client, 0.0, increment);
+        self.areas.update(now, area, 0.0, increment);
         if let Some(tenant) = self.tenants.get_mut(&info.tenant) {
             (tenant.open, tenant.bytes) = (tenant.open + 1, tenant.bytes.saturating_add(info.size));
         }
@@ -399,36 +382,36 @@
 
     /// Whether the blocks, caps or rate limits of the client and its neighbourhood would refuse a request now, and how long
     /// to wait. Counts nothing.
-    pub fn check_request(&self, now: Micros, info: &RequestInfo) -> Option<(RefusalReason, Micros)> {
+    pub fn check_request(&self, now: Micros, info: &RequestInfo) -> Option<(Reason, Micros)> {
         if self.is_blocked(info.from) {
-            return Some((RefusalReason::Blocked, 60 * RETRY_AFTER_US));
+            return Some((Reason::Blocked, 60 * RETRY_US));
         }
         let factor = self.factor(self.client_status(now, info.from));
         let (a, n) = (&self.rules.address, &self.rules.neighbourhood);
-        let per_client = self.per_client.get(&Prefix::client(info.from));
-        let per_neighbourhood = self.per_neighbourhood.get(&Prefix::neighbourhood(info.from));
-        for (entry, caps) in [(per_client, a), (per_neighbourhood, n)] {
+        let clients = self.clients.get(&Prefix::client(info.from));
+        let areas = self.areas.get(&Prefix::neighbourhood(info.from));
+        for (entry, caps) in [(clients, a), (areas, n)] {
             let Some(entry) = entry else { continue };
-            if let Some(reason) = request_cap_exceeded(entry, caps, factor, info.size) {
-                return Some((reason, RETRY_AFTER_US));
+            if let Some(reason) = request_cap(entry, caps, factor, info.size) {
+                return Some((reason, RETRY_US));
             }
             let rate = caps.request_rate.map(|r| r.times(factor));
             if let Some(wait) = rate.and_then(|r| entry.request_limiter.wait(now, &r)) {
-                return Some((RefusalReason::RequestRate, wait));
+                return Some((Reason::RequestRate, wait));
             }
         }
         None
     }
 
     /// Counts a refusal that [`Admission::check_request`] returned.
-    pub fn count_refusal(&mut self, now: Micros, from: ClientAddress, reason: RefusalReason) {
+    pub fn count_refusal(&mut self, now: Micros, from: ClientAddress, reason: Reason) {
         self.record_refusal(now, from, reason);
     }
 
     /// Ends an admitted request. `took` is its service time, `None` if it was not served.
     pub fn request_done(&mut self, now: Micros, info: &RequestInfo, class: usize, took: Option<Micros>) {
         let half = self.rules.learn_half_ms as f64 * 1000.0;
-        let decrement = |e: &mut AddressEntry| {
+        let decrement = |e: &mut Entry| {
             e.open = e.open.saturating_sub(1);
             e.bytes = e.bytes.saturating_sub(info.size);
             if took.is_some() {
@@ -437,8 +420,8 @@
                 e.served_at = now;
             }
         };
-        self.per_client.update(now, Prefix::client(info.from), 0.0, decrement);
-        self.per_neighbourhood.update(now, Prefix::neighbourhood(info.from), 0.0, decrement);
+        self.clients.update(now, Prefix::client(info.from), 0.0, decrement);
+        self.areas.update(now, Prefix::neighbourhood(info.from), 0.0, decrement);
         if let Some(tenant) = self.tenants.get_mut(&info.tenant) {
             tenant.open = tenant.open.saturating_sub(1);
             tenant.bytes = tenant.bytes.saturating_sub(info.size);
@@ -449,7 +432,7 @@
     }
 
     /// Counts a refusal. One that the client caused also suspends its learned status and may start a penalty.
-    fn record_refusal(&mut self, now: Micros, from: ClientAddress, reason: RefusalReason) {
+    fn record_refusal(&mut self, now: Micros, from: ClientAddress, reason: Reason) {
         self.total_refusals = self.total_refusals.saturating_add(1);
         let key = (Prefix::client(from), reason);
         // Tracks more keys than a summary lists, so that the most frequent ones are likely to be among them.
@@ -464,11 +447,11 @@
         }
         let (p, suspended) = (&self.rules.penalty, self.rules.suspension());
         let (window, first) = (p.window_ms as Micros * 1000, p.first_ms as Micros * 1000);
-        let (max_duration, refusals) = (p.longest_ms as Micros * 1000, p.refusals);
-        let apply_refusal = |e: &mut AddressEntry| {
+        let (longest, refusals) = (p.longest_ms as Micros * 1000, p.refusals);
+        let apply_refusal = |e: &mut Entry| {
             e.refused = e.refused.saturating_add(1);
             // A connection closed because of a penalty does not extend the penalty.
-            if reason == RefusalReason::Penalty {
+            if reason == Reason::Penalty {
                 return;
             }
             e.suspended_until = now + suspended;
@@ -478,19 +461,17 @@
             e.recent_refusals = e.recent_refusals.saturating_add(1);
             if e.recent_refusals >= refusals {
                 // The level falls by one for each maximum penalty duration since the end of the last penalty.
-                let forgiven = (now - e.closed_until).max(0) / max_duration.max(1);
-                e.level = e.level.saturating_sub(forgiven.min(i64::from(MAX_PENALTY_LEVEL)) as u32);
-                let time =
-                    first.saturating_mul(1 << e.level.min(MAX_PENALTY_LEVEL)).clamp(first, max_duration);
+                let forgiven = (now - e.closed_until).max(0) / longest.max(1);
+                e.level = e.level.saturating_sub(forgiven.min(i64::from(MAX_LEVEL)) as u32);
+                let time = first.saturating_mul(1 << e.level.min(MAX_LEVEL)).clamp(first, longest);
                 e.closed_until = now + time;
-                e.level = (e.level + 1).min(MAX_PENALTY_LEVEL);
+                e.level = (e.level + 1).min(MAX_LEVEL);
                 (e.window_start, e.recent_refusals) = (now, 0);
             }
         };
-        self.per_client.update(now, key.0, REFUSED_WEIGHT, apply_refusal);
-        self.per_neighbourhood.update(now, Prefix::neighbourhood(from), REFUSED_WEIGHT, |e| {
-            e.refused = e.refused.saturating_add(1)
-        });
+        self.clients.update(now, key.0, REFUSED, apply_refusal);
+        self.areas
+            .update(now, Prefix::neighbourhood(from), REFUSED, |e| e.refused = e.refused.saturating_add(1));
     }
 
     /// Takes the summary of refusals, if the interval since the last one is over and there were any.
@@ -519,8 +500,8 @@
     /// Unblocks a prefix, and ends the penalty of the client with exactly this prefix.
     pub fn unblock(&mut self, now: Micros, prefix: Prefix) {
         self.blocked.remove(&prefix);
-        if self.per_client.get(&prefix).is_some() {
-            self.per_client
+        if self.clients.get(&prefix).is_some() {
+            self.clients
                 .update(now, prefix, 0.0, |e| (e.closed_until, e.level, e.recent_refusals) = (0, 0, 0));
         }
     }
@@ -549,7 +530,7 @@
 
     /// The tables of client addresses and of neighbourhoods.
     pub fn tables(&self) -> (&AddressTable, &AddressTable) {
-        (&self.per_client, &self.per_neighbourhood)
+        (&self.clients, &self.areas)
     }
 
     /// The adaptive limit and the number of concurrent requests, if the limit is enabled.
@@ -559,8 +540,8 @@
 
     /// The state for a successor process.
     pub fn learned_state(&self, now: Micros) -> LearnedState {
-        let is_relevant = |e: &&AddressEntry| e.served > 0.0 || e.closed_until > now || e.refused > 0;
-        let heaviest = self.per_client.heaviest(now, MAX_HANDED_ENTRIES);
+        let is_relevant = |e: &&Entry| e.served > 0.0 || e.closed_until > now || e.refused > 0;
+        let heaviest = self.clients.heaviest(now, MAX_HANDED_ENTRIES);
         let entries =
             heaviest.into_iter().filter(|(.., e)| is_relevant(e)).map(|(prefix, .., e)| EntryState {
                 prefix,
@@ -588,14 +569,14 @@
             self.set_known(prefix, true);
         }
         for p in state.entries.into_iter().take(MAX_HANDED_ENTRIES) {
-            let weight = ADMITTED_WEIGHT + REFUSED_WEIGHT * (p.refused.min(1 << 20) as f64);
-            self.per_client.update(now, p.prefix, weight, |e| {
+            let weight = ADMITTED + REFUSED * (p.refused.min(1 << 20) as f64);
+            self.clients.update(now, p.prefix, weight, |e| {
                 if p.served.is_finite() && p.served > e.served {
                     (e.served, e.served_at) = (p.served, p.served_at.min(now));
                 }
                 e.suspended_until = e.suspended_until.max(p.suspended_until);
                 e.closed_until = e.closed_until.max(p.closed_until);
-                e.level = e.level.max(p.level.min(MAX_PENALTY_LEVEL));
+                e.level = e.level.max(p.level.min(MAX_LEVEL));
                 e.refused = e.refused.max(p.refused);
             });
         }
--- a/crates/admission/src/ledger.rs
+++ b/crates/admission/src/ledger.rs
@@ -19,7 +19,7 @@
     Others,
     /// Calls by operators.
     Operators,
-    /// The process itself: listeners, bus, resolver, the connection to the other process during an upgrade.
+    /// The process itself: listeners, the bus, the resolver, and the other process during an upgrade.
     Own,
 }
 
@@ -110,9 +110,7 @@
                 (self.limit, self.reserve) = (limit, reserve);
                 Ok(())
             }
-            None => Err(LedgerError(format!(
-                "the sum of the reserves {reserve:?} is more than the limit of {limit}"
-            ))),
+            None => Err(LedgerError(format!("the reserves {reserve:?} are more than the limit of {limit}"))),
         }
     }
 
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -19,10 +19,10 @@
 
 pub use adaptive::{AdaptiveLimit, AdaptiveRules, LimitRefusal};
 pub use admission::{
-    Admission, ClientAddress, ClientStatus, LearnedState, RefusalReason, RefusalSummary, RequestInfo,
+    Admission, ClientAddress, ClientStatus, LearnedState, Reason, RefusalSummary, RequestInfo,
 };
 pub use ledger::{Ledger, LedgerError, Owner, TakeOutcome};
 pub use prefix::{Prefix, PrefixError};
 pub use rate::{Rate, RateLimiter};
 pub use rules::{Caps, Penalty, Rules, RulesError};
-pub use table::{AddressEntry, AddressTable};
+pub use table::{AddressTable, Entry};
--- a/crates/admission/src/prefix.rs
+++ b/crates/admission/src/prefix.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The number of bits before the IPv4 address in an IPv4-mapped IPv6 address.
-const MAPPED_PREFIX_BITS: u8 = 96;
+const MAPPED_BITS: u8 = 96;
 
 /// A prefix of IPv4 or IPv6 addresses.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
 
     fn truncate(address: IpAddr, v4_len: u8, v6_len: u8) -> Self {
         let bits = bits(address);
-        let len = if is_mapped(bits) { MAPPED_PREFIX_BITS + v4_len } else { v6_len };
+        let len = if is_mapped(bits) { MAPPED_BITS + v4_len } else { v6_len };
         Self { bits: bits & mask(len), len }
     }
 
@@ -82,25 +82,21 @@
         let error = |why: &str| PrefixError(format!("{text:?} {why}"));
         let (address, len) = text.split_once('/').map_or((text, None), |(a, l)| (a, Some(l)));
         let address: IpAddr = address.parse().map_err(|_| error("is not an address or prefix"))?;
-        let address_bits = if address.is_ipv4() { 32 } else { 128 };
+        let width = if address.is_ipv4() { 32 } else { 128 };
         let digits = |l: &str| !l.is_empty() && l.len() <= 3 && l.bytes().all(|b| b.is_ascii_digit());
         let len = match len {
-            None => address_bits,
-            Some(l) if digits(l) => {
-                l.parse::<u8>().map_err(|_| error("has a prefix length beyond its address"))?
-            }
-            Some(_) => return Err(error("has a prefix length that is not a number")),
+            None => width,
+            Some(l) if digits(l) => l.parse::<u8>().map_err(|_| error("has a length beyond its address"))?,
+            Some(_) => return Err(error("has a length that is not a number")),
         };
-        if len > address_bits {
-            return Err(error("has a prefix length beyond its address"));
+        if len > width {
+            return Err(error("has a length beyond its address"));
         }
-        let len = if address.is_ipv4() { len + MAPPED_PREFIX_BITS } else { len };
+        let len = if address.is_ipv4() { len + MAPPED_BITS } else { len };
         let all = bits(address);
         if all & !mask(len) != 0 {
-            let truncated = Self { bits: all & mask(len), len };
-            return Err(error(&format!(
-                "has bits set beyond its prefix length; use {truncated} or a longer prefix"
-            )));
+            let cut = Self { bits: all & mask(len), len };
+            return Err(error(&format!("has bits beyond its length; use {cut} or a longer prefix")));
         }
         Ok(Self { bits: all, len })
     }
@@ -108,13 +104,12 @@
 
 impl fmt::Display for Prefix {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (address, len, address_bits): (IpAddr, u8, u8) =
-            if is_mapped(self.bits) && self.len >= MAPPED_PREFIX_BITS {
-                (Ipv4Addr::from(self.bits as u32).into(), self.len - MAPPED_PREFIX_BITS, 32)
-            } else {
-                (Ipv6Addr::from(self.bits).into(), self.len, 128)
-            };
-        if len == address_bits {
+        let (address, len, width): (IpAddr, u8, u8) = if is_mapped(self.bits) && self.len >= MAPPED_BITS {
+            (Ipv4Addr::from(self.bits as u32).into(), self.len - MAPPED_BITS, 32)
+        } else {
+            (Ipv6Addr::from(self.bits).into(), self.len, 128)
+        };
+        if len == width {
             write!(f, "{address}")
         } else {
             write!(f, "{address}/{len}")
--- a/crates/admission/src/rules.rs
+++ b/crates/admission/src/rules.rs
@@ -118,8 +118,8 @@
     /// # Errors
     /// The first invalid setting, with its key and the allowed values.
     pub fn check(&self, descriptors: usize) -> Result<(), RulesError> {
-        let reject_if = |invalid: bool, what: String| if invalid { Err(RulesError(what)) } else { Ok(()) };
-        reject_if(
+        let err_if = |invalid: bool, what: String| if invalid { Err(RulesError(what)) } else { Ok(()) };
+        err_if(
             self.entries < 2 * descriptors || self.entries > 1 << 22,
             format!(
                 "entries must be at least {}, twice the descriptors, and at most {}",
@@ -132,37 +132,28 @@
         for (level, caps) in levels {
             for (name, rate) in [("connect_rate", &caps.connect_rate), ("request_rate", &caps.request_rate)] {
                 let valid = rate.is_none_or(|r| r.is_valid());
-                reject_if(
-                    !valid,
-                    format!("{level}.{name}: per_second must be above 0 and burst at least 1"),
-                )?;
+                err_if(!valid, format!("{level}.{name}: per_second above 0, burst at least 1"))?;
             }
-            let zero_cap = [caps.connections, caps.open].contains(&Some(0)) || caps.open_bytes == Some(0);
-            reject_if(
-                zero_cap,
-                format!("{level}: a cap of 0 admits nobody; omit the cap, or block the prefix"),
-            )?;
+            let zero = [caps.connections, caps.open].contains(&Some(0)) || caps.open_bytes == Some(0);
+            err_if(zero, format!("{level}: a cap of 0 admits nobody; omit it, or block the prefix"))?;
         }
         let tenant = self.tenant.connections.is_some() || self.tenant.connect_rate.is_some();
-        reject_if(tenant, "tenant: connections have no tenant; cap open, open_bytes or request_rate".into())?;
-        reject_if(!(1.0..=1e6).contains(&self.known_factor), "known_factor must be at least 1".into())?;
-        reject_if(!(0.0..=1e9).contains(&self.learn_calls), "learn_calls must not be negative".into())?;
-        reject_if(self.learn_half_ms == 0, "learn_half_ms must be above 0".into())?;
-        reject_if(!(0.0..=0.9).contains(&self.reserve), "reserve must be 0 to 0.9".into())?;
+        err_if(tenant, "tenant: connections have no tenant; cap open, open_bytes or request_rate".into())?;
+        err_if(!(1.0..=1e6).contains(&self.known_factor), "known_factor must be at least 1".into())?;
+        err_if(!(0.0..=1e9).contains(&self.learn_calls), "learn_calls must not be negative".into())?;
+        err_if(self.learn_half_ms == 0, "learn_half_ms must be above 0".into())?;
+        err_if(!(0.0..=0.9).contains(&self.reserve), "reserve must be 0 to 0.9".into())?;
         let p = &self.penalty;
-        reject_if(
+        err_if(
             p.refusals == 0 || p.window_ms == 0,
             "penalty: refusals and window_ms must be above 0".into(),
         )?;
-        let durations_invalid = p.first_ms == 0 || p.longest_ms < p.first_ms || p.longest_ms > 86_400_000;
-        reject_if(
-            durations_invalid,
-            "penalty: first_ms must be above 0, longest_ms at least first_ms and at most one day".into(),
-        )?;
-        let too_many = self.known.len().max(self.proxies.len()) > MAX_PREFIXES;
-        reject_if(too_many, format!("more than {MAX_PREFIXES} prefixes"))?;
-        let adaptive_error = self.adaptive.as_ref().and_then(|a| a.validation_error());
-        reject_if(adaptive_error.is_some(), format!("adaptive: {}", adaptive_error.unwrap_or_default()))
+        let invalid = p.first_ms == 0 || p.longest_ms < p.first_ms || p.longest_ms > 86_400_000;
+        err_if(invalid, "penalty: first_ms above 0, longest_ms at least first_ms, at most a day".into())?;
+        let many = self.known.len().max(self.proxies.len()) > MAX_PREFIXES;
+        err_if(many, format!("more than {MAX_PREFIXES} prefixes"))?;
+        let fault = self.adaptive.as_ref().and_then(|a| a.validation_error());
+        err_if(fault.is_some(), format!("adaptive: {}", fault.unwrap_or_default()))
     }
 
     pub(crate) fn suspension(&self) -> Micros {
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -14,11 +14,11 @@
 /// The half-life of weights.
 const HALF_LIFE_US: f64 = 600_000_000.0;
 /// The resolution of scores: steps per doubling of the weight.
-const SCORE_STEPS: f64 = (1 << 20) as f64;
+const STEPS: f64 = (1 << 20) as f64;
 
 /// The state of one client address or neighbourhood.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AddressEntry {
+pub struct Entry {
     /// Open connections.
     pub connections: u32,
     /// Open requests.
@@ -48,10 +48,10 @@
     /// The logarithm of the weight in units of `1 / SCORE_STEPS`; `i64::MIN` for a weight of zero.
     score: i64,
     /// The score inherited from the evicted entry: the entry's own weight may be lower by that weight.
-    inherited_score: i64,
+    inherited: i64,
 }
 
-impl AddressEntry {
+impl Entry {
     fn is_active(&self) -> bool {
         self.connections > 0 || self.open > 0
     }
@@ -60,7 +60,7 @@
 /// A bounded table of addresses; see the module documentation.
 pub struct AddressTable {
     capacity: usize,
-    entries: HashMap<Prefix, AddressEntry>,
+    entries: HashMap<Prefix, Entry>,
     /// The inactive entries, which may be evicted, by ascending score.
     evictable: BTreeSet<(i64, Prefix)>,
     /// The number of evicted entries.
@@ -107,7 +107,7 @@
     }
 
     /// The entry of a prefix, without changing its weight.
-    pub fn get(&self, key: &Prefix) -> Option<&AddressEntry> {
+    pub fn get(&self, key: &Prefix) -> Option<&Entry> {
         self.entries.get(key)
     }
 
@@ -118,25 +118,21 @@
         now: Micros,
         key: Prefix,
         weight: f64,
-        change: impl FnOnce(&mut AddressEntry) -> T,
+        change: impl FnOnce(&mut Entry) -> T,
     ) -> Option<T> {
         if !self.entries.contains_key(&key) {
-            let inherited_score = match self.entries.len() >= self.capacity {
+            let inherited = match self.entries.len() >= self.capacity {
                 true => self.evict_lightest()?,
                 false => i64::MIN,
             };
-            self.entries.insert(
-                key,
-                AddressEntry { score: inherited_score, inherited_score, ..AddressEntry::default() },
-            );
+            self.entries.insert(key, Entry { score: inherited, inherited, ..Entry::default() });
         }
         let entry = self.entries.get_mut(&key)?;
         self.evictable.remove(&(entry.score, key));
         if weight > 0.0 {
             let own = log_weight(now, weight);
-            let sum =
-                if entry.score == i64::MIN { own } else { log2_sum(entry.score as f64 / SCORE_STEPS, own) };
-            entry.score = (sum * SCORE_STEPS) as i64;
+            let sum = if entry.score == i64::MIN { own } else { log2_sum(entry.score as f64 / STEPS, own) };
+            entry.score = (sum * STEPS) as i64;
         }
         let result = change(entry);
         if !entry.is_active() {
@@ -147,21 +143,21 @@
 
     /// The entries of the highest weight in descending order: prefix, weight, the part of the weight that may be inherited
     /// from evicted entries, and the entry.
-    pub fn heaviest(&self, now: Micros, max_entries: usize) -> Vec<(Prefix, f64, f64, &AddressEntry)> {
+    pub fn heaviest(&self, now: Micros, max_entries: usize) -> Vec<(Prefix, f64, f64, &Entry)> {
         let weight = |score: i64| match score {
             i64::MIN => 0.0,
-            score => (score as f64 / SCORE_STEPS - now as f64 / HALF_LIFE_US).exp2(),
+            score => (score as f64 / STEPS - now as f64 / HALF_LIFE_US).exp2(),
         };
         let mut all: Vec<_> = self.entries.iter().collect();
         all.sort_by_key(|(key, e)| (std::cmp::Reverse(e.score), **key));
         all.into_iter()
             .take(max_entries)
-            .map(|(key, e)| (*key, weight(e.score), weight(e.inherited_score), e))
+            .map(|(key, e)| (*key, weight(e.score), weight(e.inherited), e))
             .collect()
     }
 
     /// All entries, in no particular order.
-    pub fn iter(&self) -> impl Iterator<Item = (&Prefix, &AddressEntry)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Prefix, &Entry)> {
         self.entries.iter()
     }
 }
--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use wheellink_admission::*;
 
-const SECOND_US: i64 = 1_000_000;
+const SEC: i64 = 1_000_000;
 
 fn address(n: u32) -> IpAddr {
     Ipv4Addr::from(0x0a00_0000 + n).into()
@@ -30,7 +30,7 @@
     #[test]
     fn a_rate_limiter_equals_a_token_bucket(per_second in 1u32..500, burst in 1u32..50, gaps in prop::collection::vec(0i64..60_000, 1..300)) {
         let rate = Rate { per_second: per_second.into(), burst: burst.into() };
-        let (mut limiter, mut tokens, mut last, mut now) = (RateLimiter::default(), f64::from(burst), 100 * SECOND_US, 100 * SECOND_US);
+        let (mut limiter, mut tokens, mut last, mut now) = (RateLimiter::default(), f64::from(burst), 100 * SEC, 100 * SEC);
         for gap in gaps {
             now += gap;
             tokens = (tokens + (now - last) as f64 * rate.per_second / 1e6).min(rate.burst);
@@ -99,7 +99,7 @@
     #[test]
     fn tables_are_bounded_and_counts_return_to_zero(operations in prop::collection::vec((0u32..400, 0u8..4, 0i64..200_000), 1..500)) {
         let mut admission = Admission::new(rules(r#"{"entries":128,"address":{"connections":3,"open":2,"connect_rate":{"per_second":50,"burst":10}}}"#));
-        let (mut now, mut connected, mut open) = (100 * SECOND_US, VecDeque::new(), VecDeque::new());
+        let (mut now, mut connected, mut open) = (100 * SEC, VecDeque::new(), VecDeque::new());
         for (n, operation, passed) in operations {
             now += passed;
             let from = address(n);
@@ -116,8 +116,8 @@
         }
         open.iter().for_each(|a| admission.request_done(now, a, 0, None));
         connected.iter().for_each(|from| admission.connection_closed(now, *from));
-        let (clients, neighbourhoods) = admission.tables();
-        prop_assert!(clients.iter().chain(neighbourhoods.iter()).all(|(_, e)| (e.connections, e.open, e.bytes) == (0, 0, 0)));
+        let (clients, areas) = admission.tables();
+        prop_assert!(clients.iter().chain(areas.iter()).all(|(_, e)| (e.connections, e.open, e.bytes) == (0, 0, 0)));
     }
 }
 
@@ -126,22 +126,22 @@
 fn a_misbehaving_client_stays_in_the_table_during_a_flood() {
     let mut admission = Admission::new(rules(r#"{"entries":1024,"address":{"connections":1}}"#));
     let worst = address(1 << 23);
-    admission.connect(SECOND_US, worst).unwrap();
+    admission.connect(SEC, worst).unwrap();
     for n in 0..5_000 {
         assert_eq!(
-            admission.connect(SECOND_US + n, worst),
-            Err(if n < 50 { RefusalReason::Connections } else { RefusalReason::Penalty })
+            admission.connect(SEC + n, worst),
+            Err(if n < 50 { Reason::Connections } else { Reason::Penalty })
         );
     }
-    admission.connection_closed(2 * SECOND_US, worst);
+    admission.connection_closed(2 * SEC, worst);
     for n in 0..1_000_000 {
         let from = address(n);
-        admission.connect(2 * SECOND_US, from).unwrap();
-        admission.connection_closed(2 * SECOND_US, from);
+        admission.connect(2 * SEC, from).unwrap();
+        admission.connection_closed(2 * SEC, from);
     }
     let (clients, _) = admission.tables();
     assert_eq!(clients.len(), 1024);
-    let (first, weight, error, entry) = clients.heaviest(2 * SECOND_US, 1)[0];
+    let (first, weight, error, entry) = clients.heaviest(2 * SEC, 1)[0];
     assert_eq!((first, entry.refused), (Prefix::client(worst), 5_000));
     assert!(weight - error > 40_000.0, "{weight} {error}");
     assert!(clients.evicted > 990_000);
@@ -153,33 +153,33 @@
     let mut admission = Admission::new(rules(
         r#"{"entries":128,"address":{"connections":1},"penalty":{"refusals":3,"window_ms":1000,"first_ms":1000,"longest_ms":4000}}"#,
     ));
-    let misbehaving = address(7);
-    admission.connect(SECOND_US, misbehaving).unwrap();
-    let mut now = SECOND_US;
+    let bad = address(7);
+    admission.connect(SEC, bad).unwrap();
+    let mut now = SEC;
     let mut closed = Vec::new();
     for _ in 0..5 {
-        while admission.connect(now, misbehaving) != Err(RefusalReason::Penalty) {
+        while admission.connect(now, bad) != Err(Reason::Penalty) {
             now += 1000;
         }
         let started = now;
-        while admission.connect(now, misbehaving) == Err(RefusalReason::Penalty) {
+        while admission.connect(now, bad) == Err(Reason::Penalty) {
             now += 100_000;
         }
-        closed.push((now - started + 50_000) / SECOND_US);
+        closed.push((now - started + 50_000) / SEC);
     }
     assert_eq!(closed, [1, 2, 4, 4, 4]);
     // After a minute without refusals the next penalty has the initial duration again.
-    now += 60 * SECOND_US;
-    while admission.connect(now, misbehaving) != Err(RefusalReason::Penalty) {
+    now += 60 * SEC;
+    while admission.connect(now, bad) != Err(Reason::Penalty) {
         now += 1000;
     }
-    assert!(admission.connect(now + SECOND_US, misbehaving) != Err(RefusalReason::Penalty));
+    assert!(admission.connect(now + SEC, bad) != Err(Reason::Penalty));
     // A clock that jumps back by an hour does not extend the penalty by an hour.
-    assert!(admission.connect(now - 3600 * SECOND_US, misbehaving) != Err(RefusalReason::Penalty));
+    assert!(admission.connect(now - 3600 * SEC, bad) != Err(Reason::Penalty));
     // An operator ends a penalty at once.
-    while admission.connect(now, misbehaving) != Err(RefusalReason::Penalty) {}
-    admission.unblock(now, Prefix::client(misbehaving));
-    assert_eq!(admission.connect(now, misbehaving), Err(RefusalReason::Connections));
+    while admission.connect(now, bad) != Err(Reason::Penalty) {}
+    admission.unblock(now, Prefix::client(bad));
+    assert_eq!(admission.connect(now, bad), Err(Reason::Connections));
 }
 
 /// Served calls make a client known. A refusal for its own behaviour suspends this for a time.
@@ -188,37 +188,37 @@
     let mut admission = Admission::new(rules(
         r#"{"entries":128,"address":{"connections":2},"learn_calls":5,"spoilt_ms":10000}"#,
     ));
-    let (served_client, listed) = (address(1), address(2));
+    let (served, listed) = (address(1), address(2));
     assert!(admission.set_known(Prefix::of(listed), true));
-    assert_eq!(admission.client_status(SECOND_US, served_client), ClientStatus::Unknown);
-    assert_eq!(admission.client_status(SECOND_US, listed), ClientStatus::Known);
-    admission.connect(SECOND_US, served_client).unwrap();
+    assert_eq!(admission.client_status(SEC, served), ClientStatus::Unknown);
+    assert_eq!(admission.client_status(SEC, listed), ClientStatus::Known);
+    admission.connect(SEC, served).unwrap();
     for _ in 0..6 {
-        let call = info(served_client, None, 1.0);
-        admission.admit_request(SECOND_US, &call).unwrap();
-        admission.request_done(SECOND_US, &call, 0, Some(1000));
+        let call = info(served, None, 1.0);
+        admission.admit_request(SEC, &call).unwrap();
+        admission.request_done(SEC, &call, 0, Some(1000));
     }
-    assert_eq!(admission.client_status(SECOND_US, served_client), ClientStatus::Known);
+    assert_eq!(admission.client_status(SEC, served), ClientStatus::Known);
     // Known clients have four times the caps; exceeding those is misbehaviour.
     for _ in 0..7 {
-        assert_eq!(admission.connect(SECOND_US, served_client), Ok(ClientStatus::Known));
+        assert_eq!(admission.connect(SEC, served), Ok(ClientStatus::Known));
     }
-    assert_eq!(admission.connect(SECOND_US, served_client), Err(RefusalReason::Connections));
-    assert_eq!(admission.client_status(SECOND_US + 1, served_client), ClientStatus::Unknown, "suspended");
-    assert_eq!(admission.client_status(SECOND_US + 11 * SECOND_US, served_client), ClientStatus::Known);
+    assert_eq!(admission.connect(SEC, served), Err(Reason::Connections));
+    assert_eq!(admission.client_status(SEC + 1, served), ClientStatus::Unknown, "suspended");
+    assert_eq!(admission.client_status(SEC + 11 * SEC, served), ClientStatus::Known);
     assert_eq!(
-        admission.client_status(SECOND_US + 3600 * SECOND_US, served_client),
+        admission.client_status(SEC + 3600 * SEC, served),
         ClientStatus::Unknown,
         "calls decay within an hour"
     );
     // A known client is not affected by a misbehaving client in its neighbourhood.
-    let misbehaving = address(3);
+    let bad = address(3);
     for _ in 0..60 {
-        let _ = admission.connect(2 * SECOND_US, misbehaving);
+        let _ = admission.connect(2 * SEC, bad);
     }
-    assert_eq!(admission.connect(2 * SECOND_US, listed), Ok(ClientStatus::Known));
+    assert_eq!(admission.connect(2 * SEC, listed), Ok(ClientStatus::Known));
     assert!(admission.block(Prefix::client(listed)));
-    assert_eq!(admission.connect(2 * SECOND_US, listed), Err(RefusalReason::Blocked));
+    assert_eq!(admission.connect(2 * SEC, listed), Err(Reason::Blocked));
 }
 
 /// A tenant gets its share within a second although another tenant uses the whole limit.
@@ -229,16 +229,16 @@
     let mut open: VecDeque<(i64, usize)> = VecDeque::new();
     let (mut now, mut served) = (0, [[0u32; 2]; 5]);
     // Calls take 50 ms. Tenant 0 requests ten times its half, tenant 1 starts after two seconds.
-    while now < 5 * SECOND_US {
+    while now < 5 * SEC {
         now += 100;
         while open.front().is_some_and(|(end, _)| *end <= now) {
             let (_, tenant) = open.pop_front().unwrap();
             adaptive.done(now, 0, Some(tenant), Some(50_000));
         }
-        let asks = if now < 2 * SECOND_US { 0 } else { usize::from(rng.bool()) };
+        let asks = if now < 2 * SEC { 0 } else { usize::from(rng.bool()) };
         if adaptive.take(now, 1.0, Some(asks), 0.5).is_ok() {
             open.push_back((now + 50_000, asks));
-            served[(now / SECOND_US).min(4) as usize][asks] += 1;
+            served[(now / SEC).min(4) as usize][asks] += 1;
         }
     }
     assert!(served[1][0] > 1900, "a single tenant gets the whole limit: {served:?}");
@@ -303,19 +303,19 @@
     for _ in 0..5 {
         ledger.take(Owner::Others, 1);
     }
-    ledger.set_exhausted(10 * SECOND_US);
+    ledger.set_exhausted(10 * SEC);
     assert_eq!((ledger.limit(), ledger.take(Owner::Hosts, 1)), (5, TakeOutcome::OwedBy(Owner::Others)));
-    ledger.tick(10 * SECOND_US + SECOND_US / 10);
+    ledger.tick(10 * SEC + SEC / 10);
     assert_eq!(
         (ledger.take(Owner::Hosts, 1), ledger.take(Owner::Others, 1)),
         (TakeOutcome::Granted, TakeOutcome::Denied)
     );
-    ledger.tick(5 * SECOND_US);
-    ledger.tick(5 * SECOND_US + SECOND_US / 5);
+    ledger.tick(5 * SEC);
+    ledger.tick(5 * SEC + SEC / 5);
     assert_eq!(ledger.limit(), 5 + 1 + 2 + 4, "a clock that jumps back does not stop the recovery");
-    ledger.set_exhausted(6 * SECOND_US);
+    ledger.set_exhausted(6 * SEC);
     assert_eq!(ledger.limit(), 6, "the steps start at one again");
-    ledger.tick(1000 * SECOND_US);
+    ledger.tick(1000 * SEC);
     assert_eq!(ledger.limit(), 100);
 }
 
@@ -324,23 +324,23 @@
 fn a_successor_inherits_the_learned_state() {
     let text = r#"{"entries":128,"address":{"connections":1},"known":["10.9.0.0/16"],"learn_calls":3}"#;
     let mut old = Admission::new(rules(text));
-    let (misbehaving, good) = (address(1), address(2));
-    old.connect(SECOND_US, misbehaving).unwrap();
+    let (bad, good) = (address(1), address(2));
+    old.connect(SEC, bad).unwrap();
     for _ in 0..60 {
-        let _ = old.connect(SECOND_US, misbehaving);
+        let _ = old.connect(SEC, bad);
     }
     for _ in 0..4 {
-        old.request_done(SECOND_US, &info(good, None, 1.0), 0, Some(1));
+        old.request_done(SEC, &info(good, None, 1.0), 0, Some(1));
     }
     old.block("10.1.0.0/16".parse().unwrap());
     old.set_known("10.2.0.0/16".parse().unwrap(), true);
-    let handed_over = serde_json::to_string(&old.learned_state(SECOND_US)).unwrap();
+    let handed_over = serde_json::to_string(&old.learned_state(SEC)).unwrap();
     let mut new = Admission::new(rules(text));
-    new.restore(SECOND_US, serde_json::from_str(&handed_over).unwrap());
-    assert_eq!(new.connect(SECOND_US + 1, misbehaving), Err(RefusalReason::Penalty));
-    assert_eq!(new.client_status(SECOND_US + 1, good), ClientStatus::Known);
-    assert_eq!(new.connect(SECOND_US + 1, "10.1.2.3".parse().unwrap()), Err(RefusalReason::Blocked));
-    assert_eq!(new.client_status(SECOND_US + 1, "10.2.2.3".parse().unwrap()), ClientStatus::Known);
+    new.restore(SEC, serde_json::from_str(&handed_over).unwrap());
+    assert_eq!(new.connect(SEC + 1, bad), Err(Reason::Penalty));
+    assert_eq!(new.client_status(SEC + 1, good), ClientStatus::Known);
+    assert_eq!(new.connect(SEC + 1, "10.1.2.3".parse().unwrap()), Err(Reason::Blocked));
+    assert_eq!(new.client_status(SEC + 1, "10.2.2.3".parse().unwrap()), ClientStatus::Known);
 }
 
 /// A reload changes the caps and keeps the counts.
@@ -350,17 +350,13 @@
         Admission::new(rules(r#"{"entries":128,"address":{"connections":9},"known":["10.0.0.0/24"]}"#));
     let from = address(1);
     for _ in 0..5 {
-        let _ = admission.connect(SECOND_US, from);
+        let _ = admission.connect(SEC, from);
     }
     admission.set_rules(rules(r#"{"entries":128,"address":{"connections":5}}"#));
-    assert_eq!(
-        admission.client_status(SECOND_US, from),
-        ClientStatus::Unknown,
-        "the new settings do not list it"
-    );
-    assert_eq!(admission.connect(SECOND_US, from), Err(RefusalReason::Connections));
-    admission.connection_closed(SECOND_US, from);
-    assert!(admission.connect(SECOND_US, from).is_ok());
+    assert_eq!(admission.client_status(SEC, from), ClientStatus::Unknown, "the new settings do not list it");
+    assert_eq!(admission.connect(SEC, from), Err(Reason::Connections));
+    admission.connection_closed(SEC, from);
+    assert!(admission.connect(SEC, from).is_ok());
 }
 
 /// A table full of active entries refuses new addresses until one of them is inactive.
@@ -370,12 +366,12 @@
     let mut admission = Admission::new(rules);
     // All these addresses share one neighbourhood, so that only the table of clients is full.
     for n in 0..2 {
-        admission.connect(SECOND_US, address(n)).unwrap();
+        admission.connect(SEC, address(n)).unwrap();
     }
-    assert_eq!(admission.connect(SECOND_US, address(2)), Err(RefusalReason::TableFull));
-    assert_eq!(admission.client_status(SECOND_US, address(2)), ClientStatus::Unknown);
-    admission.connection_closed(SECOND_US, address(0));
-    assert!(admission.connect(SECOND_US, address(2)).is_ok());
+    assert_eq!(admission.connect(SEC, address(2)), Err(Reason::TableFull));
+    assert_eq!(admission.client_status(SEC, address(2)), ClientStatus::Unknown);
+    admission.connection_closed(SEC, address(0));
+    assert!(admission.connect(SEC, address(2)).is_ok());
     assert_eq!(admission.tables().0.len(), 2);
 }
 
@@ -383,21 +379,18 @@
 #[test]
 fn refusals_are_summarized_within_bounds() {
     let mut admission = Admission::new(rules(r#"{"entries":1024,"address":{"connections":1}}"#));
-    assert_eq!(admission.take_refusal_summary(SECOND_US), None);
+    assert_eq!(admission.take_refusal_summary(SEC), None);
     for n in 0..300 {
-        admission.connect(SECOND_US, address(n)).unwrap();
+        admission.connect(SEC, address(n)).unwrap();
         for _ in 0..=n % 3 {
-            let _ = admission.connect(SECOND_US, address(n));
+            let _ = admission.connect(SEC, address(n));
         }
     }
-    assert_eq!(admission.take_refusal_summary(SECOND_US + 1000), None, "the interval is not over");
-    let window = admission.take_refusal_summary(3 * SECOND_US).unwrap();
+    assert_eq!(admission.take_refusal_summary(SEC + 1000), None, "the interval is not over");
+    let window = admission.take_refusal_summary(3 * SEC).unwrap();
     assert_eq!(window.top.len(), 20);
     let sum: u64 = window.top.iter().map(|(.., n)| n).sum::<u64>() + window.others;
-    assert_eq!(
-        (sum, admission.total_refusals, admission.take_refusal_summary(5 * SECOND_US)),
-        (600, 600, None)
-    );
+    assert_eq!((sum, admission.total_refusals, admission.take_refusal_summary(5 * SEC)), (600, 600, None));
     assert!(window.top.windows(2).all(|w| w[0].2 >= w[1].2));
 }
 
--- a/crates/drafts/src/evaluate.rs
+++ b/crates/drafts/src/evaluate.rs
@@ -12,7 +12,7 @@
 /// The maximum number of cuts of older evidence in one evaluation: enough for two changes within a window, plus one.
 const MAX_CUTS: usize = 3;
 /// The minimum number of members with enough evidence before one of them can be an outlier.
-const MIN_REPORTERS_FOR_OUTLIERS: usize = 3;
+const MIN_REPORTERS: usize = 3;
 
 /// A reporter whose counts are excluded, and why.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,27 +23,27 @@
 
 /// The evaluation of one load band.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct BandEvaluation {
+pub(crate) struct BandResult {
     /// The draft with the highest estimated throughput, without regard to confidence intervals, and its tokens per second.
     pub best: Option<(Draft, f64)>,
     /// Tokens per second of the draft in force.
     pub in_force_value: Option<f64>,
     /// The draft that should replace the one in force.
-    pub replacement: Option<Draft>,
+    pub better: Option<Draft>,
     /// The estimated lead over the draft in force, as a fraction, and its lower confidence bound.
     pub lead: f64,
-    pub lead_lower_bound: f64,
+    pub min_lead: f64,
     /// The best length by drafter (from 1).
     pub best_lengths: Vec<Option<u8>>,
     /// The evidence about some drafter is insufficient.
-    pub needs_exploration: bool,
+    pub uncertain: bool,
     pub why: &'static str,
 }
 
 /// The evaluation of one workload; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Evaluation {
-    pub bands: Vec<BandEvaluation>,
+    pub bands: Vec<BandResult>,
     pub outliers: Vec<Outlier>,
     /// The number of epochs of evidence that are used, by drafter.
     pub stable_epochs: Vec<u32>,
@@ -104,7 +104,7 @@
         }
     }
 
-    fn without_part(self, other: Self) -> Self {
+    fn minus(self, other: Self) -> Self {
         Self { n: self.n - other.n, sum: self.sum - other.sum, squares: self.squares - other.squares }
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// The squared difference of the means in standard errors, or `None` if the difference may be chance.
-    fn significance(&self, other: &Self, least: f64, alpha: f64) -> Option<f64> {
+    fn distance(&self, other: &Self, least: f64, alpha: f64) -> Option<f64> {
         if self.n < least || other.n < least {
             return None;
         }
@@ -151,11 +151,11 @@
 
 /// The number of latest epochs during which the metrics are stable; the whole window if nothing changed. A change counts only if it
 /// is still significant without any single reporter; otherwise one reporter alone could discard the evidence of the others.
-fn stable_epochs(
+fn stable_window(
     rows: &[Row],
     metrics: &[Metric],
     weights: &[f64],
-    single_member: bool,
+    single: bool,
     settings: &Settings,
 ) -> u32 {
     let mut window = settings.window;
@@ -184,30 +184,27 @@
                 })
             };
             for split in 1..window {
-                let (recent, older) = (sum(&ages[..split as usize]), sum(&ages[split as usize..]));
-                if let Some(significance) = recent.significance(&older, least, alpha) {
-                    if strongest.as_ref().is_none_or(|s| significance > s.0) {
-                        strongest = Some((significance, split, *metric));
+                let (new, old) = (sum(&ages[..split as usize]), sum(&ages[split as usize..]));
+                if let Some(distance) = new.distance(&old, least, alpha) {
+                    if strongest.as_ref().is_none_or(|s| distance > s.0) {
+                        strongest = Some((distance, split, *metric));
                     }
                 }
             }
         }
         let Some((_, split, metric)) = strongest else { break };
         let least = if matches!(metric, Metric::Cost(..)) { least / 5.0 } else { least };
-        let part_moments = |recent: bool, reporter: Option<usize>| {
-            let rows = rows.iter().filter(move |r| r.age < window && (r.age < split) == recent);
+        let half = |new: bool, reporter: Option<usize>| {
+            let rows = rows.iter().filter(move |r| r.age < window && (r.age < split) == new);
             let rows = rows.filter(move |r| reporter.is_none_or(|t| r.reporter == t));
             Moments::of(&tally(rows, metric, weights), metric, settings)
         };
-        let (recent, older) = (part_moments(true, None), part_moments(false, None));
+        let (new, old) = (half(true, None), half(false, None));
         let without = |t: usize| {
-            let (recent, older) = (
-                recent.without_part(part_moments(true, Some(t))),
-                older.without_part(part_moments(false, Some(t))),
-            );
-            recent.significance(&older, least / 2.0, alpha.max(0.01)).is_some()
+            let (new, old) = (new.minus(half(true, Some(t))), old.minus(half(false, Some(t))));
+            new.distance(&old, least / 2.0, alpha.max(0.01)).is_some()
         };
-        if !single_member && !(0..weights.len()).filter(|t| weights[*t] > 0.0).all(without) {
+        if !single && !(0..weights.len()).filter(|t| weights[*t] > 0.0).all(without) {
             break;
         }
         window = split;
@@ -228,7 +225,7 @@
         for at in 0..settings.longest as usize {
             let of = |t: &Tally| t.rates(drafter)[at];
             let known: Vec<usize> = (0..tallies.len()).filter(|t| of(&tallies[*t]).rounds >= least).collect();
-            if known.len() < MIN_REPORTERS_FOR_OUTLIERS {
+            if known.len() < MIN_REPORTERS {
                 continue;
             }
             let center = median(known.iter().map(|t| of(&tallies[*t]).rate()).collect());
@@ -249,7 +246,7 @@
             let draft = Draft { drafter, length };
             let known = |t: &usize| tallies[*t].cost(band, draft).calls >= least / 5.0;
             let known: Vec<usize> = (0..tallies.len()).filter(known).collect();
-            if known.len() < MIN_REPORTERS_FOR_OUTLIERS {
+            if known.len() < MIN_REPORTERS {
                 continue;
             }
             let center = median(known.iter().map(|t| tallies[*t].cost(band, draft).mean()).collect());
@@ -269,15 +266,18 @@
 /// The time per round as a linear function of the draft length, fitted by least squares.
 #[derive(Clone, Copy, Debug)]
 struct CostModel {
-    base_us: f64,
-    per_token_us: f64,
+    /// Microseconds per round without drafting.
+    base: f64,
+    /// Microseconds per drafted token.
+    slope: f64,
     /// The variance of the time per round.
     variance: f64,
     /// The number of calls.
     calls: f64,
-    mean_length: f64,
-    /// The sum over calls of the squared deviation from `mean_length`.
-    length_spread: f64,
+    /// The mean draft length of the calls.
+    center: f64,
+    /// The sum over calls of the squared deviation from `center`.
+    spread: f64,
     /// The shortest and the longest length with enough calls.
     shortest: u8,
     longest: u8,
@@ -298,42 +298,33 @@
         let mean = |of: &dyn Fn(f64, f64) -> f64| {
             known.iter().map(|(l, c)| c.calls * of(f64::from(*l), c.mean())).sum::<f64>() / calls
         };
-        let (mean_length, time) = (mean(&|l, _| l), mean(&|_, t| t));
-        let length_spread = mean(&|l, _| (l - mean_length).powi(2)) * calls;
-        let per_token_us = mean(&|l, t| (l - mean_length) * (t - time)) * calls / length_spread.max(1e-9);
+        let (center, time) = (mean(&|l, _| l), mean(&|_, t| t));
+        let spread = mean(&|l, _| (l - center).powi(2)) * calls;
+        let slope = mean(&|l, t| (l - center) * (t - time)) * calls / spread.max(1e-9);
         let variance = known.iter().map(|(_, c)| c.calls * c.variance()).sum::<f64>() / calls;
-        Some(Self {
-            base_us: time - per_token_us * mean_length,
-            per_token_us,
-            variance,
-            calls,
-            mean_length,
-            length_spread,
-            shortest,
-            longest,
-        })
+        Some(Self { base: time - slope * center, slope, variance, calls, center, spread, shortest, longest })
     }
 
     fn at(&self, length: u8) -> f64 {
-        (self.base_us + self.per_token_us * f64::from(length)).max(1.0)
+        (self.base + self.slope * f64::from(length)).max(1.0)
     }
 
     fn error(&self, length: u8, alpha: f64) -> f64 {
-        let off = f64::from(length) - self.mean_length;
-        (self.variance * (1.0 / self.calls + off * off / self.length_spread.max(1e-9))).sqrt()
+        let off = f64::from(length) - self.center;
+        (self.variance * (1.0 / self.calls + off * off / self.spread.max(1e-9))).sqrt()
             * confidence::standard_errors(self.calls, alpha)
     }
 }
 
 /// Compares the drafts of one load band by one tally.
-struct DraftComparison<'a> {
+struct ThroughputModel<'a> {
     tally: &'a Tally,
     cost_models: Vec<Option<CostModel>>,
     least: f64,
     settings: &'a Settings,
 }
 
-impl<'a> DraftComparison<'a> {
+impl<'a> ThroughputModel<'a> {
     fn new(tally: &'a Tally, band: u8, least: f64, settings: &'a Settings) -> Self {
         let cost_models =
             (1..=settings.drafters).map(|d| CostModel::of(tally, band, d, least / 20.0)).collect();
@@ -350,7 +341,7 @@
     }
 
     /// Whether the evidence about a draft is sufficient and its length is within the range of tried lengths or one below it.
-    fn has_evidence(&self, draft: Draft, other: Draft) -> bool {
+    fn covers(&self, draft: Draft, other: Draft) -> bool {
         let known = |cost_model: &CostModel| {
             draft.length + 1 >= cost_model.shortest && draft.length <= cost_model.longest
         };
@@ -408,7 +399,7 @@
 }
 
 /// All drafts that the settings allow.
-pub(crate) fn allowed_drafts(settings: &Settings) -> impl Iterator<Item = Draft> + use<> {
+pub(crate) fn all_drafts(settings: &Settings) -> impl Iterator<Item = Draft> + use<> {
     let (drafters, longest) = (settings.drafters, settings.longest);
     let drafted =
         (1..=drafters).flat_map(move |drafter| (1..=longest).map(move |length| Draft { drafter, length }));
@@ -421,97 +412,94 @@
     in_force: Draft,
     all: &Tally,
     parts: &[Tally],
-    single_member: bool,
+    single: bool,
     settings: &Settings,
-) -> BandEvaluation {
+) -> BandResult {
     let least = f64::from(settings.least_rounds);
-    let comparison = DraftComparison::new(all, at, least, settings);
-    let mut evaluation =
-        BandEvaluation { why: "too little is known", needs_exploration: true, ..BandEvaluation::default() };
-    let candidates: Vec<Draft> =
-        allowed_drafts(settings).filter(|d| comparison.has_evidence(*d, *d)).collect();
+    let model = ThroughputModel::new(all, at, least, settings);
+    let mut result = BandResult { why: "too little is known", uncertain: true, ..BandResult::default() };
+    let candidates: Vec<Draft> = all_drafts(settings).filter(|d| model.covers(*d, *d)).collect();
     let best_of = |drafts: &mut dyn Iterator<Item = Draft>| {
-        drafts.map(|d| (d, comparison.value(d, d))).max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))
+        drafts.map(|d| (d, model.value(d, d))).max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))
     };
-    evaluation.best = best_of(&mut candidates.iter().copied());
+    result.best = best_of(&mut candidates.iter().copied());
     let best_lengths = (1..=settings.drafters).map(|drafter| {
         best_of(&mut candidates.iter().copied().filter(|d| d.drafter == drafter)).map(|(d, _)| d.length)
     });
-    evaluation.best_lengths = best_lengths.collect();
+    result.best_lengths = best_lengths.collect();
     let fully_tried = |drafter: u8| {
-        let longest_tried = comparison.has_evidence(Draft { drafter, length: settings.longest }, Draft::OFF);
-        longest_tried && comparison.cost_models[(drafter - 1) as usize].is_some_and(|l| l.shortest == 0)
+        let longest_tried = model.covers(Draft { drafter, length: settings.longest }, Draft::OFF);
+        longest_tried && model.cost_models[(drafter - 1) as usize].is_some_and(|l| l.shortest == 0)
     };
-    evaluation.needs_exploration = !(1..=settings.drafters).all(fully_tried);
-    if !comparison.has_evidence(in_force, in_force) {
-        return evaluation;
+    result.uncertain = !(1..=settings.drafters).all(fully_tried);
+    if !model.covers(in_force, in_force) {
+        return result;
     }
-    evaluation.in_force_value = Some(comparison.value(in_force, in_force));
+    result.in_force_value = Some(model.value(in_force, in_force));
     let mut leads: Vec<_> =
-        candidates.iter().filter(|d| **d != in_force).map(|d| (*d, comparison.lead(in_force, *d))).collect();
+        candidates.iter().filter(|d| **d != in_force).map(|d| (*d, model.lead(in_force, *d))).collect();
     leads.sort_by(|a, b| b.1 .0.total_cmp(&a.1 .0).then(a.0.cmp(&b.0)));
     if let Some((_, (lead, low))) = leads.first() {
-        (evaluation.lead, evaluation.lead_lower_bound) = (*lead, *low);
+        (result.lead, result.min_lead) = (*lead, *low);
     }
-    evaluation.why = "nothing is better by the hysteresis";
+    result.why = "nothing is better by the hysteresis";
     for (draft, (lead, low)) in leads {
         if lead < settings.hysteresis {
             break;
         }
         if low <= 0.0 {
-            evaluation.why = "what looks better may be chance";
+            result.why = "what looks better may be chance";
             continue;
         }
         let without = |part: &Tally| {
             let mut rest = all.clone();
             rest.add(part, -1.0);
-            let comparison = DraftComparison::new(&rest, at, least / 2.0, settings);
-            comparison.has_evidence(in_force, draft)
-                && comparison.has_evidence(draft, in_force)
-                && comparison.lead(in_force, draft).0 >= settings.hysteresis / 2.0
+            let model = ThroughputModel::new(&rest, at, least / 2.0, settings);
+            model.covers(in_force, draft)
+                && model.covers(draft, in_force)
+                && model.lead(in_force, draft).0 >= settings.hysteresis / 2.0
         };
-        if single_member || parts.iter().filter(|p| p.rounds > 0.0).all(without) {
-            (evaluation.replacement, evaluation.lead, evaluation.lead_lower_bound) = (Some(draft), lead, low);
-            evaluation.why = "a better draft is known";
+        if single || parts.iter().filter(|p| p.rounds > 0.0).all(without) {
+            (result.better, result.lead, result.min_lead) = (Some(draft), lead, low);
+            result.why = "a better draft is known";
             break;
         }
-        evaluation.why = "it rests on the counts of one member";
+        result.why = "it rests on the counts of one member";
     }
-    evaluation
+    result
 }
 
-/// Evaluates the rows of one workload. `single_member`: the fleet has no other member, so that the counts of one reporter suffice.
+/// Evaluates the rows of one workload. `single`: the fleet has no other member, so that the counts of one reporter suffice.
 pub(crate) fn evaluate(
     rows: &[Row],
     reporters: usize,
-    single_member: bool,
+    single: bool,
     in_force: impl Fn(u8) -> Draft,
     settings: &Settings,
 ) -> Evaluation {
     let mut rounds = vec![0.0; reporters];
     rows.iter().for_each(|r| rounds[r.reporter] += r.rounds);
     let first = weights(&rounds, settings);
-    let stable_rate_epochs: Vec<u32> = (1..=settings.drafters)
+    let rate_epochs: Vec<u32> = (1..=settings.drafters)
         .map(|drafter| {
             let metrics: Vec<Metric> =
                 (0..settings.longest as usize).map(|at| Metric::Rate(drafter, at)).collect();
-            stable_epochs(rows, &metrics, &first, single_member, settings)
+            stable_window(rows, &metrics, &first, single, settings)
         })
         .collect();
-    let stable_cost_epochs: Vec<u32> = (0..LOAD_BANDS)
+    let cost_epochs: Vec<u32> = (0..LOAD_BANDS)
         .map(|band| {
-            let metrics: Vec<Metric> =
-                allowed_drafts(settings).map(|draft| Metric::Cost(band, draft)).collect();
-            stable_epochs(rows, &metrics, &first, single_member, settings)
+            let metrics: Vec<Metric> = all_drafts(settings).map(|draft| Metric::Cost(band, draft)).collect();
+            stable_window(rows, &metrics, &first, single, settings)
         })
         .collect();
     let mut tallies = vec![Tally::default(); reporters];
     for row in rows {
         let tally = &mut tallies[row.reporter];
-        if row.draft.length > 0 && row.age < stable_rate_epochs[(row.draft.drafter - 1) as usize] {
+        if row.draft.length > 0 && row.age < rate_epochs[(row.draft.drafter - 1) as usize] {
             tally.count_rates(row, 1.0);
         }
-        if row.age < stable_cost_epochs[row.band as usize] {
+        if row.age < cost_epochs[row.band as usize] {
             tally.count_cost(row, 1.0);
             tally.rounds += row.rounds;
         }
@@ -530,14 +518,13 @@
             part
         })
         .collect();
-    let bands = (0..LOAD_BANDS)
-        .map(|at| evaluate_band(at, in_force(at), &all, &parts, single_member, settings))
-        .collect();
+    let bands =
+        (0..LOAD_BANDS).map(|at| evaluate_band(at, in_force(at), &all, &parts, single, settings)).collect();
     let rates = |d: u8| all.rates(d)[..settings.longest as usize].iter().map(Rate::rate).collect();
     Evaluation {
         bands,
         outliers,
-        stable_epochs: stable_rate_epochs,
+        stable_epochs: rate_epochs,
         acceptance: (1..=settings.drafters).map(rates).collect(),
         rounds: all.rounds,
         reporters: rounds.iter().filter(|r| **r > 0.0).count(),
--- a/crates/drafts/src/evaluate/tests.rs
+++ b/crates/drafts/src/evaluate/tests.rs
@@ -27,17 +27,17 @@
     let rows_of = |calls: f64| (0..3).flat_map(|t| rows(t, 0, calls, 0.2)).collect::<Vec<_>>();
     let little_evidence = evaluation(&rows_of(20.0), 3);
     assert_eq!(
-        (little_evidence.bands[0].replacement, little_evidence.bands[0].why),
+        (little_evidence.bands[0].better, little_evidence.bands[0].why),
         (None, "what looks better may be chance")
     );
     assert!(
-        little_evidence.bands[0].lead > 0.04 && little_evidence.bands[0].lead_lower_bound < 0.0,
+        little_evidence.bands[0].lead > 0.04 && little_evidence.bands[0].min_lead < 0.0,
         "{:?}",
         little_evidence.bands[0]
     );
     let much_evidence = evaluation(&rows_of(2_000.0), 3);
-    assert_eq!(much_evidence.bands[0].replacement, Some(FIVE), "{:?}", much_evidence.bands[0]);
-    assert!(much_evidence.bands[0].lead_lower_bound > 0.0);
+    assert_eq!(much_evidence.bands[0].better, Some(FIVE), "{:?}", much_evidence.bands[0]);
+    assert!(much_evidence.bands[0].min_lead > 0.0);
 }
 
 #[test]
@@ -45,7 +45,7 @@
     let all_rows: Vec<Row> = (0..3).flat_map(|t| rows(t, 0, 50_000.0, 0.06)).collect();
     let evaluation = evaluation(&all_rows, 3);
     assert_eq!(
-        (evaluation.bands[0].replacement, evaluation.bands[0].why),
+        (evaluation.bands[0].better, evaluation.bands[0].why),
         (None, "nothing is better by the hysteresis")
     );
 }
--- a/crates/drafts/src/explore.rs
+++ b/crates/drafts/src/explore.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::evaluate::BandEvaluation;
+use crate::evaluate::BandResult;
 use crate::settings::Settings;
 use crate::types::Draft;
 
@@ -14,12 +14,12 @@
 pub(crate) struct Arms {
     drafts: Vec<Draft>,
     /// The evidence is insufficient: the full exploration share is used.
-    needs_exploration: bool,
+    uncertain: bool,
 }
 
 impl Arms {
     /// No drafting, and for each drafter the longest draft, the best one and its neighbours.
-    pub(crate) fn of(band: Option<&BandEvaluation>, settings: &Settings) -> Self {
+    pub(crate) fn of(band: Option<&BandResult>, settings: &Settings) -> Self {
         let mut drafts = vec![Draft::OFF];
         for drafter in 1..=settings.drafters {
             let best = band.and_then(|b| b.best_lengths.get(drafter as usize - 1).copied().flatten());
@@ -29,12 +29,12 @@
         }
         drafts.sort();
         drafts.dedup();
-        Self { drafts, needs_exploration: band.is_none_or(|b| b.needs_exploration) }
+        Self { drafts, uncertain: band.is_none_or(|b| b.uncertain) }
     }
 
     /// The draft that this call tries, if any. `sample` is uniform in [0, 1).
     pub(crate) fn draw(&self, in_force: Draft, sample: f64, settings: &Settings) -> Option<Draft> {
-        let share = if self.needs_exploration { settings.explore } else { settings.explore / 4.0 };
+        let share = if self.uncertain { settings.explore } else { settings.explore / 4.0 };
         if self.drafts.is_empty() || sample.is_nan() || sample < 0.0 || sample >= share {
             return None;
         }
--- a/crates/drafts/src/learner.rs
+++ b/crates/drafts/src/learner.rs
@@ -8,7 +8,7 @@
 use crate::settings::{Settings, SettingsError};
 use crate::store::{sums_of, Key, Source, Store, Sums};
 use crate::tally::Row;
-use crate::types::{CallStats, Draft, DraftTable, MemberId, Rejection, Workload, LOAD_BANDS};
+use crate::types::{CallStats, Draft, DraftTable, MemberId, Refusal, Workload, LOAD_BANDS};
 use crate::view::{BandView, MemberView, View, WorkloadView};
 use crate::wire::{self, RowsOwner};
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct DraftLearner {
     settings: Settings,
-    own_id: MemberId,
+    me: MemberId,
     incarnation: u64,
     store: Store,
     /// Workloads by number. The slot of a workload without rows is reused.
@@ -62,7 +62,7 @@
     next_relay: usize,
     /// The positions from which the next datagrams take rows: new own rows, old own rows, relayed rows.
     cursors: [usize; 3],
-    rejections: BTreeMap<Rejection, u64>,
+    refusals: BTreeMap<Refusal, u64>,
     /// Outliers that are already logged, by workload and member.
     logged_outliers: BTreeSet<(u16, MemberId)>,
 }
@@ -75,7 +75,7 @@
     /// A setting is out of its bounds.
     pub fn new(
         settings: Settings,
-        own_id: MemberId,
+        me: MemberId,
         incarnation: u64,
         seed: u64,
         now: Duration,
@@ -83,9 +83,9 @@
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
         let first = settings.period.mul_f64(rng.f64());
-        let (store, budget) = (Store::new(own_id, incarnation, now), ExplorationBudget::new(now));
+        let (store, budget) = (Store::new(me, incarnation, now), ExplorationBudget::new(now));
         Ok(Self {
-            own_id,
+            me,
             incarnation,
             store,
             workloads: Vec::new(),
@@ -105,7 +105,7 @@
             next_receiver: rng.usize(..1 << 16),
             next_relay: rng.usize(..1 << 16),
             cursors: [0; 3],
-            rejections: BTreeMap::new(),
+            refusals: BTreeMap::new(),
             logged_outliers: BTreeSet::new(),
             settings,
         })
@@ -113,7 +113,7 @@
 
     /// Sets the other members, and how many of them are heard. Rows of other members are dropped at the next review.
     pub fn set_members(&mut self, others: impl IntoIterator<Item = MemberId>, heard: usize) {
-        self.roster = others.into_iter().filter(|n| *n != self.own_id).collect();
+        self.roster = others.into_iter().filter(|n| *n != self.me).collect();
         self.roster.sort();
         self.roster.dedup();
         self.heard = heard.min(self.roster.len());
@@ -163,15 +163,15 @@
     ///
     /// # Errors
     /// The numbers are impossible or there is no room; nothing is counted then.
-    pub fn record_call(&mut self, now: Duration, call: &CallStats) -> Result<(), Rejection> {
+    pub fn record_call(&mut self, now: Duration, call: &CallStats) -> Result<(), Refusal> {
         let counted = self.try_record(now, call);
         if let Err(reason) = counted {
-            *self.rejections.entry(reason).or_default() += 1;
+            *self.refusals.entry(reason).or_default() += 1;
         }
         counted
     }
 
-    fn try_record(&mut self, now: Duration, call: &CallStats) -> Result<(), Rejection> {
+    fn try_record(&mut self, now: Duration, call: &CallStats) -> Result<(), Refusal> {
         let sums = sums_of(call, &self.settings)?;
         let workload = self.workload_number(&call.workload, self.settings.workloads)?;
         let epoch = self.store.own.epoch(now, &self.settings);
@@ -184,12 +184,12 @@
     }
 
     /// The number of a workload; a new number if fewer than `max_workloads` are in use.
-    fn workload_number(&mut self, workload: &Workload, max_workloads: usize) -> Result<u16, Rejection> {
+    fn workload_number(&mut self, workload: &Workload, max_workloads: usize) -> Result<u16, Refusal> {
         if let Some(number) = self.workload_numbers.get(workload) {
             return Ok(*number);
         }
         if self.workload_numbers.len() >= max_workloads {
-            return Err(Rejection::Workloads);
+            return Err(Refusal::Workloads);
         }
         let free = self.workloads.iter().position(Option::is_none).unwrap_or(self.workloads.len());
         if free == self.workloads.len() {
@@ -202,34 +202,29 @@
 
     /// Processes a datagram of another member. An invalid one is rejected and counted by the reason.
     pub fn receive(&mut self, now: Duration, from: MemberId, data: &[u8], _out: &mut Vec<Output>) {
-        let merged = wire::read(data).and_then(|datagram| self.merge_datagram(now, from, datagram));
+        let merged = wire::read(data).and_then(|msg| self.merge(now, from, msg));
         if let Err(reason) = merged {
-            *self.rejections.entry(reason).or_default() += 1;
+            *self.refusals.entry(reason).or_default() += 1;
         }
     }
 
-    fn merge_datagram(
-        &mut self,
-        now: Duration,
-        from: MemberId,
-        datagram: wire::Datagram,
-    ) -> Result<(), Rejection> {
-        let on_roster = |member: MemberId| self.roster.binary_search(&member).is_ok();
-        let member = datagram.owner.relayed_for.unwrap_or(from);
-        if !on_roster(from)
-            || (member != self.own_id && !on_roster(member))
-            || (datagram.owner.relayed_for.is_none() && from == self.own_id)
+    fn merge(&mut self, now: Duration, from: MemberId, msg: wire::Datagram) -> Result<(), Refusal> {
+        let listed = |member: MemberId| self.roster.binary_search(&member).is_ok();
+        let member = msg.owner.member.unwrap_or(from);
+        if !listed(from)
+            || (member != self.me && !listed(member))
+            || (msg.owner.member.is_none() && from == self.me)
         {
-            return Err(Rejection::UnknownMember);
+            return Err(Refusal::UnknownMember);
         }
         // A member does not relay its own rows.
-        if datagram.owner.relayed_for == Some(from) {
-            return Err(Rejection::UnknownMember);
+        if msg.owner.member == Some(from) {
+            return Err(Refusal::UnknownMember);
         }
-        let mut rows = Vec::with_capacity(datagram.rows.len());
-        for (key, sums) in datagram.rows {
+        let mut rows = Vec::with_capacity(msg.rows.len());
+        for (key, sums) in msg.rows {
             if !self.settings.allows(key.draft) {
-                return Err(Rejection::Draft);
+                return Err(Refusal::Draft);
             }
             sums.check(key.draft, &self.settings)?;
             rows.push((key, sums));
@@ -237,26 +232,22 @@
         // Workloads reported by others use at most half of the capacity, so that a member that invents workloads cannot keep this
         // one from counting its own.
         let half = self.settings.workloads.div_ceil(2);
-        let mut numbers = Vec::with_capacity(datagram.workloads.len());
-        for workload in &datagram.workloads {
+        let mut numbers = Vec::with_capacity(msg.workloads.len());
+        for workload in &msg.workloads {
             numbers.push(self.workload_number(workload, half).ok());
         }
         if numbers.iter().any(Option::is_none) {
-            *self.rejections.entry(Rejection::Workloads).or_default() += 1;
+            *self.refusals.entry(Refusal::Workloads).or_default() += 1;
         }
         let rows: Vec<(Key, Sums)> = rows
             .into_iter()
             .filter_map(|(key, sums)| Some((Key { workload: numbers[key.workload as usize]?, ..key }, sums)))
             .collect();
-        let source = Source {
-            reporter: from,
-            member,
-            incarnation: datagram.owner.incarnation,
-            clock: datagram.owner.clock(),
-        };
+        let source =
+            Source { reporter: from, member, incarnation: msg.owner.incarnation, clock: msg.owner.clock() };
         match self.store.merge_rows(now, &source, &rows, &self.settings)? {
             0 => Ok(()),
-            _ => Err(Rejection::StoreFull),
+            _ => Err(Refusal::StoreFull),
         }
     }
 
@@ -288,7 +279,7 @@
             self.table_changes.pop_front();
         }
         let mut used = vec![false; self.workloads.len()];
-        self.store.for_each_counted(now, &self.settings, |item| used[item.key.workload as usize] = true);
+        self.store.for_each(now, &self.settings, |item| used[item.key.workload as usize] = true);
         for (number, workload) in self.workloads.iter_mut().enumerate().filter(|(number, _)| !used[*number]) {
             if let Some(workload) = workload.take() {
                 let number = number as u16;
@@ -320,7 +311,7 @@
             }
             let [new_cursor, old_cursor, _] = &mut self.cursors;
             let owner = RowsOwner {
-                relayed_for: None,
+                member: None,
                 incarnation: self.incarnation,
                 clock_ms: millis(self.store.own.clock(now)),
             };
@@ -346,25 +337,22 @@
             out.push(Output::Send { to, data });
         }
         // Relays only rows that their member reported itself, also those of members that are gone.
-        let incarnations = self
-            .store
-            .others
-            .iter()
-            .flat_map(|(member, incarnations)| incarnations.iter().map(move |l| (*member, l)));
-        let incarnations: Vec<_> =
-            incarnations.filter_map(|(member, l)| Some((member, l.id, l.direct.as_ref()?))).collect();
-        let incarnations: Vec<_> = incarnations.into_iter().filter(|(.., r)| !r.rows.is_empty()).collect();
-        if incarnations.is_empty() {
+        let sources =
+            self.store.others.iter().flat_map(|(member, all)| all.iter().map(move |l| (*member, l)));
+        let sources: Vec<_> =
+            sources.filter_map(|(member, l)| Some((member, l.id, l.direct.as_ref()?))).collect();
+        let sources: Vec<_> = sources.into_iter().filter(|(.., r)| !r.rows.is_empty()).collect();
+        if sources.is_empty() {
             return;
         }
-        let (member, incarnation, record) = incarnations[self.next_relay % incarnations.len()];
-        let to = self.roster[(self.next_relay / incarnations.len()) % self.roster.len()];
+        let (member, incarnation, record) = sources[self.next_relay % sources.len()];
+        let to = self.roster[(self.next_relay / sources.len()) % self.roster.len()];
         self.next_relay = (self.next_relay + 1) % (1 << 40);
         let epoch = record.epoch(now, &self.settings);
         let rows =
             record.rows.iter().filter(|(key, _)| epoch.saturating_sub(key.epoch) < self.settings.window);
         let rows: Vec<_> = rows.collect();
-        let owner = RowsOwner { relayed_for: Some(member), incarnation, clock_ms: millis(record.clock(now)) };
+        let owner = RowsOwner { member: Some(member), incarnation, clock_ms: millis(record.clock(now)) };
         let start = self.cursors[2] % rows.len().max(1);
         let (data, taken) = wire::write(owner, rows[start..].iter().chain(&rows[..start]).copied(), workload);
         self.cursors[2] = self.cursors[2].wrapping_add(taken.min(7));
@@ -376,7 +364,7 @@
     /// Evaluates the rows of all workloads, with `table` as the table in force.
     fn evaluate_all(&self, now: Duration, table: &DraftTable) -> BTreeMap<u16, (Vec<MemberId>, Evaluation)> {
         let mut rows: BTreeMap<u16, (Vec<MemberId>, Vec<Row>)> = BTreeMap::new();
-        self.store.for_each_counted(now, &self.settings, |item| {
+        self.store.for_each(now, &self.settings, |item| {
             let (reporters, rows) = rows.entry(item.key.workload).or_default();
             let reporter = reporters.iter().position(|t| *t == item.reporter).unwrap_or(reporters.len());
             if reporter == reporters.len() {
@@ -421,24 +409,23 @@
     /// Updates the evaluations and the exploration arms, and logs new outliers.
     fn review(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.evaluations = self.evaluate_all(now, &self.table);
-        for (number, (reporters, evaluation)) in &self.evaluations {
+        for (number, (reporters, result)) in &self.evaluations {
             for ((_, band), arms) in self.arms.range_mut((*number, 0)..=(*number, LOAD_BANDS)) {
-                *arms = Arms::of(evaluation.bands.get(*band as usize), &self.settings);
+                *arms = Arms::of(result.bands.get(*band as usize), &self.settings);
             }
-            for outlier in &evaluation.outliers {
-                let name = reporters[outlier.reporter];
-                if self.logged_outliers.insert((*number, name)) {
+            for outlier in &result.outliers {
+                let member = reporters[outlier.reporter];
+                if self.logged_outliers.insert((*number, member)) {
                     let workload = self.workloads[*number as usize].as_ref().map_or("?", Workload::as_str);
                     let why = &outlier.why;
                     out.push(Output::Log(format!(
                         "drafts of {workload}: member {} is left out: {why}",
-                        name.0
+                        member.0
                     )));
                 }
             }
-            let out_now: BTreeSet<MemberId> =
-                evaluation.outliers.iter().map(|o| reporters[o.reporter]).collect();
-            self.logged_outliers.retain(|(n, name)| n != number || out_now.contains(name));
+            let out_now: BTreeSet<MemberId> = result.outliers.iter().map(|o| reporters[o.reporter]).collect();
+            self.logged_outliers.retain(|(n, member)| n != number || out_now.contains(member));
         }
     }
 
@@ -468,8 +455,8 @@
         for (number, (_, evaluation)) in self.evaluate_all(now, in_force) {
             let Some(workload) = &self.workloads[number as usize] else { continue };
             for (band, evaluation) in evaluation.bands.iter().enumerate() {
-                if let Some(replacement) = evaluation.replacement {
-                    table.insert((workload.clone(), band as u8), replacement);
+                if let Some(better) = evaluation.better {
+                    table.insert((workload.clone(), band as u8), better);
                 }
             }
         }
@@ -480,48 +467,43 @@
     pub fn view(&self, now: Duration) -> View {
         let mut members: BTreeMap<MemberId, MemberView> = BTreeMap::new();
         let mut versions: BTreeMap<(u16, u64), (u64, u64)> = BTreeMap::new();
-        self.store.for_each_counted(now, &self.settings, |item| {
+        self.store.for_each(now, &self.settings, |item| {
             let sum = versions.entry((item.key.workload, item.key.version)).or_default();
             (sum.0, sum.1) = (sum.0.saturating_add(item.sums.tokens), sum.1.saturating_add(item.sums.micros));
         });
         let own: u64 = self.store.own.rows.values().map(|s| s.rounds).fold(0, u64::saturating_add);
-        members.insert(self.own_id, MemberView { member: self.own_id.0, lives: 1, rounds: own, hearsay: 0 });
-        for (name, lives) in &self.store.others {
+        members.insert(self.me, MemberView { member: self.me.0, lives: 1, rounds: own, hearsay: 0 });
+        for (member, entries) in &self.store.others {
             let view = members
-                .entry(*name)
-                .or_insert_with(|| MemberView { member: name.0, ..MemberView::default() });
-            for incarnation in lives {
+                .entry(*member)
+                .or_insert_with(|| MemberView { member: member.0, ..MemberView::default() });
+            for entry in entries {
                 let sum =
                     |r: &crate::store::Record| r.rows.values().map(|s| s.rounds).fold(0, u64::saturating_add);
                 view.lives += 1;
-                view.rounds = view.rounds.saturating_add(incarnation.direct.as_ref().map_or(0, sum));
-                view.hearsay =
-                    view.hearsay.saturating_add(incarnation.relayed.as_ref().map_or(0, |(_, r)| sum(r)));
+                view.rounds = view.rounds.saturating_add(entry.direct.as_ref().map_or(0, sum));
+                view.hearsay = view.hearsay.saturating_add(entry.relayed.as_ref().map_or(0, |(_, r)| sum(r)));
             }
         }
         let mut workloads = BTreeMap::new();
-        for (number, (reporters, evaluation)) in &self.evaluations {
+        for (number, (reporters, result)) in &self.evaluations {
             let Some(workload) = &self.workloads[*number as usize] else { continue };
-            let bands = evaluation.bands.iter().enumerate().map(|(band, b)| BandView {
+            let bands = result.bands.iter().enumerate().map(|(band, b)| BandView {
                 in_force: self.in_force(workload, band as u8, &self.table).to_string(),
                 in_force_tokens: b.in_force_value,
                 best: b.best.map(|(d, _)| d.to_string()),
                 best_tokens: b.best.map(|(_, value)| value),
                 lead: b.lead,
-                lead_at_least: b.lead_lower_bound,
+                lead_at_least: b.min_lead,
                 why: b.why.into(),
             });
             let shown = versions.range((*number, 0)..=(*number, u64::MAX)).rev().take(MAX_SHOWN_VERSIONS);
             let view = WorkloadView {
-                rounds: evaluation.rounds as u64,
-                members: evaluation.reporters,
-                left_out: evaluation
-                    .outliers
-                    .iter()
-                    .map(|o| (reporters[o.reporter].0, o.why.clone()))
-                    .collect(),
-                epochs: evaluation.stable_epochs.clone(),
-                acceptance: evaluation.acceptance.clone(),
+                rounds: result.rounds as u64,
+                members: result.reporters,
+                left_out: result.outliers.iter().map(|o| (reporters[o.reporter].0, o.why.clone())).collect(),
+                epochs: result.stable_epochs.clone(),
+                acceptance: result.acceptance.clone(),
                 bands: bands.collect(),
                 versions: shown
                     .map(|((_, version), (tokens, micros))| {
@@ -535,8 +517,8 @@
             version: self.version,
             versions_in_the_hour: self.recent_versions(now),
             bound_ms: self.settings.max_evidence_age().as_millis() as u64,
-            rows: self.store.row_count(),
-            refused: self.rejections.iter().map(|(reason, n)| (reason.to_string(), *n)).collect(),
+            rows: self.store.total(),
+            refused: self.refusals.iter().map(|(reason, n)| (reason.to_string(), *n)).collect(),
             members: members.into_values().collect(),
             workloads,
         }
--- a/crates/drafts/src/learner/tests.rs
+++ b/crates/drafts/src/learner/tests.rs
@@ -15,16 +15,14 @@
     let key = Key { epoch, workload: 0, draft: Draft { drafter: 1, length: 1 }, band: 0, version: 1 };
     let mut sums = Sums { calls: rounds, rounds, tokens: rounds, micros: rounds, ..Sums::default() };
     sums.accepted[0] = rounds;
-    let owner = RowsOwner { relayed_for: relayed_for.map(MemberId), incarnation, clock_ms: clock };
+    let owner = RowsOwner { member: relayed_for.map(MemberId), incarnation, clock_ms: clock };
     wire::write(owner, [(&key, &sums)].into_iter(), |_| Workload::new("w").unwrap()).0
 }
 
 /// The rounds by reporter.
 fn rounds_by_reporter(learner: &DraftLearner, now: Duration) -> BTreeMap<u32, u64> {
     let mut by: BTreeMap<u32, u64> = BTreeMap::new();
-    learner
-        .store
-        .for_each_counted(now, &learner.settings, |i| *by.entry(i.reporter.0).or_default() += i.sums.rounds);
+    learner.store.for_each(now, &learner.settings, |i| *by.entry(i.reporter.0).or_default() += i.sums.rounds);
     by
 }
 
@@ -50,7 +48,7 @@
     for o in &outputs {
         if let Output::Send { data, .. } = o {
             assert_eq!(
-                wire::read(data).unwrap().owner.relayed_for,
+                wire::read(data).unwrap().owner.member,
                 Some(MemberId(2)),
                 "only directly reported rows"
             );
@@ -66,7 +64,7 @@
     learner.receive(NOW, MemberId(2), &datagram_of(Some(9), 7, 30_000, 2, 50), &mut outputs);
     learner.receive(NOW, MemberId(2), &datagram_of(Some(2), 7, 30_000, 2, 50), &mut outputs);
     learner.receive(NOW, MemberId(1), &datagram_of(None, 7, 30_000, 2, 50), &mut outputs);
-    assert_eq!(learner.rejections, [(Rejection::UnknownMember, 4)].into());
+    assert_eq!(learner.refusals, [(Refusal::UnknownMember, 4)].into());
     assert!(rounds_by_reporter(&learner, NOW).is_empty());
 }
 
@@ -98,5 +96,5 @@
         learner.receive(NOW, MemberId(3), &datagram_of(Some(2), incarnation, 30_000, 2, 50), &mut outputs);
     }
     assert_eq!(rounds_by_reporter(&learner, NOW), [(2, 200)].into(), "the last four incarnations");
-    assert_eq!(learner.rejections, [(Rejection::StoreFull, 10)].into());
+    assert_eq!(learner.refusals, [(Refusal::StoreFull, 10)].into());
 }
--- a/crates/drafts/src/lib.rs
+++ b/crates/drafts/src/lib.rs
@@ -30,6 +30,6 @@
 
 pub use learner::{DraftLearner, Output};
 pub use settings::{Settings, SettingsError};
-pub use types::{CallStats, Draft, DraftTable, MemberId, Rejection, Workload, LOAD_BANDS, MAX_DRAFT_TOKENS};
+pub use types::{CallStats, Draft, DraftTable, MemberId, Refusal, Workload, LOAD_BANDS, MAX_DRAFT_TOKENS};
 pub use view::{BandView, MemberView, View, WorkloadView};
 pub use wire::MAX_DATAGRAM_BYTES;
--- a/crates/drafts/src/store.rs
+++ b/crates/drafts/src/store.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::settings::Settings;
-use crate::types::{Draft, MemberId, Rejection, LOAD_BANDS, MAX_DRAFT_TOKENS};
+use crate::types::{Draft, MemberId, Refusal, LOAD_BANDS, MAX_DRAFT_TOKENS};
 
 /// What a row counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,42 +53,42 @@
         self.combine(other, std::cmp::Ord::max);
     }
 
-    fn combine(&mut self, other: &Sums, combine_sums: fn(u64, u64) -> u64) {
-        self.calls = combine_sums(self.calls, other.calls);
-        self.rounds = combine_sums(self.rounds, other.rounds);
-        self.tokens = combine_sums(self.tokens, other.tokens);
-        self.micros = combine_sums(self.micros, other.micros);
-        self.squares = combine_sums(self.squares, other.squares);
+    fn combine(&mut self, other: &Sums, f: fn(u64, u64) -> u64) {
+        self.calls = f(self.calls, other.calls);
+        self.rounds = f(self.rounds, other.rounds);
+        self.tokens = f(self.tokens, other.tokens);
+        self.micros = f(self.micros, other.micros);
+        self.squares = f(self.squares, other.squares);
         for (a, b) in self.accepted.iter_mut().zip(other.accepted) {
-            *a = combine_sums(*a, b);
+            *a = f(*a, b);
         }
     }
 
     /// Checks that the sums are possible for this draft.
-    pub(crate) fn check(&self, draft: Draft, settings: &Settings) -> Result<(), Rejection> {
+    pub(crate) fn check(&self, draft: Draft, settings: &Settings) -> Result<(), Refusal> {
         if self.calls == 0 || self.rounds < self.calls {
-            return Err(Rejection::Rounds);
+            return Err(Refusal::Rounds);
         }
         let (drafted, undrafted) = self.accepted.split_at(draft.length as usize);
         if undrafted.iter().any(|k| *k > 0) {
-            return Err(Rejection::Positions);
+            return Err(Refusal::Positions);
         }
         let mut previous = self.rounds;
         for k in drafted {
             if *k > std::mem::replace(&mut previous, *k) {
-                return Err(Rejection::Accepted);
+                return Err(Refusal::Accepted);
             }
         }
         let max_tokens = drafted.iter().fold(self.rounds, |sum, k| sum.saturating_add(*k));
         if self.tokens > max_tokens {
-            return Err(Rejection::Tokens);
+            return Err(Refusal::Tokens);
         }
-        let max_round_us = settings.longest_round.as_micros() as u64;
+        let longest = settings.longest_round.as_micros() as u64;
         if self.micros == 0
-            || self.micros > self.rounds.saturating_mul(max_round_us)
-            || self.squares > self.calls.saturating_mul(max_round_us.saturating_mul(max_round_us))
+            || self.micros > self.rounds.saturating_mul(longest)
+            || self.squares > self.calls.saturating_mul(longest.saturating_mul(longest))
         {
-            return Err(Rejection::Time);
+            return Err(Refusal::Time);
         }
         Ok(())
     }
@@ -153,11 +153,12 @@
 /// The rows of all members.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
-    own_id: MemberId,
+    me: MemberId,
     incarnation: u64,
     pub own: Record,
     pub others: BTreeMap<MemberId, Vec<Incarnation>>,
-    row_count: usize,
+    /// The number of rows of all members.
+    total: usize,
 }
 
 /// The origin of rows: the reporter, the member and incarnation that they belong to, and that incarnation's clock.
@@ -169,28 +170,22 @@
 }
 
 impl Store {
-    pub(crate) fn new(own_id: MemberId, incarnation: u64, now: Duration) -> Self {
-        Self {
-            own_id,
-            incarnation,
-            own: Record::new(Duration::ZERO, now),
-            others: BTreeMap::new(),
-            row_count: 0,
-        }
+    pub(crate) fn new(me: MemberId, incarnation: u64, now: Duration) -> Self {
+        Self { me, incarnation, own: Record::new(Duration::ZERO, now), others: BTreeMap::new(), total: 0 }
     }
 
     /// The number of rows of all members.
-    pub(crate) fn row_count(&self) -> usize {
-        self.row_count
+    pub(crate) fn total(&self) -> usize {
+        self.total
     }
 
     /// Adds to a row of this member.
-    pub(crate) fn count(&mut self, key: Key, more: &Sums, settings: &Settings) -> Result<(), Rejection> {
+    pub(crate) fn count(&mut self, key: Key, more: &Sums, settings: &Settings) -> Result<(), Refusal> {
         if !self.own.rows.contains_key(&key) {
-            if self.own.rows.len() >= settings.rows || self.row_count >= settings.rows_in_all {
-                return Err(Rejection::StoreFull);
+            if self.own.rows.len() >= settings.rows || self.total >= settings.rows_in_all {
+                return Err(Refusal::StoreFull);
             }
-            self.row_count += 1;
+            self.total += 1;
         }
         self.own.rows.entry(key).or_default().add(more);
         Ok(())
@@ -198,52 +193,45 @@
 
     /// The record for a source. If the member has the maximum number of incarnations, one of the same member is evicted; rows
     /// of other members are never evicted for it.
-    fn record(
-        &mut self,
-        now: Duration,
-        from: &Source,
-        settings: &Settings,
-    ) -> Result<&mut Record, Rejection> {
-        if from.member == self.own_id && from.incarnation == self.incarnation {
-            return Err(Rejection::UnknownMember);
+    fn record(&mut self, now: Duration, from: &Source, settings: &Settings) -> Result<&mut Record, Refusal> {
+        if from.member == self.me && from.incarnation == self.incarnation {
+            return Err(Refusal::UnknownMember);
         }
         let direct = from.reporter == from.member;
-        let incarnations = self.others.entry(from.member).or_default();
-        let at = match incarnations.iter().position(|l| l.id == from.incarnation) {
+        let entries = self.others.entry(from.member).or_default();
+        let at = match entries.iter().position(|l| l.id == from.incarnation) {
             Some(at) => at,
             None => {
-                if incarnations.len() >= settings.lives {
+                if entries.len() >= settings.lives {
                     // Incarnations known only from relayed rows are evicted first, and relayed rows never evict directly
                     // reported ones.
-                    let evicted = incarnations
-                        .iter()
-                        .enumerate()
-                        .min_by_key(|(_, l)| (l.direct.is_some(), l.last_heard));
-                    let (at, reported_directly) =
-                        evicted.map(|(at, l)| (at, l.direct.is_some())).ok_or(Rejection::StoreFull)?;
-                    if reported_directly && !direct {
-                        return Err(Rejection::StoreFull);
+                    let evicted =
+                        entries.iter().enumerate().min_by_key(|(_, l)| (l.direct.is_some(), l.last_heard));
+                    let (at, is_direct) =
+                        evicted.map(|(at, l)| (at, l.direct.is_some())).ok_or(Refusal::StoreFull)?;
+                    if is_direct && !direct {
+                        return Err(Refusal::StoreFull);
                     }
-                    let oldest = incarnations.remove(at);
+                    let oldest = entries.remove(at);
                     let records = oldest.direct.iter().chain(oldest.relayed.iter().map(|(_, r)| r));
-                    self.row_count -= records.map(|r| r.rows.len()).sum::<usize>();
+                    self.total -= records.map(|r| r.rows.len()).sum::<usize>();
                 }
-                incarnations.push(Incarnation {
+                entries.push(Incarnation {
                     id: from.incarnation,
                     direct: None,
                     relayed: None,
                     last_heard: now,
                 });
-                incarnations.len() - 1
+                entries.len() - 1
             }
         };
-        let incarnation = &mut incarnations[at];
-        incarnation.last_heard = now;
+        let entry = &mut entries[at];
+        entry.last_heard = now;
         let new_record = || Record::new(from.clock, now);
         let record = if direct {
-            incarnation.direct.get_or_insert_with(new_record)
+            entry.direct.get_or_insert_with(new_record)
         } else {
-            &mut incarnation.relayed.get_or_insert_with(|| (from.reporter, new_record())).1
+            &mut entry.relayed.get_or_insert_with(|| (from.reporter, new_record())).1
         };
         record.advance_clock(now, from.clock);
         Ok(record)
@@ -256,8 +244,8 @@
         from: &Source,
         rows: &[(Key, Sums)],
         settings: &Settings,
-    ) -> Result<usize, Rejection> {
-        let mut room = settings.rows_in_all.saturating_sub(self.row_count);
+    ) -> Result<usize, Refusal> {
+        let mut room = settings.rows_in_all.saturating_sub(self.total);
         let record = self.record(now, from, settings)?;
         let epoch = record.epoch(now, settings);
         let (mut taken, mut refused) = (0, 0);
@@ -274,7 +262,7 @@
                 refused += 1;
             }
         }
-        self.row_count += taken;
+        self.total += taken;
         Ok(refused)
     }
 
@@ -283,40 +271,32 @@
         &mut self,
         now: Duration,
         settings: &Settings,
-        on_roster: impl Fn(MemberId) -> bool,
+        listed: impl Fn(MemberId) -> bool,
     ) {
         self.own.drop_expired(now, settings);
         let clock_retention = settings.epoch * settings.window * 2;
-        let own_id = self.own_id;
-        self.others.retain(|member, incarnations| {
-            for incarnation in incarnations.iter_mut() {
-                incarnation.direct.iter_mut().for_each(|r| r.drop_expired(now, settings));
-                incarnation.relayed.iter_mut().for_each(|(_, r)| r.drop_expired(now, settings));
-                if incarnation
-                    .relayed
-                    .as_ref()
-                    .is_some_and(|(reporter, r)| r.rows.is_empty() || !on_roster(*reporter))
+        let me = self.me;
+        self.others.retain(|member, entries| {
+            for entry in entries.iter_mut() {
+                entry.direct.iter_mut().for_each(|r| r.drop_expired(now, settings));
+                entry.relayed.iter_mut().for_each(|(_, r)| r.drop_expired(now, settings));
+                if entry.relayed.as_ref().is_some_and(|(reporter, r)| r.rows.is_empty() || !listed(*reporter))
                 {
-                    incarnation.relayed = None;
+                    entry.relayed = None;
                 }
             }
             // The clock of an incarnation is kept longer than its rows, so that a datagram with a long delay does not count as
             // new.
-            incarnations.retain(|l| now.saturating_sub(l.last_heard) < clock_retention);
-            (*member == own_id || on_roster(*member)) && !incarnations.is_empty()
+            entries.retain(|l| now.saturating_sub(l.last_heard) < clock_retention);
+            (*member == me || listed(*member)) && !entries.is_empty()
         });
         let records = self.others.values().flatten();
         let records = records.flat_map(|l| l.direct.iter().chain(l.relayed.iter().map(|(_, r)| r)));
-        self.row_count = self.own.rows.len() + records.map(|r| r.rows.len()).sum::<usize>();
+        self.total = self.own.rows.len() + records.map(|r| r.rows.len()).sum::<usize>();
     }
 
     /// Calls `each` for all rows that count. A relayed row is skipped if the member reported the same row itself.
-    pub(crate) fn for_each_counted(
-        &self,
-        now: Duration,
-        settings: &Settings,
-        mut each: impl FnMut(CountedRow<'_>),
-    ) {
+    pub(crate) fn for_each(&self, now: Duration, settings: &Settings, mut each: impl FnMut(CountedRow<'_>)) {
         let mut visit = |reporter: MemberId, record: &Record, reported: Option<&Record>| {
             let epoch = record.epoch(now, settings);
             for (key, sums) in &record.rows {
@@ -326,14 +306,14 @@
                 }
             }
         };
-        visit(self.own_id, &self.own, None);
-        for (member, incarnations) in &self.others {
-            for incarnation in incarnations {
-                if let Some(record) = &incarnation.direct {
+        visit(self.me, &self.own, None);
+        for (member, entries) in &self.others {
+            for entry in entries {
+                if let Some(record) = &entry.direct {
                     visit(*member, record, None);
                 }
-                if let Some((reporter, record)) = &incarnation.relayed {
-                    visit(*reporter, record, incarnation.direct.as_ref());
+                if let Some((reporter, record)) = &entry.relayed {
+                    visit(*reporter, record, entry.direct.as_ref());
                 }
             }
         }
@@ -341,15 +321,15 @@
 }
 
 /// The sums of one call.
-pub(crate) fn sums_of(call: &crate::CallStats, settings: &Settings) -> Result<Sums, Rejection> {
+pub(crate) fn sums_of(call: &crate::CallStats, settings: &Settings) -> Result<Sums, Refusal> {
     if call.band >= LOAD_BANDS {
-        return Err(Rejection::Band);
+        return Err(Refusal::Band);
     }
     if !settings.allows(call.draft) {
-        return Err(Rejection::Draft);
+        return Err(Refusal::Draft);
     }
     if call.accepted.len() != call.draft.length as usize {
-        return Err(Rejection::Positions);
+        return Err(Refusal::Positions);
     }
     let rounds = u64::from(call.rounds);
     let micros = call.time.as_micros().min(u128::from(u64::MAX)) as u64;
--- a/crates/drafts/src/types.rs
+++ b/crates/drafts/src/types.rs
@@ -28,10 +28,10 @@
     ///
     /// # Errors
     /// The name is not 1 to 64 bytes of printable ASCII without `/`, `,`, `=`.
-    pub fn new(name: &str) -> Result<Self, Rejection> {
+    pub fn new(name: &str) -> Result<Self, Refusal> {
         let plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'/' | b',' | b'=');
         if name.is_empty() || name.len() > MAX_WORKLOAD_NAME_BYTES || !name.bytes().all(plain) {
-            return Err(Rejection::Workload);
+            return Err(Refusal::Workload);
         }
         Ok(Self(name.into()))
     }
@@ -43,9 +43,9 @@
 }
 
 impl TryFrom<String> for Workload {
-    type Error = Rejection;
+    type Error = Refusal;
 
-    fn try_from(name: String) -> Result<Self, Rejection> {
+    fn try_from(name: String) -> Result<Self, Refusal> {
         Self::new(&name)
     }
 }
@@ -83,14 +83,14 @@
 }
 
 impl FromStr for Draft {
-    type Err = Rejection;
+    type Err = Refusal;
 
-    fn from_str(text: &str) -> Result<Self, Rejection> {
-        let (drafter, length) = text.split_once(':').ok_or(Rejection::Draft)?;
-        let number = |t: &str| t.parse::<u8>().map_err(|_| Rejection::Draft);
+    fn from_str(text: &str) -> Result<Self, Refusal> {
+        let (drafter, length) = text.split_once(':').ok_or(Refusal::Draft)?;
+        let number = |t: &str| t.parse::<u8>().map_err(|_| Refusal::Draft);
         let draft = Draft { drafter: number(drafter)?, length: number(length)? };
         if draft.length > MAX_DRAFT_TOKENS || (draft.drafter == 0) != (draft.length == 0) {
-            return Err(Rejection::Draft);
+            return Err(Refusal::Draft);
         }
         Ok(draft)
     }
@@ -99,7 +99,7 @@
 /// The draft by workload and load band. An absent entry means the settings' `start`.
 pub type DraftTable = BTreeMap<(Workload, u8), Draft>;
 
-/// The statistics of one call, as the host's answer reports them.
+/// The statistics of one call, as the answer to the call reports them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallStats {
     /// The workload of the call.
@@ -122,7 +122,7 @@
 
 /// Why a call or a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Rejection {
+pub enum Refusal {
     /// The name of a workload is malformed.
     Workload,
     /// The maximum number of workloads is reached.
@@ -151,34 +151,34 @@
     Epoch,
 }
 
-impl Rejection {
+impl Refusal {
     /// The text shown to operators. It is a key in the JSON view, so it must not change.
     pub fn reason(self) -> &'static str {
         match self {
-            Rejection::Workload => "a workload's word is 1 to 64 bytes of printable ASCII without / , =",
-            Rejection::Workloads => "more workloads than the settings have room for",
-            Rejection::Draft => "no draft of the menu",
-            Rejection::Band => "no such load band",
-            Rejection::Rounds => "no rounds",
-            Rejection::Positions => "not one figure for each position of the draft",
-            Rejection::Accepted => "more accepted at a position than at the one before it",
-            Rejection::Tokens => "more tokens than such drafts can give",
-            Rejection::Time => "a time of nothing, or more a round than is believed",
-            Rejection::StoreFull => "no room for another row",
-            Rejection::Malformed => "a datagram that cannot be read",
-            Rejection::UnknownMember => "of somebody who is not on the roster",
-            Rejection::Epoch => "of an epoch that does not count",
+            Refusal::Workload => "a workload's word is 1 to 64 bytes of printable ASCII without / , =",
+            Refusal::Workloads => "more workloads than the settings have room for",
+            Refusal::Draft => "no draft of the menu",
+            Refusal::Band => "no such load band",
+            Refusal::Rounds => "no rounds",
+            Refusal::Positions => "not one figure for each position of the draft",
+            Refusal::Accepted => "more accepted at a position than at the one before it",
+            Refusal::Tokens => "more tokens than such drafts can give",
+            Refusal::Time => "a time of nothing, or more a round than is believed",
+            Refusal::StoreFull => "no room for another row",
+            Refusal::Malformed => "a datagram that cannot be read",
+            Refusal::UnknownMember => "of somebody who is not on the roster",
+            Refusal::Epoch => "of an epoch that does not count",
         }
     }
 }
 
-impl fmt::Display for Rejection {
+impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.reason())
     }
 }
 
-impl std::error::Error for Rejection {}
+impl std::error::Error for Refusal {}
 
 #[cfg(test)]
 mod tests;
--- a/crates/drafts/src/wire.rs
+++ b/crates/drafts/src/wire.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::store::{Key, Sums};
-use crate::types::{Draft, MemberId, Rejection, Workload, LOAD_BANDS, MAX_DRAFT_TOKENS};
+use crate::types::{Draft, MemberId, Refusal, Workload, LOAD_BANDS, MAX_DRAFT_TOKENS};
 
 /// The maximum size of a datagram: the payload limit of the transport less its own overhead.
 pub const MAX_DATAGRAM_BYTES: usize = 1_190;
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RowsOwner {
     /// The member, if the rows are relayed; otherwise they belong to the sender.
-    pub relayed_for: Option<MemberId>,
+    pub member: Option<MemberId>,
     pub incarnation: u64,
     /// The incarnation's clock, in milliseconds.
     pub clock_ms: u64,
@@ -101,20 +101,18 @@
 }
 
 /// Decodes a datagram. One that is truncated, too long, of another format or with an impossible key is rejected as a whole.
-pub(crate) fn read(data: &[u8]) -> Result<Datagram, Rejection> {
+pub(crate) fn read(data: &[u8]) -> Result<Datagram, Refusal> {
     let Some((&FORMAT_VERSION, rest)) = data.split_first().filter(|_| data.len() <= MAX_DATAGRAM_BYTES)
     else {
-        return Err(Rejection::Malformed);
+        return Err(Refusal::Malformed);
     };
-    let (header, mut rest): (Header, _) =
-        postcard::take_from_bytes(rest).map_err(|_| Rejection::Malformed)?;
+    let (header, mut rest): (Header, _) = postcard::take_from_bytes(rest).map_err(|_| Refusal::Malformed)?;
     if header.rows > MAX_ROWS {
-        return Err(Rejection::Malformed);
+        return Err(Refusal::Malformed);
     }
     let mut rows = Vec::with_capacity(header.rows as usize);
     for _ in 0..header.rows {
-        let (row, next): (EncodedRow, _) =
-            postcard::take_from_bytes(rest).map_err(|_| Rejection::Malformed)?;
+        let (row, next): (EncodedRow, _) = postcard::take_from_bytes(rest).map_err(|_| Refusal::Malformed)?;
         rest = next;
         let length = row.draft.length as usize;
         if row.workload as usize >= header.workloads.len()
@@ -122,7 +120,7 @@
             || row.band >= LOAD_BANDS
             || row.accepted.len() != length
         {
-            return Err(Rejection::Malformed);
+            return Err(Refusal::Malformed);
         }
         let mut accepted = [0; MAX_DRAFT_TOKENS as usize];
         accepted[..length].copy_from_slice(&row.accepted);
@@ -137,7 +135,7 @@
         rows.push((key, Sums { calls, rounds, tokens, micros, squares, accepted }));
     }
     if !rest.is_empty() {
-        return Err(Rejection::Malformed);
+        return Err(Refusal::Malformed);
     }
     Ok(Datagram { owner: header.owner, workloads: header.workloads, rows })
 }
--- a/crates/drafts/tests/properties.rs
+++ b/crates/drafts/tests/properties.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use wheellink_drafts::{
-    CallStats, Draft, DraftLearner, DraftTable, MemberId, Output, Rejection, Settings, Workload,
+    CallStats, Draft, DraftLearner, DraftTable, MemberId, Output, Refusal, Settings, Workload,
     MAX_DATAGRAM_BYTES,
 };
 
@@ -27,7 +27,7 @@
 enum Step {
     Serve {
         who: usize,
-        workload_index: u8,
+        index: u8,
         draft: Draft,
         band: u8,
         rounds: u32,
@@ -56,7 +56,7 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..MEMBERS, 0u8..3, draft(), 0u8..4, 1u32..50)
-            .prop_map(|(who, workload_index, draft, band, rounds)| Step::Serve { who, workload_index, draft, band, rounds }),
+            .prop_map(|(who, index, draft, band, rounds)| Step::Serve { who, index, draft, band, rounds }),
         6 => (0..MEMBERS).prop_map(Step::Wake),
         8 => (any::<usize>(), any::<bool>()).prop_map(|(which, keep)| Step::Deliver { which, keep }),
         1 => (any::<usize>(), 0usize..MAX_DATAGRAM_BYTES).prop_map(|(which, bytes)| Step::Truncate { which, bytes }),
@@ -65,10 +65,10 @@
     ]
 }
 
-fn ran(workload_index: u8, draft: Draft, band: u8, rounds: u32) -> CallStats {
+fn ran(index: u8, draft: Draft, band: u8, rounds: u32) -> CallStats {
     let accepted: Vec<u32> = (0..u32::from(draft.length)).map(|i| rounds * (8 - i) / 10).collect();
     let tokens = rounds + accepted.iter().sum::<u32>();
-    let workload = Workload::new(&format!("w{workload_index}")).unwrap();
+    let workload = Workload::new(&format!("w{index}")).unwrap();
     CallStats {
         workload,
         draft,
@@ -84,25 +84,19 @@
 struct World {
     members: Vec<DraftLearner>,
     now: Duration,
-    incarnations: u64,
+    started: u64,
     /// The rounds that each member served in all its incarnations.
     served: [u64; MEMBERS],
     /// The rounds that each member served in its current incarnation.
-    this_incarnation: [u64; MEMBERS],
+    current: [u64; MEMBERS],
     in_transit: Vec<(usize, usize, Vec<u8>)>,
 }
 
 impl World {
     fn new() -> Self {
         let (now, in_transit) = (Duration::ZERO, Vec::new());
-        let mut world = Self {
-            members: Vec::new(),
-            now,
-            incarnations: 0,
-            served: [0; 3],
-            this_incarnation: [0; 3],
-            in_transit,
-        };
+        let mut world =
+            Self { members: Vec::new(), now, started: 0, served: [0; 3], current: [0; 3], in_transit };
         for who in 0..MEMBERS {
             let member = world.new_learner(who);
             world.members.push(member);
@@ -111,15 +105,10 @@
     }
 
     fn new_learner(&mut self, who: usize) -> DraftLearner {
-        self.incarnations += 1;
-        let mut drafts = DraftLearner::new(
-            settings(),
-            MemberId(who as u32),
-            self.incarnations,
-            self.incarnations,
-            self.now,
-        )
-        .unwrap();
+        self.started += 1;
+        let mut drafts =
+            DraftLearner::new(settings(), MemberId(who as u32), self.started, self.started, self.now)
+                .unwrap();
         drafts.set_members((0..MEMBERS as u32).map(MemberId), MEMBERS - 1);
         drafts
     }
@@ -127,10 +116,10 @@
     fn take(&mut self, step: &Step) {
         self.now += Duration::from_millis(100);
         match step.clone() {
-            Step::Serve { who, workload_index, draft, band, rounds } => {
-                self.members[who].record_call(self.now, &ran(workload_index, draft, band, rounds)).unwrap();
+            Step::Serve { who, index, draft, band, rounds } => {
+                self.members[who].record_call(self.now, &ran(index, draft, band, rounds)).unwrap();
                 self.served[who] += u64::from(rounds);
-                self.this_incarnation[who] += u64::from(rounds);
+                self.current[who] += u64::from(rounds);
             }
             Step::Wake(who) => {
                 self.now += Duration::from_secs(1);
@@ -160,7 +149,7 @@
             }
             Step::Restart(who) => {
                 self.members[who] = self.new_learner(who);
-                self.this_incarnation[who] = 0;
+                self.current[who] = 0;
             }
             _ => {}
         }
@@ -204,7 +193,7 @@
         for at in 0..MEMBERS {
             for of in (0..MEMBERS).filter(|of| *of != at) {
                 let (direct, _) = world.held(at, of);
-                prop_assert!(direct >= world.this_incarnation[of], "{} of {}: {} of {}", at, of, direct, world.this_incarnation[of]);
+                prop_assert!(direct >= world.current[of], "{} of {}: {} of {}", at, of, direct, world.current[of]);
             }
         }
     }
@@ -217,7 +206,7 @@
         let mut world = World::new();
         for rounds in 1..20 {
             let draft = Draft { drafter: 1, length: (rounds % 8 + 1) as u8 };
-            world.take(&Step::Serve { who: 0, workload_index: (rounds % 3) as u8, draft, band: 0, rounds });
+            world.take(&Step::Serve { who: 0, index: (rounds % 3) as u8, draft, band: 0, rounds });
         }
         world.take(&Step::Wake(0));
         let (_, _, valid) = world.in_transit[0].clone();
@@ -281,17 +270,17 @@
     let good = ran(0, Draft { drafter: 1, length: 3 }, 0, 10);
     assert_eq!(drafts.record_call(now, &good), Ok(()));
     type Change = fn(&mut CallStats);
-    let cases: [(Rejection, Change); 10] = [
-        (Rejection::Accepted, |r| r.accepted = vec![11, 3, 2]),
-        (Rejection::Accepted, |r| r.accepted = vec![3, 4, 2]),
-        (Rejection::Positions, |r| r.accepted = vec![3, 2]),
-        (Rejection::Tokens, |r| r.tokens = 10_000),
-        (Rejection::Time, |r| r.time = Duration::ZERO),
-        (Rejection::Time, |r| r.time = Duration::from_secs(41)),
-        (Rejection::Rounds, |r| (r.rounds, r.accepted, r.tokens) = (0, vec![0; 3], 0)),
-        (Rejection::Band, |r| r.band = 4),
-        (Rejection::Draft, |r| r.draft = Draft { drafter: 3, length: 3 }),
-        (Rejection::Draft, |r| r.draft = Draft { drafter: 0, length: 3 }),
+    let cases: [(Refusal, Change); 10] = [
+        (Refusal::Accepted, |r| r.accepted = vec![11, 3, 2]),
+        (Refusal::Accepted, |r| r.accepted = vec![3, 4, 2]),
+        (Refusal::Positions, |r| r.accepted = vec![3, 2]),
+        (Refusal::Tokens, |r| r.tokens = 10_000),
+        (Refusal::Time, |r| r.time = Duration::ZERO),
+        (Refusal::Time, |r| r.time = Duration::from_secs(41)),
+        (Refusal::Rounds, |r| (r.rounds, r.accepted, r.tokens) = (0, vec![0; 3], 0)),
+        (Refusal::Band, |r| r.band = 4),
+        (Refusal::Draft, |r| r.draft = Draft { drafter: 3, length: 3 }),
+        (Refusal::Draft, |r| r.draft = Draft { drafter: 0, length: 3 }),
     ];
     for (why, change) in cases {
         let mut bad = good.clone();
--- a/crates/handoff/src/fault.rs
+++ b/crates/handoff/src/fault.rs
@@ -32,7 +32,7 @@
 
 faults! {
     /// Older versions are accepted and published after newer ones.
-    AcceptStaleVersion, accepts_stale_version;
+    AcceptStale, accepts_stale;
     /// Submitting a job does not wake the worker.
     NoWakeOnSubmit, skips_wake_on_submit;
     /// Closing the submitter does not wake the worker.
@@ -46,7 +46,7 @@
     /// A job is taken and recorded as running under two separate locks.
     RunningSetLate, sets_running_late;
     /// Submitting a newer job does not cancel the running one.
-    NoCancelOnSubmit, skips_cancel_on_submit;
+    NoCancel, skips_cancel;
     /// The exit of the worker is not recorded.
     WorkerExitUnreported, hides_worker_exit;
     /// A job abandoned without a result stays recorded as running.
--- a/crates/handoff/src/lib.rs
+++ b/crates/handoff/src/lib.rs
@@ -32,9 +32,9 @@
     /// The result that is published and not yet fetched, with its version.
     result: Option<(u64, R)>,
     /// The newest version that was submitted.
-    last_submitted: Option<u64>,
+    submitted: Option<u64>,
     /// The newest version that was published.
-    last_published: Option<u64>,
+    published: Option<u64>,
     /// The submitter is closed or dropped.
     closed: bool,
     /// The worker is dropped, after its last job or by a panic.
@@ -111,8 +111,8 @@
         pending: None,
         running: None,
         result: None,
-        last_submitted: None,
-        last_published: None,
+        submitted: None,
+        published: None,
         closed: false,
         worker_gone: false,
     };
@@ -128,15 +128,11 @@
         if slots.worker_gone {
             return Err(SubmitError::WorkerGone(input));
         }
-        if slots.last_submitted.is_some_and(|newest| newest >= version)
-            && !self.0.fault.accepts_stale_version()
-        {
+        if slots.submitted.is_some_and(|newest| newest >= version) && !self.0.fault.accepts_stale() {
             return Err(SubmitError::Stale(input));
         }
-        slots.last_submitted = Some(version);
-        if let Some((_, cancelled)) =
-            slots.running.as_ref().filter(|_| !self.0.fault.skips_cancel_on_submit())
-        {
+        slots.submitted = Some(version);
+        if let Some((_, cancelled)) = slots.running.as_ref().filter(|_| !self.0.fault.skips_cancel()) {
             cancelled.store(true, Ordering::Release);
         }
         let superseded = slots.pending.replace((version, input));
@@ -151,7 +147,7 @@
     pub fn take_latest(&self) -> Option<(u64, R)> {
         let mut slots = self.0.slots();
         if self.0.fault.splits_fetch() {
-            let version = slots.last_published?;
+            let version = slots.published?;
             drop(slots);
             return self.0.slots().result.take().map(|(_, result)| (version, result));
         }
@@ -223,12 +219,10 @@
     /// Publishes a result. Returns it as an error if the same or a newer version was published before.
     pub fn publish(&self, version: u64, result: R) -> Result<(), R> {
         let mut slots = self.0.slots();
-        if slots.last_published.is_some_and(|newest| newest >= version)
-            && !self.0.fault.accepts_stale_version()
-        {
+        if slots.published.is_some_and(|newest| newest >= version) && !self.0.fault.accepts_stale() {
             return Err(result);
         }
-        slots.last_published = Some(version);
+        slots.published = Some(version);
         if slots.running.as_ref().is_some_and(|(running, _)| *running == version) {
             slots.running = None;
         }
--- a/crates/handoff/tests/loom.rs
+++ b/crates/handoff/tests/loom.rs
@@ -31,9 +31,9 @@
 }
 
 /// Jobs that may be alive besides a new one: the pending and the running one.
-const MAX_OTHER_JOBS: usize = 2;
+const MAX_JOBS: usize = 2;
 /// Results that may be alive besides a new one: the published one, the one being computed and the one the event loop holds.
-const MAX_OTHER_RESULTS: usize = 3;
+const MAX_RESULTS: usize = 3;
 
 type Ends = (Submitter<Counted, Counted>, Worker<Counted, Counted>);
 
@@ -43,7 +43,7 @@
         assert_eq!(job.input.version, job.version, "version and content do not match");
         let version = job.version;
         drop(job);
-        let _ = worker.publish(version, Counted::new(version, results, MAX_OTHER_RESULTS));
+        let _ = worker.publish(version, Counted::new(version, results, MAX_RESULTS));
         if version == until {
             return;
         }
@@ -77,7 +77,7 @@
     });
     let mut received = Received(0);
     for version in 1..=3 {
-        let _ = submitter.submit(version, Counted::new(version, &jobs, MAX_OTHER_JOBS));
+        let _ = submitter.submit(version, Counted::new(version, &jobs, MAX_JOBS));
         received.fetch(&submitter);
     }
     worker.join().expect("the worker");
@@ -98,10 +98,10 @@
     });
     let other = spawn({
         let (submitter, jobs) = (submitter.clone(), jobs.clone());
-        move || drop(submitter.submit(2, Counted::new(2, &jobs, MAX_OTHER_JOBS + 1)))
+        move || drop(submitter.submit(2, Counted::new(2, &jobs, MAX_JOBS + 1)))
     });
     let mut received = Received(0);
-    let first = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS + 1));
+    let first = submitter.submit(1, Counted::new(1, &jobs, MAX_JOBS + 1));
     received.fetch(&submitter);
     other.join().expect("the other");
     drop(first);
@@ -120,7 +120,7 @@
             let results = results.clone();
             move || run_jobs(&mut worker, &results, u64::MAX)
         });
-        let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS));
+        let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_JOBS));
         if dropped {
             drop(submitter);
             worker.join().expect("the worker");
@@ -141,8 +141,8 @@
         let first = worker.next_job().expect("work");
         (worker, first)
     });
-    let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS));
-    let second = submitter.submit(2, Counted::new(2, &jobs, MAX_OTHER_JOBS));
+    let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_JOBS));
+    let second = submitter.submit(2, Counted::new(2, &jobs, MAX_JOBS));
     let superseded = matches!(&second, Ok(Some((1, _))));
     let (mut worker, first) = worker.join().expect("the worker");
     assert_eq!(first.version, if superseded { 2 } else { 1 });
@@ -161,16 +161,12 @@
         let submitter = submitter.clone();
         move || {
             while let Some(job) = worker.next_job() {
-                assert_eq!(submitter.versions_in_progress().1, Some(job.version), "running and not recorded");
+                assert_eq!(submitter.versions_in_progress().1, Some(job.version), "taken and not running");
             }
-            assert_eq!(
-                submitter.versions_in_progress(),
-                (None, None),
-                "abandoned and still recorded as running"
-            );
+            assert_eq!(submitter.versions_in_progress(), (None, None), "abandoned and still running");
         }
     });
-    let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS));
+    let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_JOBS));
     submitter.close();
     worker.join().expect("the worker");
 }
@@ -186,17 +182,14 @@
         }));
         assert!(panics.is_err());
     });
-    let first = submitter.submit(1, Counted::new(1, &jobs, MAX_OTHER_JOBS));
+    let first = submitter.submit(1, Counted::new(1, &jobs, MAX_JOBS));
     assert!(first.is_ok(), "the first job is accepted");
-    let second = submitter.submit(2, Counted::new(2, &jobs, MAX_OTHER_JOBS));
+    let second = submitter.submit(2, Counted::new(2, &jobs, MAX_JOBS));
     let refused = matches!(second, Err(SubmitError::WorkerGone(_)));
     assert!(!refused || submitter.is_worker_gone());
     worker.join().expect("the worker");
     assert!(submitter.is_worker_gone(), "the exit of the worker is not reported");
-    assert!(matches!(
-        submitter.submit(3, Counted::new(3, &jobs, MAX_OTHER_JOBS)),
-        Err(SubmitError::WorkerGone(_))
-    ));
+    assert!(matches!(submitter.submit(3, Counted::new(3, &jobs, MAX_JOBS)), Err(SubmitError::WorkerGone(_))));
     drop((first, second));
     drop(submitter);
     assert_eq!(jobs.load(SeqCst), 0, "a value leaked");
@@ -238,19 +231,19 @@
 const FAULT_INDEX_VAR: &str = "WHEELLINK_PLANTED";
 
 /// The model that detects a fault, and the message it fails with.
-fn detecting_model(fault: Fault) -> (fn(Fault), &'static str) {
+fn detected_by(fault: Fault) -> (fn(Fault), &'static str) {
     match fault {
         Fault::None => (increasing_versions, "nothing"),
-        Fault::AcceptStaleVersion => (concurrent_submits, "an older version after a newer one"),
+        Fault::AcceptStale => (concurrent_submits, "an older version after a newer one"),
         Fault::SplitFetch => (increasing_versions, "version and content do not match"),
         // A thread waits for a wake-up or a result that never comes.
         Fault::NoWakeOnSubmit | Fault::UnlockBeforeWait | Fault::PublishDropsPending => {
             (increasing_versions, "deadlock")
         }
         Fault::NoWakeOnClose => (closing, "deadlock"),
-        Fault::RunningSetLate | Fault::NoCancelOnSubmit => (superseding, "a superseded job is not cancelled"),
+        Fault::RunningSetLate | Fault::NoCancel => (superseding, "a superseded job is not cancelled"),
         Fault::WorkerExitUnreported => (panicking, "the exit of the worker is not reported"),
-        Fault::RunningNeverCleared => (abandoning, "abandoned and still recorded as running"),
+        Fault::RunningNeverCleared => (abandoning, "abandoned and still running"),
     }
 }
 
@@ -258,9 +251,8 @@
 #[test]
 #[ignore = "run in a child process by the next test"]
 fn injected_fault() {
-    let index: usize =
-        std::env::var(FAULT_INDEX_VAR).expect("the index of a fault").parse().expect("a number");
-    check_model("injected fault", detecting_model(Fault::ALL[index]).0, Fault::ALL[index]);
+    let index: usize = std::env::var(FAULT_INDEX_VAR).expect("a fault").parse().expect("a number");
+    check_model("injected fault", detected_by(Fault::ALL[index]).0, Fault::ALL[index]);
     println!("not detected");
 }
 
@@ -274,11 +266,11 @@
             .env(FAULT_INDEX_VAR, index.to_string())
             .env("RUST_BACKTRACE", "0")
             .output()
-            .expect("the test program starts");
+            .expect("it starts");
         let output =
             [out.stdout, out.stderr].map(|output| String::from_utf8_lossy(&output).into_owned()).concat();
         assert!(!out.status.success() && !output.contains("not detected"), "{fault:?} is not detected");
-        assert!(output.contains(detecting_model(*fault).1), "{fault:?} fails with another message: {output}");
+        assert!(output.contains(detected_by(*fault).1), "{fault:?} fails with another message: {output}");
     }
     assert!(Fault::ALL.len() >= 4);
 }
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -6,8 +6,8 @@
 use std::net::{IpAddr, SocketAddr};
 
 use wheellink_admission::{
-    Admission, ClientStatus, LearnedState as Learnt, Ledger, Owner, Prefix, RefusalReason as Why,
-    RequestInfo, Rules, TakeOutcome,
+    Admission, ClientStatus, LearnedState as Learnt, Ledger, Owner, Prefix, Reason as Why, RequestInfo,
+    Rules, TakeOutcome,
 };
 
 use super::*;
--- a/node/tests/measure.rs
+++ b/node/tests/measure.rs
@@ -298,7 +298,7 @@
         tell(&format!("admission.connect_and_gone_at_{seen}"), connect.round(), "ns");
         tell(&format!("admission.request_and_done_at_{seen}"), request.round(), "ns");
         let (near, wide) = gate.tables();
-        let entry = std::mem::size_of::<wheellink_admission::AddressEntry>() + 2 * 32 + 16;
+        let entry = std::mem::size_of::<wheellink_admission::Entry>() + 2 * 32 + 16;
         tell(&format!("admission.entries_at_{seen}"), near.len() + wide.len(), "entries");
         tell(
             &format!("admission.memory_at_{seen}"),
