--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -12,14 +12,14 @@
 use crate::table::{AddressTable, Entry};
 
 /// The weight of an admitted connection or request in the address tables.
-const ADMITTED: f64 = 1.0;
+const ADMIT_WEIGHT: f64 = 1.0;
 /// The weight of a refusal: higher, so that misbehaving clients stay in the tables.
-const REFUSED: f64 = 10.0;
+const REFUSE_WEIGHT: f64 = 10.0;
 /// The maximum number of prefixes that a refusal summary lists; the rest are counted together.
 pub const MAX_SUMMARY_PREFIXES: usize = 20;
 /// The interval between refusal summaries.
 pub const SUMMARY_INTERVAL_US: Micros = 1_000_000;
-/// The maximum number of doublings of a penalty; the maximum duration applies long before.
+/// The maximum number of doublings of a penalty; beyond it the maximum duration applies anyway.
 const MAX_LEVEL: u32 = 40;
 /// The maximum number of entries handed to a successor process, those of the highest weight first.
 const MAX_HANDED_ENTRIES: usize = 2_000;
@@ -292,7 +292,7 @@
             [(&mut self.clients, client, &a.connect_rate), (&mut self.areas, area, &n.connect_rate)]
         {
             let scaled = rate.map(|r| r.times(factor));
-            let took = table.update(now, key, ADMITTED, |e| {
+            let took = table.update(now, key, ADMIT_WEIGHT, |e| {
                 scaled.is_none_or(|r| e.connect_limiter.take(now, &r).is_ok())
             });
             match took {
@@ -351,8 +351,9 @@
             [(&mut self.clients, client, &a.request_rate), (&mut self.areas, area, &n.request_rate)]
         {
             let scaled = rate.map(|r| r.times(factor));
-            let took = table
-                .update(now, key, ADMITTED, |e| scaled.map_or(Ok(()), |r| e.request_limiter.take(now, &r)));
+            let took = table.update(now, key, ADMIT_WEIGHT, |e| {
+                scaled.map_or(Ok(()), |r| e.request_limiter.take(now, &r))
+            });
             match took {
                 Some(Ok(())) => {}
                 Some(Err(wait)) => return Err((Reason::RequestRate, wait)),
@@ -469,9 +470,10 @@
                 (e.window_start, e.recent_refusals) = (now, 0);
             }
         };
-        self.clients.update(now, key.0, REFUSED, apply_refusal);
-        self.areas
-            .update(now, Prefix::neighbourhood(from), REFUSED, |e| e.refused = e.refused.saturating_add(1));
+        self.clients.update(now, key.0, REFUSE_WEIGHT, apply_refusal);
+        self.areas.update(now, Prefix::neighbourhood(from), REFUSE_WEIGHT, |e| {
+            e.refused = e.refused.saturating_add(1)
+        });
     }
 
     /// Takes the summary of refusals, if the interval since the last one is over and there were any.
@@ -569,7 +571,7 @@
             self.set_known(prefix, true);
         }
         for p in state.entries.into_iter().take(MAX_HANDED_ENTRIES) {
-            let weight = ADMITTED + REFUSED * (p.refused.min(1 << 20) as f64);
+            let weight = ADMIT_WEIGHT + REFUSE_WEIGHT * (p.refused.min(1 << 20) as f64);
             self.clients.update(now, p.prefix, weight, |e| {
                 if p.served.is_finite() && p.served > e.served {
                     (e.served, e.served_at) = (p.served, p.served_at.min(now));
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -45,7 +45,7 @@
     pub served_at: Micros,
     /// Until then the client is not known by its served calls.
     pub suspended_until: Micros,
-    /// The logarithm of the weight in units of `1 / SCORE_STEPS`; `i64::MIN` for a weight of zero.
+    /// The logarithm of the weight in units of `1 / STEPS`; `i64::MIN` for a weight of zero.
     score: i64,
     /// The score inherited from the evicted entry: the entry's own weight may be lower by that weight.
     inherited: i64,
--- a/crates/drafts/src/settings.rs
+++ b/crates/drafts/src/settings.rs
@@ -5,7 +5,7 @@
 
 use crate::types::{Draft, MAX_DRAFT_TOKENS};
 
-/// The settings of the learner. They must be the same at all members: rows with other epochs or drafts are rejected.
+/// The settings of the learner. They must be the same at all members: rows of other epochs or drafts are refused.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The number of drafters to choose from, 1 to 4. Drafter 0, no drafting, is always allowed.
