--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -149,8 +149,8 @@
     rules: Rules,
     /// The state of client addresses.
     clients: AddressTable,
-    /// The state of neighbourhoods.
-    areas: AddressTable,
+    /// The state of neighbourhoods, which are subnets.
+    subnets: AddressTable,
     tenants: BTreeMap<Option<usize>, TenantState>,
     blocked: BTreeSet<Prefix>,
     known: BTreeSet<Prefix>,
@@ -187,7 +187,7 @@
     pub fn new(rules: Rules) -> Self {
         Self {
             clients: AddressTable::new(rules.entries),
-            areas: AddressTable::new(rules.entries),
+            subnets: AddressTable::new(rules.entries),
             tenants: BTreeMap::new(),
             blocked: BTreeSet::new(),
             known: rules.known.iter().copied().collect(),
@@ -208,7 +208,7 @@
         }
         self.known.extend(rules.known.iter().copied());
         self.clients.set_capacity(rules.entries);
-        self.areas.set_capacity(rules.entries);
+        self.subnets.set_capacity(rules.entries);
         match (&mut self.adaptive, &rules.adaptive) {
             (Some(adaptive), Some(rules)) => adaptive.set_rules(rules.clone()),
             (slot, rules) => *slot = rules.clone().map(AdaptiveLimit::new),
@@ -274,7 +274,7 @@
         if self.blocked.iter().any(|p| p.contains(from)) {
             return Err(Reason::Blocked);
         }
-        let (client, area) = (Prefix::client(from), Prefix::neighbourhood(from));
+        let (client, subnet) = (Prefix::client(from), Prefix::neighbourhood(from));
         let longest = self.rules.penalty.longest_ms as Micros * 1000;
         let closed = |e: &Entry| e.closed_until > now && e.closed_until <= now + longest;
         if self.clients.get(&client).is_some_and(closed) {
@@ -284,12 +284,13 @@
         // Checks all caps before the rate limits, so that a refusal by a cap uses up no rate.
         let (a, n) = (&self.rules.address, &self.rules.neighbourhood);
         let refusal = self.clients.get(&client).and_then(|e| connection_cap(e, a, factor));
-        let refusal = refusal.or_else(|| self.areas.get(&area).and_then(|e| connection_cap(e, n, factor)));
+        let refusal =
+            refusal.or_else(|| self.subnets.get(&subnet).and_then(|e| connection_cap(e, n, factor)));
         if let Some(reason) = refusal {
             return Err(reason);
         }
         for (table, key, rate) in
-            [(&mut self.clients, client, &a.connect_rate), (&mut self.areas, area, &n.connect_rate)]
+            [(&mut self.clients, client, &a.connect_rate), (&mut self.subnets, subnet, &n.connect_rate)]
         {
             let scaled = rate.map(|r| r.times(factor));
             let took = table.update(now, key, ADMIT_WEIGHT, |e| {
@@ -302,7 +303,7 @@
             }
         }
         self.clients.update(now, client, 0.0, |e| e.connections += 1);
-        self.areas.update(now, area, 0.0, |e| e.connections += 1);
+        self.subnets.update(now, subnet, 0.0, |e| e.connections += 1);
         Ok(())
     }
 
@@ -310,7 +311,7 @@
     pub fn connection_closed(&mut self, now: Micros, from: ClientAddress) {
         let decrement = |e: &mut Entry| e.connections = e.connections.saturating_sub(1);
         self.clients.update(now, Prefix::client(from), 0.0, decrement);
-        self.areas.update(now, Prefix::neighbourhood(from), 0.0, decrement);
+        self.subnets.update(now, Prefix::neighbourhood(from), 0.0, decrement);
     }
 
     /// Admits a request, which counts until [`Admission::request_done`].
@@ -326,7 +327,7 @@
     }
 
     fn try_request(&mut self, now: Micros, info: &RequestInfo) -> Result<(), (Reason, Micros)> {
-        let (client, area) = (Prefix::client(info.from), Prefix::neighbourhood(info.from));
+        let (client, subnet) = (Prefix::client(info.from), Prefix::neighbourhood(info.from));
         if self.blocked.iter().any(|p| p.contains(info.from)) {
             return Err((Reason::Blocked, 60 * RETRY_US));
         }
@@ -334,7 +335,7 @@
         let (a, n, t) = (&self.rules.address, &self.rules.neighbourhood, &self.rules.tenant);
         let refusal = self.clients.get(&client).and_then(|e| request_cap(e, a, factor, info.size));
         let refusal =
-            refusal.or_else(|| self.areas.get(&area).and_then(|e| request_cap(e, n, factor, info.size)));
+            refusal.or_else(|| self.subnets.get(&subnet).and_then(|e| request_cap(e, n, factor, info.size)));
         if let Some(reason) = refusal {
             return Err((reason, RETRY_US));
         }
@@ -348,7 +349,7 @@
             }
         }
         for (table, key, rate) in
-            [(&mut self.clients, client, &a.request_rate), (&mut self.areas, area, &n.request_rate)]
+            [(&mut self.clients, client, &a.request_rate), (&mut self.subnets, subnet, &n.request_rate)]
         {
             let scaled = rate.map(|r| r.times(factor));
             let took = table.update(now, key, ADMIT_WEIGHT, |e| {
@@ -374,7 +375,7 @@
             e.bytes = e.bytes.saturating_add(info.size);
         };
         self.clients.update(now, client, 0.0, increment);
-        self.areas.update(now, area, 0.0, increment);
+        self.subnets.update(now, subnet, 0.0, increment);
         if let Some(tenant) = self.tenants.get_mut(&info.tenant) {
             (tenant.open, tenant.bytes) = (tenant.open + 1, tenant.bytes.saturating_add(info.size));
         }
@@ -389,9 +390,9 @@
         }
         let factor = self.factor(self.client_status(now, info.from));
         let (a, n) = (&self.rules.address, &self.rules.neighbourhood);
-        let clients = self.clients.get(&Prefix::client(info.from));
-        let areas = self.areas.get(&Prefix::neighbourhood(info.from));
-        for (entry, caps) in [(clients, a), (areas, n)] {
+        let client = self.clients.get(&Prefix::client(info.from));
+        let subnet = self.subnets.get(&Prefix::neighbourhood(info.from));
+        for (entry, caps) in [(client, a), (subnet, n)] {
             let Some(entry) = entry else { continue };
             if let Some(reason) = request_cap(entry, caps, factor, info.size) {
                 return Some((reason, RETRY_US));
@@ -422,7 +423,7 @@
             }
         };
         self.clients.update(now, Prefix::client(info.from), 0.0, decrement);
-        self.areas.update(now, Prefix::neighbourhood(info.from), 0.0, decrement);
+        self.subnets.update(now, Prefix::neighbourhood(info.from), 0.0, decrement);
         if let Some(tenant) = self.tenants.get_mut(&info.tenant) {
             tenant.open = tenant.open.saturating_sub(1);
             tenant.bytes = tenant.bytes.saturating_sub(info.size);
@@ -471,7 +472,7 @@
             }
         };
         self.clients.update(now, key.0, REFUSE_WEIGHT, apply_refusal);
-        self.areas.update(now, Prefix::neighbourhood(from), REFUSE_WEIGHT, |e| {
+        self.subnets.update(now, Prefix::neighbourhood(from), REFUSE_WEIGHT, |e| {
             e.refused = e.refused.saturating_add(1)
         });
     }
@@ -532,7 +533,7 @@
 
     /// The tables of client addresses and of neighbourhoods.
     pub fn tables(&self) -> (&AddressTable, &AddressTable) {
-        (&self.clients, &self.areas)
+        (&self.clients, &self.subnets)
     }
 
     /// The adaptive limit and the number of concurrent requests, if the limit is enabled.
--- a/crates/admission/src/ledger.rs
+++ b/crates/admission/src/ledger.rs
@@ -2,7 +2,7 @@
 //!
 //! Each owner has a reserve; units that are not reserved are available to every owner. The unused reserve of known clients
 //! may be borrowed by others, who must return it when known clients need it. The reserves of the other owners are never
-//! lent, so that an owner within its reserve always gets its units, and an admitted call can always reach a host.
+//! lent, so that these owners get units within their reserves at once, and an admitted call can always reach a host.
 
 use std::fmt;
 
--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -116,8 +116,8 @@
         }
         open.iter().for_each(|a| admission.request_done(now, a, 0, None));
         connected.iter().for_each(|from| admission.connection_closed(now, *from));
-        let (clients, areas) = admission.tables();
-        prop_assert!(clients.iter().chain(areas.iter()).all(|(_, e)| (e.connections, e.open, e.bytes) == (0, 0, 0)));
+        let (clients, subnets) = admission.tables();
+        prop_assert!(clients.iter().chain(subnets.iter()).all(|(_, e)| (e.connections, e.open, e.bytes) == (0, 0, 0)));
     }
 }
 
--- a/crates/handoff/tests/loom.rs
+++ b/crates/handoff/tests/loom.rs
@@ -103,7 +103,7 @@
     let mut received = Received(0);
     let first = submitter.submit(1, Counted::new(1, &jobs, MAX_JOBS + 1));
     received.fetch(&submitter);
-    other.join().expect("the other");
+    other.join().expect("the other submitter");
     drop(first);
     received.fetch(&submitter);
     submitter.close();
@@ -138,7 +138,7 @@
     let (jobs, _) = counts();
     let (submitter, mut worker): Ends = channel_with_fault(fault);
     let worker = spawn(move || {
-        let first = worker.next_job().expect("work");
+        let first = worker.next_job().expect("a job");
         (worker, first)
     });
     let _ = submitter.submit(1, Counted::new(1, &jobs, MAX_JOBS));
@@ -148,7 +148,7 @@
     assert_eq!(first.version, if superseded { 2 } else { 1 });
     assert_eq!(first.cancel.is_set(), !superseded, "a superseded job is not cancelled");
     if !superseded {
-        assert_eq!(worker.next_job().expect("more work").version, 2);
+        assert_eq!(worker.next_job().expect("the newer job").version, 2);
     }
 }
 
@@ -211,7 +211,7 @@
     let count = checked.clone();
     println!("checking {name}");
     let builder = loom::model::Builder::new();
-    assert!(builder.preemption_bound.is_none(), "preemptions are not bounded");
+    assert!(builder.preemption_bound.is_none(), "the number of preemptions is bounded");
     builder.check(move || {
         count.fetch_add(1, SeqCst);
         model(fault);
@@ -224,7 +224,7 @@
 #[test]
 fn every_interleaving_keeps_the_guarantees() {
     for (name, model) in MODELS {
-        assert!(check_model(name, model, Fault::None) > 1, "{name}: more than one interleaving");
+        assert!(check_model(name, model, Fault::None) > 1, "{name}: only one interleaving");
     }
 }
 
