--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -85,18 +85,18 @@
     };
     handle.insert_source(signals, told).map_err(|e| format!("no signals: {e}"))?;
 
-    let place = upgrade::claim(config.listen, node::wish(&config).as_ref())?;
+    let place = upgrade::claim(config.listen, node::rollout_request(&config).as_ref())?;
     let mut node = Node::new(handle.clone(), config, place, began)?;
     node.open_listeners()?;
 
     let mut wakes = Wakes::default();
     let mut look = |node: &mut Node, wait: Duration| {
         events.dispatch(Some(wait), &mut wakes).map_err(failed("the event loop failed"))?;
-        node.looked(wait);
+        node.polled(wait);
         while let Some(wake) = wakes.next() {
             match wake {
                 Wake::Reload => node.reload(read()),
-                wake => node.woken(wake),
+                wake => node.handle_wake(wake),
             }
         }
         Ok::<(), String>(())
@@ -107,7 +107,7 @@
         if due {
             look(&mut node, Duration::ZERO)?;
         }
-        let wait = node.turn(due);
+        let wait = node.run_iteration(due);
         look(&mut node, wait)?;
     }
     node.shut_down();
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -3,14 +3,14 @@
 
 mod accord;
 mod admission;
+mod discovery;
 mod drafts;
-mod held_up;
-mod life;
-mod news;
+mod lifecycle;
 mod operators;
 mod request_log;
 mod requests;
 mod rollout;
+mod stall;
 mod together;
 mod turns;
 
@@ -56,33 +56,33 @@
 
 use admission::AdmissionControl;
 use drafts::Drafting;
-use held_up::HeldUp;
 use request_log::Attempts;
 use rollout::{Gradual, Role};
+use stall::StallDetector;
 use turns::Turning;
 
 /// A client's time runs from when it wrote the last byte: the answer must have reached it before it ends.
-const DUE_MARGIN: Micros = 20_000;
+const DUE_MARGIN_US: Micros = 20_000;
 /// Parts of the memory limit that bodies of open requests, bytes for clients that do not read, and answers
 /// that are not whole may take, each of them. The program itself needs a few megabytes.
-const MEMORY_SHARE: usize = 6;
+const MEMORY_PARTS: usize = 6;
 /// Connections taken in at one go: hundreds at once must not keep the loop from those that have asked.
-const ACCEPT_AT_ONCE: usize = 32;
+const MAX_ACCEPTS_PER_WAKE: usize = 32;
 /// For so long nothing is accepted when there was no descriptor for a connection.
-const NO_DESCRIPTOR: Micros = 100_000;
+const NO_DESCRIPTOR_PAUSE_US: Micros = 100_000;
 /// ... and when all places are held by clients that are owed an answer.
-const NO_ROOM: Micros = 5_000;
+const NO_ROOM_PAUSE_US: Micros = 5_000;
 /// After SIGTERM requests keep coming for this long.
-const STILL_COMING: Micros = 800_000;
+const SHUTDOWN_GRACE_US: Micros = 800_000;
 /// ... and what is there to be read by then is read first, in so many turns of the loop at most: a client that sends
 /// without end must not keep the process. Turns and not time, as a process that had no processor has used none.
-const LAST_TURNS: u32 = 1_000;
+const MAX_FINAL_ITERATIONS: u32 = 1_000;
 /// What the bus may have on its way: the longest frame and more.
-const BUS_RING: usize = 256 << 10;
+const BUS_BUFFER_BYTES: usize = 256 << 10;
 /// Hosts that operators may have taken out: ids are kept for good.
-const MOST_BARRED: usize = 4096;
+const MAX_MANUAL_OUT: usize = 4096;
 /// Between looks at connections that are idle or do not come up.
-const HOUSEKEEPING: Micros = startup::LOOK.as_micros() as Micros;
+const HOUSEKEEPING_US: Micros = startup::LOOK.as_micros() as Micros;
 
 /// A request that is owed an answer.
 struct Pending {
@@ -95,21 +95,21 @@
     arrived: Micros,
     attempts: Attempts,
     /// Which version decides it.
-    by: Version,
+    version: Version,
     /// Whose memory its body takes, and whom it counts for.
     owner: Owner,
-    asking: Option<RequestInfo>,
+    info: Option<RequestInfo>,
     /// What came with it, where another process passed it.
-    passed: Option<Box<FromHolder>>,
+    passed: Option<Box<PassedFields>>,
 }
 
 /// What comes with a call that the holder of a rollout passes, and what goes back with its answer.
 #[derive(Default)]
-struct FromHolder {
+struct PassedFields {
     /// Further fields of its line to a host.
-    line: String,
+    request: String,
     /// What the host said that answered last.
-    said: Said,
+    reply: Said,
 }
 
 /// Who is owed it.
@@ -138,17 +138,17 @@
     turn: Option<(u64, u16, Vec<u64>)>,
     /// ... once it was placed, and where it is best served.
     placed: Option<Turn>,
-    advice: Vec<PreferredLocation>,
+    preferred: Vec<PreferredLocation>,
 }
 
 /// Who speaks with clients, and who tells of hosts.
-enum Side {
+enum Mode {
     Platform(Box<Platform>, Box<Bus>),
     Operator { front: Box<Invoke>, hosts: Box<DnsSd>, classes: Vec<(Micros, u32)>, ids: fastrand::Rng },
 }
 
 /// What a process of this configuration wants of one that runs at its address, where that is more than its place.
-pub fn wish(config: &Config) -> Option<upgrade::Wish> {
+pub fn rollout_request(config: &Config) -> Option<upgrade::Wish> {
     let setup = config.rollout.as_ref()?;
     let hail = upgrade::Hail {
         protocols: crate::ipc::PROTOCOLS.to_vec(),
@@ -162,7 +162,7 @@
     handle: Handle,
     clock: Clock,
     clock_steps: Steps,
-    held_up: HeldUp,
+    stalls: StallDetector,
     metrics: Metrics,
     log: Log,
     /// The configuration in force; what `side` holds of it is the fronts' and the bus's.
@@ -173,7 +173,7 @@
     pending: HashMap<Ticket, Pending>,
     /// Ids of the pending requests, as clients chose them.
     ids: HashSet<Rc<str>>,
-    side: Side,
+    mode: Mode,
     hosts: Hosts,
     host_starts: Starts,
     peers: Option<Peers>,
@@ -181,14 +181,14 @@
     drafting: Option<Box<Drafting>>,
     turning: Option<Box<Turning>>,
     /// An operator's hosts as they were told last.
-    listed: BTreeMap<WorkerId, ListEntry>,
+    dns_hosts: BTreeMap<WorkerId, ListEntry>,
     /// Settings with versions, where they are agreed; and the file's with what is obeyed in their place.
     agreed: Option<accord::Agreed>,
     agreed_settings: Option<Settings>,
     /// Weights of sites as they were last agreed.
-    weighed: BTreeMap<String, u32>,
+    site_weights: BTreeMap<String, u32>,
     /// Hosts that operators have taken out here.
-    by_hand: BTreeSet<WorkerId>,
+    manual_out: BTreeSet<WorkerId>,
     client_listener: Option<Listener>,
     control_listener: Option<Listener>,
     control: Control,
@@ -198,23 +198,23 @@
     /// The listening socket, until this process takes clients.
     bound_socket: Option<TcpListener>,
     /// A new process takes the clients.
-    succeeded: bool,
+    superseded: bool,
     /// Connections of clients that the peer holds.
     peer_clients: usize,
     /// Up to when the successor was told what counts for the ration.
-    tallied: Micros,
+    tallied_until: Micros,
     /// Drained by an operator: serves what comes, and asks clients not to.
     standby: bool,
     /// The host list was once as new as could be told: a bus that breaks later does not undo that.
     caught_up: bool,
     /// When it has waited long enough for news of the host list.
-    patient_until: Micros,
+    catch_up_deadline: Micros,
     stopping: Option<Micros>,
     /// No client had anything to say in the last turn of the loop.
-    clients_silent: bool,
+    clients_idle: bool,
     /// Turns since then that the process could have ended in.
-    last_turns: u32,
-    kept_house: Micros,
+    final_iterations: u32,
+    last_housekeeping: Micros,
 }
 
 impl Node {
@@ -227,15 +227,15 @@
         let transport = config.deployment.transport.clone();
         let descriptors = config.descriptors;
         let Bounds { clients, hosts: most } = descriptors.alone(Held::default());
-        let share = config.memory / MEMORY_SHARE;
+        let share = config.memory / MEMORY_PARTS;
         let router = config.deployment.router(config.seed).map_err(|e| e.to_string())?;
         let mut known = Vec::new();
-        let side = match &mut config.side {
+        let mode = match &mut config.side {
             config::Side::Platform { bus, offset, known: events } => {
                 // Only the start needs them.
                 known = std::mem::take(events);
                 let front = Box::new(Platform::new(handle.clone(), (clients, share), transport.conn_idle));
-                Side::Platform(front, Box::new(Bus::new(*bus, *offset)))
+                Mode::Platform(front, Box::new(Bus::new(*bus, *offset)))
             }
             config::Side::Operator { resolver, service, bounds, classes } => {
                 let d = &config.deployment;
@@ -250,7 +250,7 @@
                 let browser = Browser::new(service.clone(), d.zones.clone(), config.seed);
                 let hosts = DnsSd::new(&handle, *resolver, browser);
                 let hosts = Box::new(hosts.map_err(|e| format!("no socket for queries to {resolver}: {e}"))?);
-                Side::Operator {
+                Mode::Operator {
                     front,
                     hosts,
                     classes: classes.clone(),
@@ -270,53 +270,53 @@
             gradual: Gradual::new(config.memory),
             admission: AdmissionControl::new(config.admission.as_ref(), descriptors.limit(), share),
             bound_socket: Some(listener),
-            succeeded: false,
+            superseded: false,
             peer_clients: 0,
-            tallied: 0,
+            tallied_until: 0,
             standby: false,
             caught_up: false,
-            patient_until: begun + patience.as_micros() as Micros,
+            catch_up_deadline: begun + patience.as_micros() as Micros,
             engine: Engine::new(router, transport.order_timeout),
             commands: VecDeque::new(),
             scratch: Vec::new(),
             pending: HashMap::new(),
             ids: HashSet::new(),
-            side,
+            mode,
             hosts: Hosts::new(handle.clone(), transport, (most, share)),
             host_starts: Starts::default(),
             peers: None,
             membership: None,
             drafting: None,
             turning: None,
-            listed: BTreeMap::new(),
+            dns_hosts: BTreeMap::new(),
             agreed: None,
             agreed_settings: None,
-            weighed: BTreeMap::new(),
-            by_hand: BTreeSet::new(),
+            site_weights: BTreeMap::new(),
+            manual_out: BTreeSet::new(),
             config,
             clock,
             clock_steps: Steps::default(),
-            held_up: HeldUp::default(),
+            stalls: StallDetector::default(),
             metrics: Metrics::default(),
             log: Log::new(),
             stopping: None,
-            clients_silent: false,
-            last_turns: 0,
-            kept_house: 0,
+            clients_idle: false,
+            final_iterations: 0,
+            last_housekeeping: 0,
             handle,
         };
         let asks = node.admission.is_on();
-        if let Side::Operator { front, .. } = &mut node.side {
+        if let Mode::Operator { front, .. } = &mut node.mode {
             front.asks = asks;
         }
-        node.resize();
+        node.update_limits();
         node.attend_turns(begun);
         if let Some(state) = &state {
             node.inherit(state);
         }
         for (i, event) in known.into_iter().enumerate() {
             let kind = if i == 0 { ListKind::Cached } else { event.kind };
-            node.list(kind, event.hosts);
+            node.update_hosts(kind, event.hosts);
         }
         if let Some(state) = &state {
             // Only now, as a whole list begins all beliefs anew.
@@ -329,33 +329,33 @@
             }
             node.run_engine(|engine, out| engine.inherit(now, legacy, out));
         }
-        node.settle();
+        node.process_events();
         Ok(node)
     }
 
     fn clients(&self) -> usize {
-        match &self.side {
-            Side::Platform(front, _) => front.held(),
-            Side::Operator { front, .. } => front.held(),
+        match &self.mode {
+            Mode::Platform(front, _) => front.held(),
+            Mode::Operator { front, .. } => front.held(),
         }
     }
 
     fn host_ready(&mut self, id: ConnId) {
         self.hosts.ready(self.clock.now(), id, &mut self.log);
-        self.settle();
+        self.process_events();
     }
 
     fn next_tick(&self, now: Micros) -> Micros {
-        let news = match &self.side {
-            Side::Platform(_, bus) => bus.next_tick(),
-            Side::Operator { hosts, .. } => hosts.browser.next_tick(),
+        let news = match &self.mode {
+            Mode::Platform(_, bus) => bus.next_tick(),
+            Mode::Operator { hosts, .. } => hosts.browser.next_tick(),
         };
         let engine = self.engine.next_tick().unwrap_or(Micros::MAX);
         let hosts = self.hosts.next_tick().unwrap_or(Micros::MAX);
         let listeners =
             self.client_listener.iter().chain(&self.control_listener).map(Listener::next_tick).min();
         let listeners = listeners.unwrap_or(Micros::MAX);
-        let house = self.kept_house + HOUSEKEEPING;
+        let house = self.last_housekeeping + HOUSEKEEPING_US;
         let membership = self.membership.as_ref().map_or(Micros::MAX, |f| f.next_tick(now));
         let drafting = self.drafting.as_ref().map_or(Micros::MAX, |d| d.next_tick(now));
         let agreed = self.next_accord(now);
@@ -373,25 +373,25 @@
 
     /// Whether a client was left with more to read, so that others had their turn.
     fn has_more(&self) -> bool {
-        match &self.side {
-            Side::Platform(front, _) => front.has_more(),
-            Side::Operator { front, .. } => front.has_more(),
+        match &self.mode {
+            Mode::Platform(front, _) => front.has_more(),
+            Mode::Operator { front, .. } => front.has_more(),
         }
     }
 
     /// The loop has looked at what has come, after it was to wait for this long at the most.
-    pub fn looked(&mut self, wait: Duration) {
+    pub fn polled(&mut self, wait: Duration) {
         let now = self.clock.running();
-        if let Some(late) = self.held_up.looked(now, wait) {
+        if let Some(late) = self.stalls.polled(now, wait) {
             self.metrics.hold_ups.inc();
             self.log.line(now, format_args!("held up for {} ms", late / 1000));
         }
     }
 
     /// Looks at what the loop found ready. A reload is the caller's, who knows where the configuration lies.
-    pub fn woken(&mut self, wake: Wake) {
+    pub fn handle_wake(&mut self, wake: Wake) {
         self.mind_accord();
-        self.clients_silent &= !matches!(wake, Wake::Client(_) | Wake::Clients);
+        self.clients_idle &= !matches!(wake, Wake::Client(_) | Wake::Clients);
         match wake {
             Wake::Client(id) => self.client_ready(id),
             Wake::Host(id) => self.host_ready(id),
@@ -419,43 +419,43 @@
     }
 
     /// Does what is due, if anything is; how long nothing else will be.
-    pub fn turn(&mut self, due: bool) -> Duration {
-        self.clients_silent = !self.has_more();
+    pub fn run_iteration(&mut self, due: bool) -> Duration {
+        self.clients_idle = !self.has_more();
         if self.mind_accord() {
-            self.settle();
+            self.process_events();
         }
         // One step a turn: what is ready is looked at before the next.
         let more = self.go_on_with_accord();
         let now = self.clock.now();
         if self.has_more() {
-            match &mut self.side {
-                Side::Platform(front, _) => front.go_on(now, &mut self.log),
-                Side::Operator { front, .. } => front.go_on(now, &mut self.log),
+            match &mut self.mode {
+                Mode::Platform(front, _) => front.go_on(now, &mut self.log),
+                Mode::Operator { front, .. } => front.go_on(now, &mut self.log),
             }
-            self.settle();
+            self.process_events();
         }
         if due {
             self.run_engine(|engine, out| engine.tick(now, out));
             self.hosts.tick(now, &mut self.log);
-            self.tend_members(now);
+            self.tick_members(now);
             self.tend_drafts(now);
             self.propose_drafts(now);
             self.tend_turns();
-            let keep_house = self.kept_house + HOUSEKEEPING <= now;
-            if keep_house {
-                self.kept_house = now;
-                self.look_for_clock_step(now);
-                self.resize();
+            let housekeeping = self.last_housekeeping + HOUSEKEEPING_US <= now;
+            if housekeeping {
+                self.last_housekeeping = now;
+                self.check_clock_step(now);
+                self.update_limits();
                 self.control.tick(now, &mut self.log);
-                self.tend_admission(now);
-                if self.succeeded {
-                    self.tell_tally(now);
+                self.log_refusals(now);
+                if self.superseded {
+                    self.send_tally(now);
                 }
             }
-            self.tick_rollout(now, keep_house);
+            self.tick_rollout(now, housekeeping);
             let waits = self.gradual.role == Role::Candidate;
             if self.bound_socket.is_some() && !waits && self.is_caught_up(now) {
-                if let Err(problem) = self.take_clients() {
+                if let Err(problem) = self.start_accepting() {
                     self.log.line(now, problem);
                 }
             }
@@ -463,30 +463,30 @@
                 .iter_mut()
                 .chain(&mut self.control_listener)
                 .for_each(|listener| listener.tick(now));
-            match &mut self.side {
-                Side::Platform(front, _) => {
-                    if keep_house {
+            match &mut self.mode {
+                Mode::Platform(front, _) => {
+                    if housekeeping {
                         front.tick(now, &mut self.log);
                     }
-                    self.tend_bus(now);
+                    self.tick_bus(now);
                 }
-                Side::Operator { front, hosts, .. } => {
-                    if keep_house {
+                Mode::Operator { front, hosts, .. } => {
+                    if housekeeping {
                         front.tick(now, &mut self.log);
                     }
                     let news = hosts.tick(now, &mut self.log);
                     front.ready = hosts.browser.any_up();
-                    self.list(ListKind::Delta, news);
+                    self.update_hosts(ListKind::Delta, news);
                 }
             }
-            self.settle();
+            self.process_events();
         }
         self.clock.release();
         if more || self.has_more() {
             return Duration::ZERO;
         }
         let now = self.clock.now();
-        let wait = (self.next_tick(now) - now).clamp(0, HOUSEKEEPING);
+        let wait = (self.next_tick(now) - now).clamp(0, HOUSEKEEPING_US);
         Duration::from_micros(wait as u64)
     }
 
@@ -499,20 +499,20 @@
     }
 
     /// Carries out and hands on until nothing is left to be done.
-    fn settle(&mut self) {
+    fn process_events(&mut self) {
         loop {
             if let Some(command) = self.commands.pop_front() {
-                self.carry_out(command);
+                self.execute(command);
             } else if let Some(notice) = self.hosts.notices.pop_front() {
-                self.host_notice(notice);
+                self.handle_host_notice(notice);
             } else if let Some(news) = self.upgrade.news.pop_front() {
                 let now = self.clock.now();
-                self.hear_peer(now, news);
+                self.handle_peer_event(now, news);
             } else if let Some((caller, call)) = self.control.calls.pop() {
                 let now = self.clock.now();
                 let answer = self.operate(now, call);
                 self.control.answer(now, caller, answer, &mut self.log);
-            } else if !self.hear_front() {
+            } else if !self.handle_front_notices() {
                 break;
             }
         }
@@ -522,7 +522,7 @@
         }
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         let now = self.clock.now();
         match command {
             // Decided by terms that are not obeyed any more: it is decided anew.
@@ -555,7 +555,7 @@
             Command::Unload { host, function } => self.hosts.unload(now, &host, &function, &mut self.log),
             Command::Probe { host } => self.hosts.probe(now, &host, &mut self.log),
             Command::Broadcast { data } => self.peers.iter().for_each(|peers| peers.tell(&data)),
-            Command::Answer { ticket, verdict } => self.answer(now, ticket, verdict),
+            Command::Answer { ticket, verdict } => self.deliver_verdict(now, ticket, verdict),
             Command::Log { text } => self.log.line(now, text),
         }
     }
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -235,7 +235,7 @@
         if self.agreed.is_none() {
             self.put_in_force(now);
         }
-        were_out.iter().for_each(|host| self.bar(now, host));
+        were_out.iter().for_each(|host| self.update_out(now, host));
     }
 
     /// Why this configuration cannot follow while such a version is in force.
@@ -290,7 +290,7 @@
         agreed.accord.run_step(since_boot(), &mut out);
         let now = self.clock.now();
         self.carry_out_accord(now, out);
-        self.settle();
+        self.process_events();
         self.agreed.as_ref().is_some_and(|agreed| agreed.accord.has_work())
     }
 
@@ -313,7 +313,7 @@
             agreed.accord.on_prepared(since_boot(), reading.version, result.map_err(refusal), &mut out);
             self.carry_out_accord(now, out);
         }
-        self.settle();
+        self.process_events();
     }
 
     fn carry_out_accord(&mut self, now: Micros, out: Vec<Output>) {
@@ -429,7 +429,7 @@
                 now,
                 format_args!("host {} is {}", host.0, if out { "out as agreed" } else { "in as agreed" }),
             );
-            self.bar(now, &host);
+            self.update_out(now, &host);
         }
     }
 }
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -16,9 +16,9 @@
 use crate::front::{Away, Guest};
 
 /// Newcomers that are closed at one go where there is no descriptor for them.
-const CLOSED_AT_ONCE: usize = 256;
+const MAX_NEWCOMERS_CLOSED: usize = 256;
 /// Prefixes that an operator is shown.
-const MOST_SHOWN: usize = 50;
+const MAX_PREFIXES_SHOWN: usize = 50;
 
 /// Who a connection is, as far as it counts.
 #[derive(Clone, Copy, Debug)]
@@ -31,8 +31,8 @@
 
 /// See the module's page.
 pub(super) struct AdmissionControl {
-    gate: Option<Admission>,
-    /// Descriptors, where there is a gate.
+    policy: Option<Admission>,
+    /// Descriptors, where there is a policy.
     ledger: Ledger,
     /// Bytes of bodies of open requests, always.
     memory: Ledger,
@@ -42,7 +42,7 @@
     spare: Option<File>,
     /// Newcomers that were closed for want of a descriptor, and times that the system had none.
     closed: u64,
-    starved: u64,
+    exhausted: u64,
 }
 
 fn spare() -> Option<File> {
@@ -51,36 +51,36 @@
 
 impl AdmissionControl {
     pub(super) fn new(rules: Option<&Rules>, sockets: usize, bodies: usize) -> Self {
-        let gate = rules.cloned().map(Admission::new);
+        let policy = rules.cloned().map(Admission::new);
         let none = [0; 5];
         let ledger = Ledger::new(sockets, none).expect("no reserve is within any limit");
         let memory = Ledger::new(bodies, none).expect("no reserve is within any limit");
-        let spare = gate.is_some().then(spare).flatten();
-        Self { gate, ledger, memory, clients: HashMap::new(), known: 0, spare, closed: 0, starved: 0 }
+        let spare = policy.is_some().then(spare).flatten();
+        Self { policy, ledger, memory, clients: HashMap::new(), known: 0, spare, closed: 0, exhausted: 0 }
     }
 
     pub(super) fn is_on(&self) -> bool {
-        self.gate.is_some()
+        self.policy.is_some()
     }
 
     /// What a process needs that takes this one's place.
     pub(super) fn state(&self, now: Micros) -> Option<Learnt> {
-        self.gate.as_ref().map(|gate| gate.learned_state(now))
+        self.policy.as_ref().map(|policy| policy.learned_state(now))
     }
 
     pub(super) fn inherit(&mut self, now: Micros, learnt: Learnt) {
-        if let Some(gate) = &mut self.gate {
-            gate.restore(now, learnt);
+        if let Some(policy) = &mut self.policy {
+            policy.restore(now, learnt);
         }
     }
 
     /// Other rules; what is held and learnt stays.
     pub(super) fn retune(&mut self, rules: Option<&Rules>) {
-        match (&mut self.gate, rules) {
-            (Some(gate), Some(rules)) => gate.set_rules(rules.clone()),
+        match (&mut self.policy, rules) {
+            (Some(policy), Some(rules)) => policy.set_rules(rules.clone()),
             (slot, rules) => *slot = rules.cloned().map(Admission::new),
         }
-        match &self.gate {
+        match &self.policy {
             Some(_) if self.spare.is_none() => self.spare = spare(),
             Some(_) => {}
             None => self.spare = None,
@@ -89,7 +89,7 @@
 
     /// Memory for bodies from now on: a part of it is kept for known clients.
     pub(super) fn bound_memory(&mut self, bodies: usize) {
-        let part = self.gate.as_ref().map_or(0.0, |gate| gate.rules().reserve);
+        let part = self.policy.as_ref().map_or(0.0, |policy| policy.rules().reserve);
         let kept = (bodies as f64 * part) as usize;
         let _ = self.memory.set_limits(bodies, [0, kept, 0, 0, 0]);
     }
@@ -110,8 +110,8 @@
         (limit, own, most_callers): (usize, usize, usize),
         (members, hosts, callers): (usize, usize, usize),
     ) -> Option<Bounds> {
-        let gate = self.gate.as_ref()?;
-        let kept = (limit as f64 / 3.0 * gate.rules().reserve) as usize;
+        let policy = self.policy.as_ref()?;
+        let kept = (limit as f64 / 3.0 * policy.rules().reserve) as usize;
         // One for each host at least, and two where there is room: a call that was taken can always reach one.
         let rest = limit.saturating_sub(own + most_callers + kept);
         let reserve = [(2 * members).clamp(4, rest.max(4) / 2 + 2), kept, 0, most_callers, own];
@@ -138,8 +138,8 @@
         let Some(client) = self.clients.remove(&conn) else { return };
         self.known -= usize::from(client.known);
         self.ledger.release(if client.known { Owner::Known } else { Owner::Others }, 1);
-        if let Some(gate) = self.gate.as_mut().filter(|_| client.counted) {
-            gate.connection_closed(now, client.from);
+        if let Some(policy) = self.policy.as_mut().filter(|_| client.counted) {
+            policy.connection_closed(now, client.from);
         }
     }
 
@@ -162,71 +162,71 @@
     }
 
     /// Clients beyond their bound that are owed nothing make room: hosts want what they hold.
-    pub(super) fn reclaim(&mut self, now: Micros, bound: usize) {
+    pub(super) fn close_excess_clients(&mut self, now: Micros, bound: usize) {
         while self.clients() > bound && self.evict_client(now, false) {}
     }
 
     /// Closes a client's connection that is owed nothing, however lately it came where it is `urgent`. Whether there was
     /// one.
     fn evict_client(&mut self, now: Micros, urgent: bool) -> bool {
-        match &mut self.side {
-            Side::Platform(front, _) => front.make_room(now, urgent, &mut self.log),
-            Side::Operator { front, .. } => front.make_room(now, urgent, &mut self.log),
+        match &mut self.mode {
+            Mode::Platform(front, _) => front.make_room(now, urgent, &mut self.log),
+            Mode::Operator { front, .. } => front.make_room(now, urgent, &mut self.log),
         }
     }
 
     /// A connection to the bus has been begun, or could not be: where the system has no descriptor for it a client
     /// makes room, and it is tried again soon.
-    pub(super) fn bus_begun(&mut self, now: Micros, conn: io::Result<Conn>) {
-        let Side::Platform(_, bus) = &mut self.side else { return };
+    pub(super) fn bus_connecting(&mut self, now: Micros, conn: io::Result<Conn>) {
+        let Mode::Platform(_, bus) = &mut self.mode else { return };
         let problem = conn.as_ref().err().map(|e| (is_exhaustion(e), e.to_string()));
         bus.begun(now, conn.ok());
         let Some((exhausted, problem)) = problem else { return };
         let made = exhausted && self.evict_client(now, true);
         let made = if made { ", a client made room" } else { "" };
         self.log.line(now, format_args!("no connection to the bus: {problem}{made}"));
-        self.hear_gone(now);
+        self.forget_closed(now);
     }
 
     /// A connection has been accepted: it is taken in, or closed unread.
-    pub(super) fn receive(&mut self, now: Micros, stream: std::net::TcpStream, peer: SocketAddr) {
+    pub(super) fn admit_connection(&mut self, now: Micros, stream: std::net::TcpStream, peer: SocketAddr) {
         let from = peer.ip();
         if self.is_address_out(from) {
             return;
         }
-        let Some(gate) = &mut self.admission.gate else {
-            self.take_in(now, Guest { stream, peer, known: false, proxied: false });
+        let Some(policy) = &mut self.admission.policy else {
+            self.open_client(now, Guest { stream, peer, known: false, proxied: false });
             return;
         };
         // Whose it is a trusted proxy tells first; until then it is the proxy's, and as good as known.
-        let proxied = gate.is_trusted_proxy(from);
-        let known = proxied || matches!(gate.client_status(now, from), ClientStatus::Known);
-        if !proxied && gate.connect(now, from).is_err() {
+        let proxied = policy.is_trusted_proxy(from);
+        let known = proxied || matches!(policy.client_status(now, from), ClientStatus::Known);
+        if !proxied && policy.connect(now, from).is_err() {
             return;
         }
         if !self.find_descriptor(now, known) {
             self.admission.closed += 1;
-            if let (Some(gate), false) = (&mut self.admission.gate, proxied) {
-                gate.connection_closed(now, from);
+            if let (Some(policy), false) = (&mut self.admission.policy, proxied) {
+                policy.connection_closed(now, from);
             }
             return;
         }
-        match self.take_in(now, Guest { stream, peer, known, proxied }) {
+        match self.open_client(now, Guest { stream, peer, known, proxied }) {
             // A proxied one counts for its client only, once that is known.
             Some(id) => self.admission.enter(id, Client { from, known, counted: !proxied }),
             None => {
                 self.admission.ledger.release(if known { Owner::Known } else { Owner::Others }, 1);
-                if let (Some(gate), false) = (&mut self.admission.gate, proxied) {
-                    gate.connection_closed(now, from);
+                if let (Some(policy), false) = (&mut self.admission.policy, proxied) {
+                    policy.connection_closed(now, from);
                 }
             }
         }
     }
 
-    fn take_in(&mut self, now: Micros, guest: Guest) -> Option<ConnId> {
-        match &mut self.side {
-            Side::Platform(front, _) => front.accept(now, guest, &mut self.log),
-            Side::Operator { front, .. } => front.accept(now, guest, &mut self.log),
+    fn open_client(&mut self, now: Micros, guest: Guest) -> Option<ConnId> {
+        match &mut self.mode {
+            Mode::Platform(front, _) => front.accept(now, guest, &mut self.log),
+            Mode::Operator { front, .. } => front.accept(now, guest, &mut self.log),
         }
     }
 
@@ -238,30 +238,30 @@
             if matches!(self.admission.ledger.take(owner, 1), TakeOutcome::Granted | TakeOutcome::Borrowed) {
                 return true;
             }
-            let made = match &mut self.side {
-                Side::Platform(front, _) => front.make_room(now, known, &mut self.log),
-                Side::Operator { front, .. } => front.make_room(now, known, &mut self.log),
+            let made = match &mut self.mode {
+                Mode::Platform(front, _) => front.make_room(now, known, &mut self.log),
+                Mode::Operator { front, .. } => front.make_room(now, known, &mut self.log),
             };
             if !made {
                 return false;
             }
-            self.hear_gone(now);
+            self.forget_closed(now);
         }
         false
     }
 
     /// Connections that have ended, before anything else that the front has learnt.
-    fn hear_gone(&mut self, now: Micros) {
+    fn forget_closed(&mut self, now: Micros) {
         let mut gone = Vec::new();
-        match &mut self.side {
-            Side::Platform(front, _) => front.notices.retain(|notice| match notice {
+        match &mut self.mode {
+            Mode::Platform(front, _) => front.notices.retain(|notice| match notice {
                 platform::Notice::Gone { conn } => {
                     gone.push(*conn);
                     false
                 }
                 _ => true,
             }),
-            Side::Operator { front, .. } => front.notices.retain(|notice| match notice {
+            Mode::Operator { front, .. } => front.notices.retain(|notice| match notice {
                 invoke::Notice::Gone { conn } => {
                     gone.push(*conn);
                     false
@@ -277,23 +277,23 @@
         self.admission.forget(now, conn);
     }
 
-    /// Takes connections in, with a gate: all that come are accepted, and who cannot stay is closed.
-    pub(super) fn accept_through_gate(&mut self) {
-        for _ in 0..ACCEPT_AT_ONCE {
+    /// Takes connections in, with a policy: all that come are accepted, and who cannot stay is closed.
+    pub(super) fn accept_with_admission(&mut self) {
+        for _ in 0..MAX_ACCEPTS_PER_WAKE {
             let now = self.clock.now();
-            self.resize();
+            self.update_limits();
             let Some(listener) = self.client_listener.as_mut().filter(|listener| !listener.is_shut()) else {
                 break;
             };
             match listener.next() {
                 Ok(None) => break,
-                Ok(Some((stream, peer))) => self.receive(now, stream, peer),
+                Ok(Some((stream, peer))) => self.admit_connection(now, stream, peer),
                 Err(e) if is_exhaustion(&e) => {
-                    self.turn_newcomers_away(now, &e);
+                    self.close_newcomers(now, &e);
                     break;
                 }
                 Err(e) => {
-                    listener.shut(now + NO_DESCRIPTOR);
+                    listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
                     self.log.line(now, format_args!("no connection can be accepted: {e}"));
                     break;
                 }
@@ -303,13 +303,13 @@
 
     /// The system has no descriptor although the ledger has: the spare one is given up to accept and close those
     /// that wait, so that they hear at once, and nothing new is taken until some have gone.
-    fn turn_newcomers_away(&mut self, now: Micros, why: &io::Error) {
+    fn close_newcomers(&mut self, now: Micros, why: &io::Error) {
         self.admission.ledger.set_exhausted(now);
-        self.admission.starved += 1;
+        self.admission.exhausted += 1;
         let Some(listener) = &mut self.client_listener else { return };
         drop(self.admission.spare.take());
         let mut closed = 0;
-        while closed < CLOSED_AT_ONCE {
+        while closed < MAX_NEWCOMERS_CLOSED {
             match listener.next() {
                 Ok(Some(_)) => closed += 1,
                 _ => break,
@@ -320,20 +320,20 @@
         self.log.line(now, format_args!("out of descriptors ({why}): {closed} newcomers closed"));
         // With the spare one gone to somebody else there is nothing to accept with: no spinning meanwhile.
         if closed == 0 || self.admission.spare.is_none() {
-            listener.shut(now + NO_DESCRIPTOR);
+            listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
         }
-        self.resize();
+        self.update_limits();
     }
 
     /// A trusted proxy has said whose its connection is.
-    pub(super) fn proxied(&mut self, now: Micros, conn: ConnId, client: Option<SocketAddr>) {
+    pub(super) fn handle_proxied(&mut self, now: Micros, conn: ConnId, client: Option<SocketAddr>) {
         // It may have ended since it spoke.
         if !self.admission.clients.contains_key(&conn) {
             return;
         }
         let mut known = Some(true);
-        if let (Some(gate), Some(client)) = (&mut self.admission.gate, client) {
-            known = gate.connect(now, client.ip()).ok().map(|standing| standing == ClientStatus::Known);
+        if let (Some(policy), Some(client)) = (&mut self.admission.policy, client) {
+            known = policy.connect(now, client.ip()).ok().map(|standing| standing == ClientStatus::Known);
         }
         if let (Some(known), Some(client)) = (known, client) {
             let now_it_is = Client { from: client.ip(), known, counted: true };
@@ -344,9 +344,9 @@
                 e.ledger.transfer(Owner::Known, Owner::Others, 1);
             }
         }
-        match &mut self.side {
-            Side::Platform(front, _) => front.admit(now, conn, client, known, &mut self.log),
-            Side::Operator { front, .. } => front.admit(now, conn, client, known, &mut self.log),
+        match &mut self.mode {
+            Mode::Platform(front, _) => front.admit(now, conn, client, known, &mut self.log),
+            Mode::Operator { front, .. } => front.admit(now, conn, client, known, &mut self.log),
         }
     }
 
@@ -356,19 +356,19 @@
         if !std::mem::take(&mut self.hosts.exhausted) {
             return;
         }
-        self.admission.starved += 1;
+        self.admission.exhausted += 1;
         self.admission.ledger.set_exhausted(now);
         let made = self.evict_client(now, true);
         let made = if made { "a client made room" } else { "nobody could make room" };
         self.log.line(now, format_args!("out of descriptors for a host: {made}"));
-        self.hear_gone(now);
+        self.forget_closed(now);
     }
 
     /// At its request a client may have become known, or be so no longer: its descriptor changes hands.
-    fn know_again(&mut self, now: Micros, conn: ConnId) {
+    fn refresh_known(&mut self, now: Micros, conn: ConnId) {
         let e = &mut self.admission;
-        let (Some(gate), Some(client)) = (&e.gate, e.clients.get_mut(&conn)) else { return };
-        let known = gate.client_status(now, client.from) == ClientStatus::Known;
+        let (Some(policy), Some(client)) = (&e.policy, e.clients.get_mut(&conn)) else { return };
+        let known = policy.client_status(now, client.from) == ClientStatus::Known;
         if known == client.known {
             return;
         }
@@ -383,20 +383,20 @@
                 e.ledger.transfer(Owner::Known, Owner::Others, 1);
             }
         }
-        match &mut self.side {
-            Side::Platform(front, _) => front.know(conn, known),
-            Side::Operator { front, .. } => front.know(conn, known),
+        match &mut self.mode {
+            Mode::Platform(front, _) => front.know(conn, known),
+            Mode::Operator { front, .. } => front.know(conn, known),
         }
     }
 
-    fn asking(
+    fn request_info(
         &self,
         conn: Option<ConnId>,
         class: usize,
         tenant: Option<usize>,
         size: usize,
     ) -> Option<RequestInfo> {
-        self.admission.gate.as_ref()?;
+        self.admission.policy.as_ref()?;
         let client = self.admission.clients.get(&conn?)?;
         let settings = &self.config.deployment.settings;
         let most = settings.classes.iter().map(|c| c.worth).fold(f64::MIN_POSITIVE, f64::max);
@@ -407,67 +407,66 @@
         Some(RequestInfo { from: client.from, tenant, share, worth, size: size as u64 })
     }
 
-    fn away(&self, (why, wait): (Why, Micros)) -> Away {
-        let rate = self.admission.gate.as_ref().and_then(|g| g.rules().address.request_rate);
+    fn rejection(&self, (why, wait): (Why, Micros)) -> Away {
+        let rate = self.admission.policy.as_ref().and_then(|p| p.rules().address.request_rate);
         let rate = rate.filter(|_| why == Why::RequestRate).map(|r| (r.per_second as u32, r.burst as u32));
         let own_doing = why.is_client_fault() || why == Why::Tenant;
         Away { word: why.as_str(), own_doing, wait, rate }
     }
 
     /// Whether a request may go on to the module, and what is to be given back when it is over.
-    pub(super) fn let_in(
+    pub(super) fn admit_request(
         &mut self,
         now: Micros,
         conn: Option<ConnId>,
         (class, tenant, size): (usize, Option<usize>, usize),
     ) -> Result<(Owner, Option<RequestInfo>), Reply> {
         if let Some(conn) = conn {
-            self.know_again(now, conn);
+            self.refresh_known(now, conn);
         }
-        let asking = self.asking(conn, class, tenant, size);
-        if let (Some(gate), Some(asking)) = (&mut self.admission.gate, &asking) {
-            if let Err(refused) = gate.admit_request(now, asking) {
-                return Err(Reply::TurnedAway(self.away(refused)));
+        let info = self.request_info(conn, class, tenant, size);
+        if let (Some(policy), Some(info)) = (&mut self.admission.policy, &info) {
+            if let Err(refused) = policy.admit_request(now, info) {
+                return Err(Reply::TurnedAway(self.rejection(refused)));
             }
         }
         let owner = self.admission.owner(conn);
         if !self.admission.take_memory(owner, size) {
-            if let (Some(gate), Some(asking)) = (&mut self.admission.gate, &asking) {
-                gate.request_done(now, asking, class, None);
+            if let (Some(policy), Some(info)) = (&mut self.admission.policy, &info) {
+                policy.request_done(now, info, class, None);
             }
             return Err(Reply::Refused(self.config.deployment.settings.max_retry_after));
         }
-        Ok((owner, asking))
+        Ok((owner, info))
     }
 
     /// A request that was admitted is over.
     pub(super) fn release(&mut self, now: Micros, pending: &Pending, served: bool) {
         self.admission.give_memory(pending.owner, pending.call.body.len());
-        if let (Some(gate), Some(asking)) = (&mut self.admission.gate, &pending.asking) {
-            gate.request_done(now, asking, pending.new.class, served.then(|| now - pending.arrived));
+        if let (Some(policy), Some(info)) = (&mut self.admission.policy, &pending.info) {
+            policy.request_done(now, info, pending.new.class, served.then(|| now - pending.arrived));
         }
     }
 
     /// The head of a call has come, and its body is long: it is not read where it would be turned away.
-    pub(super) fn head(&mut self, now: Micros, conn: ConnId, tenant: Option<usize>, size: usize) {
-        let asking = self.asking(Some(conn), usize::MAX, tenant, size);
-        let refused = match (&self.admission.gate, &asking) {
-            (Some(gate), Some(asking)) => gate.check_request(now, asking),
+    pub(super) fn check_body(&mut self, now: Micros, conn: ConnId, tenant: Option<usize>, size: usize) {
+        let info = self.request_info(Some(conn), usize::MAX, tenant, size);
+        let refused = match (&self.admission.policy, &info) {
+            (Some(policy), Some(info)) => policy.check_request(now, info),
             _ => None,
         };
-        let away = refused.map(|refused| self.away(refused));
-        if let (Some((why, _)), Some(asking), Some(gate)) = (refused, asking, &mut self.admission.gate) {
-            gate.count_refusal(now, asking.from, why);
+        let away = refused.map(|refused| self.rejection(refused));
+        if let (Some((why, _)), Some(info), Some(policy)) = (refused, info, &mut self.admission.policy) {
+            policy.count_refusal(now, info.from, why);
         }
-        if let Side::Operator { front, .. } = &mut self.side {
+        if let Mode::Operator { front, .. } = &mut self.mode {
             front.go_ahead(now, conn, away, &mut self.log);
         }
     }
 
     /// Tells of whom was turned away, a line a second at the most.
-    pub(super) fn tend_admission(&mut self, now: Micros) {
-        let Some(window) = self.admission.gate.as_mut().and_then(|gate| gate.take_refusal_summary(now))
-        else {
+    pub(super) fn log_refusals(&mut self, now: Micros) {
+        let Some(window) = self.admission.policy.as_mut().and_then(|p| p.take_refusal_summary(now)) else {
             return;
         };
         let told: Vec<String> =
@@ -477,7 +476,7 @@
     }
 
     pub(super) fn operate_admission(&mut self, now: Micros, call: AdmissionCall) -> Response {
-        if self.admission.gate.is_none() {
+        if self.admission.policy.is_none() {
             return Response::problem(404, "admission is not set up: the configuration has no [admission]");
         }
         match call {
@@ -495,15 +494,15 @@
 
     /// Blocks, unblocks or knows a prefix, as an operator said here or at the other process.
     pub(super) fn set_prefix(&mut self, now: Micros, call: &AdmissionCall) -> bool {
-        let Some(gate) = &mut self.admission.gate else { return true };
+        let Some(policy) = &mut self.admission.policy else { return true };
         let (what, prefix, done) = match call {
-            AdmissionCall::Block(prefix) => ("blocked", prefix, gate.block(*prefix)),
+            AdmissionCall::Block(prefix) => ("blocked", prefix, policy.block(*prefix)),
             AdmissionCall::Unblock(prefix) => {
-                gate.unblock(now, *prefix);
+                policy.unblock(now, *prefix);
                 ("no longer blocked", prefix, true)
             }
             AdmissionCall::Know { prefix, known } => {
-                (if *known { "known" } else { "no longer known" }, prefix, gate.set_known(*prefix, *known))
+                (if *known { "known" } else { "no longer known" }, prefix, policy.set_known(*prefix, *known))
             }
             AdmissionCall::Show => return true,
         };
@@ -516,9 +515,9 @@
             let mut ids: Vec<_> = clients.map(|(id, _)| *id).collect();
             ids.sort();
             for id in ids {
-                match &mut self.side {
-                    Side::Platform(front, _) => front.dismiss(now, id, &mut self.log),
-                    Side::Operator { front, .. } => front.dismiss(now, id, &mut self.log),
+                match &mut self.mode {
+                    Mode::Platform(front, _) => front.dismiss(now, id, &mut self.log),
+                    Mode::Operator { front, .. } => front.dismiss(now, id, &mut self.log),
                 }
             }
         }
@@ -526,7 +525,7 @@
     }
 
     fn show_admission(&self, now: Micros) -> serde_json::Value {
-        let Some(gate) = &self.admission.gate else { return serde_json::Value::Null };
+        let Some(policy) = &self.admission.policy else { return serde_json::Value::Null };
         let e = &self.admission;
         let ledger = |l: &Ledger| {
             let rows = Owner::ALL.map(|o| {
@@ -535,9 +534,9 @@
             let owners: serde_json::Map<_, _> = rows.into_iter().collect();
             serde_json::json!({"limit": l.limit(), "held": l.total_held(), "owners": owners})
         };
-        let (near, wide) = gate.tables();
+        let (near, wide) = policy.tables();
         let top = |table: &wheellink_admission::AddressTable| {
-            let rows = table.heaviest(now, MOST_SHOWN).into_iter().map(|(prefix, weight, error, e)| {
+            let rows = table.heaviest(now, MAX_PREFIXES_SHOWN).into_iter().map(|(prefix, weight, error, e)| {
                 let closed = ((e.closed_until - now) / 1000).max(0);
                 serde_json::json!({"prefix": prefix, "weight": weight.round(), "not_its_own": error.round(),
                     "connections": e.connections, "open": e.open, "bytes": e.bytes, "refused": e.refused,
@@ -546,15 +545,15 @@
             rows.collect::<Vec<_>>()
         };
         let penalties = near.iter().filter(|(_, e)| e.closed_until > now).count();
-        let (blocked, known) = gate.manual_prefixes();
+        let (blocked, known) = policy.manual_prefixes();
         let list = |prefixes: Vec<&Prefix>| {
-            prefixes.into_iter().take(MOST_SHOWN).map(ToString::to_string).collect::<Vec<_>>()
+            prefixes.into_iter().take(MAX_PREFIXES_SHOWN).map(ToString::to_string).collect::<Vec<_>>()
         };
         let adaptive =
-            gate.adaptive().map(|(limit, under)| serde_json::json!({"limit": limit, "under_way": under}));
+            policy.adaptive().map(|(limit, under)| serde_json::json!({"limit": limit, "under_way": under}));
         serde_json::json!({"descriptors": ledger(&e.ledger), "memory": ledger(&e.memory),
             "clients": {"known": e.known, "others": e.clients.len() - e.known},
-            "refused": gate.total_refusals, "closed_for_want_of_descriptors": e.closed, "system_exhausted": e.starved,
+            "refused": policy.total_refusals, "closed_for_want_of_descriptors": e.closed, "system_exhausted": e.exhausted,
             "addresses": near.len(), "pushed_out": near.evicted, "penalties": penalties,
             "blocked": list(blocked.collect()), "known": list(known.collect()), "adaptive": adaptive,
             "top": top(near), "top_neighbourhoods": top(wide)})
--- a/node/src/node/life.rs
+++ b/node/src/node/lifecycle.rs
@@ -7,21 +7,21 @@
     pub(super) fn inherit(&mut self, state: &State) {
         let now = self.clock.now();
         for id in &state.out {
-            self.bar_by_hand(now, &id.as_str().into(), true);
+            self.set_manual_out(now, &id.as_str().into(), true);
         }
-        self.stand_by(now, state.standby);
+        self.set_standby(now, state.standby);
         if let Some(learnt) = &state.admission {
             self.admission.inherit(now, learnt.clone());
         }
-        if let (Side::Platform(_, bus), Some(place)) = (&mut self.side, state.bus) {
+        if let (Mode::Platform(_, bus), Some(place)) = (&mut self.mode, state.bus) {
             bus.read_elsewhere(place);
         }
     }
 
     /// What this process may hold: all of the limits, or its part of them while two processes run.
-    pub(super) fn resize(&mut self) {
+    pub(super) fn update_limits(&mut self) {
         let descriptors = self.config.descriptors;
-        let share = self.config.memory / MEMORY_SHARE;
+        let share = self.config.memory / MEMORY_PARTS;
         let held = Held { clients: self.clients(), hosts: self.hosts.held(), listed: self.hosts.reserve() };
         let (share, bounds) = if self.upgrade.has_peer() {
             (share / 2, descriptors.beside(self.peer_clients))
@@ -35,29 +35,29 @@
         let bounds = self.bound_descriptors(now, bounds);
         self.hosts.bound((bounds.hosts, share));
         let clients = bounds.clients;
-        match &mut self.side {
-            Side::Platform(front, _) => front.bound((clients, share)),
-            Side::Operator { front, .. } => front.bound((clients, share)),
+        match &mut self.mode {
+            Mode::Platform(front, _) => front.bound((clients, share)),
+            Mode::Operator { front, .. } => front.bound((clients, share)),
         }
         if !self.upgrade.has_peer() {
-            self.reclaim(now, clients);
+            self.close_excess_clients(now, clients);
         }
     }
 
     pub(super) fn guests_ready(&mut self) {
         self.upgrade.accept();
-        self.settle();
+        self.process_events();
     }
 
     pub(super) fn peer_ready(&mut self, id: ConnId) {
         self.upgrade.ready(id);
         let now = self.clock.now();
         self.send_told(now);
-        self.settle();
+        self.process_events();
     }
 
     /// What another process of this address says or wants.
-    pub(super) fn hear_peer(&mut self, now: Micros, news: News) {
+    pub(super) fn handle_peer_event(&mut self, now: Micros, news: News) {
         match news {
             News::Arrived(id, _) if self.gradual.is_busy() => {
                 self.log.line(now, "a further process came during a rollout and was turned away");
@@ -76,28 +76,28 @@
                     }
                 }
                 self.upgrade.hand_over(id, state, socket);
-                self.resize();
+                self.update_limits();
             }
             News::Said(Message::Ready) => {
                 // Who is queued is taken by the new process, from the same socket.
                 self.log.line(now, "the new process takes clients");
-                self.succeeded = true;
+                self.superseded = true;
                 self.client_listener.iter_mut().for_each(|listener| listener.shut(Micros::MAX));
                 // It is another life of this one's name, and two would accuse each other's friends.
                 self.membership.take().into_iter().for_each(Membership::close);
-                self.part(now);
+                self.update_draining(now);
             }
             News::Said(Message::Host { id, out }) => {
                 let way = if out { "out by hand" } else { "back in" };
                 self.log.line(now, format_args!("host {id} is {way}, the other process was told"));
-                self.bar_by_hand(now, &id.as_str().into(), out)
+                self.set_manual_out(now, &id.as_str().into(), out)
             }
-            News::Said(Message::Standby { on }) => self.stand_by(now, on),
+            News::Said(Message::Standby { on }) => self.set_standby(now, on),
             News::Said(Message::Admission(call)) => drop(self.set_prefix(now, &call)),
             News::Said(Message::Learnt { addresses }) => self.admission.inherit(now, addresses),
             News::Said(Message::Tally { clients, ration }) => {
                 self.peer_clients = clients;
-                self.resize();
+                self.update_limits();
                 let legacy = HandoverState { tallies: upgrade::heard(&ration), ..HandoverState::default() };
                 self.run_engine(|engine, out| engine.inherit(now, legacy, out));
             }
@@ -112,12 +112,12 @@
                     self.log.line(now, "the other process is gone");
                 }
                 self.peer_clients = 0;
-                self.resize();
-                if std::mem::take(&mut self.succeeded) {
+                self.update_limits();
+                if std::mem::take(&mut self.superseded) {
                     // The new one has failed: this one serves on.
                     self.client_listener.iter_mut().for_each(Listener::reopen);
-                    self.part(now);
-                    self.attend_members();
+                    self.update_draining(now);
+                    self.configure_members();
                     // What was promised under this name since then was another life's.
                     self.agreed = None;
                     self.attend_accord(now);
@@ -128,22 +128,22 @@
     }
 
     /// Tells the successor what this process holds, and what counts for the ration of both.
-    pub(super) fn tell_tally(&mut self, now: Micros) {
-        let ration = upgrade::told(self.engine.tallies(self.tallied));
-        self.tallied = now;
+    pub(super) fn send_tally(&mut self, now: Micros) {
+        let ration = upgrade::told(self.engine.tallies(self.tallied_until));
+        self.tallied_until = now;
         self.upgrade.tell(&Message::Tally { clients: self.clients(), ration });
     }
 
     pub(super) fn state(&mut self) -> State {
-        self.tallied = self.clock.now();
+        self.tallied_until = self.clock.now();
         let mut state = State {
-            out: self.by_hand.iter().map(|h| h.0.to_string()).collect(),
+            out: self.manual_out.iter().map(|h| h.0.to_string()).collect(),
             standby: self.standby,
-            admission: self.admission.state(self.tallied),
+            admission: self.admission.state(self.tallied_until),
             clock: Some(self.clock.base()),
-            bus: match &self.side {
-                Side::Platform(_, bus) => Some(bus.place()),
-                Side::Operator { .. } => None,
+            bus: match &self.mode {
+                Mode::Platform(_, bus) => Some(bus.place()),
+                Mode::Operator { .. } => None,
             },
             ..State::default()
         };
@@ -152,7 +152,7 @@
     }
 
     /// Takes clients: at once, or where another process runs when the host list is as new as can be told.
-    pub(super) fn take_clients(&mut self) -> Result<(), String> {
+    pub(super) fn start_accepting(&mut self) -> Result<(), String> {
         let now = self.clock.now();
         let Some(listener) = self.bound_socket.take() else { return Ok(()) };
         let listener = Listener::open(&self.handle, listener, Wake::Clients);
@@ -160,7 +160,7 @@
             Some(listener.map_err(|e| format!("cannot listen on {}: {e}", self.config.listen))?);
         self.upgrade.tell(&Message::Ready);
         self.log.line(now, "taking clients");
-        self.attend_members();
+        self.configure_members();
         self.attend_accord(now);
         self.announce(now);
         Ok(())
@@ -189,9 +189,9 @@
         }
         let address = self.bound_socket.as_ref().and_then(|l| l.local_addr().ok()).unwrap_or(clients);
         eprintln!("listening on {address}");
-        self.attend_peers();
+        self.configure_peers();
         if !self.upgrade.has_peer() {
-            self.take_clients()?;
+            self.start_accepting()?;
         }
         Ok(())
     }
@@ -199,48 +199,48 @@
     /// Connections of clients wait to be accepted.
     pub(super) fn accept(&mut self) {
         if self.admission.is_on() {
-            self.accept_through_gate();
-            return self.settle();
+            self.accept_with_admission();
+            return self.process_events();
         }
-        for _ in 0..ACCEPT_AT_ONCE {
+        for _ in 0..MAX_ACCEPTS_PER_WAKE {
             let now = self.clock.now();
-            self.resize();
+            self.update_limits();
             // It may have been shut since it was found ready.
             let Some(listener) = self.client_listener.as_mut().filter(|listener| !listener.is_shut()) else {
                 break;
             };
-            let room = match &mut self.side {
-                Side::Platform(front, _) => front.has_room(now, &mut self.log),
-                Side::Operator { front, .. } => front.has_room(now, &mut self.log),
+            let room = match &mut self.mode {
+                Mode::Platform(front, _) => front.has_room(now, &mut self.log),
+                Mode::Operator { front, .. } => front.has_room(now, &mut self.log),
             };
             if !room {
-                listener.shut(now + NO_ROOM);
+                listener.shut(now + NO_ROOM_PAUSE_US);
                 break;
             }
             match listener.next() {
                 Ok(None) => break,
-                Ok(Some((stream, peer))) => self.receive(now, stream, peer),
+                Ok(Some((stream, peer))) => self.admit_connection(now, stream, peer),
                 Err(e) => {
                     // The listener stays ready, and trying again at once would keep the loop busy for nothing.
-                    listener.shut(now + NO_DESCRIPTOR);
+                    listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
                     self.log.line(now, format_args!("no connection can be accepted: {e}"));
                     break;
                 }
             }
         }
-        self.settle();
+        self.process_events();
     }
 
     /// Clients are asked to open nothing new, or no longer so.
-    pub(super) fn part(&mut self, now: Micros) {
+    pub(super) fn update_draining(&mut self, now: Micros) {
         let ready = !self.standby && self.stopping.is_none();
-        let parts = !ready || self.succeeded;
-        match &mut self.side {
-            Side::Platform(front, _) => {
+        let parts = !ready || self.superseded;
+        match &mut self.mode {
+            Mode::Platform(front, _) => {
                 front.ready = ready;
                 front.part(now, parts, &mut self.log)
             }
-            Side::Operator { front, .. } => front.part(now, parts),
+            Mode::Operator { front, .. } => front.part(now, parts),
         }
     }
 
@@ -252,8 +252,8 @@
             self.stopping = Some(now);
             self.end_rollout(now);
             self.leave_members(now);
-            self.part(now);
-            self.settle();
+            self.update_draining(now);
+            self.process_events();
         }
     }
 
@@ -265,26 +265,26 @@
         let taken = config.and_then(|config| {
             self.config.may_be_followed_by(&config)?;
             self.may_be_followed(&config)?;
-            self.take_up(now, config)
+            self.apply_config(now, config)
         });
         match taken {
             Ok(what) => self.log.line(now, format_args!("configuration read again: {what}")),
             Err(problem) => self.log.line(now, format_args!("the old configuration is kept: {problem}")),
         }
-        self.settle();
+        self.process_events();
     }
 
     /// Takes a checked configuration up. What can fail comes first.
-    pub(super) fn take_up(&mut self, now: Micros, config: Config) -> Result<String, String> {
+    pub(super) fn apply_config(&mut self, now: Micros, config: Config) -> Result<String, String> {
         let d = &config.deployment;
         let idle = d.transport.conn_idle;
-        let (source, moved) = match (&mut self.side, &config.side) {
-            (Side::Platform(front, bus), config::Side::Platform { bus: address, .. }) => {
+        let (source, moved) = match (&mut self.mode, &config.side) {
+            (Mode::Platform(front, bus), config::Side::Platform { bus: address, .. }) => {
                 front.conn_idle = idle;
                 (format!("bus {address}"), (bus.address != *address).then_some(*address))
             }
             (
-                Side::Operator { front, hosts, classes, .. },
+                Mode::Operator { front, hosts, classes, .. },
                 config::Side::Operator { resolver, bounds, .. },
             ) => {
                 let failed = |e| format!("no socket for queries to {resolver}: {e}");
@@ -298,8 +298,8 @@
             _ => return Err("it is of another kind".into()),
         };
         if let Some(address) = moved {
-            self.end_bus(now, Reason::Moved);
-            if let Side::Platform(_, bus) = &mut self.side {
+            self.close_bus(now, Reason::Moved);
+            if let Mode::Platform(_, bus) = &mut self.mode {
                 bus.moved(address);
             }
         }
@@ -313,20 +313,20 @@
         self.config = config;
         self.admission.retune(self.config.admission.as_ref());
         let asks = self.admission.is_on();
-        if let Side::Operator { front, .. } = &mut self.side {
+        if let Mode::Operator { front, .. } = &mut self.mode {
             front.asks = asks;
         }
         self.agreed_settings = None;
         let settings = self.binding();
         self.run_engine(|engine, out| engine.update_settings(now, settings, patience, out));
-        self.attend_peers();
-        if self.client_listener.is_some() && !self.succeeded {
-            self.attend_members();
+        self.configure_peers();
+        if self.client_listener.is_some() && !self.superseded {
+            self.configure_members();
         }
         self.attend_turns(now);
         self.attend_accord(now);
         self.rebind(now);
-        self.resize();
+        self.update_limits();
         Ok(what)
     }
 
@@ -336,22 +336,22 @@
             return true;
         }
         let now = self.clock.now();
-        let quiet = match &self.side {
-            Side::Platform(front, _) => front.is_quiet(),
-            Side::Operator { front, .. } => front.is_quiet(),
+        let quiet = match &self.mode {
+            Mode::Platform(front, _) => front.is_quiet(),
+            Mode::Operator { front, .. } => front.is_quiet(),
         };
         // A process that had no processor for a while has more to read than the loop takes at one go.
-        let over = self.stopping.is_some_and(|since| now - since >= STILL_COMING);
-        self.last_turns += u32::from(over);
-        let looked = self.clients_silent || self.last_turns > LAST_TURNS;
+        let over = self.stopping.is_some_and(|since| now - since >= SHUTDOWN_GRACE_US);
+        self.final_iterations += u32::from(over);
+        let looked = self.clients_idle || self.final_iterations > MAX_FINAL_ITERATIONS;
         over && looked && self.pending.is_empty() && self.parked_turns() == 0 && quiet
     }
 
     pub fn shut_down(&mut self) {
         let now = self.clock.now();
-        match &mut self.side {
-            Side::Platform(front, _) => front.shut_down(now, &mut self.log),
-            Side::Operator { front, hosts, .. } => {
+        match &mut self.mode {
+            Mode::Platform(front, _) => front.shut_down(now, &mut self.log),
+            Mode::Operator { front, hosts, .. } => {
                 front.shut_down(now, &mut self.log);
                 hosts.close(now, &mut self.log);
             }
@@ -359,6 +359,6 @@
         self.upgrade.shut_down();
         self.control.shut_down(now, &mut self.log);
         self.hosts.shut_down(now, &mut self.log);
-        self.end_bus(now, Reason::Shutdown);
+        self.close_bus(now, Reason::Shutdown);
     }
 }
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -5,25 +5,25 @@
 impl Node {
     /// Operators call.
     pub(super) fn accept_callers(&mut self) {
-        for _ in 0..ACCEPT_AT_ONCE {
+        for _ in 0..MAX_ACCEPTS_PER_WAKE {
             let now = self.clock.now();
             let Some(listener) = &mut self.control_listener else { break };
             match listener.next() {
                 Ok(None) => break,
                 Ok(Some((stream, peer))) => self.control.accept(now, stream, peer, &mut self.log),
                 Err(e) => {
-                    listener.shut(now + NO_DESCRIPTOR);
+                    listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
                     self.log.line(now, format_args!("no caller can be accepted: {e}"));
                     break;
                 }
             }
         }
-        self.settle();
+        self.process_events();
     }
 
     pub(super) fn caller_ready(&mut self, id: ConnId) {
         self.control.ready(self.clock.now(), id, &mut self.log);
-        self.settle();
+        self.process_events();
     }
 
     /// Does what an operator asks for, and says whether that could be done.
@@ -53,15 +53,15 @@
                 if !self.hosts.knows(&host) {
                     return Response::problem(404, "no script host has this id");
                 }
-                if self.by_hand.contains(&host) != out {
-                    if self.by_hand.len() >= MOST_BARRED && out {
+                if self.manual_out.contains(&host) != out {
+                    if self.manual_out.len() >= MAX_MANUAL_OUT && out {
                         return Response::problem(409, "too many hosts are out by hand");
                     }
                     self.log.line(
                         now,
                         format_args!("host {id} is {}", if out { "out by hand" } else { "back in" }),
                     );
-                    self.bar_by_hand(now, &host, out);
+                    self.set_manual_out(now, &host, out);
                     self.upgrade.tell(&Message::Host { id: id.clone(), out });
                 }
                 Response::json(200, serde_json::json!({"host": id, "out": out}))
@@ -70,7 +70,7 @@
                 if self.stopping.is_some() && !on {
                     return Response::problem(409, "the program has been told to end");
                 }
-                self.stand_by(now, on);
+                self.set_standby(now, on);
                 self.upgrade.tell(&Message::Standby { on });
                 Response::json(200, serde_json::json!({"standby": on}))
             }
@@ -82,26 +82,26 @@
         let caught_up = self.is_caught_up(now);
         let ready = self.client_listener.is_some() && caught_up && !self.standby && self.stopping.is_none();
         let clients = self.clients();
-        let out: Vec<&str> = self.by_hand.iter().map(|h| &*h.0).collect();
+        let out: Vec<&str> = self.manual_out.iter().map(|h| &*h.0).collect();
         let told = serde_json::json!({"ready": ready, "standby": self.standby, "stopping": self.stopping.is_some(),
             "caught_up": caught_up, "out": out, "requests": self.engine.open(), "clients": clients});
         Response::json(if ready { 200 } else { 503 }, told)
     }
 
     /// Takes a host out by hand, or back in.
-    pub(super) fn bar_by_hand(&mut self, now: Micros, host: &WorkerId, out: bool) {
+    pub(super) fn set_manual_out(&mut self, now: Micros, host: &WorkerId, out: bool) {
         if out {
-            self.by_hand.insert(host.clone());
+            self.manual_out.insert(host.clone());
         } else {
-            self.by_hand.remove(host);
+            self.manual_out.remove(host);
         }
-        self.bar(now, host);
+        self.update_out(now, host);
     }
 
     /// Has a host out if that was said by hand or is agreed, else in. The pool is told first when it is to be used
     /// again, as the engine may send at once, and after the engine else, so that what is withdrawn goes elsewhere.
-    pub(super) fn bar(&mut self, now: Micros, host: &WorkerId) {
-        let out = self.by_hand.contains(host) || self.is_out_as_agreed(host);
+    pub(super) fn update_out(&mut self, now: Micros, host: &WorkerId) {
+        let out = self.manual_out.contains(host) || self.is_out_as_agreed(host);
         if self.hosts.is_barred(host) == out {
             return;
         }
@@ -115,10 +115,10 @@
     }
 
     /// Sends clients away, or takes them again.
-    pub(super) fn stand_by(&mut self, now: Micros, on: bool) {
+    pub(super) fn set_standby(&mut self, now: Micros, on: bool) {
         if std::mem::replace(&mut self.standby, on) != on {
             self.log.line(now, if on { "drained by an operator" } else { "taking clients again" });
-            self.part(now);
+            self.update_draining(now);
         }
     }
 }
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -3,22 +3,22 @@
 use super::*;
 
 /// The longest that a client may wait for a call of a class that only the other version of a rollout knows.
-const LONGEST_UNKNOWN: Micros = 60_000_000;
+const MAX_UNKNOWN_CLASS_TIMEOUT_US: Micros = 60_000_000;
 
 impl Node {
     pub(super) fn client_ready(&mut self, id: ConnId) {
         let now = self.clock.now();
-        match &mut self.side {
-            Side::Platform(front, _) => front.ready(now, id, &mut self.log),
-            Side::Operator { front, .. } => front.ready(now, id, &mut self.log),
+        match &mut self.mode {
+            Mode::Platform(front, _) => front.ready(now, id, &mut self.log),
+            Mode::Operator { front, .. } => front.ready(now, id, &mut self.log),
         }
-        self.settle();
+        self.process_events();
     }
 
     /// Hands on what the front has learnt; false if that is nothing.
-    pub(super) fn hear_front(&mut self) -> bool {
-        match &mut self.side {
-            Side::Platform(front, _) => {
+    pub(super) fn handle_front_notices(&mut self) -> bool {
+        match &mut self.mode {
+            Mode::Platform(front, _) => {
                 let notices = std::mem::take(&mut front.notices);
                 let any = !notices.is_empty();
                 for notice in notices {
@@ -33,13 +33,13 @@
                         platform::Notice::Gone { conn } => self.client_gone(conn),
                         platform::Notice::Proxied { conn, client } => {
                             let now = self.clock.now();
-                            self.proxied(now, conn, client)
+                            self.handle_proxied(now, conn, client)
                         }
                     }
                 }
                 any
             }
-            Side::Operator { front, .. } => {
+            Mode::Operator { front, .. } => {
                 let notices = std::mem::take(&mut front.notices);
                 let any = !notices.is_empty();
                 for notice in notices {
@@ -49,11 +49,11 @@
                         invoke::Notice::Gone { conn } => self.client_gone(conn),
                         invoke::Notice::Proxied { conn, client } => {
                             let now = self.clock.now();
-                            self.proxied(now, conn, client)
+                            self.handle_proxied(now, conn, client)
                         }
                         invoke::Notice::Head { conn, tenant, size } => {
                             let now = self.clock.now();
-                            self.head(now, conn, tenant, size)
+                            self.check_body(now, conn, tenant, size)
                         }
                     }
                 }
@@ -64,7 +64,7 @@
 
     pub(super) fn platform_request(&mut self, origin: platform::Origin, request: Request) {
         let now = self.clock.now();
-        let Side::Platform(front, _) = &mut self.side else { return };
+        let Mode::Platform(front, _) = &mut self.mode else { return };
         // Taken back in the same breath: nothing need hear of it.
         if !front.waits(origin) {
             return;
@@ -80,14 +80,14 @@
             _ if self.ids.contains(request.id.as_str()) => Some("the id of a request that is open"),
             _ => None,
         };
-        let Side::Platform(front, _) = &mut self.side else { return };
+        let Mode::Platform(front, _) = &mut self.mode else { return };
         if let Some(wrong) = wrong {
             return front.error(now, origin, wrong, &mut self.log);
         }
         // No client waits longer than its class says; what is open for a day would pile up.
         let class = class.unwrap_or(usize::MAX);
         let known = self.agreed().classes.get(class);
-        let longest = known.map_or(LONGEST_UNKNOWN, |c| 2 * c.give_up);
+        let longest = known.map_or(MAX_UNKNOWN_CLASS_TIMEOUT_US, |c| 2 * c.give_up);
         let incoming = Incoming {
             id: request.id,
             class,
@@ -102,15 +102,15 @@
             body: request.body,
             turn: None,
             placed: None,
-            advice: Vec::new(),
+            preferred: Vec::new(),
         };
-        self.request(now, Some(origin.conn), Origin::Platform(origin), incoming);
+        self.submit(now, Some(origin.conn), Origin::Platform(origin), incoming);
     }
 
     pub(super) fn invoke_call(&mut self, conn: ConnId, origin: invoke::Origin, call: invoke::Call) {
         let now = self.clock.now();
         let Some(settings) = self.agreed().classes.get(call.class).copied() else { return };
-        let Side::Operator { classes, ids, .. } = &mut self.side else { return };
+        let Mode::Operator { classes, ids, .. } = &mut self.mode else { return };
         let (deferred, lanes) = classes[call.class];
         let usual = match origin {
             invoke::Origin::Waiting(_) => settings.give_up,
@@ -132,26 +132,26 @@
             body: call.body,
             turn: call.turn,
             placed: None,
-            advice: Vec::new(),
+            preferred: Vec::new(),
             id,
         };
-        self.request(now, Some(conn), Origin::Invoke(origin), incoming);
+        self.submit(now, Some(conn), Origin::Invoke(origin), incoming);
     }
 
     /// What is left of the time that a client waits whose request is read now: it may have been here for a while.
     fn time_left(&self, now: Micros, timeout: Micros) -> Micros {
-        (timeout - (now - self.held_up.arrived(now))).max(0)
+        (timeout - (now - self.stalls.earliest_arrival(now))).max(0)
     }
 
-    pub(super) fn request(&mut self, now: Micros, conn: Option<ConnId>, origin: Origin, incoming: Incoming) {
+    pub(super) fn submit(&mut self, now: Micros, conn: Option<ConnId>, origin: Origin, incoming: Incoming) {
         // It may have to wait first for a place for its turn, once.
         if let Some((origin, incoming)) = self.advise(now, conn, origin, incoming) {
-            self.request_placed(now, conn, origin, incoming);
+            self.submit_placed(now, conn, origin, incoming);
         }
     }
 
     /// ... which has its place.
-    pub(super) fn request_placed(
+    pub(super) fn submit_placed(
         &mut self,
         now: Micros,
         conn: Option<ConnId>,
@@ -164,23 +164,23 @@
             let retry_after = self.config.deployment.settings.max_retry_after;
             return self.reply(now, &origin, Reply::Refused(retry_after));
         }
-        let (owner, asking) = match self.let_in(now, conn, (incoming.class, incoming.tenant, size)) {
+        let (owner, info) = match self.admit_request(now, conn, (incoming.class, incoming.tenant, size)) {
             Ok(admitted) => admitted,
             Err(reply) => {
                 self.forgo_turn(incoming.placed.as_ref());
                 return self.reply(now, &origin, reply);
             }
         };
-        let half_closed = match (&self.side, &origin) {
-            (Side::Platform(front, _), Origin::Platform(origin)) => front.half_closed(origin.conn),
+        let half_closed = match (&self.mode, &origin) {
+            (Mode::Platform(front, _), Origin::Platform(origin)) => front.half_closed(origin.conn),
             _ => None,
         };
-        let half_closed = half_closed.map(|since| self.held_up.arrived(since));
+        let half_closed = half_closed.map(|since| self.stalls.earliest_arrival(since));
         let new = NewRequest {
             class: incoming.class,
             tenant: incoming.tenant,
             function: incoming.function.as_str().into(),
-            due: now + (incoming.timeout - DUE_MARGIN).max(0),
+            due: now + (incoming.timeout - DUE_MARGIN_US).max(0),
             lanes: incoming.lanes,
             repeat: incoming.repeat,
             hint: incoming.hint,
@@ -194,7 +194,7 @@
             body: Rc::from(incoming.body),
         };
         let class = new.class;
-        let by = Version::Old;
+        let version = Version::Old;
         let mut pending = Pending {
             call,
             origin,
@@ -202,15 +202,15 @@
             new,
             arrived: now,
             attempts: Attempts::default(),
-            by,
+            version,
             owner,
-            asking,
+            info,
             passed: None,
         };
-        let ticket = match self.pass(now, &pending, incoming.placed.as_ref(), &incoming.advice) {
+        let ticket = match self.pass(now, &pending, incoming.placed.as_ref(), &incoming.preferred) {
             Some(ticket) => {
-                pending.by = Version::New;
-                self.carry_turn(ticket, incoming.placed, incoming.advice);
+                pending.version = Version::New;
+                self.carry_turn(ticket, incoming.placed, incoming.preferred);
                 if let Some(since) = half_closed {
                     self.passed_half_closed(ticket, since);
                 }
@@ -224,22 +224,22 @@
             }
             None => {
                 let new = pending.new.clone();
-                let advice = incoming.advice;
+                let preferred = incoming.preferred;
                 let ticket =
-                    self.run_engine(|engine, out| engine.request_with_preferences(now, new, advice, out));
+                    self.run_engine(|engine, out| engine.request_with_preferences(now, new, preferred, out));
                 self.carry_turn(ticket, incoming.placed, Vec::new());
                 ticket
             }
         };
         self.ids.insert(pending.call.id.clone());
-        self.admit(ticket, pending);
+        self.track(ticket, pending);
     }
 
     /// The request goes by this ticket from now on.
-    pub(super) fn admit(&mut self, ticket: Ticket, pending: Pending) {
-        let waits = match (&mut self.side, &pending.origin) {
-            (Side::Platform(front, _), Origin::Platform(origin)) => front.taken(*origin, ticket),
-            (Side::Operator { front, .. }, Origin::Invoke(origin)) => front.taken(origin, ticket),
+    pub(super) fn track(&mut self, ticket: Ticket, pending: Pending) {
+        let waits = match (&mut self.mode, &pending.origin) {
+            (Mode::Platform(front, _), Origin::Platform(origin)) => front.taken(*origin, ticket),
+            (Mode::Operator { front, .. }, Origin::Invoke(origin)) => front.taken(origin, ticket),
             _ => false,
         };
         self.pending.insert(ticket, pending);
@@ -265,7 +265,7 @@
     /// The client of these requests has ended its side of the connection: it has gone, or waits for answers.
     fn client_half_closed(&mut self, tickets: &[Ticket], since: Micros) {
         let now = self.clock.now();
-        let since = self.held_up.arrived(since);
+        let since = self.stalls.earliest_arrival(since);
         for ticket in tickets {
             // Where it is decided anew later, that counts from the same time.
             if let Some(pending) = self.pending.get_mut(ticket) {
@@ -277,7 +277,7 @@
         }
     }
 
-    pub(super) fn answer(&mut self, now: Micros, ticket: Ticket, verdict: Verdict) {
+    pub(super) fn deliver_verdict(&mut self, now: Micros, ticket: Ticket, verdict: Verdict) {
         let Some(mut pending) = self.pending.remove(&ticket) else { return };
         self.ids.remove(&pending.call.id);
         self.passed_over(now, ticket);
@@ -291,12 +291,12 @@
         self.release(now, &pending, matches!(reply, Reply::Served(_)));
         self.count(now, &pending, &reply);
         self.log_answer(now, &pending, &reply);
-        match (&mut self.side, &pending.origin, found) {
-            (Side::Operator { front, .. }, Origin::Invoke(origin), Some(found)) => {
+        match (&mut self.mode, &pending.origin, found) {
+            (Mode::Operator { front, .. }, Origin::Invoke(origin), Some(found)) => {
                 front.reply_found(now, origin, reply, found, &mut self.log)
             }
             (_, Origin::Peer(seq), _) => {
-                let said = pending.passed.take().map(|p| p.said).unwrap_or_default();
+                let said = pending.passed.take().map(|p| p.reply).unwrap_or_default();
                 self.answer_holder(*seq, reply, said)
             }
             _ => self.reply(now, &pending.origin, reply),
@@ -304,11 +304,11 @@
     }
 
     pub(super) fn reply(&mut self, now: Micros, origin: &Origin, reply: Reply) {
-        match (&mut self.side, origin) {
-            (Side::Platform(front, _), Origin::Platform(origin)) => {
+        match (&mut self.mode, origin) {
+            (Mode::Platform(front, _), Origin::Platform(origin)) => {
                 front.reply(now, *origin, reply, &mut self.log)
             }
-            (Side::Operator { front, .. }, Origin::Invoke(origin)) => {
+            (Mode::Operator { front, .. }, Origin::Invoke(origin)) => {
                 front.reply(now, origin, reply, &mut self.log)
             }
             (_, Origin::Peer(seq)) => self.answer_holder(*seq, reply, Said::default()),
@@ -316,7 +316,7 @@
         }
     }
 
-    pub(super) fn host_notice(&mut self, notice: hosts::Notice) {
+    pub(super) fn handle_host_notice(&mut self, notice: hosts::Notice) {
         let now = self.clock.now();
         match notice {
             hosts::Notice::Attempt { attempt, end, body, fields } => {
@@ -326,7 +326,7 @@
                 if let Some(pending) = self.pending.get_mut(&attempt.ticket) {
                     if let Some(passed) = &mut pending.passed {
                         let done = end.outcome == Outcome::Done;
-                        passed.said = if done { Said::of(&fields, end.report) } else { Said::default() };
+                        passed.reply = if done { Said::of(&fields, end.report) } else { Said::default() };
                     }
                     pending.answer = (end.outcome == Outcome::Done).then_some((attempt, body));
                 }
--- a/node/src/node/rollout.rs
+++ b/node/src/node/rollout.rs
@@ -114,7 +114,7 @@
         Self {
             role: Role::Alone,
             machine: Rollout::default(),
-            ledger: Ledger::new(MOST_PASSED, memory / MEMORY_SHARE / 2),
+            ledger: Ledger::new(MOST_PASSED, memory / MEMORY_PARTS / 2),
             out: HashMap::new(),
             protocol: 0,
             seq: 0,
@@ -266,7 +266,7 @@
     pub(super) fn tick_rollout(&mut self, now: Micros, often: bool) {
         for seq in self.gradual.ledger.take_overdue(now) {
             self.upgrade.say(&Word::Left { seq });
-            self.answer(now, ticket(seq), Verdict::TimedOut);
+            self.deliver_verdict(now, ticket(seq), Verdict::TimedOut);
         }
         match self.gradual.role {
             Role::Candidate if self.gradual.burial.is_some() => self.succeed_holder(now),
@@ -297,8 +297,8 @@
     }
 
     pub(super) fn tell_ration(&mut self, now: Micros) {
-        let ration = upgrade::told(self.engine.tallies(self.tallied));
-        self.tallied = now;
+        let ration = upgrade::told(self.engine.tallies(self.tallied_until));
+        self.tallied_until = now;
         if !ration.is_empty() {
             self.upgrade.say(&Word::Ration(ration));
         }
@@ -323,13 +323,13 @@
         self.upgrade.say(&Word::Holds { life: life.as_str().into(), percent });
         let due = if life == Phase::Complete { 0.0 } else { percent / 100.0 };
         self.engine.set_peer_share(due);
-        if !self.succeeded {
+        if !self.superseded {
             self.tell_ration(now);
         }
         let running = matches!(life, Phase::Stepping | Phase::Held | Phase::RollingBack | Phase::Complete);
         let patience = if running { self.gradual.machine.max_silence() } else { IDLE_SILENCE };
         self.gradual.looks += 1;
-        let looked = Micros::from(self.gradual.looks) * HOUSEKEEPING * 2 >= patience;
+        let looked = Micros::from(self.gradual.looks) * HOUSEKEEPING_US * 2 >= patience;
         if now - self.gradual.heard >= patience && looked {
             // This process may have been held up itself: what waits to be read counts.
             let before = self.upgrade.news.len();
--- a/node/src/node/rollout/candidate.rs
+++ b/node/src/node/rollout/candidate.rs
@@ -91,7 +91,7 @@
         }
         let draft = given.draft.map_or(String::new(), |draft| format!(",draft={draft}"));
         let blocks = given.turn.as_ref().map_or(String::new(), |(.., prefix)| lines::blocks(prefix));
-        let from = FromHolder { line: draft + &blocks, ..FromHolder::default() };
+        let from = PassedFields { request: draft + &blocks, ..PassedFields::default() };
         let advice = self.follow(now, &given.places, &new);
         let call = Call {
             id: passed.id.into(),
@@ -101,7 +101,7 @@
             body: Rc::from(passed.body),
         };
         let origin = Origin::Peer(seq);
-        let (by, owner) = (Version::New, Owner::Others);
+        let (version, owner) = (Version::New, Owner::Others);
         let pending = Pending {
             attempts: Attempts::default(),
             call,
@@ -109,9 +109,9 @@
             answer: None,
             new: new.clone(),
             arrived: now,
-            by,
+            version,
             owner,
-            asking: None,
+            info: None,
             passed: more.map(|_| Box::new(from)),
         };
         let ticket = self.run_engine(|engine, out| engine.request_with_preferences(now, new, advice, out));
@@ -206,7 +206,7 @@
             let Some((_, attempt, host, times)) = self.gradual.waiting.pop_front() else { return };
             match self.pending.get(&attempt.ticket) {
                 Some(pending) => {
-                    let more = pending.passed.as_ref().map_or("", |passed| passed.line.as_str());
+                    let more = pending.passed.as_ref().map_or("", |passed| passed.request.as_str());
                     self.hosts.send(now, attempt, &host, (&pending.call, more), times, &mut self.log)
                 }
                 None => self.never_left(now, attempt),
@@ -300,7 +300,7 @@
             self.gradual.role = Role::Alone;
             self.inherit_ration(now);
             self.bind(now);
-            self.resize();
+            self.update_limits();
         } else {
             let why = "the old version lives and has cut this one off";
             self.log.line(now, format_args!("rollout: {why}"));
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -154,7 +154,7 @@
         let class = self.config.deployment.settings.classes.get(pending.new.class);
         let aim = class.map_or(Micros::MAX, |c| c.aim);
         let took = now - pending.arrived;
-        self.gradual.machine.record(pending.by, &pending.call.class, ending, took, aim);
+        self.gradual.machine.record(pending.version, &pending.call.class, ending, took, aim);
     }
 
     pub(super) fn answer_passed(&mut self, now: Micros, seq: u64, reply: ipc::Reply, body: Vec<u8>) {
@@ -169,7 +169,7 @@
             ipc::Reply::Failed => Verdict::Failed,
             ipc::Reply::TimedOut => Verdict::TimedOut,
         };
-        self.answer(now, ticket, verdict);
+        self.deliver_verdict(now, ticket, verdict);
     }
 
     /// What a word says of attempts and answers, which counts up to the last one that is read; other words are given back.
@@ -345,7 +345,7 @@
         for (seq, fate) in self.gradual.ledger.candidate_lost(now, dead) {
             self.settle_fate(now, seq, fate);
         }
-        self.resize();
+        self.update_limits();
     }
 
     /// What the ledger says of a call that the candidate decides no more.
@@ -370,7 +370,7 @@
             Verdict::Failed => counts.failed += 1,
             _ => counts.refused += 1,
         }
-        self.answer(now, ticket(seq), verdict);
+        self.deliver_verdict(now, ticket(seq), verdict);
     }
 
     pub(super) fn run_anew(&mut self, now: Micros, seq: u64, past: Vec<AttemptRecord>) {
@@ -389,14 +389,14 @@
             engine.request_with_past_attempts(now, new, past, out)
         });
         self.carry_turn(ticket, turn, Vec::new());
-        (pending.by, pending.answer) = (Version::Old, None);
-        self.admit(ticket, pending);
+        (pending.version, pending.answer) = (Version::Old, None);
+        self.track(ticket, pending);
     }
 
     /// Has the candidate take the clients.
     pub(super) fn hand_clients_over(&mut self, now: Micros) {
         let ration = upgrade::told(self.engine.tallies(0));
-        self.tallied = now;
+        self.tallied_until = now;
         self.upgrade.say(&Word::Ration(ration));
         if let Some(addresses) = self.admission.state(now) {
             self.upgrade.tell(&Message::Learnt { addresses });
--- a/node/src/node/together.rs
+++ b/node/src/node/together.rs
@@ -43,7 +43,7 @@
 
     /// Sites of which nothing is said any more have the usual weight again.
     fn weigh_sites(&mut self, sites: BTreeMap<String, u32>) {
-        let before = std::mem::replace(&mut self.weighed, sites.clone());
+        let before = std::mem::replace(&mut self.site_weights, sites.clone());
         for label in before.keys().filter(|label| !sites.contains_key(*label)) {
             self.weigh_site(label, wheellink_turns::DEFAULT_WEIGHT);
         }
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -321,7 +321,7 @@
                 let me = self.membership.as_ref().map_or(ActivatorId(0), |f| ActivatorId(f.roster().0 .0));
                 let zone = self.config.deployment.settings.zone;
                 Turning::new(&setup, me, zone, self.config.seed).map(|mut turning| {
-                    let listed: Vec<ListEntry> = self.listed.values().cloned().collect();
+                    let listed: Vec<ListEntry> = self.dns_hosts.values().cloned().collect();
                     turning.list(ListKind::Full, &listed, &self.config.deployment.zones);
                     self.turning = Some(Box::new(turning));
                 })
@@ -336,16 +336,16 @@
 
     /// Hosts as they were told last, kept for the day on which `[turns]` is read.
     pub(super) fn list_for_turns(&mut self, kind: ListKind, entries: &[ListEntry]) {
-        if matches!(self.side, Side::Platform(..)) || kind == ListKind::Failed {
+        if matches!(self.mode, Mode::Platform(..)) || kind == ListKind::Failed {
             return;
         }
         if kind != ListKind::Delta {
-            self.listed.clear();
+            self.dns_hosts.clear();
         }
         for e in entries {
             match e.condition {
-                Condition::Gone => drop(self.listed.remove(&e.worker)),
-                _ => drop(self.listed.insert(e.worker.clone(), e.clone())),
+                Condition::Gone => drop(self.dns_hosts.remove(&e.worker)),
+                _ => drop(self.dns_hosts.insert(e.worker.clone(), e.clone())),
             }
         }
         if let Some(turning) = &mut self.turning {
@@ -354,7 +354,7 @@
     }
 
     fn hear_turns(&mut self, hears: bool) {
-        if let Side::Operator { front, .. } = &mut self.side {
+        if let Mode::Operator { front, .. } = &mut self.mode {
             front.turns = hears;
         }
     }
@@ -416,7 +416,7 @@
     /// The call with the advice for its turn.
     fn advised(&mut self, now: Micros, mut incoming: Incoming, turn: Turn, advice: &Advice) -> Incoming {
         let Some(t) = &mut self.turning else { return incoming };
-        incoming.advice = t.spots(advice);
+        incoming.preferred = t.spots(advice);
         let function: FunctionId = incoming.function.as_str().into();
         let sites = advice.choices.iter().map(|c| c.site);
         let loaded = t.residents(now, sites, &function, incoming.lanes);
@@ -459,7 +459,7 @@
             }
             incoming.timeout -= now - since;
             let incoming = self.advised(now, incoming, turn, &advice);
-            self.request_placed(now, conn, origin, incoming);
+            self.submit_placed(now, conn, origin, incoming);
         }
     }
 
@@ -472,7 +472,7 @@
                 t.turns.withdraw(waiting);
             }
             incoming.timeout -= now - since;
-            self.request_placed(now, conn, origin, incoming);
+            self.submit_placed(now, conn, origin, incoming);
         }
     }
 
