--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,5 +1,5 @@
-//! The node: one engine, the fronts before it, the hosts and the bus behind it, on one thread. It hands what
-//! each of them has learnt to the engine and carries out what the engine commands.
+//! The hub of the process, on one thread: it passes the events of clients, script hosts, the bus and operators to the
+//! engine, and executes the engine's commands.
 
 mod accord;
 mod admission;
@@ -61,66 +61,68 @@
 use stall::StallDetector;
 use turns::Turning;
 
-/// A client's time runs from when it wrote the last byte: the answer must have reached it before it ends.
+/// Time kept back from a request's timeout: the client counts from the last byte that it wrote until the answer has
+/// reached it.
 const DUE_MARGIN_US: Micros = 20_000;
-/// Parts of the memory limit that bodies of open requests, bytes for clients that do not read, and answers
-/// that are not whole may take, each of them. The program itself needs a few megabytes.
+/// Each of these may take one part in this many of the memory limit: bodies of open requests, bytes that clients have
+/// not read yet, and incomplete answers of hosts. The program itself needs a few megabytes.
 const MEMORY_PARTS: usize = 6;
-/// Connections taken in at one go: hundreds at once must not keep the loop from those that have asked.
+/// Connections accepted per event of a listener, so that hundreds at once do not delay requests that have arrived.
 const MAX_ACCEPTS_PER_WAKE: usize = 32;
-/// For so long nothing is accepted when there was no descriptor for a connection.
+/// Pause of a listener after there was no file descriptor for a connection.
 const NO_DESCRIPTOR_PAUSE_US: Micros = 100_000;
-/// ... and when all places are held by clients that are owed an answer.
+/// Pause of the client listener while every connection waits for an answer.
 const NO_ROOM_PAUSE_US: Micros = 5_000;
-/// After SIGTERM requests keep coming for this long.
+/// After SIGTERM, new requests may arrive for this long.
 const SHUTDOWN_GRACE_US: Micros = 800_000;
-/// ... and what is there to be read by then is read first, in so many turns of the loop at most: a client that sends
-/// without end must not keep the process. Turns and not time, as a process that had no processor has used none.
+/// After `SHUTDOWN_GRACE_US`, input that has arrived is still read, in this many iterations of the loop at most: a client
+/// that keeps sending must not keep the process alive. Counted in iterations, because a process that was not
+/// scheduled has read nothing in the time that passed.
 const MAX_FINAL_ITERATIONS: u32 = 1_000;
-/// What the bus may have on its way: the longest frame and more.
+/// Receive buffer for the bus: more than its longest frame.
 const BUS_BUFFER_BYTES: usize = 256 << 10;
-/// Hosts that operators may have taken out: ids are kept for good.
+/// Hosts that operators may take out of service; their ids are kept until they are put back.
 const MAX_MANUAL_OUT: usize = 4096;
-/// Between looks at connections that are idle or do not come up.
+/// Interval between checks for idle connections and for connections that are not established in time.
 const HOUSEKEEPING_US: Micros = startup::LOOK.as_micros() as Micros;
 
-/// A request that is owed an answer.
+/// A request that has no answer yet.
 struct Pending {
     call: Call,
     origin: Origin,
-    /// What a host gave for it, between its arrival and the engine's verdict.
+    /// A host's answer, from its arrival until the engine's verdict.
     answer: Option<(AttemptId, Vec<u8>)>,
-    /// What the engine was told of it; a class that only the other version of a rollout knows has no index here.
+    /// The request as the engine got it. Its class is `usize::MAX` if only the other version of a rollout knows it.
     new: NewRequest,
     arrived: Micros,
     attempts: Attempts,
-    /// Which version decides it.
+    /// The version of a rollout that decides the request.
     version: Version,
-    /// Whose memory its body takes, and whom it counts for.
+    /// The owner that the memory of its body is charged to, and the client that it is counted for.
     owner: Owner,
     info: Option<RequestInfo>,
-    /// What came with it, where another process passed it.
+    /// Extra fields, if the holder of a rollout passed the request.
     passed: Option<Box<PassedFields>>,
 }
 
-/// What comes with a call that the holder of a rollout passes, and what goes back with its answer.
+/// Extra fields of a call that the holder of a rollout passed to this process, and of its answer.
 #[derive(Default)]
 struct PassedFields {
-    /// Further fields of its line to a host.
+    /// Fields that are added to the request line to a host.
     request: String,
-    /// What the host said that answered last.
+    /// Fields of the last successful answer of a host.
     reply: Said,
 }
 
-/// Who is owed it.
+/// Where the answer to a request goes.
 enum Origin {
     Platform(platform::Origin),
     Invoke(invoke::Origin),
-    /// The other process of a rollout, by its number of the call.
+    /// The other process of a rollout, with its sequence number of the call.
     Peer(u64),
 }
 
-/// A request in no front's words.
+/// A request as parsed by a front, independent of the front's protocol.
 struct Incoming {
     id: String,
     class: usize,
@@ -130,24 +132,26 @@
     timeout: Micros,
     lanes: u32,
     repeat: bool,
-    /// Work expected; 0 where it is not told.
+    /// Expected work; 0 if unknown.
     hint: Micros,
     key: Option<String>,
     body: Vec<u8>,
-    /// The turn of a conversation that it carries: its conversation, new blocks and prefix.
+    /// The turn of a conversation that the request carries: conversation, new blocks and prefix.
     turn: Option<(u64, u16, Vec<u64>)>,
-    /// ... once it was placed, and where it is best served.
+    /// The turn, once it has been placed.
     placed: Option<Turn>,
+    /// Locations where the turn is best served.
     preferred: Vec<PreferredLocation>,
 }
 
-/// Who speaks with clients, and who tells of hosts.
+/// The front for clients and the source of the host list, by the kind of configuration.
 enum Mode {
     Platform(Box<Platform>, Box<Bus>),
     Operator { front: Box<Invoke>, hosts: Box<DnsSd>, classes: Vec<(Micros, u32)>, ids: fastrand::Rng },
 }
 
-/// What a process of this configuration wants of one that runs at its address, where that is more than its place.
+/// What a process with this configuration asks of the process that runs at its address: to take part in a rollout. `None`
+/// if it only replaces that process.
 pub fn rollout_request(config: &Config) -> Option<upgrade::Wish> {
     let setup = config.rollout.as_ref()?;
     let hail = upgrade::Hail {
@@ -165,13 +169,13 @@
     stalls: StallDetector,
     metrics: Metrics,
     log: Log,
-    /// The configuration in force; what `side` holds of it is the fronts' and the bus's.
+    /// The configuration in force. The fronts and the bus in `mode` keep copies of their parts.
     config: Config,
     engine: Engine,
     commands: VecDeque<Command>,
     scratch: Vec<Command>,
     pending: HashMap<Ticket, Pending>,
-    /// Ids of the pending requests, as clients chose them.
+    /// Ids of the pending requests, chosen by clients.
     ids: HashSet<Rc<str>>,
     mode: Mode,
     hosts: Hosts,
@@ -180,14 +184,15 @@
     membership: Option<Membership>,
     drafting: Option<Box<Drafting>>,
     turning: Option<Box<Turning>>,
-    /// An operator's hosts as they were told last.
+    /// The latest entry of each host that was found by DNS-SD.
     dns_hosts: BTreeMap<WorkerId, ListEntry>,
-    /// Settings with versions, where they are agreed; and the file's with what is obeyed in their place.
+    /// The settings that the activators agree on, if that is set up.
     agreed: Option<accord::Agreed>,
+    /// The settings of the file with the agreed ones in their place.
     agreed_settings: Option<Settings>,
-    /// Weights of sites as they were last agreed.
+    /// The weights of sites that were agreed last.
     site_weights: BTreeMap<String, u32>,
-    /// Hosts that operators have taken out here.
+    /// Hosts that operators have taken out of service.
     manual_out: BTreeSet<WorkerId>,
     client_listener: Option<Listener>,
     control_listener: Option<Listener>,
@@ -195,35 +200,36 @@
     upgrade: Upgrade,
     gradual: Gradual,
     admission: AdmissionControl,
-    /// The listening socket, until this process takes clients.
+    /// The listening socket, until this process accepts clients.
     bound_socket: Option<TcpListener>,
-    /// A new process takes the clients.
+    /// A new process accepts the clients instead of this one.
     superseded: bool,
-    /// Connections of clients that the peer holds.
+    /// Client connections of the other process at this address.
     peer_clients: usize,
-    /// Up to when the successor was told what counts for the ration.
+    /// The time up to which tallies of the load budget were sent to the other process.
     tallied_until: Micros,
-    /// Drained by an operator: serves what comes, and asks clients not to.
+    /// Drained by an operator: requests are served, and clients are asked to send none.
     standby: bool,
-    /// The host list was once as new as could be told: a bus that breaks later does not undo that.
+    /// The host list was once up to date. A later failure of the bus does not reset this.
     caught_up: bool,
-    /// When it has waited long enough for news of the host list.
+    /// The process stops waiting for an up-to-date host list at this time.
     catch_up_deadline: Micros,
+    /// When SIGTERM was received.
     stopping: Option<Micros>,
-    /// No client had anything to say in the last turn of the loop.
+    /// No client had sent anything in the last iteration of the loop.
     clients_idle: bool,
-    /// Turns since then that the process could have ended in.
+    /// Iterations since `SHUTDOWN_GRACE_US` after SIGTERM has passed.
     final_iterations: u32,
     last_housekeeping: Micros,
 }
 
 impl Node {
-    /// With its listening socket, and what the process tells that was there before.
+    /// Takes the listening socket and the state that a previous process at this address hands over.
     pub fn new(handle: Handle, mut config: Config, place: Place, began: Instant) -> Result<Self, String> {
         let Place { listener, inheritance } = place;
         let state = inheritance.as_ref().map(|i| i.state.clone());
         let upgrade = Upgrade::new(&handle, config.listen, inheritance)
-            .map_err(|e| format!("no word with the peer: {e}"))?;
+            .map_err(|e| format!("cannot communicate with the other process at this address: {e}"))?;
         let transport = config.deployment.transport.clone();
         let descriptors = config.descriptors;
         let Bounds { clients, hosts: most } = descriptors.alone(Held::default());
@@ -232,7 +238,7 @@
         let mut known = Vec::new();
         let mode = match &mut config.side {
             config::Side::Platform { bus, offset, known: events } => {
-                // Only the start needs them.
+                // The events of the configuration are used only at the start.
                 known = std::mem::take(events);
                 let front = Box::new(Platform::new(handle.clone(), (clients, share), transport.conn_idle));
                 Mode::Platform(front, Box::new(Bus::new(*bus, *offset)))
@@ -249,7 +255,9 @@
                 ));
                 let browser = Browser::new(service.clone(), d.zones.clone(), config.seed);
                 let hosts = DnsSd::new(&handle, *resolver, browser);
-                let hosts = Box::new(hosts.map_err(|e| format!("no socket for queries to {resolver}: {e}"))?);
+                let hosts = Box::new(
+                    hosts.map_err(|e| format!("cannot open a socket for queries to {resolver}: {e}"))?,
+                );
                 Mode::Operator {
                     front,
                     hosts,
@@ -260,8 +268,8 @@
         };
         let base = state.as_ref().and_then(|state| state.clock);
         let clock = base.map_or_else(Clock::default, Clock::from_base);
-        let begun = clock.now();
-        let patience = startup::CATCH_UP.min(startup::LATEST.saturating_sub(began.elapsed()));
+        let started = clock.now();
+        let max_wait = startup::CATCH_UP.min(startup::LATEST.saturating_sub(began.elapsed()));
         let mut node = Self {
             client_listener: None,
             control_listener: None,
@@ -275,7 +283,7 @@
             tallied_until: 0,
             standby: false,
             caught_up: false,
-            catch_up_deadline: begun + patience.as_micros() as Micros,
+            catch_up_deadline: started + max_wait.as_micros() as Micros,
             engine: Engine::new(router, transport.order_timeout),
             commands: VecDeque::new(),
             scratch: Vec::new(),
@@ -305,12 +313,12 @@
             last_housekeeping: 0,
             handle,
         };
-        let asks = node.admission.is_on();
+        let admission = node.admission.is_on();
         if let Mode::Operator { front, .. } = &mut node.mode {
-            front.asks = asks;
+            front.asks = admission;
         }
         node.update_limits();
-        node.attend_turns(begun);
+        node.attend_turns(started);
         if let Some(state) = &state {
             node.inherit(state);
         }
@@ -319,13 +327,13 @@
             node.update_hosts(kind, event.hosts);
         }
         if let Some(state) = &state {
-            // Only now, as a whole list begins all beliefs anew.
+            // After the host list, because a full list resets the engine's estimates of hosts.
             let now = node.clock.now();
             let mut legacy = state.legacy();
             if let Some(holder) = state.rollout.clone() {
-                // The ration stays the holder's.
-                let ration = std::mem::take(&mut legacy.tallies);
-                node.be_candidate(now, holder, ration);
+                // The holder keeps the load budget.
+                let tallies = std::mem::take(&mut legacy.tallies);
+                node.be_candidate(now, holder, tallies);
             }
             node.run_engine(|engine, out| engine.inherit(now, legacy, out));
         }
@@ -346,7 +354,7 @@
     }
 
     fn next_tick(&self, now: Micros) -> Micros {
-        let news = match &self.mode {
+        let discovery = match &self.mode {
             Mode::Platform(_, bus) => bus.next_tick(),
             Mode::Operator { hosts, .. } => hosts.browser.next_tick(),
         };
@@ -355,23 +363,23 @@
         let listeners =
             self.client_listener.iter().chain(&self.control_listener).map(Listener::next_tick).min();
         let listeners = listeners.unwrap_or(Micros::MAX);
-        let house = self.last_housekeeping + HOUSEKEEPING_US;
+        let housekeeping = self.last_housekeeping + HOUSEKEEPING_US;
         let membership = self.membership.as_ref().map_or(Micros::MAX, |f| f.next_tick(now));
         let drafting = self.drafting.as_ref().map_or(Micros::MAX, |d| d.next_tick(now));
         let agreed = self.next_accord(now);
         engine
             .min(hosts)
-            .min(news)
+            .min(discovery)
             .min(membership)
             .min(drafting)
             .min(self.next_turn(now))
             .min(agreed)
             .min(listeners)
-            .min(house)
+            .min(housekeeping)
             .min(self.gradual.next_tick(now))
     }
 
-    /// Whether a client was left with more to read, so that others had their turn.
+    /// Whether input of a client was left unread so that other clients were not delayed.
     fn has_more(&self) -> bool {
         match &self.mode {
             Mode::Platform(front, _) => front.has_more(),
@@ -379,16 +387,16 @@
         }
     }
 
-    /// The loop has looked at what has come, after it was to wait for this long at the most.
+    /// Must be called after each poll of the event loop, with the timeout of the poll: detects stalls of the process.
     pub fn polled(&mut self, wait: Duration) {
         let now = self.clock.running();
-        if let Some(late) = self.stalls.polled(now, wait) {
+        if let Some(stall) = self.stalls.polled(now, wait) {
             self.metrics.hold_ups.inc();
-            self.log.line(now, format_args!("held up for {} ms", late / 1000));
+            self.log.line(now, format_args!("held up for {} ms", stall / 1000));
         }
     }
 
-    /// Looks at what the loop found ready. A reload is the caller's, who knows where the configuration lies.
+    /// Handles an event of the loop. The caller handles `Wake::Reload`, because it knows the path of the configuration.
     pub fn handle_wake(&mut self, wake: Wake) {
         self.mind_accord();
         self.clients_idle &= !matches!(wake, Wake::Client(_) | Wake::Clients);
@@ -411,20 +419,20 @@
         }
     }
 
-    /// Whether something is due by now, where the time stands until the turn is over: a stop of the process between a
-    /// look at what has come and the turn makes nothing due.
+    /// Whether a timer is due. Holds the clock until the end of the iteration, so that a stop of the process between a poll
+    /// and the iteration makes no timer due whose events were not polled.
     pub fn is_due(&mut self) -> bool {
         let now = self.clock.hold();
         self.next_tick(now) <= now
     }
 
-    /// Does what is due, if anything is; how long nothing else will be.
+    /// One iteration of the loop: runs the timers if any is due. Returns the time until the next one is.
     pub fn run_iteration(&mut self, due: bool) -> Duration {
         self.clients_idle = !self.has_more();
         if self.mind_accord() {
             self.process_events();
         }
-        // One step a turn: what is ready is looked at before the next.
+        // One step per iteration, so that events are handled between two steps.
         let more = self.go_on_with_accord();
         let now = self.clock.now();
         if self.has_more() {
@@ -453,8 +461,8 @@
                 }
             }
             self.tick_rollout(now, housekeeping);
-            let waits = self.gradual.role == Role::Candidate;
-            if self.bound_socket.is_some() && !waits && self.is_caught_up(now) {
+            let is_candidate = self.gradual.role == Role::Candidate;
+            if self.bound_socket.is_some() && !is_candidate && self.is_caught_up(now) {
                 if let Err(problem) = self.start_accepting() {
                     self.log.line(now, problem);
                 }
@@ -474,9 +482,9 @@
                     if housekeeping {
                         front.tick(now, &mut self.log);
                     }
-                    let news = hosts.tick(now, &mut self.log);
+                    let changes = hosts.tick(now, &mut self.log);
                     front.ready = hosts.browser.any_up();
-                    self.update_hosts(ListKind::Delta, news);
+                    self.update_hosts(ListKind::Delta, changes);
                 }
             }
             self.process_events();
@@ -498,16 +506,16 @@
         result
     }
 
-    /// Carries out and hands on until nothing is left to be done.
+    /// Executes commands and handles events until none is queued.
     fn process_events(&mut self) {
         loop {
             if let Some(command) = self.commands.pop_front() {
                 self.execute(command);
             } else if let Some(notice) = self.hosts.notices.pop_front() {
                 self.handle_host_notice(notice);
-            } else if let Some(news) = self.upgrade.news.pop_front() {
+            } else if let Some(event) = self.upgrade.news.pop_front() {
                 let now = self.clock.now();
-                self.handle_peer_event(now, news);
+                self.handle_peer_event(now, event);
             } else if let Some((caller, call)) = self.control.calls.pop() {
                 let now = self.clock.now();
                 let answer = self.operate(now, call);
@@ -525,11 +533,11 @@
     fn execute(&mut self, command: Command) {
         let now = self.clock.now();
         match command {
-            // Decided by terms that are not obeyed any more: it is decided anew.
+            // The agreed settings by which the attempt was decided are no longer in force: the engine decides again.
             Command::Send { attempt, host, .. } if self.mind_accord() || meet(Faulty::Attempt).is_err() => {
                 self.withheld(now, attempt, host)
             }
-            // The process was held up since it was decided.
+            // The process has stalled since the attempt was decided.
             Command::Send { attempt, host, leave_by, .. } if self.clock.running() > leave_by => {
                 self.withheld(now, attempt, host)
             }
--- a/node/src/node/discovery.rs
+++ b/node/src/node/discovery.rs
@@ -1,15 +1,16 @@
-//! News of the host list, from the bus or from DNS-SD, and of other activators: to pool and engine.
+//! Discovery: passes changes of the host list, from the bus or DNS-SD, to the connection pool and the engine, and runs the
+//! sockets to the other activators.
 
 use wheellink::Condition;
 
 use super::*;
 use crate::peers::Addresses;
 
-/// Hosts that one line of the log names.
+/// Hosts that a log line lists by name.
 const MAX_LOGGED_HOSTS: usize = 16;
 
 impl Node {
-    /// Whether the host list is as new as can be told.
+    /// Whether the host list is up to date, or the process has stopped waiting for that.
     pub(super) fn is_caught_up(&mut self, now: Micros) -> bool {
         match &self.mode {
             Mode::Platform(_, bus) => {
@@ -31,8 +32,8 @@
     pub(super) fn dns_ready(&mut self) {
         let now = self.clock.now();
         if let Mode::Operator { hosts, .. } = &mut self.mode {
-            let news = hosts.ready(now, &mut self.log);
-            self.update_hosts(ListKind::Delta, news);
+            let changes = hosts.ready(now, &mut self.log);
+            self.update_hosts(ListKind::Delta, changes);
             self.process_events();
         }
     }
@@ -40,8 +41,8 @@
     pub(super) fn dns_tcp_ready(&mut self, id: ConnId) {
         let now = self.clock.now();
         if let Mode::Operator { hosts, .. } = &mut self.mode {
-            let news = hosts.tcp_ready(now, id, &mut self.log);
-            self.update_hosts(ListKind::Delta, news);
+            let changes = hosts.tcp_ready(now, id, &mut self.log);
+            self.update_hosts(ListKind::Delta, changes);
             self.process_events();
         }
     }
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Takes one frame; false when none is whole.
+    /// Processes one frame. Returns false if none is complete.
     pub(super) fn process_bus_frame(&mut self, now: Micros) -> Result<bool, Reason> {
         let Mode::Platform(_, bus) = &mut self.mode else { return Ok(false) };
         let Some(conn) = &mut bus.conn else { return Ok(false) };
@@ -78,7 +79,7 @@
             Ok(None) => return Ok(false),
             Ok(Some(frame)) => frame,
             Err(problem) => {
-                self.log.line(now, format_args!("the bus sent {problem}"));
+                self.log.line(now, format_args!("invalid data from the bus: {problem}"));
                 return Err(Reason::Protocol);
             }
         };
@@ -94,16 +95,17 @@
             Ok(None) => {}
             Ok(Some((kind, hosts))) => self.update_hosts(kind, hosts),
             Err(Gap { changes }) => {
-                // The list may take long to be told anew: who drains by this event gets nothing until then.
+                // The bus may take long to send the list again. The event's own changes apply at once, so that hosts that
+                // drain get no new requests until then.
                 self.update_hosts(ListKind::Delta, changes);
-                self.log.line(now, format_args!("the bus left a gap before {number}"));
+                self.log.line(now, format_args!("events of the bus are missing before event {number}"));
                 return Err(Reason::Protocol);
             }
         }
         Ok(true)
     }
 
-    /// Connects to the bus where no connection is, and ends one that has gone silent or does not come up.
+    /// Connects to the bus if there is no connection, and closes one that is silent or not established in time.
     pub(super) fn tick_bus(&mut self, now: Micros) {
         let Mode::Platform(_, bus) = &mut self.mode else { return };
         if bus.wants_connection(now) {
@@ -123,12 +125,12 @@
         }
     }
 
-    /// News of the host list. The pool is told first: the engine may send at once.
+    /// Applies changes of the host list. The pool is updated first, because the engine may send to new hosts at once.
     pub(super) fn update_hosts(&mut self, kind: ListKind, mut hosts: Vec<bus::Host>) {
         let now = self.clock.now();
         self.translate_starts(now, kind, &mut hosts);
-        // The bus may tell of a new host before it tells that the one before it at its address has gone. DNS-SD may
-        // have two names for one address.
+        // The bus may announce a new host before it reports that the previous one at the same address is gone. With
+        // DNS-SD, two names may share one address.
         if kind == ListKind::Delta && matches!(self.mode, Mode::Platform(..)) {
             hosts.splice(0..0, self.hosts.displaced(&hosts));
         }
@@ -137,7 +139,7 @@
         }
         self.log_list(now, kind, &hosts);
         self.hosts.list(now, kind, &hosts, &mut self.log);
-        // The engine may send to them at once: clients beyond their part make room before.
+        // Clients beyond their limit make room first, because the engine may connect to new hosts at once.
         self.update_limits();
         let entries: Vec<ListEntry> = hosts.into_iter().map(|h| h.entry).collect();
         self.list_for_turns(kind, &entries);
@@ -145,26 +147,27 @@
         self.run_engine(|engine, out| engine.update_hosts(now, kind, entries, out));
     }
 
-    /// Has hosts have started by this program's time, not by the one that the list's source goes by.
+    /// Translates start times of hosts from the clock of the list's source to the clock of this process.
     fn translate_starts(&mut self, now: Micros, kind: ListKind, hosts: &mut [bus::Host]) {
-        let whole = match &self.mode {
+        let synced = match &self.mode {
             Mode::Platform(_, bus) => bus.whole_at(),
             Mode::Operator { .. } => None,
         };
         let before = self.host_starts.correction();
-        self.host_starts.translate(now, whole, kind, hosts.iter_mut().map(|h| &mut h.entry));
+        self.host_starts.translate(now, synced, kind, hosts.iter_mut().map(|h| &mut h.entry));
         let correction = self.host_starts.correction();
         if correction != before {
             let ahead = correction as f64 / 1e6;
-            self.log.line(now, format_args!("starts of hosts show that the clock was {ahead:.3} s ahead"));
+            self.log
+                .line(now, format_args!("start times of hosts show that the clock was {ahead:.3} s ahead"));
         }
     }
 
-    /// One line for news of the host list: how many entries in which state, and the changed hosts by name.
+    /// Logs one line for a change of the host list: the number of entries in each state, and changed hosts by name.
     fn log_list(&mut self, now: Micros, kind: ListKind, hosts: &[bus::Host]) {
-        let number = |condition| hosts.iter().filter(|h| h.entry.condition == condition).count();
-        let (up, draining) = (number(Condition::Up), number(Condition::Draining));
-        let gone = number(Condition::Gone);
+        let count = |condition| hosts.iter().filter(|h| h.entry.condition == condition).count();
+        let (up, draining) = (count(Condition::Up), count(Condition::Draining));
+        let gone = count(Condition::Gone);
         let named = if kind == ListKind::Delta { &hosts[..hosts.len().min(MAX_LOGGED_HOSTS)] } else { &[] };
         let names: Vec<String> =
             named.iter().map(|h| format!("{}={:?}", h.entry.worker.0, h.entry.condition)).collect();
@@ -173,7 +176,7 @@
         self.log.line(now, text);
     }
 
-    /// Hears the other activators of the tier as long as the module tells them anything.
+    /// Opens or closes the gossip socket: it is open while the engine sends gossip to the other activators of the tier.
     pub(super) fn configure_peers(&mut self) {
         let wanted = self.engine.gossip_enabled().then(|| self.config.peers.clone());
         let kept = matches!((&self.peers, &wanted), (Some(p), Some(Ok(a))) if p.addresses == *a);
@@ -202,7 +205,7 @@
         self.process_events();
     }
 
-    /// Watches the other activators, where that is set up.
+    /// Opens, updates or closes the membership of the activators, as configured.
     pub(super) fn configure_members(&mut self) {
         let now = self.clock.now();
         if self.stopping.is_some() {
@@ -242,7 +245,7 @@
         self.deliver_envelopes(now);
     }
 
-    /// Says goodbye to the other activators.
+    /// Announces to the other activators that this one leaves.
     pub(super) fn leave_members(&mut self, now: Micros) {
         let lines = self.membership.as_mut().map(Membership::leave).unwrap_or_default();
         lines.into_iter().for_each(|line| self.log.line(now, line));
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -1,9 +1,10 @@
-//! The life of the process: start, listeners, upgrade, reload, end.
+//! The life cycle of the process: start, listeners, upgrade, reload, shutdown.
 
 use super::*;
 
 impl Node {
-    /// Takes over what the process whose place this one takes was told by operators.
+    /// Takes over the state that operators have set in the process that this one replaces, what its admission has learnt,
+    /// and how far it has read the bus.
     pub(super) fn inherit(&mut self, state: &State) {
         let now = self.clock.now();
         for id in &state.out {
@@ -18,7 +19,7 @@
         }
     }
 
-    /// What this process may hold: all of the limits, or its part of them while two processes run.
+    /// Sets the limits of memory and descriptors: all of them, or this process's part while two processes run.
     pub(super) fn update_limits(&mut self) {
         let descriptors = self.config.descriptors;
         let share = self.config.memory / MEMORY_PARTS;
@@ -56,11 +57,11 @@
         self.process_events();
     }
 
-    /// What another process of this address says or wants.
-    pub(super) fn handle_peer_event(&mut self, now: Micros, news: News) {
-        match news {
+    /// Handles a message of another process at this address, or the end of its connection.
+    pub(super) fn handle_peer_event(&mut self, now: Micros, event: News) {
+        match event {
             News::Arrived(id, _) if self.gradual.is_busy() => {
-                self.log.line(now, "a further process came during a rollout and was turned away");
+                self.log.line(now, "another process connected during a rollout and was refused");
                 self.upgrade.turn_away(id, "a rollout is under way");
             }
             News::Arrived(id, hail) => {
@@ -79,17 +80,18 @@
                 self.update_limits();
             }
             News::Said(Message::Ready) => {
-                // Who is queued is taken by the new process, from the same socket.
+                // Queued connections are accepted by the new process, from the same socket.
                 self.log.line(now, "the new process takes clients");
                 self.superseded = true;
                 self.client_listener.iter_mut().for_each(|listener| listener.shut(Micros::MAX));
-                // It is another life of this one's name, and two would accuse each other's friends.
+                // The new process is another incarnation of the same member. If both took part, each would suspect members that
+                // the other one knows to be alive.
                 self.membership.take().into_iter().for_each(Membership::close);
                 self.update_draining(now);
             }
             News::Said(Message::Host { id, out }) => {
-                let way = if out { "out by hand" } else { "back in" };
-                self.log.line(now, format_args!("host {id} is {way}, the other process was told"));
+                let state = if out { "out by hand" } else { "back in" };
+                self.log.line(now, format_args!("host {id} is {state}, reported by the other process"));
                 self.set_manual_out(now, &id.as_str().into(), out)
             }
             News::Said(Message::Standby { on }) => self.set_standby(now, on),
@@ -114,11 +116,11 @@
                 self.peer_clients = 0;
                 self.update_limits();
                 if std::mem::take(&mut self.superseded) {
-                    // The new one has failed: this one serves on.
+                    // The new process has failed: this one accepts clients again.
                     self.client_listener.iter_mut().for_each(Listener::reopen);
                     self.update_draining(now);
                     self.configure_members();
-                    // What was promised under this name since then was another life's.
+                    // Promises that were made under this member's name since then belong to another incarnation.
                     self.agreed = None;
                     self.attend_accord(now);
                     self.announce(now);
@@ -127,13 +129,14 @@
         }
     }
 
-    /// Tells the successor what this process holds, and what counts for the ration of both.
+    /// Sends the successor the number of client connections, and the tallies for the load budget of both processes.
     pub(super) fn send_tally(&mut self, now: Micros) {
         let ration = upgrade::told(self.engine.tallies(self.tallied_until));
         self.tallied_until = now;
         self.upgrade.tell(&Message::Tally { clients: self.clients(), ration });
     }
 
+    /// The state that a new process takes over.
     pub(super) fn state(&mut self) -> State {
         self.tallied_until = self.clock.now();
         let mut state = State {
@@ -151,7 +154,8 @@
         state
     }
 
-    /// Takes clients: at once, or where another process runs when the host list is as new as can be told.
+    /// Starts to accept clients. Called at the start, or, while another process runs at this address, once the host list is
+    /// up to date.
     pub(super) fn start_accepting(&mut self) -> Result<(), String> {
         let now = self.clock.now();
         let Some(listener) = self.bound_socket.take() else { return Ok(()) };
@@ -166,15 +170,15 @@
         Ok(())
     }
 
-    /// Is found by a new process from now on. Without that, an upgrade is a restart.
+    /// Makes this process known to new processes at its address. Without that, an upgrade is a restart.
     pub(super) fn announce(&mut self, now: Micros) {
         let address = self.client_listener.as_ref().and_then(Listener::address).unwrap_or(self.config.listen);
         if let Err(e) = self.upgrade.announce(address) {
-            self.log.line(now, format_args!("new processes will not find this one: {e}"));
+            self.log.line(now, format_args!("cannot announce this process to new ones at its address: {e}"));
         }
     }
 
-    /// Begins to listen, for clients and for operators.
+    /// Starts to listen for clients and operators.
     pub fn open_listeners(&mut self) -> Result<(), String> {
         let failed = |address| move |e| format!("cannot listen on {address}: {e}");
         let (clients, control) = (self.config.listen, self.config.control);
@@ -183,7 +187,7 @@
             let listener = Listener::open(&self.handle, listener, Wake::Callers).map_err(failed(address))?;
             self.control_listener = Some(listener);
         }
-        // With port 0 in the configuration this is how the ports become known.
+        // With port 0 in the configuration, these lines tell which ports were assigned.
         if let Some(address) = self.control_listener.as_ref().and_then(Listener::address) {
             eprintln!("control on {address}");
         }
@@ -196,7 +200,7 @@
         Ok(())
     }
 
-    /// Connections of clients wait to be accepted.
+    /// Accepts connections of clients.
     pub(super) fn accept(&mut self) {
         if self.admission.is_on() {
             self.accept_with_admission();
@@ -205,7 +209,7 @@
         for _ in 0..MAX_ACCEPTS_PER_WAKE {
             let now = self.clock.now();
             self.update_limits();
-            // It may have been shut since it was found ready.
+            // The listener may have been paused since it became ready.
             let Some(listener) = self.client_listener.as_mut().filter(|listener| !listener.is_shut()) else {
                 break;
             };
@@ -221,7 +225,7 @@
                 Ok(None) => break,
                 Ok(Some((stream, peer))) => self.admit_connection(now, stream, peer),
                 Err(e) => {
-                    // The listener stays ready, and trying again at once would keep the loop busy for nothing.
+                    // The listener stays ready: without a pause, the loop would spin.
                     listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
                     self.log.line(now, format_args!("no connection can be accepted: {e}"));
                     break;
@@ -231,20 +235,21 @@
         self.process_events();
     }
 
-    /// Clients are asked to open nothing new, or no longer so.
+    /// Starts or stops asking clients to open no new connections and requests.
     pub(super) fn update_draining(&mut self, now: Micros) {
         let ready = !self.standby && self.stopping.is_none();
-        let parts = !ready || self.superseded;
+        let drains = !ready || self.superseded;
         match &mut self.mode {
             Mode::Platform(front, _) => {
                 front.ready = ready;
-                front.part(now, parts, &mut self.log)
+                front.part(now, drains, &mut self.log)
             }
-            Mode::Operator { front, .. } => front.part(now, parts),
+            Mode::Operator { front, .. } => front.part(now, drains),
         }
     }
 
-    /// SIGTERM: ask clients to open nothing new, answer what still comes, end when nothing is open.
+    /// SIGTERM: asks clients to open nothing new. Requests that still arrive are answered, and the process ends when none is
+    /// open.
     pub(super) fn stop(&mut self) {
         if self.stopping.is_none() {
             let now = self.clock.now();
@@ -257,24 +262,24 @@
         }
     }
 
-    /// SIGHUP: the file has been replaced. It is checked as a whole, and then taken up but for the addresses
-    /// where this process listens; requests, hosts and connections live on. A file that makes no sense is told
-    /// of, and all stays as it is.
+    /// SIGHUP: the configuration file has been replaced. The new one is checked as a whole, then applied except for the
+    /// addresses to listen on; requests, hosts and connections are kept. An invalid file is logged, and the old
+    /// configuration stays in force.
     pub fn reload(&mut self, config: Result<Config, String>) {
         let now = self.clock.now();
-        let taken = config.and_then(|config| {
+        let applied = config.and_then(|config| {
             self.config.may_be_followed_by(&config)?;
             self.may_be_followed(&config)?;
             self.apply_config(now, config)
         });
-        match taken {
+        match applied {
             Ok(what) => self.log.line(now, format_args!("configuration read again: {what}")),
             Err(problem) => self.log.line(now, format_args!("the old configuration is kept: {problem}")),
         }
         self.process_events();
     }
 
-    /// Takes a checked configuration up. What can fail comes first.
+    /// Applies a checked configuration. Steps that can fail come first.
     pub(super) fn apply_config(&mut self, now: Micros, config: Config) -> Result<String, String> {
         let d = &config.deployment;
         let idle = d.transport.conn_idle;
@@ -287,7 +292,7 @@
                 Mode::Operator { front, hosts, classes, .. },
                 config::Side::Operator { resolver, bounds, .. },
             ) => {
-                let failed = |e| format!("no socket for queries to {resolver}: {e}");
+                let failed = |e| format!("cannot open a socket for queries to {resolver}: {e}");
                 hosts.moved(*resolver).map_err(failed)?;
                 front.retune(idle, *bounds, (d.classes.clone(), d.tenants.clone()));
                 if let config::Side::Operator { classes: new, .. } = &config.side {
@@ -295,7 +300,7 @@
                 }
                 (format!("resolver {resolver}"), None)
             }
-            _ => return Err("it is of another kind".into()),
+            _ => return Err("it is of another kind (platform or operator's file)".into()),
         };
         if let Some(address) = moved {
             self.close_bus(now, Reason::Moved);
@@ -305,20 +310,20 @@
         }
         let what = format!("{source}, {} classes, {} attempts", d.classes.len(), d.settings.max_attempts);
         let transport = d.transport.clone();
-        let patience = transport.order_timeout;
+        let order_timeout = transport.order_timeout;
         self.hosts.retune(transport);
         if (config.listen, config.control) != (self.config.listen, self.config.control) {
-            self.log.line(now, "addresses to listen on change with the next start only");
+            self.log.line(now, "a change of the addresses to listen on takes effect at the next start");
         }
         self.config = config;
         self.admission.retune(self.config.admission.as_ref());
-        let asks = self.admission.is_on();
+        let admission = self.admission.is_on();
         if let Mode::Operator { front, .. } = &mut self.mode {
-            front.asks = asks;
+            front.asks = admission;
         }
         self.agreed_settings = None;
         let settings = self.binding();
-        self.run_engine(|engine, out| engine.update_settings(now, settings, patience, out));
+        self.run_engine(|engine, out| engine.update_settings(now, settings, order_timeout, out));
         self.configure_peers();
         if self.client_listener.is_some() && !self.superseded {
             self.configure_members();
@@ -330,7 +335,7 @@
         Ok(what)
     }
 
-    /// Whether it has been told to stop and owes nothing any more. To be asked once a turn of the loop.
+    /// Whether the process may end: it was told to stop, and no answer is due. Must be called once per iteration of the loop.
     pub fn is_done(&mut self) -> bool {
         if self.gradual.is_dismissed() {
             return true;
@@ -340,11 +345,11 @@
             Mode::Platform(front, _) => front.is_quiet(),
             Mode::Operator { front, .. } => front.is_quiet(),
         };
-        // A process that had no processor for a while has more to read than the loop takes at one go.
+        // A process that was not scheduled for a while has more input than one iteration reads.
         let over = self.stopping.is_some_and(|since| now - since >= SHUTDOWN_GRACE_US);
         self.final_iterations += u32::from(over);
-        let looked = self.clients_idle || self.final_iterations > MAX_FINAL_ITERATIONS;
-        over && looked && self.pending.is_empty() && self.parked_turns() == 0 && quiet
+        let all_read = self.clients_idle || self.final_iterations > MAX_FINAL_ITERATIONS;
+        over && all_read && self.pending.is_empty() && self.parked_turns() == 0 && quiet
     }
 
     pub fn shut_down(&mut self) {
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -1,9 +1,9 @@
-//! What operators ask for at the control address.
+//! Calls of operators at the control address.
 
 use super::*;
 
 impl Node {
-    /// Operators call.
+    /// Accepts connections of operators.
     pub(super) fn accept_callers(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_WAKE {
             let now = self.clock.now();
@@ -13,7 +13,7 @@
                 Ok(Some((stream, peer))) => self.control.accept(now, stream, peer, &mut self.log),
                 Err(e) => {
                     listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
-                    self.log.line(now, format_args!("no caller can be accepted: {e}"));
+                    self.log.line(now, format_args!("cannot accept an operator's connection: {e}"));
                     break;
                 }
             }
@@ -26,7 +26,7 @@
         self.process_events();
     }
 
-    /// Does what an operator asks for, and says whether that could be done.
+    /// Executes a call of an operator, and returns the response.
     pub(super) fn operate(&mut self, now: Micros, call: control::Call) -> Response {
         match call {
             control::Call::Status => self.status(now),
@@ -77,18 +77,18 @@
         }
     }
 
-    /// Whether this process takes clients, and what an operator may want to know besides.
+    /// The status page: whether this process accepts clients, and further state for operators.
     pub(super) fn status(&mut self, now: Micros) -> Response {
         let caught_up = self.is_caught_up(now);
         let ready = self.client_listener.is_some() && caught_up && !self.standby && self.stopping.is_none();
         let clients = self.clients();
         let out: Vec<&str> = self.manual_out.iter().map(|h| &*h.0).collect();
-        let told = serde_json::json!({"ready": ready, "standby": self.standby, "stopping": self.stopping.is_some(),
+        let status = serde_json::json!({"ready": ready, "standby": self.standby, "stopping": self.stopping.is_some(),
             "caught_up": caught_up, "out": out, "requests": self.engine.open(), "clients": clients});
-        Response::json(if ready { 200 } else { 503 }, told)
+        Response::json(if ready { 200 } else { 503 }, status)
     }
 
-    /// Takes a host out by hand, or back in.
+    /// Takes a host out of service by an operator's call, or puts it back.
     pub(super) fn set_manual_out(&mut self, now: Micros, host: &WorkerId, out: bool) {
         if out {
             self.manual_out.insert(host.clone());
@@ -98,8 +98,9 @@
         self.update_out(now, host);
     }
 
-    /// Has a host out if that was said by hand or is agreed, else in. The pool is told first when it is to be used
-    /// again, as the engine may send at once, and after the engine else, so that what is withdrawn goes elsewhere.
+    /// Takes a host out of service if an operator or the agreed settings say so, else puts it back. To put it back, the pool
+    /// is updated before the engine, because the engine may send to the host at once. To take it out, the engine is
+    /// updated first, so that withdrawn attempts go to other hosts.
     pub(super) fn update_out(&mut self, now: Micros, host: &WorkerId) {
         let out = self.manual_out.contains(host) || self.is_out_as_agreed(host);
         if self.hosts.is_barred(host) == out {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Sends clients away, or takes them again.
+    /// Asks clients to leave, or accepts them again.
     pub(super) fn set_standby(&mut self, now: Micros, on: bool) {
         if std::mem::replace(&mut self.standby, on) != on {
             self.log.line(now, if on { "drained by an operator" } else { "taking clients again" });
--- a/node/src/node/request_log.rs
+++ b/node/src/node/request_log.rs
@@ -1,5 +1,5 @@
-//! What became of requests, for logs and metrics: a line for each attempt after a request's first and for each request
-//! that was not served, with the client's id, so that a record of a client can be followed here.
+//! Logs and counts requests: a log line for each attempt after a request's first, and for each request that was not served.
+//! Lines carry the id that the client chose, so that a client's records can be matched with them.
 
 use super::*;
 use crate::metrics::{ReasonLabels, RequestLabels};
@@ -8,14 +8,14 @@
 #[derive(Default)]
 pub(super) struct Attempts {
     count: u32,
-    /// When the first was sent.
+    /// When the first attempt was sent.
     first_sent: Micros,
-    /// Where the last was sent, and how it ended if it has.
+    /// The host of the last attempt, and its outcome if it has ended.
     last: Option<(WorkerId, Option<Outcome>)>,
 }
 
 impl Node {
-    /// An attempt is about to be sent.
+    /// Records an attempt that is about to be sent.
     pub(super) fn log_attempt(&mut self, now: Micros, attempt: AttemptId, host: &WorkerId) {
         self.metrics.attempts.inc();
         let Some(pending) = self.pending.get_mut(&attempt.ticket) else { return };
@@ -24,19 +24,19 @@
         if attempts.count == 1 {
             attempts.first_sent = now;
         }
-        let Some((before, end)) = attempts.last.replace((host.clone(), None)) else { return };
+        let Some((previous, end)) = attempts.last.replace((host.clone(), None)) else { return };
         let reason = end.map_or("open", outcome_code);
         self.metrics.retries.get_or_create(&ReasonLabels { reason }).inc();
         let (id, class) = (&pending.call.id, &pending.call.class);
         let (count, since) = (attempts.count, milliseconds(now - attempts.first_sent));
         let text = format_args!(
             "request {id} class={class} attempt={count} host={} after={reason} at={} since_first_ms={since}",
-            host.0, before.0
+            host.0, previous.0
         );
         self.log.request(now, text);
     }
 
-    /// An attempt has ended like this.
+    /// Records the outcome of an attempt.
     pub(super) fn log_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome) {
         if outcome != Outcome::Done {
             let reason = outcome_code(outcome);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A request has its final answer.
+    /// Records the final answer to a request.
     pub(super) fn log_answer(&mut self, now: Micros, pending: &Pending, reply: &Reply) {
         let outcome = match reply {
             Reply::Served(_) => "served",
@@ -60,7 +60,7 @@
         self.log_request_end(now, pending, outcome);
     }
 
-    /// A request's client has gone: nothing is owed any more.
+    /// Records that a request's client has disconnected: no answer is due.
     pub(super) fn log_client_left(&mut self, now: Micros, pending: &Pending) {
         self.log_request_end(now, pending, "client_left");
     }
@@ -83,7 +83,7 @@
         self.log.request(now, text);
     }
 
-    /// Looks whether the wall clock was stepped since the last look.
+    /// Checks whether the wall clock was stepped since the last check.
     pub(super) fn check_clock_step(&mut self, now: Micros) {
         let Some(step) = self.clock_steps.look() else { return };
         self.metrics.clock_steps.inc_by(self.clock_steps.count() - self.metrics.clock_steps.get());
@@ -91,7 +91,7 @@
         self.log.line(now, format_args!("the wall clock was stepped by {:+.3} s", seconds(step)));
     }
 
-    /// The page of metrics.
+    /// The metrics page.
     pub(super) fn show_metrics(&self) -> Response {
         self.metrics.open_requests.set(self.engine.open() as i64);
         for (reason, count) in self.log.ended_by_reason() {
@@ -106,7 +106,7 @@
     }
 }
 
-/// The word of an outcome in logs and metrics.
+/// The code of an outcome in logs and metrics.
 fn outcome_code(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Done => "done",
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -1,8 +1,8 @@
-//! Requests: from a front to the engine, and answers back.
+//! Requests, from a front to the engine, and their answers, from the engine to the front.
 
 use super::*;
 
-/// The longest that a client may wait for a call of a class that only the other version of a rollout knows.
+/// Longest timeout of a call whose class only the other version of a rollout knows.
 const MAX_UNKNOWN_CLASS_TIMEOUT_US: Micros = 60_000_000;
 
 impl Node {
@@ -15,7 +15,7 @@
         self.process_events();
     }
 
-    /// Hands on what the front has learnt; false if that is nothing.
+    /// Handles the notices of the front. Returns false if there were none.
     pub(super) fn handle_front_notices(&mut self) -> bool {
         match &mut self.mode {
             Mode::Platform(front, _) => {
@@ -65,36 +65,36 @@
     pub(super) fn platform_request(&mut self, origin: platform::Origin, request: Request) {
         let now = self.clock.now();
         let Mode::Platform(front, _) = &mut self.mode else { return };
-        // Taken back in the same breath: nothing need hear of it.
+        // The client cancelled the request before this notice was handled.
         if !front.waits(origin) {
             return;
         }
         let class = self.config.deployment.class(&request.class);
         let tenant = request.tenant.as_deref().and_then(|t| self.config.deployment.tenant(t));
         let shared = !self.config.deployment.tenants.is_empty();
-        let theirs = class.is_none() && self.is_theirs(&request.class);
-        let wrong = match class {
-            None if !theirs => Some("a class that is not known"),
+        let other = class.is_none() && self.is_theirs(&request.class);
+        let problem = match class {
+            None if !other => Some("a class that is not known"),
             _ if shared && tenant.is_none() => Some("a tenant that is not known"),
-            // Hosts tell answers apart by it.
+            // Hosts identify calls by the id.
             _ if self.ids.contains(request.id.as_str()) => Some("the id of a request that is open"),
             _ => None,
         };
         let Mode::Platform(front, _) = &mut self.mode else { return };
-        if let Some(wrong) = wrong {
-            return front.error(now, origin, wrong, &mut self.log);
+        if let Some(problem) = problem {
+            return front.error(now, origin, problem, &mut self.log);
         }
-        // No client waits longer than its class says; what is open for a day would pile up.
+        // The class bounds the timeout: requests that stay open for a day would accumulate.
         let class = class.unwrap_or(usize::MAX);
         let known = self.agreed().classes.get(class);
-        let longest = known.map_or(MAX_UNKNOWN_CLASS_TIMEOUT_US, |c| 2 * c.give_up);
+        let max_timeout = known.map_or(MAX_UNKNOWN_CLASS_TIMEOUT_US, |c| 2 * c.give_up);
         let incoming = Incoming {
             id: request.id,
             class,
             class_name: request.class,
             tenant,
             function: request.function,
-            timeout: self.time_left(now, (request.timeout * 1000).min(longest)),
+            timeout: self.time_left(now, (request.timeout * 1000).min(max_timeout)),
             lanes: request.lanes,
             repeat: request.repeat,
             hint: request.hint,
@@ -112,19 +112,19 @@
         let Some(settings) = self.agreed().classes.get(call.class).copied() else { return };
         let Mode::Operator { classes, ids, .. } = &mut self.mode else { return };
         let (deferred, lanes) = classes[call.class];
-        let usual = match origin {
+        let default = match origin {
             invoke::Origin::Waiting(_) => settings.give_up,
             invoke::Origin::Deferred(_) => deferred,
         };
         let id = format!("{:016x}", ids.u64(..));
-        // Without a key of the client's, hosts can still drop the repeats of this activator.
+        // If the client sent no key, the id lets hosts drop repeats by this activator.
         let keyed = matches!(settings.effect, Effect::Keyed { .. });
         let incoming = Incoming {
             class: call.class,
             class_name: self.config.deployment.classes[call.class].clone(),
             tenant: call.tenant,
             function: call.function,
-            timeout: self.time_left(now, call.timeout.unwrap_or(usual).min(settings.give_up.max(deferred))),
+            timeout: self.time_left(now, call.timeout.unwrap_or(default).min(settings.give_up.max(deferred))),
             lanes: call.lanes.unwrap_or(lanes),
             repeat: call.repeat,
             hint: 0,
@@ -138,19 +138,20 @@
         self.submit(now, Some(conn), Origin::Invoke(origin), incoming);
     }
 
-    /// What is left of the time that a client waits whose request is read now: it may have been here for a while.
+    /// The rest of a client's timeout. After a stall the request may have arrived before it was read.
     fn time_left(&self, now: Micros, timeout: Micros) -> Micros {
         (timeout - (now - self.stalls.earliest_arrival(now))).max(0)
     }
 
+    /// Places the turn that the request carries, if any, and submits it to the engine.
     pub(super) fn submit(&mut self, now: Micros, conn: Option<ConnId>, origin: Origin, incoming: Incoming) {
-        // It may have to wait first for a place for its turn, once.
+        // `advise` may park the request until there is a place for its turn, and submits it then.
         if let Some((origin, incoming)) = self.advise(now, conn, origin, incoming) {
             self.submit_placed(now, conn, origin, incoming);
         }
     }
 
-    /// ... which has its place.
+    /// Submits a request whose turn is placed: to the engine, or to the candidate of a rollout.
     pub(super) fn submit_placed(
         &mut self,
         now: Micros,
@@ -216,7 +217,7 @@
                 }
                 ticket
             }
-            // A class that only the candidate knows, and no room on the way to it.
+            // Only the candidate knows the class, and the request could not be passed to it.
             None if class == usize::MAX => {
                 self.release(now, &pending, false);
                 let retry_after = self.config.deployment.settings.max_retry_after;
@@ -235,15 +236,15 @@
         self.track(ticket, pending);
     }
 
-    /// The request goes by this ticket from now on.
+    /// Records a submitted request under its ticket.
     pub(super) fn track(&mut self, ticket: Ticket, pending: Pending) {
-        let waits = match (&mut self.mode, &pending.origin) {
+        let connected = match (&mut self.mode, &pending.origin) {
             (Mode::Platform(front, _), Origin::Platform(origin)) => front.taken(*origin, ticket),
             (Mode::Operator { front, .. }, Origin::Invoke(origin)) => front.taken(origin, ticket),
             _ => false,
         };
         self.pending.insert(ticket, pending);
-        if !waits {
+        if !connected {
             self.client_left(ticket);
         }
     }
@@ -262,12 +263,12 @@
         }
     }
 
-    /// The client of these requests has ended its side of the connection: it has gone, or waits for answers.
+    /// The client of these requests has closed its sending side: it has disconnected, or still waits for answers.
     fn client_half_closed(&mut self, tickets: &[Ticket], since: Micros) {
         let now = self.clock.now();
         let since = self.stalls.earliest_arrival(since);
         for ticket in tickets {
-            // Where it is decided anew later, that counts from the same time.
+            // Kept for a later decision by the other version of a rollout, which counts from the same time.
             if let Some(pending) = self.pending.get_mut(ticket) {
                 pending.new.half_closed = Some(since);
             }
--- a/node/src/node/stall.rs
+++ b/node/src/node/stall.rs
@@ -1,36 +1,37 @@
-//! Whether the process was held up: stopped, without a processor, or long at work. What it reads just after that may have
-//! come at any time since it looked last, and its clients' time has run all along.
+//! Detects stalls: the process was stopped, was not scheduled, or worked for long in one iteration. Input that it reads just
+//! after a stall may have arrived at any time since the last poll, and the timeouts of clients have been running since
+//! then.
 
 use std::time::Duration;
 
 use wheellink::Micros;
 
-/// A look that comes so much later than it was due follows a hold-up; less is within the margin of deadlines.
+/// A poll that returns this much later than it was due follows a stall. Shorter delays are within the margin of deadlines.
 const MIN_STALL_US: Micros = 100_000;
-/// Looks in which what came during a hold-up is read: connections are accepted in the late one, and read in the next.
+/// Polls that may return input from the time of a stall: the late poll accepts connections, the next one reads them.
 const AFFECTED_POLLS: usize = 2;
 
-/// When the loop looked last at what has come.
+/// Records when the event loop polled.
 #[derive(Default)]
 pub struct StallDetector {
     last_poll: Option<Micros>,
-    /// Of the last looks, newest first: since when what it found may have been there, if it came late.
-    late: [Option<Micros>; AFFECTED_POLLS],
+    /// For the latest polls, newest first: the time of the poll before, if the poll was late.
+    stalled_since: [Option<Micros>; AFFECTED_POLLS],
 }
 
 impl StallDetector {
-    /// The loop has looked, after it was to wait for this long at the most: for how long it was held up, if it was.
-    pub fn polled(&mut self, now: Micros, wait: Duration) -> Option<Micros> {
+    /// Records a poll that had this timeout. Returns the duration of the stall if the poll was late.
+    pub fn polled(&mut self, now: Micros, timeout: Duration) -> Option<Micros> {
         let last = self.last_poll.replace(now)?;
-        let late = now - last - wait.as_micros() as Micros;
-        self.late.rotate_right(1);
-        self.late[0] = (late >= MIN_STALL_US).then_some(last);
+        let late = now - last - timeout.as_micros() as Micros;
+        self.stalled_since.rotate_right(1);
+        self.stalled_since[0] = (late >= MIN_STALL_US).then_some(last);
         (late >= MIN_STALL_US).then_some(late)
     }
 
-    /// Since when something may have been here that is read now.
+    /// The earliest time at which input that is read now may have arrived.
     pub fn earliest_arrival(&self, now: Micros) -> Micros {
-        self.late.iter().flatten().copied().fold(now, Micros::min)
+        self.stalled_since.iter().flatten().copied().fold(now, Micros::min)
     }
 }
 
--- a/node/src/node/stall/tests.rs
+++ b/node/src/node/stall/tests.rs
@@ -3,7 +3,7 @@
 const WAIT: Duration = Duration::from_millis(50);
 
 #[test]
-fn only_a_late_look_says_that_it_was_held_up_and_for_so_many_looks() {
+fn a_late_poll_reports_a_stall_that_affects_the_following_polls() {
     let mut stalls = StallDetector::default();
     assert_eq!(stalls.polled(1_000_000, WAIT), None);
     let last = 1_050_000 + MIN_STALL_US - 1;
@@ -18,9 +18,9 @@
     assert_eq!(stalls.earliest_arrival(late + 10), late + 10);
 }
 
-/// Time is counted back over the last looks only, however long a process goes on without enough of a processor.
+/// The arrival time goes back over the latest polls only, also for a process that is starved of processor time for long.
 #[test]
-fn who_is_held_up_all_the_time_counts_back_a_few_looks() {
+fn repeated_stalls_move_the_arrival_back_a_few_polls_only() {
     let mut stalls = StallDetector::default();
     for look in 0..100 {
         stalls.polled(look * 1_000_000, WAIT);
