--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -255,9 +255,7 @@
                 ));
                 let browser = Browser::new(service.clone(), d.zones.clone(), config.seed);
                 let hosts = DnsSd::new(&handle, *resolver, browser);
-                let hosts = Box::new(
-                    hosts.map_err(|e| format!("cannot open a socket for queries to {resolver}: {e}"))?,
-                );
+                let hosts = Box::new(hosts.map_err(|e| format!("no socket for queries to {resolver}: {e}"))?);
                 Mode::Operator {
                     front,
                     hosts,
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -1,5 +1,5 @@
-//! Who is let in, bound to fronts and descriptors. What is decided here is decided by `wheellink_admission`; without
-//! `[admission]` everybody is, as far as there is room.
+//! Admission control of clients: connects the decisions of `wheellink_admission` to fronts, descriptors and memory. Without
+//! `[admission]` in the configuration, every client is admitted while there is room.
 
 use std::fs::File;
 use std::io;
@@ -15,33 +15,37 @@
 use crate::control::AdmissionCall;
 use crate::front::{Away, Guest};
 
-/// Newcomers that are closed at one go where there is no descriptor for them.
+/// Queued connections that are accepted and closed at once when there is no descriptor for them.
 const MAX_NEWCOMERS_CLOSED: usize = 256;
-/// Prefixes that an operator is shown.
+/// Prefixes in a list that operators are shown.
 const MAX_PREFIXES_SHOWN: usize = 50;
 
-/// Who a connection is, as far as it counts.
+/// The client of a connection, as admission counts it.
 #[derive(Clone, Copy, Debug)]
 struct Client {
     from: IpAddr,
     known: bool,
-    /// Its address counts it; a proxy's that has not spoken counts for nobody.
+    /// The connection counts for its address. A trusted proxy's connection counts for no address until the proxy has named
+    /// the client.
     counted: bool,
 }
 
-/// See the module's page.
+/// The state of admission control: the policy, the units that each owner holds, and the connected clients.
 pub(super) struct AdmissionControl {
+    /// `None` without `[admission]`.
     policy: Option<Admission>,
-    /// Descriptors, where there is a policy.
-    ledger: Ledger,
-    /// Bytes of bodies of open requests, always.
+    /// File descriptors; used only with a policy.
+    fds: Ledger,
+    /// Bytes of bodies of open requests; used also without a policy.
     memory: Ledger,
     clients: HashMap<ConnId, Client>,
+    /// The number of known clients in `clients`.
     known: usize,
-    /// Given up for a moment to take newcomers in and close them, where the system has no other.
+    /// A spare descriptor. It is released for a moment to accept and close new connections when the system has no other.
     spare: Option<File>,
-    /// Newcomers that were closed for want of a descriptor, and times that the system had none.
+    /// New connections that were closed because there was no descriptor for them.
     closed: u64,
+    /// Times that the system had no free descriptor.
     exhausted: u64,
 }
 
@@ -53,17 +57,17 @@
     pub(super) fn new(rules: Option<&Rules>, sockets: usize, bodies: usize) -> Self {
         let policy = rules.cloned().map(Admission::new);
         let none = [0; 5];
-        let ledger = Ledger::new(sockets, none).expect("no reserve is within any limit");
+        let fds = Ledger::new(sockets, none).expect("no reserve is within any limit");
         let memory = Ledger::new(bodies, none).expect("no reserve is within any limit");
         let spare = policy.is_some().then(spare).flatten();
-        Self { policy, ledger, memory, clients: HashMap::new(), known: 0, spare, closed: 0, exhausted: 0 }
+        Self { policy, fds, memory, clients: HashMap::new(), known: 0, spare, closed: 0, exhausted: 0 }
     }
 
     pub(super) fn is_on(&self) -> bool {
         self.policy.is_some()
     }
 
-    /// What a process needs that takes this one's place.
+    /// The learned state, for a process that replaces this one.
     pub(super) fn state(&self, now: Micros) -> Option<Learnt> {
         self.policy.as_ref().map(|policy| policy.learned_state(now))
     }
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Other rules; what is held and learnt stays.
+    /// Replaces the rules. Counts and learned state are kept.
     pub(super) fn retune(&mut self, rules: Option<&Rules>) {
         match (&mut self.policy, rules) {
             (Some(policy), Some(rules)) => policy.set_rules(rules.clone()),
@@ -87,14 +91,14 @@
         }
     }
 
-    /// Memory for bodies from now on: a part of it is kept for known clients.
+    /// Sets the memory limit for bodies. A part of it is reserved for known clients.
     pub(super) fn bound_memory(&mut self, bodies: usize) {
         let part = self.policy.as_ref().map_or(0.0, |policy| policy.rules().reserve);
         let kept = (bodies as f64 * part) as usize;
         let _ = self.memory.set_limits(bodies, [0, kept, 0, 0, 0]);
     }
 
-    /// Takes memory for a body.
+    /// Takes memory for a body. Returns false if none is available to the owner.
     pub(super) fn take_memory(&mut self, owner: Owner, bytes: usize) -> bool {
         matches!(self.memory.take(owner, bytes), TakeOutcome::Granted | TakeOutcome::Borrowed)
     }
@@ -103,7 +107,7 @@
         self.memory.release(owner, bytes);
     }
 
-    /// Descriptors from now on, and what each owner holds: how many hosts and clients may hold in all.
+    /// Updates the descriptor limit and the descriptors that each owner holds. Returns how many clients and hosts may hold.
     fn bound_descriptors(
         &mut self,
         now: Micros,
@@ -112,19 +116,19 @@
     ) -> Option<Bounds> {
         let policy = self.policy.as_ref()?;
         let kept = (limit as f64 / 3.0 * policy.rules().reserve) as usize;
-        // One for each host at least, and two where there is room: a call that was taken can always reach one.
+        // At least one per host, and two if there is room, so that an admitted call can always reach a host.
         let rest = limit.saturating_sub(own + most_callers + kept);
         let reserve = [(2 * members).clamp(4, rest.max(4) / 2 + 2), kept, 0, most_callers, own];
-        let _ = self.ledger.set_limits(limit.max(reserve.iter().sum()), reserve);
-        self.ledger.tick(now);
+        let _ = self.fds.set_limits(limit.max(reserve.iter().sum()), reserve);
+        self.fds.tick(now);
         let known = self.known;
         let held = [hosts, known, self.clients.len() - known, callers, own];
         for (owner, held) in Owner::ALL.into_iter().zip(held) {
-            self.ledger.set_held(owner, held);
+            self.fds.set_held(owner, held);
         }
-        let rooms = [Owner::Known, Owner::Others].map(|o| self.ledger.available(o));
-        let clients = self.clients.len() + rooms[0].max(rooms[1]);
-        Some(Bounds { clients, hosts: (hosts + self.ledger.available(Owner::Hosts)).max(1) })
+        let free = [Owner::Known, Owner::Others].map(|o| self.fds.available(o));
+        let clients = self.clients.len() + free[0].max(free[1]);
+        Some(Bounds { clients, hosts: (hosts + self.fds.available(Owner::Hosts)).max(1) })
     }
 
     fn owner(&self, conn: Option<ConnId>) -> Owner {
@@ -137,7 +141,7 @@
     fn forget(&mut self, now: Micros, conn: ConnId) {
         let Some(client) = self.clients.remove(&conn) else { return };
         self.known -= usize::from(client.known);
-        self.ledger.release(if client.known { Owner::Known } else { Owner::Others }, 1);
+        self.fds.release(if client.known { Owner::Known } else { Owner::Others }, 1);
         if let Some(policy) = self.policy.as_mut().filter(|_| client.counted) {
             policy.connection_closed(now, client.from);
         }
@@ -150,7 +154,7 @@
 }
 
 impl Node {
-    /// What clients and hosts may hold from now on: these bounds, or admission's where that is set up.
+    /// The descriptors that clients and hosts may hold: these bounds, or those of admission if it is configured.
     pub(super) fn bound_descriptors(&mut self, now: Micros, bounds: Bounds) -> Bounds {
         let descriptors = self.config.descriptors;
         let limit = descriptors.limit();
@@ -161,13 +165,12 @@
         self.admission.bound_descriptors(now, part, held).unwrap_or(bounds)
     }
 
-    /// Clients beyond their bound that are owed nothing make room: hosts want what they hold.
+    /// Closes connections of clients beyond their bound that have no request open, because hosts need the descriptors.
     pub(super) fn close_excess_clients(&mut self, now: Micros, bound: usize) {
         while self.clients() > bound && self.evict_client(now, false) {}
     }
 
-    /// Closes a client's connection that is owed nothing, however lately it came where it is `urgent`. Whether there was
-    /// one.
+    /// Closes a client connection that has no request open, even a recent one if `urgent`. Returns whether there was one.
     fn evict_client(&mut self, now: Micros, urgent: bool) -> bool {
         match &mut self.mode {
             Mode::Platform(front, _) => front.make_room(now, urgent, &mut self.log),
@@ -175,20 +178,20 @@
         }
     }
 
-    /// A connection to the bus has been begun, or could not be: where the system has no descriptor for it a client
-    /// makes room, and it is tried again soon.
+    /// Handles the start of a connection to the bus. If it failed because the system has no descriptor, a client's
+    /// connection is closed to make room, and the bus is retried soon.
     pub(super) fn bus_connecting(&mut self, now: Micros, conn: io::Result<Conn>) {
         let Mode::Platform(_, bus) = &mut self.mode else { return };
         let problem = conn.as_ref().err().map(|e| (is_exhaustion(e), e.to_string()));
         bus.begun(now, conn.ok());
         let Some((exhausted, problem)) = problem else { return };
-        let made = exhausted && self.evict_client(now, true);
-        let made = if made { ", a client made room" } else { "" };
-        self.log.line(now, format_args!("no connection to the bus: {problem}{made}"));
+        let evicted = exhausted && self.evict_client(now, true);
+        let evicted = if evicted { "; closed a client's connection to make room" } else { "" };
+        self.log.line(now, format_args!("cannot connect to the bus: {problem}{evicted}"));
         self.forget_closed(now);
     }
 
-    /// A connection has been accepted: it is taken in, or closed unread.
+    /// Admits an accepted connection, or closes it unread.
     pub(super) fn admit_connection(&mut self, now: Micros, stream: std::net::TcpStream, peer: SocketAddr) {
         let from = peer.ip();
         if self.is_address_out(from) {
@@ -198,7 +201,7 @@
             self.open_client(now, Guest { stream, peer, known: false, proxied: false });
             return;
         };
-        // Whose it is a trusted proxy tells first; until then it is the proxy's, and as good as known.
+        // A trusted proxy names the client first. Until then the connection is treated as a known client's.
         let proxied = policy.is_trusted_proxy(from);
         let known = proxied || matches!(policy.client_status(now, from), ClientStatus::Known);
         if !proxied && policy.connect(now, from).is_err() {
@@ -212,10 +215,10 @@
             return;
         }
         match self.open_client(now, Guest { stream, peer, known, proxied }) {
-            // A proxied one counts for its client only, once that is known.
+            // A proxied connection counts only for its client, once the proxy has named it.
             Some(id) => self.admission.enter(id, Client { from, known, counted: !proxied }),
             None => {
-                self.admission.ledger.release(if known { Owner::Known } else { Owner::Others }, 1);
+                self.admission.fds.release(if known { Owner::Known } else { Owner::Others }, 1);
                 if let (Some(policy), false) = (&mut self.admission.policy, proxied) {
                     policy.connection_closed(now, from);
                 }
@@ -230,19 +233,19 @@
         }
     }
 
-    /// A descriptor for a client, if need be in another's place: what others borrowed of the known clients' reserve
-    /// they give back at once as far as they are owed nothing.
+    /// Takes a descriptor for a client, if necessary by closing another client's connection: descriptors that others have
+    /// borrowed from the reserve of known clients are returned at once, unless a request is open on them.
     fn find_descriptor(&mut self, now: Micros, known: bool) -> bool {
         let owner = if known { Owner::Known } else { Owner::Others };
         for _ in 0..2 {
-            if matches!(self.admission.ledger.take(owner, 1), TakeOutcome::Granted | TakeOutcome::Borrowed) {
+            if matches!(self.admission.fds.take(owner, 1), TakeOutcome::Granted | TakeOutcome::Borrowed) {
                 return true;
             }
-            let made = match &mut self.mode {
+            let evicted = match &mut self.mode {
                 Mode::Platform(front, _) => front.make_room(now, known, &mut self.log),
                 Mode::Operator { front, .. } => front.make_room(now, known, &mut self.log),
             };
-            if !made {
+            if !evicted {
                 return false;
             }
             self.forget_closed(now);
@@ -250,7 +253,7 @@
         false
     }
 
-    /// Connections that have ended, before anything else that the front has learnt.
+    /// Handles the front's notices of closed connections ahead of its other notices.
     fn forget_closed(&mut self, now: Micros) {
         let mut gone = Vec::new();
         match &mut self.mode {
@@ -277,7 +280,7 @@
         self.admission.forget(now, conn);
     }
 
-    /// Takes connections in, with a policy: all that come are accepted, and who cannot stay is closed.
+    /// Accepts connections with admission configured: all are accepted, and those that are not admitted are closed.
     pub(super) fn accept_with_admission(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_WAKE {
             let now = self.clock.now();
@@ -301,10 +304,11 @@
         }
     }
 
-    /// The system has no descriptor although the ledger has: the spare one is given up to accept and close those
-    /// that wait, so that they hear at once, and nothing new is taken until some have gone.
+    /// Handles the case that the system has no descriptor although the ledger has: the spare descriptor is released to accept
+    /// and close the queued connections, so that their clients notice at once. Nothing new is admitted until descriptors
+    /// are free.
     fn close_newcomers(&mut self, now: Micros, why: &io::Error) {
-        self.admission.ledger.set_exhausted(now);
+        self.admission.fds.set_exhausted(now);
         self.admission.exhausted += 1;
         let Some(listener) = &mut self.client_listener else { return };
         drop(self.admission.spare.take());
@@ -317,31 +321,31 @@
         }
         self.admission.spare = spare();
         self.admission.closed += closed as u64;
-        self.log.line(now, format_args!("out of descriptors ({why}): {closed} newcomers closed"));
-        // With the spare one gone to somebody else there is nothing to accept with: no spinning meanwhile.
+        self.log.line(now, format_args!("out of descriptors ({why}): {closed} new connections closed"));
+        // Without the spare descriptor nothing can be accepted: a pause keeps the loop from spinning.
         if closed == 0 || self.admission.spare.is_none() {
             listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
         }
         self.update_limits();
     }
 
-    /// A trusted proxy has said whose its connection is.
+    /// Handles a trusted proxy's message that names the client of its connection.
     pub(super) fn handle_proxied(&mut self, now: Micros, conn: ConnId, client: Option<SocketAddr>) {
-        // It may have ended since it spoke.
+        // The connection may have closed since.
         if !self.admission.clients.contains_key(&conn) {
             return;
         }
         let mut known = Some(true);
         if let (Some(policy), Some(client)) = (&mut self.admission.policy, client) {
-            known = policy.connect(now, client.ip()).ok().map(|standing| standing == ClientStatus::Known);
+            known = policy.connect(now, client.ip()).ok().map(|s| s == ClientStatus::Known);
         }
         if let (Some(known), Some(client)) = (known, client) {
-            let now_it_is = Client { from: client.ip(), known, counted: true };
-            let e = &mut self.admission;
-            if e.clients.insert(conn, now_it_is).is_some_and(|old| old.known && !known) {
-                // As a proxy's it was as good as known.
-                e.known -= 1;
-                e.ledger.transfer(Owner::Known, Owner::Others, 1);
+            let new = Client { from: client.ip(), known, counted: true };
+            let adm = &mut self.admission;
+            if adm.clients.insert(conn, new).is_some_and(|old| old.known && !known) {
+                // The proxy's connection was counted as a known client's.
+                adm.known -= 1;
+                adm.fds.transfer(Owner::Known, Owner::Others, 1);
             }
         }
         match &mut self.mode {
@@ -350,24 +354,24 @@
         }
     }
 
-    /// A connection to a host wanted a descriptor that the system did not have: a client that is owed nothing makes
-    /// room for it, as a call that was taken comes first.
+    /// Closes a client connection that has no request open if the system had no descriptor for a connection to a host,
+    /// because admitted calls come first.
     pub(super) fn make_room_for_hosts(&mut self, now: Micros) {
         if !std::mem::take(&mut self.hosts.exhausted) {
             return;
         }
         self.admission.exhausted += 1;
-        self.admission.ledger.set_exhausted(now);
-        let made = self.evict_client(now, true);
-        let made = if made { "a client made room" } else { "nobody could make room" };
-        self.log.line(now, format_args!("out of descriptors for a host: {made}"));
+        self.admission.fds.set_exhausted(now);
+        let evicted = self.evict_client(now, true);
+        let evicted = if evicted { "a client made room" } else { "no client could make room" };
+        self.log.line(now, format_args!("out of descriptors for a host: {evicted}"));
         self.forget_closed(now);
     }
 
-    /// At its request a client may have become known, or be so no longer: its descriptor changes hands.
+    /// Updates whether a client is known, at its request. If that has changed, its descriptor is charged to the other owner.
     fn refresh_known(&mut self, now: Micros, conn: ConnId) {
-        let e = &mut self.admission;
-        let (Some(policy), Some(client)) = (&e.policy, e.clients.get_mut(&conn)) else { return };
+        let adm = &mut self.admission;
+        let (Some(policy), Some(client)) = (&adm.policy, adm.clients.get_mut(&conn)) else { return };
         let known = policy.client_status(now, client.from) == ClientStatus::Known;
         if known == client.known {
             return;
@@ -375,12 +379,12 @@
         client.known = known;
         match known {
             true => {
-                e.known += 1;
-                e.ledger.transfer(Owner::Others, Owner::Known, 1);
+                adm.known += 1;
+                adm.fds.transfer(Owner::Others, Owner::Known, 1);
             }
             false => {
-                e.known -= 1;
-                e.ledger.transfer(Owner::Known, Owner::Others, 1);
+                adm.known -= 1;
+                adm.fds.transfer(Owner::Known, Owner::Others, 1);
             }
         }
         match &mut self.mode {
@@ -399,11 +403,11 @@
         self.admission.policy.as_ref()?;
         let client = self.admission.clients.get(&conn?)?;
         let settings = &self.config.deployment.settings;
-        let most = settings.classes.iter().map(|c| c.worth).fold(f64::MIN_POSITIVE, f64::max);
-        let worth = settings.classes.get(class).map_or(1.0, |c| c.worth / most);
-        let all: f64 = settings.tenants.iter().map(|t| t.quota).sum();
+        let max_worth = settings.classes.iter().map(|c| c.worth).fold(f64::MIN_POSITIVE, f64::max);
+        let worth = settings.classes.get(class).map_or(1.0, |c| c.worth / max_worth);
+        let total: f64 = settings.tenants.iter().map(|t| t.quota).sum();
         let quota = tenant.and_then(|t| settings.tenants.get(t)).map_or(1.0, |t| t.quota);
-        let share = if all > 0.0 { quota / all } else { 1.0 };
+        let share = if total > 0.0 { quota / total } else { 1.0 };
         Some(RequestInfo { from: client.from, tenant, share, worth, size: size as u64 })
     }
 
@@ -414,7 +418,8 @@
         Away { word: why.as_str(), own_doing, wait, rate }
     }
 
-    /// Whether a request may go on to the module, and what is to be given back when it is over.
+    /// Admits a request, or returns the reply to send. What it returns for an admitted request must be passed to `release` at
+    /// the end of the request.
     pub(super) fn admit_request(
         &mut self,
         now: Micros,
@@ -440,7 +445,7 @@
         Ok((owner, info))
     }
 
-    /// A request that was admitted is over.
+    /// Returns the memory and counts of an admitted request that has ended.
     pub(super) fn release(&mut self, now: Micros, pending: &Pending, served: bool) {
         self.admission.give_memory(pending.owner, pending.call.body.len());
         if let (Some(policy), Some(info)) = (&mut self.admission.policy, &pending.info) {
@@ -448,7 +453,7 @@
         }
     }
 
-    /// The head of a call has come, and its body is long: it is not read where it would be turned away.
+    /// Decides whether a long body is read after the head of a call has arrived: it is not read if the call would be refused.
     pub(super) fn check_body(&mut self, now: Micros, conn: ConnId, tenant: Option<usize>, size: usize) {
         let info = self.request_info(Some(conn), usize::MAX, tenant, size);
         let refused = match (&self.admission.policy, &info) {
@@ -464,15 +469,15 @@
         }
     }
 
-    /// Tells of whom was turned away, a line a second at the most.
+    /// Logs a summary of refused clients, at most once per second.
     pub(super) fn log_refusals(&mut self, now: Micros) {
         let Some(window) = self.admission.policy.as_mut().and_then(|p| p.take_refusal_summary(now)) else {
             return;
         };
-        let told: Vec<String> =
+        let top: Vec<String> =
             window.top.iter().map(|(prefix, why, n)| format!("{prefix} {} {n}", why.as_str())).collect();
         let others = if window.others > 0 { format!(", others {}", window.others) } else { String::new() };
-        self.log.line(now, format_args!("admission refused: {}{others}", told.join(", ")));
+        self.log.line(now, format_args!("admission refused: {}{others}", top.join(", ")));
     }
 
     pub(super) fn operate_admission(&mut self, now: Micros, call: AdmissionCall) -> Response {
@@ -492,7 +497,8 @@
         }
     }
 
-    /// Blocks, unblocks or knows a prefix, as an operator said here or at the other process.
+    /// Blocks or unblocks a prefix, or sets whether it is known, by an operator's call here or at the other process. Returns
+    /// false if the manual lists are full.
     pub(super) fn set_prefix(&mut self, now: Micros, call: &AdmissionCall) -> bool {
         let Some(policy) = &mut self.admission.policy else { return true };
         let (what, prefix, done) = match call {
@@ -510,7 +516,7 @@
             self.log.line(now, format_args!("admission: {prefix} is {what} by hand"));
         }
         if let (AdmissionCall::Block(prefix), true) = (call, done) {
-            // Whoever is in stays as long as it is owed an answer.
+            // Connections are closed once their open requests are answered.
             let clients = self.admission.clients.iter().filter(|(_, c)| prefix.contains(c.from));
             let mut ids: Vec<_> = clients.map(|(id, _)| *id).collect();
             ids.sort();
@@ -526,7 +532,7 @@
 
     fn show_admission(&self, now: Micros) -> serde_json::Value {
         let Some(policy) = &self.admission.policy else { return serde_json::Value::Null };
-        let e = &self.admission;
+        let adm = &self.admission;
         let ledger = |l: &Ledger| {
             let rows = Owner::ALL.map(|o| {
                 (o.as_str().to_string(), serde_json::json!({"held": l.held(o), "reserved": l.reserve(o)}))
@@ -551,9 +557,9 @@
         };
         let adaptive =
             policy.adaptive().map(|(limit, under)| serde_json::json!({"limit": limit, "under_way": under}));
-        serde_json::json!({"descriptors": ledger(&e.ledger), "memory": ledger(&e.memory),
-            "clients": {"known": e.known, "others": e.clients.len() - e.known},
-            "refused": policy.total_refusals, "closed_for_want_of_descriptors": e.closed, "system_exhausted": e.exhausted,
+        serde_json::json!({"descriptors": ledger(&adm.fds), "memory": ledger(&adm.memory),
+            "clients": {"known": adm.known, "others": adm.clients.len() - adm.known},
+            "refused": policy.total_refusals, "closed_for_want_of_descriptors": adm.closed, "system_exhausted": adm.exhausted,
             "addresses": near.len(), "pushed_out": near.evicted, "penalties": penalties,
             "blocked": list(blocked.collect()), "known": list(known.collect()), "adaptive": adaptive,
             "top": top(near), "top_neighbourhoods": top(wide)})
--- a/node/src/node/discovery.rs
+++ b/node/src/node/discovery.rs
@@ -158,8 +158,7 @@
         let correction = self.host_starts.correction();
         if correction != before {
             let ahead = correction as f64 / 1e6;
-            self.log
-                .line(now, format_args!("start times of hosts show that the clock was {ahead:.3} s ahead"));
+            self.log.line(now, format_args!("start times of hosts: the clock was {ahead:.3} s ahead"));
         }
     }
 
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -84,8 +84,8 @@
                 self.log.line(now, "the new process takes clients");
                 self.superseded = true;
                 self.client_listener.iter_mut().for_each(|listener| listener.shut(Micros::MAX));
-                // The new process is another incarnation of the same member. If both took part, each would suspect members that
-                // the other one knows to be alive.
+                // The new process is another instance of the same member. If both took part, each would declare members dead
+                // that answer to the other instance.
                 self.membership.take().into_iter().for_each(Membership::close);
                 self.update_draining(now);
             }
@@ -120,7 +120,7 @@
                     self.client_listener.iter_mut().for_each(Listener::reopen);
                     self.update_draining(now);
                     self.configure_members();
-                    // Promises that were made under this member's name since then belong to another incarnation.
+                    // Promises that were made under this member's name since then belong to another instance of the member.
                     self.agreed = None;
                     self.attend_accord(now);
                     self.announce(now);
@@ -292,7 +292,7 @@
                 Mode::Operator { front, hosts, classes, .. },
                 config::Side::Operator { resolver, bounds, .. },
             ) => {
-                let failed = |e| format!("cannot open a socket for queries to {resolver}: {e}");
+                let failed = |e| format!("no socket for queries to {resolver}: {e}");
                 hosts.moved(*resolver).map_err(failed)?;
                 front.retune(idle, *bounds, (d.classes.clone(), d.tenants.clone()));
                 if let config::Side::Operator { classes: new, .. } = &config.side {
