--- a/node/tests/operate.rs
+++ b/node/tests/operate.rs
@@ -1,4 +1,4 @@
-//! What operators do by hand, on real sockets, one test a rule.
+//! Calls of operators at the control address, on real sockets.
 
 mod common;
 
@@ -11,32 +11,32 @@
 const SERVED: u8 = 79;
 const REFUSED: u8 = 66;
 
-/// Sends a call and wants it served.
-fn served(client: &mut std::net::TcpStream, stream: u32, class: &str) {
+/// Sends a call and expects that it is served.
+fn call_served(client: &mut std::net::TcpStream, stream: u32, class: &str) {
     client.write_all(&call_frame(stream, class, 4000, b"")).unwrap();
     assert_eq!(read_frame(client).unwrap().code, SERVED);
 }
 
-/// Callers that never come to their call keep no other from being answered.
+/// Guards against operators being locked out by connections that never complete a request.
 #[test]
-fn callers_that_are_stuck_delay_nobody() {
+fn incomplete_operator_requests_delay_no_other() {
     let host = Host::warm();
     let p = platform(&[&host]);
     wait_for("readiness", || p.program.status() == 200);
     let stuck: Vec<_> = (0..40).map(|_| p.program.connect_control()).collect();
     stuck.iter().for_each(|mut s| s.write_all(b"POST /standby HTTP/1.1\r\n").unwrap());
-    let begun = Instant::now();
+    let sent = Instant::now();
     assert_eq!(p.program.status(), 200);
-    assert!(begun.elapsed() < ms(500));
+    assert!(sent.elapsed() < ms(500));
     drop(stuck);
     assert_eq!(p.program.operate("GET", "/standby", ""), 405);
     assert_eq!(p.program.operate("POST", "/maintenance/enter", "{}"), 400);
-    served(&mut p.program.connect(), 1, "send-mail");
+    call_served(&mut p.program.connect(), 1, "send-mail");
 }
 
-/// Whoever starts says yes only once its host list is as new as the bus.
+/// A process that starts reports that it is ready only once its host list is as new as the bus.
 #[test]
-fn nobody_is_ready_without_its_host_list() {
+fn a_process_is_not_ready_without_its_host_list() {
     let host = Host::warm();
     let bus = Bus::start();
     let program = Program::start(&config(bus.address, &[&host]), false);
@@ -47,43 +47,43 @@
     assert_eq!(early, 503);
 }
 
-/// Out by hand: nothing new goes there, whatever the list says, and what runs may end. Back in, it is used
-/// again although nothing is loaded there.
+/// A host that an operator takes out of service gets no new calls, whatever the host list says, and running calls may end.
+/// Once it is put back, it is used again although no function is loaded there.
 #[test]
-fn a_host_out_by_hand_gets_nothing_new_until_it_is_back() {
+fn a_host_out_of_service_gets_no_calls_until_it_is_put_back() {
     let slow = || Host::start(Ways { does: Does::Answer("200"), work: ms(300), load: Some(ms(10)) });
     let (a, b) = (slow(), slow());
     let mut p = platform(&[&a, &b]);
     let mut client = p.program.connect();
-    served(&mut client, 1, "check-score");
+    call_served(&mut client, 1, "check-score");
     let (used, number, other) = if a.calls() > b.calls() { (&a, 0, &b) } else { (&b, 1, &a) };
     client.write_all(&call_frame(2, "send-mail", 4000, b"")).unwrap();
     let runs = used.calls() + 1;
     wait_for("the call", || used.calls() == runs);
     assert_eq!((p.program.maintain("enter", number), p.program.maintain("enter", number)), (200, 200));
     assert_eq!((p.program.maintain("enter", 77), p.program.maintain("exit", 77)), (404, 404));
-    assert_eq!(read_frame(&mut client).unwrap().code, SERVED, "what runs may end");
-    // It leaves the list, and comes back as a new process.
+    assert_eq!(read_frame(&mut client).unwrap().code, SERVED, "a running call may end");
+    // The host leaves the list, and comes back as a new process.
     p.feed.write_all(&event(2, false, &[(number, used.address, 2)])).unwrap();
     p.feed.write_all(&event(3, false, &[(number, used.address, 0)])).unwrap();
     let before = (used.calls(), used.seen.lock().unwrap().orders.len());
-    (3..7).for_each(|stream| served(&mut client, stream, "check-score"));
+    (3..7).for_each(|stream| call_served(&mut client, stream, "check-score"));
     assert_eq!((used.calls(), used.seen.lock().unwrap().orders.len()), before);
     assert!(other.calls() >= 4);
     used.seen.lock().unwrap().loaded.clear();
     assert_eq!((p.program.maintain("exit", number), p.program.maintain("exit", number)), (200, 200));
     let mut stream = 7;
     wait_for("traffic", || {
-        served(&mut client, stream, "check-score");
+        call_served(&mut client, stream, "check-score");
         stream += 1;
         used.calls() > before.0
     });
 }
 
-/// Drained: no at once, clients are told, what is open is answered, what is idle is closed. Then the other
-/// way round.
+/// A drained activator reports at once that it is not ready and tells its clients. Open requests are answered, and idle
+/// connections are closed. After `/active` it accepts clients again.
 #[test]
-fn a_drained_activator_sends_its_clients_away_and_takes_them_again() {
+fn a_drained_activator_dismisses_its_clients_and_accepts_them_again() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(1800), load: None });
     let p = platform(&[&host]);
     wait_for("readiness", || p.program.status() == 200);
@@ -91,28 +91,28 @@
     busy.write_all(&call_frame(1, "send-mail", 4000, b"")).unwrap();
     wait_for("the call", || host.calls() == 1);
     host.ways.lock().unwrap().work = ms(1);
-    served(&mut idle, 2, "send-mail");
+    call_served(&mut idle, 2, "send-mail");
     assert_eq!((p.program.operate("POST", "/standby", ""), p.program.status()), (200, 503));
-    let begun = Instant::now();
+    let drained = Instant::now();
     assert_eq!(read_frame(&mut idle).unwrap().kind, 6);
     let mut late = p.program.connect();
     late.write_all(&[client_frame(4, 1, &[0]), call_frame(3, "send-mail", 4000, b"")].concat()).unwrap();
     assert_eq!(read_frame(&mut late).unwrap().kind, 6);
-    assert_eq!(read_frame(&mut late).unwrap().code, REFUSED, "ready it is not");
+    assert_eq!(read_frame(&mut late).unwrap().code, REFUSED, "it is not ready");
     assert_eq!(read_frame(&mut late).unwrap().code, SERVED);
     assert_eq!((read_frame(&mut idle), read_frame(&mut late)), (None, None));
     assert_eq!(read_frame(&mut busy).unwrap().kind, 6);
-    assert_eq!(read_frame(&mut busy).unwrap().code, SERVED, "on its way when the drain began");
+    assert_eq!(read_frame(&mut busy).unwrap().code, SERVED, "the call was open when the drain began");
     assert_eq!(read_frame(&mut busy), None);
-    assert!(begun.elapsed() < ms(3500), "{:?}", begun.elapsed());
+    assert!(drained.elapsed() < ms(3500), "{:?}", drained.elapsed());
     assert_eq!((p.program.operate("POST", "/active", ""), p.program.status()), (200, 200));
     let mut client = p.program.connect();
-    served(&mut client, 4, "send-mail");
+    call_served(&mut client, 4, "send-mail");
     sleep(ms(400));
-    served(&mut client, 5, "send-mail");
+    call_served(&mut client, 5, "send-mail");
 }
 
-/// The same calls serve the invoke front.
+/// The calls of operators work the same with the invoke front.
 #[test]
 fn the_invoke_front_is_operated_the_same_way() {
     let (a, b) = (Host::warm(), Host::warm());
--- a/node/tests/request_log.rs
+++ b/node/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! What the log and the metrics tell of requests: enough to follow one from its client's id to why it ended.
+//! The log and the metrics of requests: a request can be traced by its client's id up to the reason why it ended.
 
 mod common;
 
@@ -6,9 +6,9 @@
 
 use common::*;
 
-/// A keyed call that a host breaks off and another host serves, and one for which there is no host.
+/// The host resets the connection of every call: an unsafe call fails after one attempt, a keyed call is retried.
 #[test]
-fn repeats_and_failures_are_told_with_id_reason_and_time() {
+fn retries_and_failures_are_logged_with_id_reason_and_host() {
     let host = Host::warm();
     host.ways.lock().unwrap().does = Does::HangUp;
     let mut p = platform(&[&host]);
