--- a/node/tests/ready.rs
+++ b/node/tests/ready.rs
@@ -1,5 +1,5 @@
-//! Readiness is told however silent bus, peers, hosts and the process of an upgrade are. Nothing here looks at a clock:
-//! the waits themselves are summed in `node/src/startup.rs`.
+//! A process becomes ready even if the bus, the peers, the hosts and the other process of an upgrade do not answer. These
+//! tests measure no times: `node/src/startup.rs` bounds the sum of the timeouts.
 
 mod common;
 
@@ -16,7 +16,7 @@
 const YES: u8 = 79;
 const REFUSED: u8 = 66;
 
-/// Asks as the front layer does until the answer is yes.
+/// Asks for readiness as a front proxy does, until the answer is yes.
 fn wait_ready(p: &Program) {
     let mut client = p.connect();
     let mut stream = 0;
@@ -29,13 +29,13 @@
     });
 }
 
-/// Where nothing listens: no other test begins connections from this address.
-fn nowhere() -> SocketAddr {
+/// An address where nothing listens. No test opens connections from it, so that its port stays free.
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.78:0").unwrap().local_addr().unwrap()
 }
 
-/// A bus that takes connections, reads, and writes these bytes to each.
-fn bus_that_says(bytes: Vec<u8>) -> SocketAddr {
+/// A bus that accepts connections, reads, and writes these bytes to each.
+fn bus_that_writes(bytes: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     spawn(move || {
@@ -49,7 +49,7 @@
     address
 }
 
-/// Peers that may be told and never say anything.
+/// Configures peers that receive gossip and send none.
 fn with_silent_peers(text: &str, silent: &[UdpSocket]) -> String {
     let peers: Vec<_> = silent.iter().map(|s| json!(s.local_addr().unwrap().to_string())).collect();
     edited(
@@ -66,35 +66,35 @@
 
 enum Fault {
     Refusing,
-    NeverUp,
+    NeverConnects,
     Silent,
     HalfAFrame,
-    Noise,
+    InvalidFrame,
 }
 
 #[rstest]
 #[case::refuses(Fault::Refusing)]
-#[case::never_comes_up(Fault::NeverUp)]
-#[case::takes_connections_and_is_silent(Fault::Silent)]
+#[case::never_connects(Fault::NeverConnects)]
+#[case::accepts_and_is_silent(Fault::Silent)]
 #[case::sends_half_a_frame(Fault::HalfAFrame)]
-#[case::sends_what_is_no_frame(Fault::Noise)]
-fn a_start_without_discovery_peers_and_hosts_is_ready(#[case] fault: Fault) {
+#[case::sends_an_invalid_frame(Fault::InvalidFrame)]
+fn a_process_becomes_ready_without_discovery_peers_and_hosts(#[case] fault: Fault) {
     let stuck = Stuck::start();
     let bus = match fault {
-        Fault::Refusing => nowhere(),
-        Fault::NeverUp => stuck.address,
-        Fault::Silent => bus_that_says(Vec::new()),
-        Fault::HalfAFrame => bus_that_says(event(2, true, &[(1, nowhere(), 0)])[..20].to_vec()),
-        Fault::Noise => bus_that_says(vec![0xff; 64]),
+        Fault::Refusing => unused_address(),
+        Fault::NeverConnects => stuck.address,
+        Fault::Silent => bus_that_writes(Vec::new()),
+        Fault::HalfAFrame => bus_that_writes(event(2, true, &[(1, unused_address(), 0)])[..20].to_vec()),
+        Fault::InvalidFrame => bus_that_writes(vec![0xff; 64]),
     };
     let silent: Vec<_> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
     let known = json!([{"offset": 1, "topology": {"revision": 1, "complete": true, "members": [
-        {"id": "s-00000001", "host_port": nowhere().to_string(), "locality": "z", "flavor": "k", "cell": 0,
+        {"id": "s-00000001", "host_port": unused_address().to_string(), "locality": "z", "flavor": "k", "cell": 0,
          "phase": "active", "size": 1, "up_since_ms": 0}]}}]);
     let text = edited(&config(bus, &[]), &[("known/batch", known)]);
     let mut p = Program::start(&with_silent_peers(&text, &silent), false);
     wait_ready(&p);
-    // Its hosts refuse: the call has its answer all the same.
+    // The hosts refuse connections; the call is answered nevertheless.
     let mut client = p.connect();
     client.write_all(&call_frame(1, "check-score", 1000, b"")).unwrap();
     assert_ne!(read_frame(&mut client).expect("an answer").code, YES);
@@ -102,22 +102,24 @@
     assert!(p.ended().success());
 }
 
+/// How the process that holds the upgrade socket behaves.
 enum Holder {
-    /// Its queue is full and it takes nobody in, as a stopped process with guests.
+    /// Its queue is full and it accepts no connection, like a stopped process.
     Full,
-    /// It takes everybody in and says nothing.
+    /// It accepts connections and sends nothing.
     Silent,
-    /// It goes on sending a byte of what never becomes a message.
+    /// It sends single bytes that never complete a message.
     Drips,
 }
 
-/// The meeting place of the address is held by a process that does not answer: it is taken for nobody.
+/// Guards against a start that waits forever for the process that holds the upgrade socket of its address: one that does not
+/// answer is ignored.
 #[rstest]
-#[case::takes_nobody_in(Holder::Full)]
-#[case::says_nothing(Holder::Silent)]
-#[case::never_ends_its_message(Holder::Drips)]
-fn a_process_that_does_not_answer_is_not_waited_for(#[case] holder: Holder) {
-    let address = nowhere();
+#[case::accepts_nobody(Holder::Full)]
+#[case::sends_nothing(Holder::Silent)]
+#[case::never_completes_a_message(Holder::Drips)]
+fn a_holder_of_the_upgrade_socket_that_does_not_answer_is_ignored(#[case] holder: Holder) {
+    let address = unused_address();
     let place = meeting_place(address);
     let socket = socket2::Socket::new(socket2::Domain::UNIX, socket2::Type::STREAM, None).unwrap();
     socket.bind(&socket2::SockAddr::unix(&place).unwrap()).unwrap();
@@ -153,7 +155,7 @@
     assert!(p.ended().success());
 }
 
-/// Holds a connection, with a byte now and then or without.
+/// Holds a connection, and sends a byte every 200 ms if `drips`.
 fn hold(mut stream: UnixStream, drips: bool) {
     let mut piece = [0; 1024];
     while stream.read(&mut piece).is_ok_and(|n| n > 0) {
@@ -163,12 +165,13 @@
     }
 }
 
-/// Beside a running process the host list is waited for, and not without end: the bus does not answer the new one.
+/// Guards against an upgrade that never completes: while another process runs, a new one waits for the host list, but not
+/// forever if the bus does not answer it.
 #[rstest]
 #[case::silent(Fault::Silent)]
-#[case::never_comes_up(Fault::NeverUp)]
+#[case::never_connects(Fault::NeverConnects)]
 #[case::refuses(Fault::Refusing)]
-fn an_upgrade_without_discovery_is_ready(#[case] fault: Fault) {
+fn an_upgrade_completes_without_discovery(#[case] fault: Fault) {
     let host = Host::warm();
     let bus = Bus::start();
     let text = config(bus.address, &[&host]);
@@ -177,12 +180,12 @@
     wait_for("the old process", || old.status() == 200);
     let listen = json!(old.address.to_string());
     let stuck = Stuck::start();
-    let theirs = match fault {
-        Fault::Refusing => nowhere(),
-        Fault::NeverUp => stuck.address,
-        _ => bus_that_says(Vec::new()),
+    let bus_address = match fault {
+        Fault::Refusing => unused_address(),
+        Fault::NeverConnects => stuck.address,
+        _ => bus_that_writes(Vec::new()),
     };
-    let edits = [("listen", listen), ("bus", json!(theirs.to_string()))];
+    let edits = [("listen", listen), ("bus", json!(bus_address.to_string()))];
     let new = Program::start(&edited(&text, &edits), false);
     wait_for("the new process", || new.status() == 200);
     wait_ready(&new);
