--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -35,8 +35,8 @@
     (u64::from_be_bytes(last), stream)
 }
 
-/// Opens client connections that ask for readiness once and then stay open. Those for which there is no descriptor wait in
-/// the system's queue.
+/// Opens client connections that ask for readiness once and then stay open. Those without a descriptor wait in the system's
+/// queue.
 fn idle_clients(p: &Program, n: usize) -> Vec<TcpStream> {
     let ask = client_frame(4, 1, &[0]);
     let opened = (0..n).map(|_| {
