--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -75,13 +75,14 @@
 const NO_ROOM_PAUSE_US: Micros = 5_000;
 /// After SIGTERM, new requests may arrive for this long.
 const SHUTDOWN_GRACE_US: Micros = 800_000;
-/// After `SHUTDOWN_GRACE_US`, input that has arrived is still read, in this many iterations of the loop at most: a client
-/// that keeps sending must not keep the process alive. Counted in iterations, because a process that was not
+/// After `SHUTDOWN_GRACE_US`, input that has arrived is still read, in this many iterations of the loop at most: a
+/// client that keeps sending must not keep the process alive. Counted in iterations, because a process that was not
 /// scheduled has read nothing in the time that passed.
 const MAX_FINAL_ITERATIONS: u32 = 1_000;
 /// Receive buffer for the bus: more than its longest frame.
 const BUS_BUFFER_BYTES: usize = 256 << 10;
-/// Hosts that operators may take out of service; their ids are kept until they are put back.
+/// Hosts that operators may take out of service. Bounded, because an id is kept until the host is put back, even if the
+/// host leaves the list.
 const MAX_MANUAL_OUT: usize = 4096;
 /// Interval between checks for idle connections and for connections that are not established in time.
 const HOUSEKEEPING_US: Micros = startup::LOOK.as_micros() as Micros;
@@ -98,8 +99,9 @@
     attempts: Attempts,
     /// The version of a rollout that decides the request.
     version: Version,
-    /// The owner that the memory of its body is charged to, and the client that it is counted for.
+    /// The owner that the memory of its body is charged to.
     owner: Owner,
+    /// The client and tenant that it is counted for, if admission is configured.
     info: Option<RequestInfo>,
     /// Extra fields, if the holder of a rollout passed the request.
     passed: Option<Box<PassedFields>>,
@@ -150,8 +152,8 @@
     Operator { front: Box<Invoke>, hosts: Box<DnsSd>, classes: Vec<(Micros, u32)>, ids: fastrand::Rng },
 }
 
-/// What a process with this configuration asks of the process that runs at its address: to take part in a rollout. `None`
-/// if it only replaces that process.
+/// What a process with this configuration asks of the process that runs at its address: to take part in a rollout.
+/// `None` if it only replaces that process.
 pub fn rollout_request(config: &Config) -> Option<upgrade::Wish> {
     let setup = config.rollout.as_ref()?;
     let hail = upgrade::Hail {
@@ -162,6 +164,7 @@
     Some(upgrade::Wish { hail, or_upgrade: setup.old_cannot == config::rollout::OldCannot::Upgrade })
 }
 
+/// The hub. The event loop in `main` calls it after each poll and in each iteration.
 pub struct Node {
     handle: Handle,
     clock: Clock,
@@ -173,9 +176,10 @@
     config: Config,
     engine: Engine,
     commands: VecDeque<Command>,
+    /// A reused buffer for the engine's commands.
     scratch: Vec<Command>,
     pending: HashMap<Ticket, Pending>,
-    /// Ids of the pending requests, chosen by clients.
+    /// Ids of the pending requests, by which duplicates are rejected.
     ids: HashSet<Rc<str>>,
     mode: Mode,
     hosts: Hosts,
@@ -224,7 +228,8 @@
 }
 
 impl Node {
-    /// Takes the listening socket and the state that a previous process at this address hands over.
+    /// Creates the hub of a process that started at `began`, with the listening socket and the state that a previous
+    /// process at this address hands over.
     pub fn new(handle: Handle, mut config: Config, place: Place, began: Instant) -> Result<Self, String> {
         let Place { listener, inheritance } = place;
         let state = inheritance.as_ref().map(|i| i.state.clone());
@@ -417,8 +422,8 @@
         }
     }
 
-    /// Whether a timer is due. Holds the clock until the end of the iteration, so that a stop of the process between a poll
-    /// and the iteration makes no timer due whose events were not polled.
+    /// Whether a timer is due. Holds the clock until the end of the iteration: if the process is stopped between a poll
+    /// and the iteration, no further timer becomes due before the input that arrived meanwhile is read.
     pub fn is_due(&mut self) -> bool {
         let now = self.clock.hold();
         self.next_tick(now) <= now
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -235,7 +235,7 @@
         if self.agreed.is_none() {
             self.put_in_force(now);
         }
-        were_out.iter().for_each(|host| self.update_out(now, host));
+        were_out.iter().for_each(|host| self.update_in_service(now, host));
     }
 
     /// Why this configuration cannot follow while such a version is in force.
@@ -429,7 +429,7 @@
                 now,
                 format_args!("host {} is {}", host.0, if out { "out as agreed" } else { "in as agreed" }),
             );
-            self.update_out(now, &host);
+            self.update_in_service(now, &host);
         }
     }
 }
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -1,13 +1,13 @@
-//! Admission control of clients: connects the decisions of `wheellink_admission` to fronts, descriptors and memory. Without
-//! `[admission]` in the configuration, every client is admitted while there is room.
+//! Admission control of clients: connects the decisions of `wheellink_admission` to fronts, descriptors and memory.
+//! Without `[admission]` in the configuration, every client is admitted while there is room.
 
 use std::fs::File;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
 use wheellink_admission::{
-    Admission, ClientStatus, LearnedState as Learnt, Ledger, Owner, Prefix, Reason as Why, RequestInfo,
-    Rules, TakeOutcome,
+    Admission, ClientStatus, LearnedState, Ledger, Owner, Prefix, Reason as Refusal, RequestInfo, Rules,
+    TakeOutcome,
 };
 
 use super::*;
@@ -25,8 +25,8 @@
 struct Client {
     from: IpAddr,
     known: bool,
-    /// The connection counts for its address. A trusted proxy's connection counts for no address until the proxy has named
-    /// the client.
+    /// The connection counts for its address. A trusted proxy's connection counts for no address until the proxy has
+    /// named the client.
     counted: bool,
 }
 
@@ -41,7 +41,8 @@
     clients: HashMap<ConnId, Client>,
     /// The number of known clients in `clients`.
     known: usize,
-    /// A spare descriptor. It is released for a moment to accept and close new connections when the system has no other.
+    /// A spare descriptor. It is released for a moment to accept and close new connections when the system has no
+    /// other.
     spare: Option<File>,
     /// New connections that were closed because there was no descriptor for them.
     closed: u64,
@@ -68,11 +69,11 @@
     }
 
     /// The learned state, for a process that replaces this one.
-    pub(super) fn state(&self, now: Micros) -> Option<Learnt> {
+    pub(super) fn state(&self, now: Micros) -> Option<LearnedState> {
         self.policy.as_ref().map(|policy| policy.learned_state(now))
     }
 
-    pub(super) fn inherit(&mut self, now: Micros, learnt: Learnt) {
+    pub(super) fn inherit(&mut self, now: Micros, learnt: LearnedState) {
         if let Some(policy) = &mut self.policy {
             policy.restore(now, learnt);
         }
@@ -92,7 +93,7 @@
     }
 
     /// Sets the memory limit for bodies. A part of it is reserved for known clients.
-    pub(super) fn bound_memory(&mut self, bodies: usize) {
+    pub(super) fn set_memory_limit(&mut self, bodies: usize) {
         let part = self.policy.as_ref().map_or(0.0, |policy| policy.rules().reserve);
         let kept = (bodies as f64 * part) as usize;
         let _ = self.memory.set_limits(bodies, [0, kept, 0, 0, 0]);
@@ -103,12 +104,13 @@
         matches!(self.memory.take(owner, bytes), TakeOutcome::Granted | TakeOutcome::Borrowed)
     }
 
-    pub(super) fn give_memory(&mut self, owner: Owner, bytes: usize) {
+    pub(super) fn release_memory(&mut self, owner: Owner, bytes: usize) {
         self.memory.release(owner, bytes);
     }
 
-    /// Updates the descriptor limit and the descriptors that each owner holds. Returns how many clients and hosts may hold.
-    fn bound_descriptors(
+    /// Updates the descriptor limit and the descriptors that each owner holds. Returns how many clients and hosts may
+    /// hold.
+    fn set_descriptor_limits(
         &mut self,
         now: Micros,
         (limit, own, most_callers): (usize, usize, usize),
@@ -155,14 +157,14 @@
 
 impl Node {
     /// The descriptors that clients and hosts may hold: these bounds, or those of admission if it is configured.
-    pub(super) fn bound_descriptors(&mut self, now: Micros, bounds: Bounds) -> Bounds {
+    pub(super) fn descriptor_bounds(&mut self, now: Micros, bounds: Bounds) -> Bounds {
         let descriptors = self.config.descriptors;
         let limit = descriptors.limit();
         let limit = if self.upgrade.has_peer() { limit / 2 } else { limit };
         let callers = descriptors.callers();
         let part = (limit, descriptors.own() - callers, callers);
         let held = (self.hosts.reserve(), self.hosts.held(), self.control.held());
-        self.admission.bound_descriptors(now, part, held).unwrap_or(bounds)
+        self.admission.set_descriptor_limits(now, part, held).unwrap_or(bounds)
     }
 
     /// Closes connections of clients beyond their bound that have no request open, because hosts need the descriptors.
@@ -170,7 +172,8 @@
         while self.clients() > bound && self.evict_client(now, false) {}
     }
 
-    /// Closes a client connection that has no request open, even a recent one if `urgent`. Returns whether there was one.
+    /// Closes a client connection that has no request open, even a recent one if `urgent`. Returns whether there was
+    /// one.
     fn evict_client(&mut self, now: Micros, urgent: bool) -> bool {
         match &mut self.mode {
             Mode::Platform(front, _) => front.make_room(now, urgent, &mut self.log),
@@ -233,8 +236,8 @@
         }
     }
 
-    /// Takes a descriptor for a client, if necessary by closing another client's connection: descriptors that others have
-    /// borrowed from the reserve of known clients are returned at once, unless a request is open on them.
+    /// Takes a descriptor for a client, if necessary by closing another client's connection: descriptors that others
+    /// have borrowed from the reserve of known clients are returned at once, unless a request is open on them.
     fn find_descriptor(&mut self, now: Micros, known: bool) -> bool {
         let owner = if known { Owner::Known } else { Owner::Others };
         for _ in 0..2 {
@@ -304,9 +307,9 @@
         }
     }
 
-    /// Handles the case that the system has no descriptor although the ledger has: the spare descriptor is released to accept
-    /// and close the queued connections, so that their clients notice at once. Nothing new is admitted until descriptors
-    /// are free.
+    /// Handles the case that the system has no descriptor although the ledger has: the spare descriptor is released to
+    /// accept and close the queued connections, so that their clients notice at once. Nothing new is admitted until
+    /// descriptors are free.
     fn close_newcomers(&mut self, now: Micros, why: &io::Error) {
         self.admission.fds.set_exhausted(now);
         self.admission.exhausted += 1;
@@ -368,7 +371,8 @@
         self.forget_closed(now);
     }
 
-    /// Updates whether a client is known, at its request. If that has changed, its descriptor is charged to the other owner.
+    /// Updates whether a client is known, at its request. If that has changed, its descriptor is charged to the other
+    /// owner.
     fn refresh_known(&mut self, now: Micros, conn: ConnId) {
         let adm = &mut self.admission;
         let (Some(policy), Some(client)) = (&adm.policy, adm.clients.get_mut(&conn)) else { return };
@@ -411,15 +415,16 @@
         Some(RequestInfo { from: client.from, tenant, share, worth, size: size as u64 })
     }
 
-    fn rejection(&self, (why, wait): (Why, Micros)) -> Away {
+    fn rejection(&self, (why, wait): (Refusal, Micros)) -> Away {
         let rate = self.admission.policy.as_ref().and_then(|p| p.rules().address.request_rate);
-        let rate = rate.filter(|_| why == Why::RequestRate).map(|r| (r.per_second as u32, r.burst as u32));
-        let own_doing = why.is_client_fault() || why == Why::Tenant;
+        let rate =
+            rate.filter(|_| why == Refusal::RequestRate).map(|r| (r.per_second as u32, r.burst as u32));
+        let own_doing = why.is_client_fault() || why == Refusal::Tenant;
         Away { word: why.as_str(), own_doing, wait, rate }
     }
 
-    /// Admits a request, or returns the reply to send. What it returns for an admitted request must be passed to `release` at
-    /// the end of the request.
+    /// Admits a request, or returns the reply to send. What it returns for an admitted request must be passed to
+    /// `release` at the end of the request.
     pub(super) fn admit_request(
         &mut self,
         now: Micros,
@@ -447,13 +452,14 @@
 
     /// Returns the memory and counts of an admitted request that has ended.
     pub(super) fn release(&mut self, now: Micros, pending: &Pending, served: bool) {
-        self.admission.give_memory(pending.owner, pending.call.body.len());
+        self.admission.release_memory(pending.owner, pending.call.body.len());
         if let (Some(policy), Some(info)) = (&mut self.admission.policy, &pending.info) {
             policy.request_done(now, info, pending.new.class, served.then(|| now - pending.arrived));
         }
     }
 
-    /// Decides whether a long body is read after the head of a call has arrived: it is not read if the call would be refused.
+    /// Decides whether a long body is read after the head of a call has arrived: it is not read if the call would be
+    /// refused.
     pub(super) fn check_body(&mut self, now: Micros, conn: ConnId, tenant: Option<usize>, size: usize) {
         let info = self.request_info(Some(conn), usize::MAX, tenant, size);
         let refused = match (&self.admission.policy, &info) {
@@ -497,8 +503,8 @@
         }
     }
 
-    /// Blocks or unblocks a prefix, or sets whether it is known, by an operator's call here or at the other process. Returns
-    /// false if the manual lists are full.
+    /// Blocks or unblocks a prefix, or sets whether it is known, by an operator's call here or at the other process.
+    /// Returns false if the manual lists are full.
     pub(super) fn set_prefix(&mut self, now: Micros, call: &AdmissionCall) -> bool {
         let Some(policy) = &mut self.admission.policy else { return true };
         let (what, prefix, done) = match call {
--- a/node/src/node/discovery.rs
+++ b/node/src/node/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: passes changes of the host list, from the bus or DNS-SD, to the connection pool and the engine, and runs the
-//! sockets to the other activators.
+//! Discovery: passes changes of the host list, from the bus or DNS-SD, to the connection pool and the engine, and runs
+//! the sockets to the other activators.
 
 use wheellink::Condition;
 
@@ -95,8 +95,8 @@
             Ok(None) => {}
             Ok(Some((kind, hosts))) => self.update_hosts(kind, hosts),
             Err(Gap { changes }) => {
-                // The bus may take long to send the list again. The event's own changes apply at once, so that hosts that
-                // drain get no new requests until then.
+                // The bus may take long to send the list again. The event's own changes apply at once, so that hosts
+                // that drain get no new requests until then.
                 self.update_hosts(ListKind::Delta, changes);
                 self.log.line(now, format_args!("events of the bus are missing before event {number}"));
                 return Err(Reason::Protocol);
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Node {
-    /// Takes over the state that operators have set in the process that this one replaces, what its admission has learnt,
-    /// and how far it has read the bus.
+    /// Takes over the state that operators have set in the process that this one replaces, what its admission has
+    /// learnt, and how far it has read the bus.
     pub(super) fn inherit(&mut self, state: &State) {
         let now = self.clock.now();
         for id in &state.out {
@@ -29,11 +29,11 @@
         } else {
             (share, descriptors.alone(held))
         };
-        self.admission.bound_memory(share);
+        self.admission.set_memory_limit(share);
         self.gradual.bound(share);
         let now = self.clock.now();
         self.control.bound(descriptors.callers());
-        let bounds = self.bound_descriptors(now, bounds);
+        let bounds = self.descriptor_bounds(now, bounds);
         self.hosts.bound((bounds.hosts, share));
         let clients = bounds.clients;
         match &mut self.mode {
@@ -84,8 +84,8 @@
                 self.log.line(now, "the new process takes clients");
                 self.superseded = true;
                 self.client_listener.iter_mut().for_each(|listener| listener.shut(Micros::MAX));
-                // The new process is another instance of the same member. If both took part, each would declare members dead
-                // that answer to the other instance.
+                // The new process is another instance of the same member. If both took part, each would declare members
+                // dead that answer to the other instance.
                 self.membership.take().into_iter().for_each(Membership::close);
                 self.update_draining(now);
             }
@@ -120,7 +120,8 @@
                     self.client_listener.iter_mut().for_each(Listener::reopen);
                     self.update_draining(now);
                     self.configure_members();
-                    // Promises that were made under this member's name since then belong to another instance of the member.
+                    // Promises that were made under this member's name since then belong to another instance of the
+                    // member.
                     self.agreed = None;
                     self.attend_accord(now);
                     self.announce(now);
@@ -154,8 +155,8 @@
         state
     }
 
-    /// Starts to accept clients. Called at the start, or, while another process runs at this address, once the host list is
-    /// up to date.
+    /// Starts to accept clients. Called at the start, or, while another process runs at this address, once the host
+    /// list is up to date.
     pub(super) fn start_accepting(&mut self) -> Result<(), String> {
         let now = self.clock.now();
         let Some(listener) = self.bound_socket.take() else { return Ok(()) };
@@ -248,8 +249,8 @@
         }
     }
 
-    /// SIGTERM: asks clients to open nothing new. Requests that still arrive are answered, and the process ends when none is
-    /// open.
+    /// SIGTERM: asks clients to open nothing new. Requests that still arrive are answered, and the process ends when
+    /// none is open.
     pub(super) fn stop(&mut self) {
         if self.stopping.is_none() {
             let now = self.clock.now();
@@ -335,7 +336,8 @@
         Ok(what)
     }
 
-    /// Whether the process may end: it was told to stop, and no answer is due. Must be called once per iteration of the loop.
+    /// Whether the process may end: it was told to stop, and no answer is due. Must be called once per iteration of the
+    /// loop.
     pub fn is_done(&mut self) -> bool {
         if self.gradual.is_dismissed() {
             return true;
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -95,13 +95,13 @@
         } else {
             self.manual_out.remove(host);
         }
-        self.update_out(now, host);
+        self.update_in_service(now, host);
     }
 
-    /// Takes a host out of service if an operator or the agreed settings say so, else puts it back. To put it back, the pool
-    /// is updated before the engine, because the engine may send to the host at once. To take it out, the engine is
-    /// updated first, so that withdrawn attempts go to other hosts.
-    pub(super) fn update_out(&mut self, now: Micros, host: &WorkerId) {
+    /// Takes a host out of service if an operator or the agreed settings say so, else puts it back. To put it back, the
+    /// pool is updated before the engine, because the engine may send to the host at once. To take it out, the engine
+    /// is updated first, so that withdrawn attempts go to other hosts.
+    pub(super) fn update_in_service(&mut self, now: Micros, host: &WorkerId) {
         let out = self.manual_out.contains(host) || self.is_out_as_agreed(host);
         if self.hosts.is_barred(host) == out {
             return;
--- a/node/src/node/request_log.rs
+++ b/node/src/node/request_log.rs
@@ -1,5 +1,5 @@
-//! Logs and counts requests: a log line for each attempt after a request's first, and for each request that was not served.
-//! Lines carry the id that the client chose, so that a client's records can be matched with them.
+//! Logs and counts requests: a log line for each attempt after a request's first, and for each request that was not
+//! served. Lines carry the id that the client chose, so that a client's records can be matched with them.
 
 use super::*;
 use crate::metrics::{ReasonLabels, RequestLabels};
--- a/node/src/node/stall.rs
+++ b/node/src/node/stall.rs
@@ -1,12 +1,13 @@
-//! Detects stalls: the process was stopped, was not scheduled, or worked for long in one iteration. Input that it reads just
-//! after a stall may have arrived at any time since the last poll, and the timeouts of clients have been running since
-//! then.
+//! Detects stalls: the process was stopped, was not scheduled, or worked for long in one iteration. Input that it reads
+//! just after a stall may have arrived at any time since the last poll, and the timeouts of clients have been running
+//! since then.
 
 use std::time::Duration;
 
 use wheellink::Micros;
 
-/// A poll that returns this much later than it was due follows a stall. Shorter delays are within the margin of deadlines.
+/// A poll that returns this much later than it was due follows a stall. Shorter delays are within the margin of
+/// deadlines.
 const MIN_STALL_US: Micros = 100_000;
 /// Polls that may return input from the time of a stall: the late poll accepts connections, the next one reads them.
 const AFFECTED_POLLS: usize = 2;
--- a/node/src/node/stall/tests.rs
+++ b/node/src/node/stall/tests.rs
@@ -18,7 +18,8 @@
     assert_eq!(stalls.earliest_arrival(late + 10), late + 10);
 }
 
-/// The arrival time goes back over the latest polls only, also for a process that is starved of processor time for long.
+/// The arrival time goes back over the latest polls only, also for a process that is starved of processor time for
+/// long.
 #[test]
 fn repeated_stalls_move_the_arrival_back_a_few_polls_only() {
     let mut stalls = StallDetector::default();
--- a/node/tests/admission.rs
+++ b/node/tests/admission.rs
@@ -87,8 +87,8 @@
     );
 }
 
-/// Guards against many addresses that take all descriptors while none exceeds its cap: known clients get the descriptors of
-/// their reserve back that others have borrowed.
+/// Guards against many addresses that take all descriptors while none exceeds its cap: known clients get the
+/// descriptors of their reserve back that others have borrowed.
 #[test]
 fn known_clients_get_their_reserve_when_many_addresses_connect() {
     let host = Host::warm();
@@ -110,9 +110,9 @@
     drop(others);
 }
 
-/// Guards against admitted calls that get no answer because descriptors run out. The system has fewer descriptors than the
-/// configuration says, and many clients take them while admitted calls need connections to hosts. Every call gets one
-/// answer, new connections are closed at once, and the activator recovers.
+/// Guards against admitted calls that get no answer because descriptors run out. The system has fewer descriptors than
+/// the configuration says, and many clients take them while admitted calls need connections to hosts. Every call gets
+/// one answer, new connections are closed at once, and the activator recovers.
 #[test]
 fn admitted_calls_are_answered_when_descriptors_run_out() {
     let hosts: Vec<_> =
@@ -149,8 +149,8 @@
     assert!(p.used() - used < 10, "no spinning");
 }
 
-/// Each system call that creates a descriptor fails for a while, with each of these errors: the process does not end, does
-/// not spin, and recovers.
+/// Each system call that creates a descriptor fails for a while, with each of these errors: the process does not end,
+/// does not spin, and recovers.
 #[rstest]
 fn the_activator_recovers_from_failing_system_calls(
     #[values("accept", "connect")] call: &str,
@@ -179,8 +179,8 @@
     assert!(p.used() - used < 10, "no spinning");
 }
 
-/// A client that is refused repeatedly gets a penalty: its connections are closed unread, for longer each time, until the
-/// penalty expires.
+/// A client that is refused repeatedly gets a penalty: its connections are closed unread, for longer each time, until
+/// the penalty expires.
 #[test]
 fn a_penalty_closes_connections_and_expires() {
     let host = Host::warm();
@@ -248,8 +248,8 @@
     wait_for("the reload", || program.logged("the old configuration is kept") == 1);
 }
 
-/// Silent clients, slow senders and clients that reconnect at full speed hold no more than their cap, and other clients are
-/// served.
+/// Silent clients, slow senders and clients that reconnect at full speed hold no more than their cap, and other clients
+/// are served.
 #[test]
 fn slow_and_reconnecting_clients_hold_no_more_than_their_cap() {
     let host = Host::warm();
@@ -271,8 +271,8 @@
     assert!((20..400).contains(&fast), "{fast} of 400 at a rate of 2 a second and a burst of 20");
 }
 
-/// After a reload with fewer descriptors than are in use, open calls are answered, and no new connection is admitted until
-/// enough descriptors are free.
+/// After a reload with fewer descriptors than are in use, open calls are answered, and no new connection is admitted
+/// until enough descriptors are free.
 #[test]
 fn a_reload_lowers_the_descriptors_below_what_is_in_use() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(700), load: None });
@@ -377,7 +377,8 @@
     [b"\r\n\r\n\0\r\nQUIT\n\x21\x11\x00\x0c".as_slice(), &block].concat()
 }
 
-/// Connections of a trusted proxy count for the client that its header names. A header from any other client is an error.
+/// Connections of a trusted proxy count for the client that its header names. A header from any other client is an
+/// error.
 #[test]
 fn a_trusted_proxy_names_the_client_of_a_connection() {
     let host = Host::warm();
--- a/node/tests/held_up.rs
+++ b/node/tests/held_up.rs
@@ -17,8 +17,8 @@
 /// An answer that does not count the stop would come `STOPPED_MS` late; half of that is allowed for a busy machine.
 const MAX_ANSWER_MS: u64 = TIMEOUT_MS + STOPPED_MS / 2;
 
-/// Guards against a timeout that is counted from when the request is read instead of from when it arrived. The request comes
-/// on a connection that was open before the stop, or on one that is made during the stop.
+/// Guards against a timeout that is counted from when the request is read instead of from when it arrived. The request
+/// comes on a connection that was open before the stop, or on one that is made during the stop.
 #[rstest]
 #[case::known_connection(true)]
 #[case::new_connection(false)]
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Low limits of descriptors with many clients, on real sockets: reserved descriptors are available when they are needed.
+//! Low limits of descriptors with many clients, on real sockets: reserved descriptors are available when they are
+//! needed.
 
 mod common;
 
@@ -27,7 +28,8 @@
     edited(&edited(&config(bus, hosts), &[("limits/sockets", json!(MAX_DESCRIPTORS))]), more)
 }
 
-/// Accepts the next bus connection of an activator. Returns the last event that it has, and the stream for further ones.
+/// Accepts the next bus connection of an activator. Returns the last event that it has, and the stream for further
+/// ones.
 fn accept_bus(listener: &TcpListener) -> (u64, TcpStream) {
     let (mut stream, _) = listener.accept().unwrap();
     let mut last = [0; 8];
@@ -35,8 +37,8 @@
     (u64::from_be_bytes(last), stream)
 }
 
-/// Opens client connections that ask for readiness once and then stay open. Those without a descriptor wait in the system's
-/// queue.
+/// Opens client connections that ask for readiness once and then stay open. Those without a descriptor wait in the
+/// system's queue.
 fn idle_clients(p: &Program, n: usize) -> Vec<TcpStream> {
     let ask = client_frame(4, 1, &[0]);
     let opened = (0..n).map(|_| {
@@ -62,9 +64,9 @@
     assert!(found.is_empty(), "{found:?}");
 }
 
-/// Guards against clients that take the descriptors of the rest of the process. They take all that they can while the bus
-/// is down, from the start or later. When the bus is back, its list is read, a host without a connection before gets a
-/// call, operators are answered, the configuration is reloaded, and the program ends on SIGTERM.
+/// Guards against clients that take the descriptors of the rest of the process. They take all that they can while the
+/// bus is down, from the start or later. When the bus is back, its list is read, a host without a connection before
+/// gets a call, operators are answered, the configuration is reloaded, and the program ends on SIGTERM.
 #[rstest]
 #[case::from_the_start(false)]
 #[case::later(true)]
@@ -196,8 +198,8 @@
     drop((idle, callers, guests));
 }
 
-/// An upgrade works while clients hold all the descriptors that they can: the new process accepts clients, and the old one
-/// ends on SIGTERM.
+/// An upgrade works while clients hold all the descriptors that they can: the new process accepts clients, and the old
+/// one ends on SIGTERM.
 #[test]
 fn an_upgrade_works_while_clients_hold_all_they_can() {
     let host = Host::warm();
@@ -220,8 +222,8 @@
     drop(idle);
 }
 
-/// If the system has no descriptor for the first connections to the bus, to a host or of clients, they are retried without
-/// busy waiting.
+/// If the system has no descriptor for the first connections to the bus, to a host or of clients, they are retried
+/// without busy waiting.
 #[rstest]
 fn connections_are_retried_after_descriptors_ran_out(
     #[values("accept", "connect")] what: &str,
--- a/node/tests/operate.rs
+++ b/node/tests/operate.rs
@@ -47,8 +47,8 @@
     assert_eq!(early, 503);
 }
 
-/// A host that an operator takes out of service gets no new calls, whatever the host list says, and running calls may end.
-/// Once it is put back, it is used again although no function is loaded there.
+/// A host that an operator takes out of service gets no new calls, whatever the host list says, and running calls may
+/// end. Once it is put back, it is used again although no function is loaded there.
 #[test]
 fn a_host_out_of_service_gets_no_calls_until_it_is_put_back() {
     let slow = || Host::start(Ways { does: Does::Answer("200"), work: ms(300), load: Some(ms(10)) });
--- a/node/tests/ready.rs
+++ b/node/tests/ready.rs
@@ -1,5 +1,5 @@
-//! A process becomes ready even if the bus, the peers, the hosts and the other process of an upgrade do not answer. These
-//! tests measure no times: `node/src/startup.rs` bounds the sum of the timeouts.
+//! A process becomes ready even if the bus, the peers, the hosts and the other process of an upgrade do not answer.
+//! These tests measure no times: `node/src/startup.rs` bounds the sum of the timeouts.
 
 mod common;
 
@@ -112,8 +112,8 @@
     Drips,
 }
 
-/// Guards against a start that waits forever for the process that holds the upgrade socket of its address: one that does not
-/// answer is ignored.
+/// Guards against a start that waits forever for the process that holds the upgrade socket of its address: one that
+/// does not answer is ignored.
 #[rstest]
 #[case::accepts_nobody(Holder::Full)]
 #[case::sends_nothing(Holder::Silent)]
@@ -165,8 +165,8 @@
     }
 }
 
-/// Guards against an upgrade that never completes: while another process runs, a new one waits for the host list, but not
-/// forever if the bus does not answer it.
+/// Guards against an upgrade that never completes: while another process runs, a new one waits for the host list, but
+/// not forever if the bus does not answer it.
 #[rstest]
 #[case::silent(Fault::Silent)]
 #[case::never_connects(Fault::NeverConnects)]
--- a/node/tests/restart.rs
+++ b/node/tests/restart.rs
@@ -1,5 +1,5 @@
-//! Several activators with the platform's front are restarted under load, a third at a time. Checked by what clients and
-//! hosts saw: each request that an activator accepted has one answer, and unsafe calls ran at most once.
+//! Several activators with the platform's front are restarted under load, a third at a time. Checked by what clients
+//! and hosts saw: each request that an activator accepted has one answer, and unsafe calls ran at most once.
 
 mod common;
 
@@ -140,8 +140,8 @@
                 let mut records = self.records.lock().unwrap();
                 calls.iter().for_each(|(text, _)| records.get_mut(text).unwrap().due = whole && !late);
             }
-            // Clients with an even number keep requests open. The others wait for all answers, so that their activator has
-            // no open requests at times.
+            // Clients with an even number keep requests open. The others wait for all answers, so that their activator
+            // has no open requests at times.
             let max_open = if self.number.is_multiple_of(2) && !leaves { PIPELINED / 2 } else { 0 };
             while open.len() > max_open {
                 sleep(ms(2));
@@ -198,10 +198,10 @@
     read_frame(&mut &[&length[..], &rest].concat()[..])
 }
 
-/// Guards against lost answers and repeated runs in a rolling restart. Each of three rounds ends a third of the processes by
-/// SIGTERM at once, while requests are read in part, several are open on a connection, and answers are written in part.
-/// A new process starts at each address as soon as the old one is gone. Meanwhile a script host with open calls is
-/// replaced by a new one at the same address.
+/// Guards against lost answers and repeated runs in a rolling restart. Each of three rounds ends a third of the
+/// processes by SIGTERM at once, while requests are read in part, several are open on a connection, and answers are
+/// written in part. A new process starts at each address as soon as the old one is gone. Meanwhile a script host with
+/// open calls is replaced by a new one at the same address.
 #[test]
 fn restarts_of_a_third_at_a_time_lose_no_answer_and_repeat_no_unsafe_call() {
     let slow = || Host::start(Ways { does: Does::Answer("200"), work: ms(25), load: Some(ms(5)) });
