--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 use wheellink_admission::{
-    Admission, ClientStatus, LearnedState, Ledger, Owner, Prefix, Reason as Refusal, RequestInfo, Rules,
+    Admission, ClientStatus, LearnedState, Ledger, Owner, Prefix, Reason as Cause, RequestInfo, Rules,
     TakeOutcome,
 };
 
@@ -415,11 +415,10 @@
         Some(RequestInfo { from: client.from, tenant, share, worth, size: size as u64 })
     }
 
-    fn rejection(&self, (why, wait): (Refusal, Micros)) -> Away {
+    fn rejection(&self, (why, wait): (Cause, Micros)) -> Away {
         let rate = self.admission.policy.as_ref().and_then(|p| p.rules().address.request_rate);
-        let rate =
-            rate.filter(|_| why == Refusal::RequestRate).map(|r| (r.per_second as u32, r.burst as u32));
-        let own_doing = why.is_client_fault() || why == Refusal::Tenant;
+        let rate = rate.filter(|_| why == Cause::RequestRate).map(|r| (r.per_second as u32, r.burst as u32));
+        let own_doing = why.is_client_fault() || why == Cause::Tenant;
         Away { word: why.as_str(), own_doing, wait, rate }
     }
 
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -121,7 +121,7 @@
                     self.update_draining(now);
                     self.configure_members();
                     // Promises that were made under this member's name since then belong to another instance of the
-                    // member.
+                    // member, so this one takes part in the agreement as a new instance.
                     self.agreed = None;
                     self.attend_accord(now);
                     self.announce(now);
--- a/node/src/node/stall.rs
+++ b/node/src/node/stall.rs
@@ -1,6 +1,6 @@
 //! Detects stalls: the process was stopped, was not scheduled, or worked for long in one iteration. Input that it reads
 //! just after a stall may have arrived at any time since the last poll, and the timeouts of clients have been running
-//! since then.
+//! since then. Logs and metrics call a stall a hold-up.
 
 use std::time::Duration;
 
