--- a/src/bound/tests.rs
+++ b/src/concurrency_limit/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `bound` that need its private state.
+//! Tests of `concurrency_limit` that need its private state.
 
 use super::*;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod bound;
+mod concurrency_limit;
 pub mod engine;
 mod gossip;
 mod gossip_exchange;
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::bound::ConcurrencyLimit;
+use crate::concurrency_limit::ConcurrencyLimit;
 use crate::gossip::{host_key, Composer, CopyStatus, PeerTable};
 use crate::hash::hash;
 use crate::interface::*;
