--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,4 +1,5 @@
-//! Two routers that are one to the rules: the ration of orders, and attempts that a request had elsewhere.
+//! Handover between two routers: both count as one for the load budget and the limits of cold workers, and attempts of a
+//! request at the other router count as this router's own.
 
 mod common;
 
@@ -7,34 +8,38 @@
 use wheellink::engine::{Command, NewRequest, Verdict};
 use wheellink::*;
 
-const PERIOD: Micros = 10 * S;
+/// Period of the load budget.
+const PERIOD_US: Micros = 10 * S;
 
-fn rationed() -> Settings {
-    let load_budget = Some(LoadBudget { free: 2.0, share: 0.2, period: PERIOD });
+fn with_load_budget() -> Settings {
+    let load_budget = Some(LoadBudget { free: 2.0, share: 0.2, period: PERIOD_US });
     Settings { when_cold: WhenCold::Misses, load_budget, ..settings() }
 }
 
-/// A call that a worker answered: it counts for the ration.
-fn counted(bed: &mut TestBed, function: &str) {
+/// Makes a call that a worker answers, so that it counts for the load budget.
+fn answered_call(bed: &mut TestBed, function: &str) {
     let (request, out) = bed.call(SAFE, function);
     if let Some(worker) = sent(&out) {
         bed.answer(&request, 0, &worker, Outcome::Done);
     }
 }
 
-/// Whatever either does: orders of the window, both taken together, stay within 2 and 20% of the calls, and
-/// neither is kept from its first.
+/// Whatever the two routers do, their orders in a period together stay within 2 and 20% of the calls, and neither is
+/// denied its first order.
 #[rstest]
-fn one_ration_for_two(#[values(0.01, 0.25, 0.5, 1.0)] share: f64, #[values(1, 2, 3, 4, 5)] seed: u64) {
+fn one_budget_for_two_routers(
+    #[values(0.01, 0.25, 0.5, 1.0)] share: f64,
+    #[values(1, 2, 3, 4, 5)] seed: u64,
+) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut bed = TestBed::new(rationed(), 3);
+    let mut bed = TestBed::new(with_load_budget(), 3);
     bed.router.set_peer_share(share);
     let (mut calls, mut orders): (Vec<Micros>, Vec<Micros>) = (Vec::new(), Vec::new());
     let mut granted = 0;
     for n in 0..600 {
         bed.now += rng.i64(0..40 * MS);
         match rng.u8(0..4) {
-            // A call of its own that misses, mostly of a function that is loaded nowhere: orders one there.
+            // An own call that misses, mostly of a function that is loaded nowhere, so that a load is ordered.
             0 => {
                 let (request, out) = bed.call(SAFE, &format!("f{n}"));
                 if let Some(worker) = sent(&out) {
@@ -44,7 +49,7 @@
                 }
             }
             1 => {
-                counted(&mut bed, "hot");
+                answered_call(&mut bed, "hot");
                 calls.push(bed.now);
             }
             2 => {
@@ -58,21 +63,21 @@
                 calls.extend([bed.now; 3]);
             }
             _ => {
-                let yes = bed.router.grant_order(bed.now);
-                granted += u32::from(yes);
-                orders.extend(yes.then_some(bed.now));
+                let grant = bed.router.grant_order(bed.now);
+                granted += u32::from(grant);
+                orders.extend(grant.then_some(bed.now));
             }
         }
-        let within = |times: &[Micros]| times.iter().filter(|t| **t > bed.now - PERIOD).count() as f64;
+        let within = |times: &[Micros]| times.iter().filter(|t| **t > bed.now - PERIOD_US).count() as f64;
         assert!(within(&orders) <= 2.0 + 0.2 * within(&calls), "{} of {}", within(&orders), within(&calls));
     }
-    assert!(granted > 0 && orders.len() > granted as usize, "both had some: {granted} of {}", orders.len());
+    assert!(granted > 0 && orders.len() > granted as usize, "one got none: {granted} of {}", orders.len());
 }
 
-/// A burst of one leaves the other its due.
+/// A burst of misses at one router must not use the other's part of the load budget.
 #[test]
-fn a_burst_of_one_leaves_the_other_its_first_order() {
-    let mut bed = TestBed::new(rationed(), 3);
+fn a_burst_of_one_router_leaves_the_other_its_first_order() {
+    let mut bed = TestBed::new(with_load_budget(), 3);
     bed.router.set_peer_share(0.5);
     let mut own = 0;
     for n in 0..8 {
@@ -82,40 +87,40 @@
         }
     }
     assert!(own >= 1 && bed.router.grant_order(bed.now), "{own}");
-    // Without anybody beside it all of it is its own.
+    // Without a peer the whole budget is its own.
     bed.router.set_peer_share(0.0);
     assert!(!bed.router.grant_order(bed.now) || own < 3);
 }
 
-/// What the other told is not told on as this one's own, until it is gone.
+/// A router must not report the tallies of its peer back to it as its own while the peer runs, or they would count twice.
 #[test]
-fn what_the_other_told_is_not_told_back() {
-    let mut bed = TestBed::new(rationed(), 2);
-    counted(&mut bed, "f");
+fn tallies_of_the_peer_are_not_reported_back_to_it() {
+    let mut bed = TestBed::new(with_load_budget(), 2);
+    answered_call(&mut bed, "f");
     let at = bed.now - bed.now.rem_euclid(Tally::LENGTH_US);
-    let told = |sender_keeps_running| HandoverState {
+    let state = |sender_keeps_running| HandoverState {
         tallies: vec![Tally { at, calls: 7, orders: 0 }],
         sender_keeps_running,
         ..HandoverState::default()
     };
-    bed.event(Event::Handover(told(true)));
+    bed.event(Event::Handover(state(true)));
     assert!(bed.router.grant_order(bed.now));
     let sum = |tallies: Vec<Tally>| {
         tallies.iter().fold((0, 0), |(calls, orders), t| (calls + t.calls, orders + t.orders))
     };
     assert_eq!(sum(bed.router.tallies(0)), (1, 0));
-    assert_eq!(sum(bed.router.handover_state().tallies), (8, 1), "whoever takes its place is told all");
+    assert_eq!(sum(bed.router.handover_state().tallies), (8, 1), "a replacing router gets all");
     bed.router.peer_gone();
     assert_eq!(sum(bed.router.tallies(0)), (8, 1));
 }
 
-/// Cold workers stand what both send together: what the other tells is kept no longer than it matters.
+/// The limit of a cold worker counts the attempts of both routers within one window. Older ones must not accumulate.
 #[test]
-fn sends_that_the_other_tells_are_bounded() {
+fn reported_sends_to_cold_workers_are_kept_for_one_window() {
     let mut bed = TestBed::new(settings(), 1);
-    let mut young = entry("w0", Condition::Up);
-    young.ready_at = bed.now;
-    bed.event(Event::List { kind: ListKind::Delta, entries: vec![young] });
+    let mut cold = entry("w0", Condition::Up);
+    cold.ready_at = bed.now;
+    bed.event(Event::List { kind: ListKind::Delta, entries: vec![cold] });
     assert!(bed.router.is_cold(&"w0".into()) && !bed.router.is_cold(&"w9".into()));
     for _ in 0..1000 {
         bed.now += 10 * MS;
@@ -127,12 +132,14 @@
         }));
     }
     let kept = bed.router.handover_state().sends;
-    assert!(kept[0].1.len() <= 201, "those of 2 s: {}", kept[0].1.len());
+    assert!(kept[0].1.len() <= 201, "more than those of 2 s: {}", kept[0].1.len());
 }
 
-// ------------------------------------------------------------------------------- attempts elsewhere
+// ------------------------------------------------------------------------------- attempts at another router
 
-fn again(class: usize, past: &[(&str, Outcome)], workers: &[&str]) -> (Vec<String>, Vec<Verdict>) {
+/// Sends a request with these past attempts to an engine with these workers, where names with `z` are in another zone.
+/// Returns the hosts of its attempts, and its answers.
+fn run_with_past(class: usize, past: &[(&str, Outcome)], workers: &[&str]) -> (Vec<String>, Vec<Verdict>) {
     let mut engine = Engine::new(Router::new(settings(), 7).unwrap(), S);
     let (now, mut out) = (100 * S, Vec::new());
     let zoned =
@@ -170,48 +177,48 @@
 
 #[rstest]
 #[case::safe(SAFE, Outcome::Reset)]
-#[case::proven(UNSAFE, Outcome::NotSent)]
-#[case::proven_keyed(KEYED, Outcome::Full)]
-fn what_may_go_on_is_sent_once(#[case] class: usize, #[case] past: Outcome) {
-    let (sends, answers) = again(class, &[("w0", past)], &["w0", "w1"]);
+#[case::never_ran(UNSAFE, Outcome::NotSent)]
+#[case::never_ran_keyed(KEYED, Outcome::Full)]
+fn a_request_that_may_be_retried_is_sent_once(#[case] class: usize, #[case] past: Outcome) {
+    let (sends, answers) = run_with_past(class, &[("w0", past)], &["w0", "w1"]);
     assert_eq!((sends.len(), answers.len()), (1, 1), "{sends:?} {answers:?}");
 }
 
 #[test]
-fn what_may_have_run_is_bound_by_its_class() {
-    let (sends, answers) = again(UNSAFE, &[("w0", Outcome::Reset)], &["w0", "w1"]);
+fn past_attempts_that_may_have_run_limit_retries_by_the_class() {
+    let (sends, answers) = run_with_past(UNSAFE, &[("w0", Outcome::Reset)], &["w0", "w1"]);
     assert_eq!((sends.len(), &answers[..]), (0, &[Verdict::Failed][..]));
-    // The zone of the first attempt, and no other.
-    let (sends, _) = again(KEYED, &[("w0", Outcome::Reset)], &["z1", "z2", "w0", "w1"]);
+    // Only in the zone of the past attempt.
+    let (sends, _) = run_with_past(KEYED, &[("w0", Outcome::Reset)], &["z1", "z2", "w0", "w1"]);
     assert!(sends.iter().all(|host| host.starts_with('w')) && sends.len() == 1, "{sends:?}");
-    let (sends, answers) = again(KEYED, &[("w0", Outcome::Reset)], &["z1", "z2"]);
-    assert_eq!((sends.len(), answers.len()), (0, 1), "nobody there drops the repeat");
+    let (sends, answers) = run_with_past(KEYED, &[("w0", Outcome::Reset)], &["z1", "z2"]);
+    assert_eq!((sends.len(), answers.len()), (0, 1), "no worker there drops the repeat");
 }
 
 #[test]
-fn attempts_elsewhere_count() {
+fn past_attempts_count_for_the_maximum() {
     let past =
         [("w0", Outcome::Reset), ("w1", Outcome::Error), ("w0", Outcome::Reset), ("w1", Outcome::Reset)];
-    let (sends, answers) = again(SAFE, &past, &["w0", "w1", "w2"]);
-    assert_eq!((sends.len(), answers.len()), (0, 1), "four are allowed");
-    let (sends, _) = again(SAFE, &past[..3], &["w0", "w1", "w2"]);
+    let (sends, answers) = run_with_past(SAFE, &past, &["w0", "w1", "w2"]);
+    assert_eq!((sends.len(), answers.len()), (0, 1), "more than four attempts");
+    let (sends, _) = run_with_past(SAFE, &past[..3], &["w0", "w1", "w2"]);
     assert_eq!(sends.len(), 1);
 }
 
-/// An order that was never given tells nothing of the worker: what is believed there stays, and it is not asked
-/// for again at once.
+/// An order that was never sent says nothing about the worker: its copies are still assumed to be loaded, and the order is
+/// not repeated at once.
 #[test]
-fn an_order_that_was_not_given_changes_no_belief() {
-    let mut bed = TestBed::new(rationed(), 1);
-    // Calls enough that the ration leaves room for orders ahead of need.
+fn an_order_that_was_not_sent_changes_no_assumed_copies() {
+    let mut bed = TestBed::new(with_load_budget(), 1);
+    // Enough calls that the load budget leaves room for orders ahead of calls.
     let worker = (0..10).map(|_| bed.serve(SAFE, "f")).last().unwrap();
-    // Two lanes of the one copy are taken: the next call has another copy ordered.
+    // Both lanes of the only copy are in use, so the next call causes an order of another copy.
     let outs: Vec<_> = (0..3).map(|_| bed.call(SAFE, "f").1).collect();
-    let wanted: usize = outs.iter().map(|out| loads(out).len()).sum();
-    assert_eq!(wanted, 1, "{outs:?}");
+    let ordered: usize = outs.iter().map(|out| loads(out).len()).sum();
+    assert_eq!(ordered, 1, "{outs:?}");
     let ended = Event::LoadEnded { worker, function: "f".into(), outcome: Outcome::NotSent, copies: 0 };
     let out = bed.event(ended);
     assert!(loads(&out).is_empty() && sent(&out).is_none(), "{out:?}");
-    assert_eq!(bed.router.handover_state().loaded.len(), 1, "the copy that stands is still believed in");
-    assert_eq!(loads(&bed.call(SAFE, "f").1).len(), 1, "the next call wants it again");
+    assert_eq!(bed.router.handover_state().loaded.len(), 1, "the loaded copy is no longer assumed");
+    assert_eq!(loads(&bed.call(SAFE, "f").1).len(), 1, "the next call causes no order");
 }
--- a/tests/preferred_locations.rs
+++ b/tests/preferred_locations.rs
@@ -1,4 +1,4 @@
-//! Advice on where a request is best served: heeded among what may be used, and nothing more.
+//! Preferred locations of a request only order the workers that the router could choose anyway.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use wheellink::*;
 
-/// Workers w0 to w5, two to a cell, all of them warm for "f".
+/// Workers w0 to w5, two in each cell and three in each zone, all with loaded copies of "f".
 fn bed() -> TestBed {
     let mut bed = TestBed::new(settings(), 0);
     let at = |i: usize| ListEntry {
@@ -28,25 +28,25 @@
     bed
 }
 
-/// Workers as in [`bed`], with 40 routers that may tell one another so many bytes at once.
-fn bed_of_many(tell: usize) -> TestBed {
+/// Workers as in [`bed`], at one of 40 routers with datagrams of this size.
+fn bed_of_many(max_gossip_bytes: usize) -> TestBed {
     let mut bed = bed();
-    bed.event(Event::Settings(Box::new(Settings { routers: 40, max_gossip_bytes: tell, ..settings() })));
+    bed.event(Event::Settings(Box::new(Settings { routers: 40, max_gossip_bytes, ..settings() })));
     bed
 }
 
-/// What answers tell of crowds steers where nobody could tell it otherwise, and there alone.
+/// Overlapping calls that answers report are used only where routers do not gossip; with gossip they change no decision.
 #[test]
-fn crowds_that_answers_tell_count_only_where_routers_cannot_tell_one_another() {
-    let play = |tell: usize, told: bool| {
-        let mut bed = bed_of_many(tell);
-        let mut to = Vec::new();
+fn reported_overlap_affects_routing_only_without_gossip() {
+    let run = |max_gossip_bytes: usize, reports: bool| {
+        let mut bed = bed_of_many(max_gossip_bytes);
+        let mut workers = Vec::new();
         for _ in 0..30 {
             bed.now += 200 * MS;
             let (request, out) = bed.call(SAFE, "f");
             let worker = sent(&out).remove(0);
-            // The first three hold twenty calls of the function, the others none.
-            let overlap = told.then_some(if worker.as_str() < "w3" { 20 } else { 0 });
+            // The first three workers hold twenty calls of the function, the others none.
+            let overlap = reports.then_some(if worker.as_str() < "w3" { 20 } else { 0 });
             bed.event(Event::Answer {
                 request,
                 attempt: 0,
@@ -58,33 +58,35 @@
                 overlap,
                 report: None,
             });
-            to.push(worker);
+            workers.push(worker);
         }
-        to
+        workers
     };
-    assert_eq!(play(256, true), play(256, false));
-    let crowded = |to: Vec<String>| to.iter().filter(|w| w.as_str() < "w3").count();
-    let (told, untold) = (crowded(play(0, true)), crowded(play(0, false)));
-    assert!(told < untold, "{told} of 30 calls to crowded workers, {untold} where nothing is told");
+    assert_eq!(run(256, true), run(256, false));
+    let crowded = |workers: Vec<String>| workers.iter().filter(|w| w.as_str() < "w3").count();
+    let (with, without) = (crowded(run(0, true)), crowded(run(0, false)));
+    assert!(with < without, "{with} of 30 calls to crowded workers, {without} without reports");
 }
 
+/// Worker of the first attempt, as a list of one or no name.
 fn sent(out: &[Action]) -> Vec<String> {
     common::sent(out).map(|w| w.0.to_string()).into_iter().collect()
 }
 
-fn advised(bed: &mut TestBed, spots: Vec<PreferredLocation>) -> String {
-    bed.event(Event::PreferredLocations(spots));
+/// Serves a call with these preferred locations and returns its worker.
+fn routed(bed: &mut TestBed, locations: Vec<PreferredLocation>) -> String {
+    bed.event(Event::PreferredLocations(locations));
     let (request, out) = bed.call(SAFE, "f");
-    let to = sent(&out);
-    assert_eq!(to.len(), 1, "{out:?}");
-    bed.answer_warm(&request, &to[0].as_str().into(), 50 * MS);
-    to[0].clone()
+    let workers = sent(&out);
+    assert_eq!(workers.len(), 1, "{out:?}");
+    bed.answer_warm(&request, &workers[0].as_str().into(), 50 * MS);
+    workers[0].clone()
 }
 
-/// Events of a seed, with or without empty advice before each arrival: the same actions to the last bit.
+/// Random events, with or without an empty list of locations before each arrival, must give exactly the same actions.
 #[test]
-fn an_empty_advice_changes_nothing() {
-    let play = |seed: u64, empty: bool| {
+fn an_empty_list_of_locations_changes_nothing() {
+    let run = |seed: u64, empty: bool| {
         let mut bed = bed();
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut log = Vec::new();
@@ -125,7 +127,7 @@
         log
     };
     for seed in 0..4 {
-        let (with, without) = (play(seed, true), play(seed, false));
+        let (with, without) = (run(seed, true), run(seed, false));
         assert!(with.len() > 1_000 && with == without, "seed {seed}");
     }
 }
@@ -135,47 +137,47 @@
 #[case::zone(vec![PreferredLocation::Zone(1)], &["w3", "w4", "w5"])]
 #[case::worker(vec![PreferredLocation::Worker("w4".into())], &["w4"])]
 #[case::best_first(vec![PreferredLocation::Worker("w1".into()), PreferredLocation::Cell(2)], &["w1"])]
-#[case::nobody_there(vec![PreferredLocation::Cell(77), PreferredLocation::Worker("w5".into())], &["w5"])]
-fn a_warm_worker_of_the_first_spot_is_taken(#[case] spots: Vec<PreferredLocation>, #[case] wanted: &[&str]) {
+#[case::no_worker_there(vec![PreferredLocation::Cell(77), PreferredLocation::Worker("w5".into())], &["w5"])]
+fn the_best_location_is_used(#[case] locations: Vec<PreferredLocation>, #[case] expected: &[&str]) {
     let mut bed = bed();
     for _ in 0..20 {
-        let to = advised(&mut bed, spots.clone());
-        assert!(wanted.contains(&to.as_str()), "{to} is none of {wanted:?}");
+        let worker = routed(&mut bed, locations.clone());
+        assert!(expected.contains(&worker.as_str()), "{worker} is none of {expected:?}");
     }
 }
 
 #[test]
-fn only_three_spots_are_heeded_and_only_for_the_next_arrival() {
+fn only_three_locations_are_used_and_only_for_the_next_arrival() {
     let mut bed = bed();
     let far = |i: i64| PreferredLocation::Cell(90 + i);
-    let tos: Vec<_> = (0..60)
-        .map(|_| advised(&mut bed, vec![far(0), far(1), far(2), PreferredLocation::Worker("w0".into())]))
+    let workers: Vec<_> = (0..60)
+        .map(|_| routed(&mut bed, vec![far(0), far(1), far(2), PreferredLocation::Worker("w0".into())]))
         .collect();
-    assert!(tos.iter().any(|to| to != "w0"), "the fourth spot was heeded");
+    assert!(workers.iter().any(|w| w != "w0"), "the fourth location was used");
     bed.event(Event::PreferredLocations(vec![PreferredLocation::Worker("w0".into())]));
-    let tos: Vec<_> = (0..60)
+    let workers: Vec<_> = (0..60)
         .map(|_| {
             let (request, out) = bed.call(SAFE, "f");
-            let to = sent(&out)[0].clone();
-            bed.answer_warm(&request, &to.as_str().into(), 50 * MS);
-            to
+            let worker = sent(&out)[0].clone();
+            bed.answer_warm(&request, &worker.as_str().into(), 50 * MS);
+            worker
         })
         .collect();
-    assert!(tos.iter().any(|to| to != "w0"), "an advice outlived its arrival");
+    assert!(workers.iter().any(|w| w != "w0"), "the locations were used for a later arrival");
 }
 
-/// What the rules rule out stays out, whatever is advised.
+/// Workers that the router could not choose otherwise stay excluded.
 #[test]
-fn advice_moves_no_rule() {
+fn preferred_locations_override_no_rule() {
     let mut bed = bed();
     let w4 = || vec![PreferredLocation::Worker("w4".into())];
     let draining = ListEntry { cell: 2, zone: 1, ..entry("w4", Condition::Draining) };
     bed.event(Event::List { kind: ListKind::Delta, entries: vec![draining] });
-    assert!((0..20).all(|_| advised(&mut bed, w4()) != "w4"), "a draining worker was sent something");
+    assert!((0..20).all(|_| routed(&mut bed, w4()) != "w4"), "a draining worker got a request");
     let up = ListEntry { cell: 2, zone: 1, ..entry("w4", Condition::Up) };
     bed.event(Event::List { kind: ListKind::Delta, entries: vec![up] });
     bed.event(Event::OutOfService { worker: "w4".into(), out: true });
-    assert!((0..20).all(|_| advised(&mut bed, w4()) != "w4"), "a barred worker was sent something");
+    assert!((0..20).all(|_| routed(&mut bed, w4()) != "w4"), "a worker out of service got a request");
     // A keyed call that may have run in zone 0 stays there.
     bed.event(Event::OutOfService { worker: "w4".into(), out: false });
     bed.event(Event::PastAttempts(vec![PastAttempt {
@@ -185,16 +187,16 @@
     }]));
     bed.event(Event::PreferredLocations(vec![PreferredLocation::Zone(1)]));
     let (_, out) = bed.call(KEYED, "f");
-    let to = sent(&out);
-    assert!(to.iter().all(|w| ["w0", "w1", "w2"].contains(&w.as_str())), "{to:?}");
-    // A site that is full is passed over.
+    let workers = sent(&out);
+    assert!(workers.iter().all(|w| ["w0", "w1", "w2"].contains(&w.as_str())), "{workers:?}");
+    // A preferred worker without room is passed over.
     let mut bed = self::bed();
-    let tos: Vec<String> = (0..12)
+    let workers: Vec<String> = (0..12)
         .flat_map(|_| {
             bed.event(Event::PreferredLocations(vec![PreferredLocation::Worker("w1".into())]));
             sent(&bed.call(SAFE, "f").1)
         })
         .collect();
-    let there = tos.iter().filter(|to| *to == "w1").count();
+    let there = workers.iter().filter(|w| *w == "w1").count();
     assert!((1..=4).contains(&there), "{there} of 12 at once on 2 copies of 2 lanes");
 }
