--- a/tests/cold_host_limits.rs
+++ b/tests/cold_host_limits.rs
@@ -17,7 +17,7 @@
 
 /// Settings of cold hosts, and the duration of a call there.
 #[derive(Clone, Copy, Debug)]
-struct Site {
+struct HostKind {
     /// Duration of a call.
     work: Micros,
     cold_from: f64,
@@ -27,21 +27,25 @@
 }
 
 /// The settings allow a host that has just started 24 calls in a window.
-const LIGHT: Site = Site { work: 100 * MS, cold_from: 0.15, cold_for: 8 * S, multiple: 2.0, window: 2 * S };
+const SHORT_CALLS: HostKind =
+    HostKind { work: 100 * MS, cold_from: 0.15, cold_for: 8 * S, multiple: 2.0, window: 2 * S };
 /// The settings allow it 14, twice its share of the calls of a warm host, so that the calls that it serves could raise
 /// the number that it is sent.
-const HEAVY: Site = Site { work: 600 * MS, cold_from: 0.17, cold_for: 18 * S, multiple: 4.0, window: 3 * S };
+const LONG_CALLS: HostKind =
+    HostKind { work: 600 * MS, cold_from: 0.17, cold_for: 18 * S, multiple: 4.0, window: 3 * S };
 
+/// Gossip between the routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Gossip {
     On,
     Off,
     /// Datagrams are delivered as in [`Delivery::Faulty`].
-    Lossy,
+    Faulty,
 }
 
+/// What happens while the hosts are cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Scenario {
     None,
     /// Each router learns of a start at a random time within three seconds.
     LateLists,
@@ -68,17 +72,18 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    site: Site,
+    kind: HostKind,
     routers: u32,
     gossip: Gossip,
-    trouble: Trouble,
+    scenario: Scenario,
     flaw: Flaw,
     seed: u64,
+    /// Number of hosts; all but [`WARM_HOSTS`] restart.
     hosts: usize,
 }
 
 /// Result of a case.
-struct Played {
+struct RunResult {
     overloaded: Vec<String>,
     /// The largest number of requests that a host got in a window, as a part of the limit at which it fails.
     max: f64,
@@ -93,91 +98,92 @@
 const WARM_HOSTS: usize = 2;
 const FUNCTIONS: usize = 30;
 
-fn play(case: Case) -> Played {
-    let Case { site, routers, gossip, trouble, flaw, seed, hosts } = case;
+/// Simulates a case.
+fn run(case: Case) -> RunResult {
+    let Case { kind, routers, gossip, scenario, flaw, seed, hosts } = case;
     let mut settings = Settings {
         routers,
         max_gossip_bytes: if gossip == Gossip::Off { 0 } else { 256 },
         when_cold: WhenCold::Misses,
         load_budget: Some(LoadBudget { free: 2.0, share: 0.2, period: 10 * S }),
-        cold_from: site.cold_from,
-        cold_for: site.cold_for,
-        fall_multiple: site.multiple,
-        fall_window: site.window,
+        cold_from: kind.cold_from,
+        cold_for: kind.cold_for,
+        fall_multiple: kind.multiple,
+        fall_window: kind.window,
         ..settings()
     };
-    settings.classes.iter_mut().for_each(|c| (c.aim, c.give_up) = (5 * site.work, 20 * site.work));
+    settings.classes.iter_mut().for_each(|c| (c.aim, c.give_up) = (5 * kind.work, 20 * kind.work));
     let mut fleet = Fleet::with_settings(settings, hosts, FUNCTIONS);
     fleet.seed(seed);
-    fleet.work = site.work;
-    fleet.delivery = if gossip == Gossip::Lossy { Delivery::Faulty } else { Delivery::Normal };
-    fleet.first_half_share = if trouble == Trouble::Skewed { 6.0 / 7.0 } else { 0.5 };
-    let rate = 0.9 * (hosts as u32 * fleet.cores) as f64 * 1e6 / site.work as f64;
+    fleet.work = kind.work;
+    fleet.delivery = if gossip == Gossip::Faulty { Delivery::Faulty } else { Delivery::Normal };
+    fleet.first_half_share = if scenario == Scenario::Skewed { 6.0 / 7.0 } else { 0.5 };
+    let rate = 0.9 * (hosts as u32 * fleet.cores) as f64 * 1e6 / kind.work as f64;
     fleet.advance(6 * S, rate);
     fleet.override_settings(|s| match flaw {
         Flaw::None => {}
         Flaw::ShareTimes(times) => s.fall_multiple *= times,
         Flaw::OnlyRouter => s.routers = 1,
     });
-    let list_delay = if trouble == Trouble::LateLists { 3 * S } else { 100 * MS };
+    let list_delay = if scenario == Scenario::LateLists { 3 * S } else { 100 * MS };
     for i in 0..hosts - WARM_HOSTS {
         let n = format!("h{i}");
         fleet.start_host(&n);
         fleet.list_host(&n, Condition::Up, list_delay);
     }
-    fleet.advance(site.window, rate);
-    if trouble == Trouble::LateConnections {
+    fleet.advance(kind.window, rate);
+    if scenario == Scenario::LateConnections {
         fleet.late_connections = (0.4, 0.02);
     }
-    if trouble == Trouble::Restarts {
+    if scenario == Scenario::Restarts {
         (0..routers as usize).for_each(|r| fleet.restart(r, 2));
     }
-    if trouble == Trouble::Bursts {
+    if scenario == Scenario::Bursts {
         fleet.surge = (0.6, (0..8).map(|i| format!("new{i}").as_str().into()).collect());
         fleet.advance(S, 2.0 * rate);
     }
-    fleet.advance(2 * site.window, rate);
+    fleet.advance(2 * kind.window, rate);
     let (overloaded, max) = fleet.overloaded_hosts();
     let (used, windows) = fleet.cold_host_use();
-    Played { overloaded, max, used, windows }
+    RunResult { overloaded, max, used, windows }
 }
 
 const SEEDS: std::ops::Range<u64> = 1..4;
-const TROUBLES: [Trouble; 6] = [
-    Trouble::None,
-    Trouble::LateLists,
-    Trouble::Restarts,
-    Trouble::Bursts,
-    Trouble::Skewed,
-    Trouble::LateConnections,
+const SCENARIOS: [Scenario; 6] = [
+    Scenario::None,
+    Scenario::LateLists,
+    Scenario::Restarts,
+    Scenario::Bursts,
+    Scenario::Skewed,
+    Scenario::LateConnections,
 ];
 
-/// Simulates each trouble on both sites with this many routers: no host fails, and the started ones get at least this
+/// Simulates each scenario with both kinds of hosts and this many routers: no host fails, and the started ones get at least this
 /// part of the calls that the settings allow. A restarted router sends them nothing for a window, which is most of the
 /// time that is simulated after it.
 fn check(routers: u32, gossip: &[Gossip], seeds: std::ops::Range<u64>, min_used: f64) {
     let mut windows = 0.0;
-    for (site, trouble) in [LIGHT, HEAVY].into_iter().flat_map(|site| TROUBLES.map(|t| (site, t))) {
+    for (kind, scenario) in [SHORT_CALLS, LONG_CALLS].into_iter().flat_map(|k| SCENARIOS.map(|s| (k, s))) {
         for gossip in gossip {
             let (mut max, mut used) = (0.0_f64, f64::MAX);
             for seed in seeds.clone() {
                 let case =
-                    Case { site, routers, gossip: *gossip, trouble, flaw: Flaw::None, seed, hosts: HOSTS };
-                let played = play(case);
-                assert!(played.overloaded.is_empty(), "{case:?}: {:?} failed", played.overloaded);
-                assert!(played.max <= 1.0, "{case:?}: {:.2} of the limit", played.max);
-                (max, used) = (max.max(played.max), used.min(played.used));
-                windows += played.windows;
+                    Case { kind, routers, gossip: *gossip, scenario, flaw: Flaw::None, seed, hosts: HOSTS };
+                let result = run(case);
+                assert!(result.overloaded.is_empty(), "{case:?}: {:?} failed", result.overloaded);
+                assert!(result.max <= 1.0, "{case:?}: {:.2} of the limit", result.max);
+                (max, used) = (max.max(result.max), used.min(result.used));
+                windows += result.windows;
             }
             println!(
-                "{routers} routers, {} ms, gossip {gossip:?}, {trouble:?}: at most {max:.2} of the limit, \
+                "{routers} routers, {} ms, gossip {gossip:?}, {scenario:?}: at most {max:.2} of the limit, \
                  at least {used:.2} of the allowed calls",
-                site.work / MS
+                kind.work / MS
             );
-            let min_used = if trouble == Trouble::Restarts { min_used / 2.0 } else { min_used };
+            let min_used = if scenario == Scenario::Restarts { min_used / 2.0 } else { min_used };
             assert!(
                 used >= min_used,
-                "{routers} routers, gossip {gossip:?}, {trouble:?}: {used:.3} of the allowed calls"
+                "{routers} routers, gossip {gossip:?}, {scenario:?}: {used:.3} of the allowed calls"
             );
         }
     }
@@ -187,18 +193,18 @@
 #[test]
 fn one_and_two_routers_overload_no_cold_host() {
     check(1, &[Gossip::Off], SEEDS, 0.2);
-    check(2, &[Gossip::On, Gossip::Off, Gossip::Lossy], SEEDS, 0.2);
+    check(2, &[Gossip::On, Gossip::Off, Gossip::Faulty], SEEDS, 0.2);
 }
 
 #[test]
 fn twenty_routers_overload_no_cold_host() {
-    check(20, &[Gossip::On, Gossip::Off, Gossip::Lossy], 1..3, 0.12);
+    check(20, &[Gossip::On, Gossip::Off, Gossip::Faulty], 1..3, 0.12);
 }
 
 #[test]
 fn thirty_routers_overload_no_cold_host() {
     check(30, &[Gossip::Off], SEEDS, 0.1);
-    check(30, &[Gossip::On, Gossip::Lossy], 1..2, 0.1);
+    check(30, &[Gossip::On, Gossip::Faulty], 1..2, 0.1);
 }
 
 /// Each of so many routers sees few answers, so its share is below one call and drawn at random, and its allowance for
@@ -211,16 +217,16 @@
 /// Restarted routers may send nothing for most of the simulated time, as each sees so few answers before it.
 #[rstest]
 fn three_hundred_routers_with_gossip_overload_no_cold_host(
-    #[values(Gossip::On, Gossip::Lossy)] gossip: Gossip,
+    #[values(Gossip::On, Gossip::Faulty)] gossip: Gossip,
 ) {
     check(300, &[gossip], 1..2, 0.03);
 }
 
 /// Number of seeds with an overloaded host.
 fn overloads(flaw: Flaw, routers: u32) -> usize {
-    let (trouble, gossip) = (Trouble::Bursts, Gossip::Off);
-    let case = |seed| Case { site: LIGHT, routers, gossip, trouble, flaw, seed, hosts: HOSTS };
-    SEEDS.filter(|seed| !play(case(*seed)).overloaded.is_empty()).count()
+    let (scenario, gossip) = (Scenario::Bursts, Gossip::Off);
+    let case = |seed| Case { kind: SHORT_CALLS, routers, gossip, scenario, flaw, seed, hosts: HOSTS };
+    SEEDS.filter(|seed| !run(case(*seed)).overloaded.is_empty()).count()
 }
 
 /// Simulated cold hosts serve as fast as warm ones, while the settings give the minimum that a cold host can do. The calls
@@ -228,16 +234,16 @@
 /// feedback must not exceed the limit.
 #[test]
 fn cold_hosts_that_serve_more_than_the_minimum_are_not_overloaded() {
-    for (seed, gossip) in [(1, Gossip::On), (1, Gossip::Lossy), (2, Gossip::On)] {
-        let (trouble, flaw) = (Trouble::Bursts, Flaw::None);
-        let played = play(Case { site: LIGHT, routers: 20, gossip, trouble, flaw, seed, hosts: 30 });
-        println!("30 hosts, gossip {gossip:?}: {:.2} of the limit, {:.2} used", played.max, played.used);
-        assert!(played.overloaded.is_empty() && played.used > 0.2, "{:?} failed", played.overloaded);
-        assert!(played.max <= 1.0, "{:.2} of the limit", played.max);
+    for (seed, gossip) in [(1, Gossip::On), (1, Gossip::Faulty), (2, Gossip::On)] {
+        let (scenario, flaw) = (Scenario::Bursts, Flaw::None);
+        let result = run(Case { kind: SHORT_CALLS, routers: 20, gossip, scenario, flaw, seed, hosts: 30 });
+        println!("30 hosts, gossip {gossip:?}: {:.2} of the limit, {:.2} used", result.max, result.used);
+        assert!(result.overloaded.is_empty() && result.used > 0.2, "{:?} failed", result.overloaded);
+        assert!(result.max <= 1.0, "{:.2} of the limit", result.max);
     }
 }
 
-/// The tests detect routers that use several times their share, or that assume to be the only one. They do not detect
+/// The tests detect routers that use several times their share, or that assume to be the only router. They do not detect
 /// shares that are too large by as little as the limit of an earlier specification, 24 + 3 roots of 27 calls, was above
 /// the present one.
 #[test]
--- a/tests/cold_hosts_without_gossip.rs
+++ b/tests/cold_hosts_without_gossip.rs
@@ -1,4 +1,4 @@
-//! Hundreds of routers that hear no other, and hosts that start cold: what all of them together send.
+//! The number of calls that hundreds of routers without gossip together send to cold hosts.
 
 mod common;
 
@@ -8,10 +8,10 @@
 
 const ROUTERS: u32 = 300;
 const HOSTS: usize = 60;
-/// Calls a second: half of what the hosts can do.
+/// Calls a second: half of the capacity of the hosts.
 const RATE: f64 = 600.0;
 
-/// A fleet that has run for so long. A call that finds no copy loads one; nobody tells anybody.
+/// A fleet without gossip that has run for this time. A call that finds no copy loads one.
 fn running(time: Micros) -> Fleet {
     let settings = Settings {
         routers: ROUTERS,
@@ -27,24 +27,24 @@
     fleet
 }
 
-/// Of these functions, those that have this host first in their order.
-fn at_home(host: &str, names: impl Iterator<Item = String>, many: usize) -> Vec<FunctionId> {
+/// Of these functions, the first `count` that have this host first in their order.
+fn functions_of(host: &str, names: impl Iterator<Item = String>, count: usize) -> Vec<FunctionId> {
     let mut bed = TestBed::new(settings(), 0);
     let list = (0..HOSTS).map(|i| entry(&format!("h{i}"), Condition::Up)).collect();
     bed.event(Event::List { kind: ListKind::Full, entries: list });
     let theirs = names.filter(|f| &*bed.serve(SAFE, f).0 == host);
-    theirs.take(many).map(|f| f.as_str().into()).collect()
+    theirs.take(count).map(|f| f.as_str().into()).collect()
 }
 
 type Names = Box<dyn Iterator<Item = String>>;
 
-/// Names that nobody called before.
-fn new() -> Names {
+/// Names of functions that were never called before.
+fn new_names() -> Names {
     Box::new((0..).map(|i| format!("new{i}")))
 }
 
-/// Names that have been called for long, each so seldom that few routers met it.
-fn seldom() -> Names {
+/// Names of functions that are called so rarely that few routers have seen a call.
+fn rare_names() -> Names {
     Box::new((100..300).map(|i| format!("f{i}")))
 }
 
@@ -55,27 +55,27 @@
     }
 }
 
-/// No host fell, and those that started were asked so often at the least.
-fn holds(what: &str, fleet: &Fleet, least: usize) {
-    let (fallen, most) = fleet.overloaded_hosts();
-    let asked: usize = fleet.hosts.values().filter(|h| h.started > 0).map(|h| h.arrivals.len()).sum();
+/// Checks that no host failed and that the started ones got at least this many calls.
+fn check(what: &str, fleet: &Fleet, min_calls: usize) {
+    let (overloaded, max) = fleet.overloaded_hosts();
+    let calls: usize = fleet.hosts.values().filter(|h| h.started > 0).map(|h| h.arrivals.len()).sum();
     let (seen, loads) = (&fleet.counts, fleet.counts.loads.values().sum::<usize>());
     let counts = format!(
-        "{what}: {asked} calls to starting hosts, {most:.2} of what fells one; {} calls in all, {} late, {loads} loads",
+        "{what}: {calls} calls to started hosts, {max:.2} of the limit; {} calls in all, {} late, {loads} loads",
         seen.calls, seen.late
     );
     println!("{counts}");
-    assert!(fallen.is_empty() && asked >= least, "{counts}; fallen {fallen:?}");
+    assert!(overloaded.is_empty() && calls >= min_calls, "{counts}; failed {overloaded:?}");
 }
 
-/// A host bears 41 calls in two seconds when it starts, and 600 come for it. Where starting hosts take whole functions,
-/// the first call of each router is too many already.
+/// A host that has just started can take 41 calls in two seconds, and 600 calls come for its functions. If routers sent it
+/// all calls of a function, the first call of each router would already be too many.
 #[test]
-fn functions_hot_at_all_routers_at_once_push_no_starting_host_over() {
+fn functions_called_at_all_routers_at_once_overload_no_starting_host() {
     let surges = [
-        ("three new functions", at_home("h7", new(), 3)),
-        ("many new functions of one home", at_home("h7", new(), 60)),
-        ("functions that were seldom called", at_home("h7", seldom(), 3)),
+        ("three new functions", functions_of("h7", new_names(), 3)),
+        ("many new functions of one host", functions_of("h7", new_names(), 60)),
+        ("rarely called functions", functions_of("h7", rare_names(), 3)),
     ];
     for (what, functions) in surges {
         let mut fleet = running(10 * S);
@@ -83,20 +83,20 @@
         fleet.advance(S, RATE);
         fleet.surge = (0.5, functions);
         fleet.advance(4 * S, RATE);
-        holds(what, &fleet, 0);
+        check(what, &fleet, 0);
     }
 }
 
 #[test]
-fn hot_functions_push_none_of_several_starting_hosts_over() {
+fn popular_functions_overload_none_of_several_starting_hosts() {
     let mut fleet = running(10 * S);
     for step in 0..4 {
         start(&mut fleet, step * 6..step * 6 + 6);
         if step == 1 {
-            fleet.surge = (0.5, at_home("h7", new(), 3));
+            fleet.surge = (0.5, functions_of("h7", new_names(), 3));
         }
         fleet.advance(2 * S, RATE);
     }
     fleet.advance(4 * S, RATE);
-    holds("24 hosts start", &fleet, 20);
+    check("24 hosts start", &fleet, 20);
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -27,10 +27,7 @@
 /// Whatever the two routers do, their orders in a period together stay within 2 and 20% of the calls, and neither is
 /// denied its first order.
 #[rstest]
-fn one_budget_for_two_routers(
-    #[values(0.01, 0.25, 0.5, 1.0)] share: f64,
-    #[values(1, 2, 3, 4, 5)] seed: u64,
-) {
+fn one_budget_for_two(#[values(0.01, 0.25, 0.5, 1.0)] share: f64, #[values(1, 2, 3, 4, 5)] seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut bed = TestBed::new(with_load_budget(), 3);
     bed.router.set_peer_share(share);
--- a/tests/label_independence.rs
+++ b/tests/label_independence.rs
@@ -1,5 +1,6 @@
-//! Names, numbers and orders that mean nothing: a deployment under other labels gets the same decisions. What goes by a
-//! hash of host and function is the same in distribution; all else is the same to the last action.
+//! Decisions must not depend on the labels of a deployment: ids and numbers without meaning, and the order of lists. Where
+//! hashes of host and function names decide, other names give the same distribution of actions; all other labels give
+//! exactly the same actions.
 
 mod common;
 
@@ -8,19 +9,22 @@
 use common::*;
 use wheellink::*;
 
-/// How a deployment is named and ordered.
+/// Names, numbers and orders in a deployment.
 #[derive(Clone)]
 struct Labels {
     zones: [u32; 3],
     cells: [i64; 4],
-    /// Where each class and tenant stands in the settings.
+    /// Index of each class in the settings.
     classes: [usize; 3],
+    /// Index of each tenant in the settings.
     tenants: [usize; 3],
-    /// Before each request's id.
+    /// Prefix of the ids of requests.
     request: &'static str,
+    /// Prefix of the names of hosts.
     host: &'static str,
+    /// Prefix of the names of functions.
     function: &'static str,
-    /// Lists come the other way round.
+    /// Lists have the reverse order.
     reversed: bool,
 }
 
@@ -37,7 +41,7 @@
 
 const HOSTS: usize = 7;
 
-/// A deployment by its seed, under labels.
+/// The random deployment of a seed, with these labels.
 fn deployment(seed: u64, labels: &Labels) -> Settings {
     let mut rng = fastrand::Rng::with_seed(seed);
     let misses = rng.bool();
@@ -65,18 +69,18 @@
     }
 }
 
-/// Plays a deployment's day under labels; what was done, under the plain ones.
-fn play(seed: u64, labels: &Labels) -> Vec<String> {
+/// Runs the deployment of a seed with these labels; returns the actions with plain request ids.
+fn run(seed: u64, labels: &Labels) -> Vec<String> {
     let settings = deployment(seed, labels);
     let (misses, routers) = (settings.when_cold == WhenCold::Misses, settings.routers);
     let mut router = Router::new(settings, seed).unwrap();
     let mut rng = fastrand::Rng::with_seed(seed ^ 77);
     let host = |i: usize| WorkerId::from(format!("{}{i}", labels.host).as_str());
     let function = |i: usize| FunctionId::from(format!("{}{i}", labels.function).as_str());
-    let (mut now, mut next, mut done, mut wakes) = (50 * S, 0, Vec::new(), Vec::new());
-    // What ends later: attempts and orders.
+    let (mut now, mut next, mut actions, mut wakes) = (50 * S, 0, Vec::new(), Vec::new());
+    // Ends of attempts and orders at later times.
     let mut ends: BTreeMap<(Micros, usize), Event> = BTreeMap::new();
-    let mut tries: BTreeMap<RequestId, u32> = BTreeMap::new();
+    let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     for step in 0..900 {
         now += rng.i64(0..9 * MS);
         let event = if step == 0 || rng.u8(..60) == 0 {
@@ -98,7 +102,7 @@
         } else if let Some(entry) = ends.first_entry().filter(|e| e.key().0 <= now) {
             entry.remove()
         } else if routers > 1 && rng.u8(..8) == 0 {
-            // No more than that its sender lives: keys of hosts are hashes of their names.
+            // A datagram without entries: entries would contain hashes of host names.
             let mut data = vec![0x57, step as u8, 0];
             data[2] = data.iter().fold(0x9d, |sum: u8, b| (sum.rotate_left(3) ^ b).wrapping_add(7));
             Event::GossipReceived { from: 1 + rng.u32(..routers - 1), data }
@@ -122,7 +126,7 @@
             let plain = format!("{action:?}").replace(labels.request, PLAIN.request);
             match action {
                 Action::Send { request, worker, .. } => {
-                    let attempt = tries.entry(request.clone()).or_default();
+                    let attempt = attempts.entry(request.clone()).or_default();
                     let outcomes =
                         [Outcome::Done, Outcome::Done, Outcome::Done, Outcome::Full, Outcome::Reset];
                     let mut outcome = outcomes[rng.usize(..5)];
@@ -153,15 +157,15 @@
                 Action::Wake { at } => wakes.push(at),
                 _ => {}
             }
-            done.push(plain);
+            actions.push(plain);
         }
     }
-    done
+    actions
 }
 
-/// Fitted to nobody's names: zones, cells, requests, and the order of classes, tenants and lists.
+/// Other numbers of zones and cells, request ids, and orders of classes, tenants and lists.
 #[test]
-fn other_names_and_orders_give_the_same_decisions() {
+fn other_labels_give_the_same_actions() {
     let others = [
         Labels { zones: [7, 0, 3], ..PLAIN },
         Labels { cells: [-9, 77, 1_000_000, 5], ..PLAIN },
@@ -171,11 +175,11 @@
         Labels { reversed: true, ..PLAIN },
     ];
     for seed in 0..12 {
-        let plain = play(seed, &PLAIN);
+        let plain = run(seed, &PLAIN);
         let sends = plain.iter().filter(|a| a.starts_with("Send")).count();
         assert!(sends > 30, "seed {seed}: {sends} sends");
         for (k, labels) in others.iter().enumerate() {
-            let other = play(seed, labels);
+            let other = run(seed, labels);
             let differs = plain.iter().zip(&other).position(|(a, b)| a != b);
             let at = differs.unwrap_or(plain.len().min(other.len()));
             assert!(plain == other, "seed {seed}, labels {k}: {:?}, {:?}", plain.get(at), other.get(at));
@@ -183,31 +187,31 @@
     }
 }
 
-/// Hosts and functions go by hashes of their names: under other names others are chosen, as often and as evenly.
+/// Hosts are chosen by hashes of host and function names: other names give other hosts, as often and as evenly.
 #[test]
-fn other_hosts_and_functions_give_the_same_decisions_on_average() {
+fn other_host_and_function_names_give_the_same_distribution_of_actions() {
     let mut counts = Vec::new();
     for (host, function) in [("w", "f"), ("edge-", "form."), ("s-00c41f7", "7f3a9c21e0b4d65")] {
         let labels = Labels { host, function, ..PLAIN };
-        let (mut kinds, mut drawn) = (BTreeMap::<String, f64>::new(), [0.0; HOSTS]);
+        let (mut kinds, mut sends) = (BTreeMap::<String, f64>::new(), [0.0; HOSTS]);
         for seed in 0..60 {
-            for action in play(seed, &labels) {
+            for action in run(seed, &labels) {
                 *kinds.entry(action.split([' ', '{']).next().unwrap().into()).or_default() += 1.0;
-                for (i, n) in drawn.iter_mut().enumerate().filter(|_| action.starts_with("Send")) {
+                for (i, n) in sends.iter_mut().enumerate().filter(|_| action.starts_with("Send")) {
                     *n += f64::from(u8::from(action.contains(&format!("\"{host}{i}\""))));
                 }
             }
         }
-        let all: f64 = drawn.iter().sum();
+        let all: f64 = sends.iter().sum();
         assert_eq!(all, kinds["Send"]);
-        let most = drawn.iter().fold(0.0_f64, |a, b| a.max(*b)) / all * HOSTS as f64;
-        assert!(most < 1.4, "{host}: the most of a host is {most:.2} of the mean, {drawn:?}");
+        let max = sends.iter().fold(0.0_f64, |a, b| a.max(*b)) / all * HOSTS as f64;
+        assert!(max < 1.4, "{host}: the maximum of a host is {max:.2} of the mean, {sends:?}");
         counts.push(kinds);
     }
     for kind in ["Send", "Refuse", "Load", "Fail"] {
         let [a, b, c] = [0, 1, 2].map(|k| counts[k].get(kind).copied().unwrap_or(0.0));
         let mean = (a + b + c) / 3.0;
-        let apart = [a, b, c].iter().fold(0.0_f64, |most, n| most.max((n - mean).abs()));
-        assert!(apart < 0.1 * mean + 5.0 * mean.sqrt(), "{kind}: {a}, {b}, {c}");
+        let difference = [a, b, c].iter().fold(0.0_f64, |max, n| max.max((n - mean).abs()));
+        assert!(difference < 0.1 * mean + 5.0 * mean.sqrt(), "{kind}: {a}, {b}, {c}");
     }
 }
--- a/tests/misbehaving_module.rs
+++ b/tests/misbehaving_module.rs
@@ -1,5 +1,4 @@
-//! The engine's promises round a module that wants what may not be: each event of its script makes it ask for an
-//! attempt that must not begin.
+//! The guarantees of the engine with a module that requests attempts that must not begin.
 
 mod common;
 
@@ -10,32 +9,33 @@
 
 const HOST: &str = "w0";
 
-/// What this module is told of, for which it wants an attempt sent.
+/// Attempts that the module requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Wants {
-    /// One for each request that comes.
+enum Mode {
+    /// One attempt for each request that arrives.
     Ordinary,
-    /// Two for each request that comes.
+    /// Two attempts for each request that arrives.
     TwoAtOnce,
-    /// One more when the client has left.
-    AfterLeaving,
-    /// One more when it was told that no further one may begin.
+    /// A further attempt when the client has left.
+    AfterClientLeft,
+    /// A further attempt at [`Event::NoFurtherAttempt`].
     AfterHalfClose,
-    /// An attempt called off, to ask anew, when it was told that no further one may begin.
-    CalledOffAfterHalfClose,
-    /// One more when an attempt has ended, whatever the outcome.
+    /// The attempt is cancelled, for a retry, at [`Event::NoFurtherAttempt`].
+    CancelAfterHalfClose,
+    /// A further attempt whenever an attempt has ended.
     AfterEveryEnd,
-    /// An answer first, and then an attempt.
-    AfterItsAnswer,
+    /// A final answer, and then an attempt.
+    AfterAnswer,
 }
 
-struct Unruly {
-    wants: Wants,
-    /// Attempts that were told to have ended, and how.
+/// A module that requests these attempts.
+struct MisbehavingModule {
+    mode: Mode,
+    /// Reported ends of attempts: number, outcome, and whether the request was finished.
     ended: Vec<(u32, Outcome, bool)>,
 }
 
-impl Module for Unruly {
+impl Module for MisbehavingModule {
     fn handle(&mut self, _: Micros, event: Event, out: &mut Vec<Action>) {
         let send = |request: &RequestId| Action::Send {
             request: request.clone(),
@@ -43,20 +43,20 @@
             timeout: None,
             leave_by: None,
         };
-        match (&event, self.wants) {
-            (Event::Arrival { request, .. }, Wants::TwoAtOnce) => out.extend([send(request), send(request)]),
-            (Event::Arrival { request, .. }, Wants::AfterItsAnswer) => {
+        match (&event, self.mode) {
+            (Event::Arrival { request, .. }, Mode::TwoAtOnce) => out.extend([send(request), send(request)]),
+            (Event::Arrival { request, .. }, Mode::AfterAnswer) => {
                 out.extend([Action::Fail { request: request.clone() }, send(request)]);
             }
             (Event::Arrival { request, .. }, _) => out.push(send(request)),
-            (Event::ClientLeft { request }, Wants::AfterLeaving) => out.push(send(request)),
-            (Event::NoFurtherAttempt { request }, Wants::AfterHalfClose) => out.push(send(request)),
-            (Event::NoFurtherAttempt { request }, Wants::CalledOffAfterHalfClose) => {
+            (Event::ClientLeft { request }, Mode::AfterClientLeft) => out.push(send(request)),
+            (Event::NoFurtherAttempt { request }, Mode::AfterHalfClose) => out.push(send(request)),
+            (Event::NoFurtherAttempt { request }, Mode::CancelAfterHalfClose) => {
                 out.push(Action::Cancel { request: request.clone(), attempt: 0 });
             }
-            (Event::Answer { request, attempt, outcome, finished, .. }, wants) => {
+            (Event::Answer { request, attempt, outcome, finished, .. }, mode) => {
                 self.ended.push((*attempt, *outcome, *finished));
-                if wants == Wants::AfterEveryEnd && *outcome != Outcome::NotSent {
+                if mode == Mode::AfterEveryEnd && *outcome != Outcome::NotSent {
                     out.push(send(request));
                 }
             }
@@ -65,15 +65,16 @@
     }
 }
 
+/// Test rig: an engine, its clock and the commands that it has issued.
 struct Rig {
-    engine: Engine<Unruly>,
+    engine: Engine<MisbehavingModule>,
     now: Micros,
     out: Vec<Command>,
 }
 
 impl Rig {
-    fn new(wants: Wants) -> Self {
-        let engine = Engine::new(Unruly { wants, ended: Vec::new() }, S);
+    fn new(mode: Mode) -> Self {
+        let engine = Engine::new(MisbehavingModule { mode, ended: Vec::new() }, S);
         Self { engine, now: 100 * S, out: Vec::new() }
     }
 
@@ -110,8 +111,8 @@
 }
 
 #[test]
-fn no_second_attempt_begins_beside_one_that_is_out() {
-    let mut rig = Rig::new(Wants::TwoAtOnce);
+fn no_second_attempt_begins_while_one_is_in_progress() {
+    let mut rig = Rig::new(Mode::TwoAtOnce);
     let ticket = rig.request();
     assert_eq!(rig.sends(), [0]);
     assert_eq!(rig.engine.module().ended, [(1, Outcome::NotSent, false)], "the second was never sent");
@@ -121,16 +122,16 @@
 
 #[test]
 fn no_attempt_begins_after_the_answer() {
-    let mut rig = Rig::new(Wants::AfterItsAnswer);
+    let mut rig = Rig::new(Mode::AfterAnswer);
     rig.request();
     assert_eq!((rig.sends().len(), rig.answers(), rig.engine.open()), (0, 1, 0));
 }
 
 #[rstest]
-#[case::out(None)]
+#[case::in_progress(None)]
 #[case::ended_before(Some(Outcome::Full))]
 fn no_attempt_begins_after_the_client_left(#[case] end: Option<Outcome>) {
-    let mut rig = Rig::new(Wants::AfterLeaving);
+    let mut rig = Rig::new(Mode::AfterClientLeft);
     let ticket = rig.request();
     end.into_iter().for_each(|end| rig.end(ticket, 0, end));
     rig.engine.client_left(rig.now, ticket, &mut rig.out);
@@ -139,12 +140,12 @@
     }
     assert_eq!((rig.sends(), rig.answers(), rig.engine.open()), (vec![0], 0, 0));
     let ends = &rig.engine.module().ended;
-    assert!(ends.contains(&(1, Outcome::NotSent, true)), "the module is told: {ends:?}");
+    assert!(ends.contains(&(1, Outcome::NotSent, true)), "the module gets no report: {ends:?}");
 }
 
 #[test]
 fn no_attempt_begins_after_the_grace_of_a_half_close() {
-    let mut rig = Rig::new(Wants::AfterHalfClose);
+    let mut rig = Rig::new(Mode::AfterHalfClose);
     let ticket = rig.request();
     rig.end(ticket, 0, Outcome::Full);
     rig.engine.client_half_closed(rig.now, ticket, rig.now, &mut rig.out);
@@ -154,10 +155,11 @@
     assert!(rig.engine.module().ended.contains(&(1, Outcome::NotSent, false)));
 }
 
-/// What is out then is the last: called off to be asked anew it would be lost.
+/// After the grace of a half-close, the attempt in progress is the last one. If the module could cancel it for a retry, the
+/// request would be lost.
 #[test]
-fn an_attempt_that_cannot_be_followed_is_not_called_off() {
-    let mut rig = Rig::new(Wants::CalledOffAfterHalfClose);
+fn an_attempt_that_cannot_be_retried_is_not_cancelled() {
+    let mut rig = Rig::new(Mode::CancelAfterHalfClose);
     let ticket = rig.request();
     rig.engine.client_half_closed(rig.now, ticket, rig.now, &mut rig.out);
     rig.now += 60 * MS;
@@ -165,37 +167,37 @@
     assert!(!rig.out.iter().any(|c| matches!(c, Command::Cancel { .. })), "{:?}", rig.out);
     rig.engine.client_left(rig.now, ticket, &mut rig.out);
     let cancels = rig.out.iter().filter(|c| matches!(c, Command::Cancel { .. })).count();
-    assert_eq!(cancels, 1, "a client that leaves has it given up all the same");
+    assert_eq!(cancels, 1, "not cancelled, though the client has left");
 }
 
-/// The loop may be late, and hear of the end of an attempt before it looks at its timers.
+/// The event loop may be late, and report the end of an attempt before it runs its timers.
 #[test]
-fn no_attempt_begins_when_the_time_is_up() {
-    let mut rig = Rig::new(Wants::AfterEveryEnd);
+fn no_attempt_begins_after_the_due_time() {
+    let mut rig = Rig::new(Mode::AfterEveryEnd);
     let ticket = rig.request();
     rig.end(ticket, 0, Outcome::Full);
-    assert_eq!(rig.sends(), [0, 1], "within its time it may");
+    assert_eq!(rig.sends(), [0, 1], "no retry before the due time");
     rig.now += 2 * S;
     rig.end(ticket, 1, Outcome::Full);
     assert_eq!((rig.sends(), rig.answers(), rig.engine.open()), (vec![0, 1], 1, 0));
 }
 
-/// What has ended leaves timers behind, some of them far from their time: they may not pile up until then.
+/// Ended requests leave timers behind that are due much later. These must not accumulate until then.
 #[test]
-fn timers_of_requests_that_have_ended_do_not_pile_up() {
-    let mut rig = Rig::new(Wants::Ordinary);
-    let mut most = 0;
+fn timers_of_ended_requests_do_not_accumulate() {
+    let mut rig = Rig::new(Mode::Ordinary);
+    let mut max = 0;
     for _ in 0..20_000 {
         let ticket = rig.request();
         rig.end(ticket, 0, Outcome::Done);
         rig.out.clear();
-        most = most.max(rig.engine.timers());
+        max = max.max(rig.engine.timers());
     }
-    assert!(most <= 256, "{most} timers");
+    assert!(max <= 256, "{max} timers");
     assert_eq!(rig.engine.open(), 0);
-    // Those of what is open are kept, however often the others were looked for.
+    // Timers of open requests remain, however often the others are pruned.
     let open: Vec<Ticket> = (0..1_000).map(|_| rig.request()).collect();
     rig.now += 2 * S;
     rig.engine.tick(rig.now, &mut rig.out);
-    assert_eq!(rig.answers(), open.len(), "each is answered when its time is up");
+    assert_eq!(rig.answers(), open.len(), "not all are answered at their due time");
 }
--- a/tests/no_connection.rs
+++ b/tests/no_connection.rs
@@ -1,5 +1,6 @@
-//! A router whose process has no connection to spare, and workers that turn orders to load away. The first says nothing of a
-//! worker; the second says that it has no room for now. Neither is asked for again at once, for ever.
+//! Attempts and orders that end because the process of the router has no connection left, which says nothing about the
+//! worker, and load orders that a worker rejects, which means that it has no room at present. The router must not repeat
+//! either of them at once without end.
 
 mod common;
 
@@ -11,8 +12,8 @@
 
 const WORKERS: usize = 3;
 
-/// Where only orders load, and no ration bounds them.
-fn loaded_by_orders(routers: u32, max_gossip_bytes: usize) -> TestBed {
+/// A router of a deployment where only orders load, without a load budget.
+fn only_orders_load(routers: u32, max_gossip_bytes: usize) -> TestBed {
     TestBed::new(Settings { when_cold: WhenCold::Misses, routers, max_gossip_bytes, ..settings() }, WORKERS)
 }
 
@@ -35,10 +36,10 @@
     bed.event(Event::LoadEnded { worker, function, outcome, copies: u32::from(outcome == Outcome::Done) })
 }
 
-/// The call goes elsewhere, and its worker is as well as before once there may be a connection again.
+/// The request is retried, and its worker is used as before once a connection may be available again.
 #[rstest]
-fn an_attempt_without_a_connection_says_nothing_of_its_worker(#[values(SAFE, UNSAFE, KEYED)] class: usize) {
-    // Functions that have the same worker first in their order.
+fn a_missing_connection_does_not_count_against_the_worker(#[values(SAFE, UNSAFE, KEYED)] class: usize) {
+    // Functions with the same first worker.
     let first = |function: &str| sent(&TestBed::new(settings(), WORKERS).call(SAFE, function).1).unwrap();
     let home = first("f");
     let mut others = (0..).map(|i| format!("g{i}")).filter(|other| first(other) == home);
@@ -48,16 +49,16 @@
         assert_eq!(sent(&out), Some(home.clone()));
         let mut out = attempt_ends(&mut bed, &request, &home, Outcome::NoConnection);
         out.extend(bed.advance(200 * MS));
-        assert!(sent(&out).is_some(), "it never ran, and is sent again");
+        assert!(sent(&out).is_some(), "it never ran, but is not retried");
         assert_eq!((refused(&out), failed(&out)), (0, 0));
         bed.event(Event::ClientLeft { request });
     }
-    assert_eq!(bed.serve(class, &others.next().unwrap()), home, "nothing speaks against it");
+    assert_eq!(bed.serve(class, &others.next().unwrap()), home, "its worker is not used");
 }
 
 #[test]
-fn an_order_without_a_connection_is_given_again_at_the_next_look_alone() {
-    let mut bed = loaded_by_orders(1, 0);
+fn an_order_without_a_connection_is_repeated_only_at_the_next_tick() {
+    let mut bed = only_orders_load(1, 0);
     let (request, out) = bed.call(SAFE, "f");
     let home = sent(&out).unwrap();
     let out = bed.answer(&request, 0, &home, Outcome::Miss);
@@ -67,16 +68,17 @@
     assert_eq!(again.first().map(|(worker, ..)| worker.clone()), Some(home));
 }
 
-/// Workers that hold no copy, and that turn orders away until they have room: the orders that each was given.
-struct Crowded {
+/// Workers without copies, which reject orders until they have room.
+struct FullWorkers {
     bed: TestBed,
     request: RequestId,
     attempts: u32,
+    /// Number of orders that each worker got.
     orders: BTreeMap<WorkerId, usize>,
 }
 
-impl Crowded {
-    /// Answers all that is sent and ordered, at once: whether the call was served.
+impl FullWorkers {
+    /// Answers all attempts and orders at once; returns whether the request can be served.
     fn answer(&mut self, out: Vec<Action>, has_room: bool) -> bool {
         let mut open = VecDeque::from(out);
         while let Some(action) = open.pop_front() {
@@ -90,13 +92,13 @@
                     open.extend(self.bed.answer(&self.request, attempt, &worker, Outcome::Miss));
                 }
                 Action::Load { worker, function, .. } => {
-                    let given = self.orders.entry(worker.clone()).or_default();
-                    *given += 1;
-                    assert!(*given <= 2, "{worker:?} is asked again and again");
+                    let count = self.orders.entry(worker.clone()).or_default();
+                    *count += 1;
+                    assert!(*count <= 2, "{worker:?} gets order after order");
                     let outcome = if has_room { Outcome::Done } else { Outcome::Full };
                     open.extend(order_ends(&mut self.bed, (&worker, &function), outcome));
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => panic!("it is given up: {action:?}"),
+                Action::Refuse { .. } | Action::Fail { .. } => panic!("a final answer: {action:?}"),
                 _ => {}
             }
         }
@@ -104,12 +106,12 @@
     }
 }
 
-/// One turns the order away and another has room: the call does not wait for the first.
+/// One worker rejects the order and another has room: the request must not wait for the first.
 #[rstest]
-fn a_call_whose_worker_has_no_room_for_its_load_goes_on(
-    #[values((1, 0), (12, 0))] (routers, tell): (u32, usize),
+fn a_request_whose_worker_has_no_room_for_its_load_is_sent_elsewhere(
+    #[values((1, 0), (12, 0))] (routers, max_gossip_bytes): (u32, usize),
 ) {
-    let mut bed = loaded_by_orders(routers, tell);
+    let mut bed = only_orders_load(routers, max_gossip_bytes);
     let (request, out) = bed.call(SAFE, "f");
     let home = sent(&out).unwrap();
     bed.answer(&request, 0, &home, Outcome::Miss);
@@ -118,22 +120,22 @@
     assert!(sent(&out).is_some_and(|worker| worker != home), "{out:?}");
 }
 
-/// Each turns orders away at once: it is given one within a second, by a router that hears others and by one that does not.
-/// Then there is room, and the call is served within its time.
+/// Workers that reject orders at once get one order within a second, with and without gossip. Once they have room, the
+/// request is served in time.
 #[rstest]
-fn a_worker_without_room_for_a_load_is_left_alone_for_a_while(
-    #[values((1, 0), (12, 0), (12, 256))] (routers, tell): (u32, usize),
+fn a_worker_without_room_for_a_load_gets_no_further_orders_for_a_while(
+    #[values((1, 0), (12, 0), (12, 256))] (routers, max_gossip_bytes): (u32, usize),
 ) {
-    let mut bed = loaded_by_orders(routers, tell);
+    let mut bed = only_orders_load(routers, max_gossip_bytes);
     let (request, out) = bed.call(SAFE, "f");
-    let mut crowded = Crowded { bed, request, attempts: 0, orders: BTreeMap::new() };
-    assert!(!crowded.answer(out, false));
+    let mut workers = FullWorkers { bed, request, attempts: 0, orders: BTreeMap::new() };
+    assert!(!workers.answer(out, false));
     for _ in 0..40 {
-        let out = crowded.bed.advance(20 * MS);
-        assert!(!crowded.answer(out, false));
+        let out = workers.bed.advance(20 * MS);
+        assert!(!workers.answer(out, false));
     }
-    assert!(!crowded.orders.is_empty());
-    assert!(crowded.orders.values().all(|given| *given == 1), "{:?}", crowded.orders);
-    let out = crowded.bed.advance(400 * MS);
-    assert!(crowded.answer(out, true), "served once there is room");
+    assert!(!workers.orders.is_empty());
+    assert!(workers.orders.values().all(|count| *count == 1), "{:?}", workers.orders);
+    let out = workers.bed.advance(400 * MS);
+    assert!(workers.answer(out, true), "not served, though there is room");
 }
--- a/tests/random_deployments.rs
+++ b/tests/random_deployments.rs
@@ -1,4 +1,5 @@
-//! Deployments drawn between the two that run the program: whatever fails, what is served comes back.
+//! Random deployments with properties between those of the two real ones: after each kind of fault, the share of served
+//! calls recovers.
 
 mod common;
 
@@ -6,15 +7,16 @@
 use common::*;
 use wheellink::*;
 
-/// One deployment, by its seed: miss or load, few routers, sizes and speeds of any unit, with and without reports.
-struct Drawn {
+/// A random deployment: hosts that miss or load, few routers, any sizes and speeds, with or without load reports.
+struct Deployment {
     fleet: Fleet,
     /// Calls a second that its hosts can run.
     capacity: f64,
+    /// Description for messages.
     text: String,
 }
 
-fn drawn(seed: u64) -> Drawn {
+fn deployment(seed: u64) -> Deployment {
     let mut rng = fastrand::Rng::with_seed(seed);
     let misses = rng.bool();
     let (routers, hosts, cores) = (rng.u32(1..=3), rng.usize(6..=14), [4, 5, 16][rng.usize(..3)]);
@@ -34,23 +36,24 @@
     let capacity = hosts as f64 * f64::from(cores) * 1e6 / work as f64;
     let text =
         format!("seed {seed}: {routers} routers, {hosts} hosts of {cores}, misses {misses}, work {work} us");
-    Drawn { fleet, capacity, text }
+    Deployment { fleet, capacity, text }
 }
 
-impl Drawn {
-    /// The share of the calls that is served in this time, at this part of what the hosts can run.
-    fn served(&mut self, time: Micros, load: f64) -> f64 {
+impl Deployment {
+    /// Runs for this time at this part of the capacity, and returns the share of the calls that was served.
+    fn run(&mut self, time: Micros, load: f64) -> f64 {
         self.fleet.counts = Counts::default();
         self.fleet.advance(time, load * self.capacity);
         self.fleet.counts.served as f64 / self.fleet.counts.calls as f64
     }
 
-    fn back(&mut self, what: &str) {
-        let after = self.served(5 * S, 0.5);
+    /// Checks that the share of served calls has recovered after this fault.
+    fn check_recovered(&mut self, what: &str) {
+        let after = self.run(5 * S, 0.5);
         assert!(after > 0.9, "{}: {after:.2} served after {what}", self.text);
     }
 
-    /// These hosts are replaced by new ones, empty and cold, under their names.
+    /// Replaces these hosts by new, cold ones without copies and with the same names.
     fn replace(&mut self, hosts: std::ops::Range<usize>) {
         for i in hosts {
             let n = format!("h{i}");
@@ -62,64 +65,64 @@
 
 const SEEDS: std::ops::Range<u64> = 0..5;
 
-/// Found on the second deployment: after a release 98 in 100 calls were refused for the rest of the day.
+/// Found in the second deployment: after a release, 98 in 100 calls were refused for the rest of the day.
 #[test]
-fn after_a_release_of_all_hosts_the_served_share_is_back() {
+fn the_served_share_recovers_after_a_release_of_all_hosts() {
     for seed in SEEDS {
-        let mut d = drawn(seed);
-        d.served(6 * S, 0.5);
+        let mut d = deployment(seed);
+        d.run(6 * S, 0.5);
         let hosts = d.fleet.hosts.len();
         d.replace(0..hosts / 2);
-        d.served(3 * S, 0.5);
+        d.run(3 * S, 0.5);
         d.replace(hosts / 2..hosts);
-        d.served(20 * S, 0.5);
-        d.back("a release");
+        d.run(20 * S, 0.5);
+        d.check_recovered("a release");
         d.fleet.settle();
     }
 }
 
 #[test]
-fn after_failing_and_silent_hosts_the_served_share_is_back() {
+fn the_served_share_recovers_after_failing_and_silent_hosts() {
     for seed in SEEDS {
-        let mut d = drawn(seed);
-        d.served(6 * S, 0.5);
+        let mut d = deployment(seed);
+        d.run(6 * S, 0.5);
         let third = d.fleet.hosts.len() / 3;
         for (i, h) in d.fleet.hosts.values_mut().enumerate() {
             (h.failing, h.silent) = (i < third, (third..third + third / 2).contains(&i));
         }
-        d.served(8 * S, 0.5);
+        d.run(8 * S, 0.5);
         d.fleet.hosts.values_mut().for_each(|h| (h.failing, h.silent) = (false, false));
-        d.served(10 * S, 0.5);
-        d.back("failures");
+        d.run(10 * S, 0.5);
+        d.check_recovered("failures");
         d.fleet.settle();
     }
 }
 
 #[test]
-fn overload_is_served_as_far_as_hosts_can_and_refusals_end_with_it() {
+fn overload_is_served_up_to_the_capacity_and_refusals_end_with_it() {
     for seed in SEEDS {
-        let mut d = drawn(seed);
-        d.served(6 * S, 0.5);
-        let share = d.served(15 * S, 1.3);
+        let mut d = deployment(seed);
+        d.run(6 * S, 0.5);
+        let share = d.run(15 * S, 1.3);
         assert!(share * 1.3 > 0.7, "{}: {share:.2} served at overload", d.text);
-        d.served(3 * S, 0.5);
-        d.back("overload");
+        d.run(3 * S, 0.5);
+        d.check_recovered("overload");
         d.fleet.settle();
     }
 }
 
 #[test]
-fn a_slow_store_and_a_new_function_at_once_pass() {
+fn the_served_share_recovers_after_a_release_with_a_slow_function_store() {
     for seed in SEEDS {
-        let mut d = drawn(seed);
-        d.served(6 * S, 0.5);
+        let mut d = deployment(seed);
+        d.run(6 * S, 0.5);
         let usual = d.fleet.load_time;
         d.fleet.load_time = 6 * usual;
         d.fleet.release();
-        d.served(10 * S, 0.5);
+        d.run(10 * S, 0.5);
         d.fleet.load_time = usual;
-        d.served(5 * S, 0.5);
-        d.back("a slow store");
+        d.run(5 * S, 0.5);
+        d.check_recovered("a slow store");
         d.fleet.settle();
     }
 }
--- a/tests/short_keyed_windows.rs
+++ b/tests/short_keyed_windows.rs
@@ -1,6 +1,6 @@
-//! Windows of keyed repeats that are shorter than an attempt takes, and connections to hosts that come up late or never.
-//! The fleet helper asserts the rules at each event: one attempt out, one answer, no keyed repeat outside its window or
-//! scope, no untrue refusal.
+//! Keyed requests whose window is shorter than an attempt, and connections to hosts that open late or never. The
+//! simulation asserts the guarantees at each action: one attempt in progress, one answer, no keyed repeat outside its
+//! window or scope, no untrue refusal.
 
 mod common;
 
@@ -12,13 +12,13 @@
 const ROUTERS: u32 = 20;
 const HOSTS: usize = 12;
 const FUNCTIONS: usize = 40;
-/// What a call takes, in a fleet of four cores a host: 480 calls a second are all that it bears.
-const WORK: Micros = 100 * MS;
+/// Duration of a call. With four cores a host, the capacity of the fleet is 480 calls a second.
+const WORK_US: Micros = 100 * MS;
 const RATE: f64 = 200.0;
-/// Share of each class that is served within its aim at the least; 0.94 and more were measured.
-const LEAST_SERVED: f64 = 0.9;
+/// Minimum share of each class that is served within its aim. The served shares are 0.94 and more.
+const MIN_SERVED: f64 = 0.9;
 
-/// A fleet most of whose calls are keyed, with repeats dropped in this scope for this window.
+/// A fleet with mostly keyed calls, whose repeats are dropped in this scope within this window.
 fn keyed(scope: Scope, window: Micros) -> Fleet {
     let mut settings = Settings {
         routers: ROUTERS,
@@ -29,24 +29,25 @@
     };
     settings.classes[KEYED].effect = Effect::Keyed { scope, window };
     let mut fleet = Fleet::with_settings(settings, HOSTS, FUNCTIONS);
-    fleet.work = WORK;
+    fleet.work = WORK_US;
     fleet.classes = vec![KEYED, KEYED, KEYED, SAFE, UNSAFE];
     fleet.advance(6 * S, RATE);
     (fleet.counts, fleet.counted_from) = (Counts::default(), fleet.now);
     fleet
 }
 
-/// What share of a class's first tries was served within its aim.
+/// Of the calls of a class that are not retries, the share that was served within the latency aim.
 fn served(fleet: &Fleet, class: usize) -> f64 {
-    let (tries, in_time) = fleet.counts.within_aim[&(class, None)];
-    in_time as f64 / tries as f64
+    let (calls, in_time) = fleet.counts.within_aim[&(class, None)];
+    in_time as f64 / calls as f64
 }
 
-/// Hosts fail, restart under calls and fall silent; a window that is over before an attempt has ended allows one attempt.
+/// Hosts fail, restart while they serve calls, and fall silent. A window that is over before an attempt ends allows no
+/// second one.
 #[rstest]
-fn a_window_shorter_than_an_attempt_is_kept_under_faults(
+fn no_keyed_request_is_repeated_outside_a_short_window_under_faults(
     #[values(Scope::All, Scope::Zone, Scope::Cell)] scope: Scope,
-    #[values(MS, WORK / 2, 3 * WORK)] window: Micros,
+    #[values(MS, WORK_US / 2, 3 * WORK_US)] window: Micros,
     #[values(1, 2)] seed: u64,
 ) {
     let mut fleet = keyed(scope, window);
@@ -64,13 +65,13 @@
     fleet.settle();
     let classes = [SAFE, UNSAFE, KEYED].map(|class| served(&fleet, class));
     println!("{scope:?}, {} ms, seed {seed}: served {classes:.2?}", window / MS);
-    assert!(fleet.counts.failed > 0, "nothing failed: the faults press on nothing");
-    assert!(classes.iter().all(|share| *share > LEAST_SERVED), "{classes:.2?}");
+    assert!(fleet.counts.failed > 0, "no call failed: too few faults for this test");
+    assert!(classes.iter().all(|share| *share > MIN_SERVED), "{classes:.2?}");
 }
 
-/// One first connection in ten comes up up to a second late, one in fifty never.
+/// One first connection in ten opens up to a second late, one in fifty never opens.
 #[rstest]
-fn late_connections_cost_those_who_wait_for_them_alone(#[values(1, 2)] seed: u64) {
+fn late_connections_affect_only_the_calls_that_wait_for_them(#[values(1, 2)] seed: u64) {
     let mut fleet = keyed(Scope::Cell, 500 * MS);
     fleet.seed(seed);
     fleet.late_connections = (0.1, 0.02);
@@ -85,6 +86,6 @@
     let classes = [SAFE, UNSAFE, KEYED].map(|class| served(&fleet, class));
     let Counts { calls, failed, refused, .. } = &fleet.counts;
     println!("seed {seed}: served {classes:.2?}, {failed} failed, {refused} refused of {calls}");
-    assert_eq!(*failed, 0, "a call whose connection never came up has not run, and goes elsewhere");
-    assert!(classes.iter().all(|share| *share > LEAST_SERVED), "{classes:.2?}");
+    assert_eq!(*failed, 0, "a call failed, though one without a connection has not run and can be retried");
+    assert!(classes.iter().all(|share| *share > MIN_SERVED), "{classes:.2?}");
 }
--- a/tests/source_style.rs
+++ b/tests/source_style.rs
@@ -1,8 +1,11 @@
-//! The size of the decision module: each file that the deploy file names under `policy` stays one that can be read at one
-//! go. How many files there are is free; the operators have withdrawn their bound on all lines together.
+//! Style of the decision module: in each file that deploy/balancer.toml lists under `policy`, lines are short enough, the
+//! file begins with a module comment, and a longer file names src/interface.rs near its head. The number of files and of
+//! all lines together is not limited.
 
-const LONGEST_LINE: usize = 110;
+/// Maximum number of characters in a line.
+const MAX_LINE_CHARS: usize = 110;
 
+/// Text and name of each file of the decision module.
 fn policy_files() -> Vec<(String, String)> {
     let root = env!("CARGO_MANIFEST_DIR");
     let deploy = std::fs::read_to_string(format!("{root}/deploy/balancer.toml")).unwrap();
@@ -12,15 +15,15 @@
 }
 
 #[test]
-fn the_module_is_made_of_files_that_can_be_read() {
+fn policy_files_have_short_lines_a_module_comment_and_name_the_interface() {
     for (text, name) in policy_files() {
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
         for (i, line) in text.lines().enumerate() {
-            let short = line.chars().count() <= LONGEST_LINE;
-            assert!(short, "{name}: line {} is longer than {LONGEST_LINE} characters: {line}", i + 1);
+            let short = line.chars().count() <= MAX_LINE_CHARS;
+            assert!(short, "{name}: line {} is longer than {MAX_LINE_CHARS} characters: {line}", i + 1);
         }
-        assert!(text.starts_with("//! "), "{name} does not say what it decides");
+        assert!(text.starts_with("//! "), "{name} does not begin with a module comment");
         let head: String = text.lines().take(6).collect();
-        assert!(head.contains("src/interface.rs") || lines < 100, "{name} does not name the interface");
+        assert!(head.contains("src/interface.rs") || lines < 100, "{name} does not name src/interface.rs");
     }
 }
