--- a/tests/cold_host_limits.rs
+++ b/tests/cold_host_limits.rs
@@ -158,9 +158,9 @@
     Scenario::LateConnections,
 ];
 
-/// Simulates each scenario with both kinds of hosts and this many routers: no host fails, and the started ones get at least this
-/// part of the calls that the settings allow. A restarted router sends them nothing for a window, which is most of the
-/// time that is simulated after it.
+/// Simulates each scenario with both kinds of hosts and this many routers, and checks that no host fails and that the
+/// started ones get at least this part of the calls that the settings allow. A restarted router sends them nothing for a
+/// window, which is most of the time that is simulated after the restart.
 fn check(routers: u32, gossip: &[Gossip], seeds: std::ops::Range<u64>, min_used: f64) {
     let mut windows = 0.0;
     for (kind, scenario) in [SHORT_CALLS, LONG_CALLS].into_iter().flat_map(|k| SCENARIOS.map(|s| (k, s))) {
@@ -207,7 +207,7 @@
     check(30, &[Gossip::On, Gossip::Faulty], 1..2, 0.1);
 }
 
-/// Each of so many routers sees few answers, so its share is below one call and drawn at random, and its allowance for
+/// Each of 300 routers sees few answers, so its share is below one call and drawn at random, and its allowance for
 /// chance takes the largest part of it.
 #[test]
 fn three_hundred_routers_overload_no_cold_host() {
@@ -243,7 +243,7 @@
     }
 }
 
-/// The tests detect routers that use several times their share, or that assume to be the only router. They do not detect
+/// The tests detect routers that use several times their share, or that assume that they are the only router. They do not detect
 /// shares that are too large by as little as the limit of an earlier specification, 24 + 3 roots of 27 calls, was above
 /// the present one.
 #[test]
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -46,8 +46,8 @@
         let mut fleet = running(256, delivery);
         fleet.advance(5 * S, 1000.0);
         fleet.settle();
-        let seen = fleet.counts;
-        assert!(seen.served * 100 >= seen.calls * 85, "{seen:?}");
+        let counts = fleet.counts;
+        assert!(counts.served * 100 >= counts.calls * 85, "{counts:?}");
     }
 }
 
@@ -57,10 +57,10 @@
     fleet.release();
     fleet.advance(5 * S, 800.0);
     fleet.settle();
-    let seen = fleet.counts;
-    let most = seen.loads.values().max().copied().unwrap_or(0);
+    let counts = fleet.counts;
+    let most = counts.loads.values().max().copied().unwrap_or(0);
     assert!(most <= 8, "one function was loaded {most} times");
-    assert!(seen.served * 100 >= seen.calls * 85, "{seen:?}");
+    assert!(counts.served * 100 >= counts.calls * 85, "{counts:?}");
 }
 
 /// One router of twelve, with five workers, that has received gossip of all others.
@@ -198,7 +198,7 @@
     assert!(firsts.len() >= 4, "too few different first hosts: {firsts:?}");
 }
 
-/// Found in a run with new hosts: three in four attempts that were sent to a host without known copy missed, and such
+/// Found in a run with new hosts: three in four attempts that were sent to a host without a known copy missed, and such
 /// misses used up half of the limit of cold hosts.
 #[test]
 fn a_function_that_no_gossip_reports_is_loaded_before_a_call_is_sent() {
@@ -433,7 +433,7 @@
             }
         }
         fleet.settle();
-        let seen = &fleet.counts;
-        assert!(restarted.len() > 5 && seen.served * 100 > seen.calls * 80, "seed {seed}: {seen:?}");
+        let counts = &fleet.counts;
+        assert!(restarted.len() > 5 && counts.served * 100 > counts.calls * 80, "seed {seed}: {counts:?}");
     }
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -211,8 +211,8 @@
 
 /// Three classes (safe requests with a long aim, keyed ones with the highest worth, unsafe ones with the shortest aim) and
 /// three tenants, under overload, with a fifth of the hosts silent, with half of the hosts replaced, and after a release
-/// that unloads all copies. The part of its first calls that a class or a tenant has served in time is at least half of the
-/// part of all calls under overload, and 0.9 of it in the other cases.
+/// that unloads all copies. For each class and tenant, the share of its calls that is served in time is at least half of that of
+/// all calls under overload, and 0.9 of it in the other cases. Client retries do not count.
 #[test]
 fn no_class_and_no_tenant_starves() {
     let settings = three_classes_and_tenants(40, 256, 400.0);
--- a/tests/new_versions.rs
+++ b/tests/new_versions.rs
@@ -100,15 +100,15 @@
     let mut misses = [0, 0];
     for seed in 1..=3 {
         for (gossip, delivery) in [Delivery::Lost, Delivery::Normal].into_iter().enumerate() {
-            let seen = run_with_releases(delivery, seed);
-            let Counts { calls, late, refused, failed, misses: missed, orders, .. } = seen;
+            let counts = run_with_releases(delivery, seed);
+            let Counts { calls, late, refused, failed, misses: missed, orders, .. } = counts;
             let figures =
                 format!("{calls} calls, {late} late, {refused} refused, {missed} misses, {orders} orders");
             println!("seed {seed}, gossip {}: {figures}", gossip == 1);
             assert_eq!(failed, 0, "{figures}");
             assert!(refused * 100 < calls, "{figures}");
             assert!(late * 100 < calls * 6, "{figures}");
-            misses[gossip] += seen.misses;
+            misses[gossip] += counts.misses;
         }
     }
     assert!(misses[1] * 3 < misses[0] * 2, "{} misses with gossip, {} without", misses[1], misses[0]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn routers_without_contact_choose_the_same_first_worker() {
+fn routers_without_gossip_choose_the_same_first_worker() {
     for f in ["a", "b", "c", "d", "e"] {
         let mut one = TestBed::new(settings(), 6);
         let mut two = TestBed::new(settings(), 6);
@@ -565,7 +565,7 @@
     assert_eq!(refused(&bed.advance(100 * MS)), 1);
 }
 
-/// Found in a run of recorded traffic: two workers answered now and then, a hundred times too late. They counted as neither
+/// Found in a run of recorded traffic: two workers answered rarely and a hundred times too late. They counted as neither
 /// silent nor failing, and safe requests stayed with them until they timed out.
 #[test]
 fn safe_requests_at_a_worker_that_has_almost_stopped_are_cancelled() {
--- a/tests/short_keyed_windows.rs
+++ b/tests/short_keyed_windows.rs
@@ -15,7 +15,7 @@
 /// Duration of a call. With four cores a host, the capacity of the fleet is 480 calls a second.
 const WORK_US: Micros = 100 * MS;
 const RATE: f64 = 200.0;
-/// Minimum share of each class that is served within its aim. The served shares are 0.94 and more.
+/// Minimum share of each class that is served within its aim. Observed shares are 0.94 and more.
 const MIN_SERVED: f64 = 0.9;
 
 /// A fleet with mostly keyed calls, whose repeats are dropped in this scope within this window.
