--- a/tests/cold_host_limits.rs
+++ b/tests/cold_host_limits.rs
@@ -1,8 +1,8 @@
 //! The number of requests that all routers of a fleet together send to recently started hosts, simulated with the real
 //! routers.
 //!
-//! Nearly all hosts of a busy fleet restart, so that each router sends as much as its share allows. In every window, the
-//! routers whose list shows the start of a host together send it fewer requests than make it fail ([`fall_limit`]),
+//! Nearly all hosts of a busy fleet restart, so that each router sends as much as its share allows. In every window,
+//! the routers whose list shows the start of a host together send it fewer requests than make it fail ([`fall_limit`]),
 //! however they learn of the start. The tests simulate about 230 fleets with ten cold hosts each, together over 7,000
 //! host-windows that do not overlap (each test prints how many), and check the window that begins at each call. By the
 //! derivation in `docs/design/fleet.md`, about one window of a million may exceed the limit by chance; here none may.
@@ -159,8 +159,8 @@
 ];
 
 /// Simulates each scenario with both kinds of hosts and this many routers, and checks that no host fails and that the
-/// started ones get at least this part of the calls that the settings allow. A restarted router sends them nothing for a
-/// window, which is most of the time that is simulated after the restart.
+/// started ones get at least this part of the calls that the settings allow. A restarted router sends them nothing for
+/// a window, which is most of the time that is simulated after the restart.
 fn check(routers: u32, gossip: &[Gossip], seeds: std::ops::Range<u64>, min_used: f64) {
     let mut windows = 0.0;
     for (kind, scenario) in [SHORT_CALLS, LONG_CALLS].into_iter().flat_map(|k| SCENARIOS.map(|s| (k, s))) {
@@ -229,9 +229,9 @@
     SEEDS.filter(|seed| !run(case(*seed)).overloaded.is_empty()).count()
 }
 
-/// Simulated cold hosts serve as fast as warm ones, while the settings give the minimum that a cold host can do. The calls
-/// that they serve beyond it raise the number that they are sent, which again raises the number that they serve. This
-/// feedback must not exceed the limit.
+/// Simulated cold hosts serve as fast as warm ones, while the settings give the minimum that a cold host can do. The
+/// calls that they serve beyond it raise the number that they are sent, which again raises the number that they serve.
+/// This feedback must not exceed the limit.
 #[test]
 fn cold_hosts_that_serve_more_than_the_minimum_are_not_overloaded() {
     for (seed, gossip) in [(1, Gossip::On), (1, Gossip::Faulty), (2, Gossip::On)] {
@@ -243,9 +243,9 @@
     }
 }
 
-/// The tests detect routers that use several times their share, or that assume that they are the only router. They do not detect
-/// shares that are too large by as little as the limit of an earlier specification, 24 + 3 roots of 27 calls, was above
-/// the present one.
+/// The tests detect routers that use several times their share, or that assume that they are the only router. They do
+/// not detect shares that are too large by as little as the limit of an earlier specification, 24 + 3 roots of 27
+/// calls, was above the present one.
 #[test]
 fn shares_that_are_too_large_are_detected() {
     let earlier = (24.0 + 3.0 * 27.0_f64.sqrt()) / fall_limit(24.0);
@@ -267,8 +267,8 @@
     sum
 }
 
-/// Whatever the settings allow and however many routers there are, the random draws raise the sum of all shares above the
-/// limit in at most four windows of a million, and the mean sum is at most 0.6 of what the settings allow.
+/// Whatever the settings allow and however many routers there are, the random draws raise the sum of all shares above
+/// the limit in at most four windows of a million, and the mean sum is at most 0.6 of what the settings allow.
 #[test]
 fn random_shares_exceed_the_limit_in_next_to_no_window() {
     for routers in [1, 2, 3, 5, 10, 20, 30, 100, 300, 1000] {
--- a/tests/cold_hosts_without_gossip.rs
+++ b/tests/cold_hosts_without_gossip.rs
@@ -68,8 +68,8 @@
     assert!(overloaded.is_empty() && calls >= min_calls, "{counts}; failed {overloaded:?}");
 }
 
-/// A host that has just started can take 41 calls in two seconds, and 600 calls of its functions arrive. If routers sent it
-/// all calls of a function, the first call of each router would already be too many.
+/// A host that has just started can take 41 calls in two seconds, and 600 calls of its functions arrive. If routers
+/// sent it all calls of a function, the first call of each router would already be too many.
 #[test]
 fn functions_called_at_all_routers_at_once_overload_no_starting_host() {
     let surges = [
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -347,9 +347,7 @@
         let here = |due: &&Timed| matches!(due, Timed::Answer { host, .. } if host == n);
         let open: Vec<_> = self.queue.iter().filter(|(_, due)| here(due)).map(|(key, _)| *key).collect();
         for key in open {
-            let Some(Timed::Answer { router, host, mut event }) = self.queue.remove(&key) else {
-                continue;
-            };
+            let Some(Timed::Answer { router, host, mut event }) = self.queue.remove(&key) else { continue };
             let mut at = self.now + self.rng.i64(0..20 * MS);
             match &mut event {
                 Event::Answer { outcome: Outcome::Done, .. } if self.rng.u8(..3) == 0 => at += 300 * MS,
@@ -581,12 +579,8 @@
                 (open.in_progress, open.attempts) = (Some((worker.clone(), now)), open.attempts + 1);
                 let (number, due, function) = (open.attempts - 1, open.due, open.function.clone());
                 let Some(delay) = self.connect_delay(router, &worker) else {
-                    let event = Self::attempt_end(
-                        request,
-                        (number, worker),
-                        Outcome::ConnectFailed,
-                        CONNECT_TIMEOUT_US,
-                    );
+                    let outcome = Outcome::ConnectFailed;
+                    let event = Self::attempt_end(request, (number, worker), outcome, CONNECT_TIMEOUT_US);
                     self.at(now + CONNECT_TIMEOUT_US, Timed::Answer { router, host, event });
                     return;
                 };
@@ -763,8 +757,8 @@
     }
 
     /// Cold hosts that failed: they got more than [`fall_limit`] requests in a window, over two thirds of them from
-    /// routers whose list showed the start. Also returns the largest number of requests of such routers in a window, as a
-    /// part of the limit.
+    /// routers whose list showed the start. Also returns the largest number of requests of such routers in a window, as
+    /// a part of the limit.
     pub fn overloaded_hosts(&self) -> (Vec<String>, f64) {
         let s = &self.settings;
         let (mut overloaded, mut max) = (Vec::new(), 0.0_f64);
@@ -789,8 +783,8 @@
         (overloaded, max)
     }
 
-    /// Calls that cold hosts got since they started, as a part of the mean number that the settings allow; and the number
-    /// of windows that passed, summed over these hosts.
+    /// Calls that cold hosts got since they started, as a part of the mean number that the settings allow; and the
+    /// number of windows that passed, summed over these hosts.
     pub fn cold_host_use(&self) -> (f64, f64) {
         let s = &self.settings;
         let (mut sent, mut allowed, mut windows) = (0.0, 0.0, 0.0);
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -1,5 +1,6 @@
-//! Each class and tenant is served in each phase of a run, under floods of calls, frequent client retries, new versions,
-//! restarts of most routers, and replaced and silent hosts. The simulation asserts the guarantees at each action.
+//! Each class and tenant is served in each phase of a run, under floods of calls, frequent client retries, new
+//! versions, restarts of most routers, and replaced and silent hosts. The simulation asserts the guarantees at each
+//! action.
 
 mod common;
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -58,8 +58,8 @@
     fleet.advance(5 * S, 800.0);
     fleet.settle();
     let counts = fleet.counts;
-    let most = counts.loads.values().max().copied().unwrap_or(0);
-    assert!(most <= 8, "one function was loaded {most} times");
+    let max_loads = counts.loads.values().max().copied().unwrap_or(0);
+    assert!(max_loads <= 8, "one function was loaded {max_loads} times");
     assert!(counts.served * 100 >= counts.calls * 85, "{counts:?}");
 }
 
@@ -93,8 +93,8 @@
     data
 }
 
-/// Found in a run with new hosts: the first call of a function used up the limit of a cold host for seconds, so that the
-/// call was sent to the next host and the next, with a load order at each, and was refused after five.
+/// Found in a run with new hosts: the first call of a function used up the limit of a cold host for seconds, so that
+/// the call was sent to the next host and the next, with a load order at each, and was refused after five.
 #[test]
 fn a_call_waits_for_its_own_load_at_a_host_without_room_for_another_call() {
     let mut bed = gossiping_bed();
@@ -221,8 +221,8 @@
     assert_eq!(sent(&out), Some(worker));
 }
 
-/// Datagrams from unknown indexes, of another format, forged, or from a fleet of another size are dropped or take bounded
-/// memory, and never cause a panic.
+/// Datagrams from unknown indexes, of another format, forged, or from a fleet of another size are dropped or take
+/// bounded memory, and never cause a panic.
 #[test]
 fn invalid_gossip_has_no_effect_and_the_fleet_may_grow_and_shrink() {
     let mut bed = gossiping_bed();
@@ -273,8 +273,8 @@
     assert!(bed.router.entries() < before + 100, "{} entries remain of {grown}", bed.router.entries());
 }
 
-/// Found in a run with clients that give up early: 4,301 of 5,151 rests, of eight seconds each, were for time-outs of under
-/// 0.9 s, as each router gets few answers of a host and took the first time-out for a silent host.
+/// Found in a run with clients that give up early: 4,301 of 5,151 rests, of eight seconds each, were for time-outs of
+/// under 0.9 s, as each router gets few answers of a host and took the first time-out for a silent host.
 #[test]
 fn an_early_client_time_out_does_not_rest_a_host_that_gives_few_answers() {
     for (duration, rests) in [(300 * MS, false), (1900 * MS, true)] {
@@ -301,9 +301,9 @@
     }
 }
 
-/// Whether gossip is newer than a router's own view depends on how often the router itself gets answers of a host, not on
-/// the number of routers, which earlier decided whether gossip was sent and used. Of two routers, the other has ten calls
-/// in progress at one of two hosts.
+/// Whether gossip is newer than a router's own view depends on how often the router itself gets answers of a host, not
+/// on the number of routers, which earlier decided whether gossip was sent and used. Of two routers, the other has ten
+/// calls in progress at one of two hosts.
 #[test]
 fn gossip_is_used_where_a_router_gets_few_answers_of_its_own() {
     let two = Settings { routers: 2, max_gossip_bytes: 256, when_cold: WhenCold::Misses, ..settings() };
@@ -387,9 +387,9 @@
     DrainsStarts,
 }
 
-/// The simulation asserts at each action that no new work is sent to a draining host after 500 ms and that all guarantees
-/// for calls hold. Also, no router may assume a copy at a process that did not load it: some answers of the earlier process
-/// arrive after the list has shown the next one.
+/// The simulation asserts at each action that no new work is sent to a draining host after 500 ms and that all
+/// guarantees for calls hold. Also, no router may assume a copy at a process that did not load it: some answers of the
+/// earlier process arrive after the list has shown the next one.
 #[test]
 fn list_changes_while_calls_are_in_progress_break_no_guarantee() {
     for (seed, max_gossip_bytes) in [(1, 0), (2, 0), (3, 256)] {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Handover between two routers: both count as one for the load budget and the limits of cold workers, and attempts of a
-//! request at the other router count as this router's own.
+//! Handover between two routers: both count as one for the load budget and the limits of cold workers, and attempts of
+//! a request at the other router count as this router's own.
 
 mod common;
 
@@ -89,7 +89,8 @@
     assert!(!bed.router.grant_order(bed.now) || own < 3);
 }
 
-/// A router must not report the tallies of its peer back to it as its own while the peer runs, or they would count twice.
+/// A router must not report the tallies of its peer back to it as its own while the peer runs, or they would count
+/// twice.
 #[test]
 fn tallies_of_the_peer_are_not_reported_back_to_it() {
     let mut bed = TestBed::new(with_load_budget(), 2);
@@ -202,8 +203,8 @@
     assert_eq!(sends.len(), 1);
 }
 
-/// An order that was never sent says nothing about the worker: its copies are still assumed to be loaded, and the order is
-/// not repeated at once.
+/// An order that was never sent says nothing about the worker: its copies are still assumed to be loaded, and the order
+/// is not repeated at once.
 #[test]
 fn an_order_that_was_not_sent_changes_no_assumed_copies() {
     let mut bed = TestBed::new(with_load_budget(), 1);
--- a/tests/label_independence.rs
+++ b/tests/label_independence.rs
@@ -1,6 +1,6 @@
-//! Decisions must not depend on the labels of a deployment: ids and numbers without meaning, and the order of lists. Where
-//! hashes of host and function names decide, other names give the same distribution of actions; all other labels give
-//! exactly the same actions.
+//! Decisions must not depend on the labels of a deployment: ids and numbers without meaning, and the order of lists.
+//! Where hashes of host and function names decide, other names give the same distribution of actions; all other labels
+//! give exactly the same actions.
 
 mod common;
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,6 +1,6 @@
 //! Faults in a simulated fleet of full size, with 300 routers and 120 hosts in three zones. The tests check counts of
-//! served calls, loads and attempts. The simulation asserts the guarantees at each action: one final answer for each call,
-//! one attempt in progress at most, no unsafe retry, no new work for draining hosts, and all load budgets.
+//! served calls, loads and attempts. The simulation asserts the guarantees at each action: one final answer for each
+//! call, one attempt in progress at most, no unsafe retry, no new work for draining hosts, and all load budgets.
 
 mod common;
 
@@ -37,9 +37,9 @@
     }
 }
 
-/// Checks the counts of a run: at least this percentage of the calls was served or abandoned by its client, each function
-/// was loaded at most `max_loads` times, no host got more than this share of the attempts of an interval, and no cold host
-/// more calls than the settings allow.
+/// Checks the counts of a run: at least this percentage of the calls was served or abandoned by its client, each
+/// function was loaded at most `max_loads` times, no host got more than this share of the attempts of an interval, and
+/// no cold host more calls than the settings allow.
 fn check(fleet: &mut Fleet, served: usize, max_loads: usize, max_share: f64) {
     fleet.settle();
     let (cold_use, share) = (fleet.cold_budget_used(), fleet.max_host_share(500));
@@ -158,9 +158,9 @@
     assert!(half > 100.0 && (end / half - 1.0).abs() < 0.1, "{half} entries at half time, {end} at the end");
 }
 
-/// Six in ten hosts restart, under new names or their own, and the list of each router shows each start at a random time
-/// within four seconds. Until then a router sends as before; the routers whose list shows the start must together stay
-/// within the limit of cold hosts.
+/// Six in ten hosts restart, under new names or their own, and the list of each router shows each start at a random
+/// time within four seconds. Until then a router sends as before; the routers whose list shows the start must together
+/// stay within the limit of cold hosts.
 #[test]
 fn routers_that_know_of_a_start_overload_no_cold_host_whenever_each_learns_of_it() {
     for (renamed, max_gossip_bytes) in [(true, 256), (false, 0)] {
@@ -189,7 +189,8 @@
 }
 
 /// The test before comes nowhere near the limit of a cold host, as many warm hosts get its calls. Here nearly all hosts
-/// restart, at a rate of calls that the whole fleet can just serve, so that every router sends as much as its share allows.
+/// restart, at a rate of calls that the whole fleet can just serve, so that every router sends as much as its share
+/// allows.
 #[test]
 fn routers_with_hardly_any_warm_hosts_overload_no_cold_host() {
     // 40 hosts of 4 cores with 100 ms a call: 1,600 a second.
@@ -209,10 +210,10 @@
     assert!(max > 0.3, "{max:.2} of the limit: too little load for this test");
 }
 
-/// Three classes (safe requests with a long aim, keyed ones with the highest worth, unsafe ones with the shortest aim) and
-/// three tenants, under overload, with a fifth of the hosts silent, with half of the hosts replaced, and after a release
-/// that unloads all copies. For each class and tenant, the share of its calls that is served in time is at least half of that of
-/// all calls under overload, and 0.9 of it in the other cases. Client retries do not count.
+/// Three classes (safe requests with a long aim, keyed ones with the highest worth, unsafe ones with the shortest aim)
+/// and three tenants, under overload, with a fifth of the hosts silent, with half of the hosts replaced, and after a
+/// release that unloads all copies. For each class and tenant, the share of its calls that is served in time is at
+/// least half of that of all calls under overload, and 0.9 of it in the other cases. Client retries do not count.
 #[test]
 fn no_class_and_no_tenant_starves() {
     let settings = three_classes_and_tenants(40, 256, 400.0);
@@ -261,9 +262,9 @@
     }
 }
 
-/// Without gossip, where a miss loads the function, each router sees about a hundredth of the calls of a function, so that
-/// its estimate of the function's share of the calls is noisy. With the overlapping calls that answers report, the estimate
-/// is better, and rarely called functions are loaded at fewer hosts.
+/// Without gossip, where a miss loads the function, each router sees about a hundredth of the calls of a function, so
+/// that its estimate of the function's share of the calls is noisy. With the overlapping calls that answers report, the
+/// estimate is better, and rarely called functions are loaded at fewer hosts.
 #[test]
 fn reported_overlap_saves_loads_where_routers_do_not_gossip() {
     let loads = |overlap_reports: bool| {
--- a/tests/misbehaving_module.rs
+++ b/tests/misbehaving_module.rs
@@ -155,8 +155,8 @@
     assert!(rig.engine.module().ended.contains(&(1, Outcome::NotSent, false)));
 }
 
-/// After the grace of a half-close, the attempt in progress is the last one. If the module could cancel it for a retry, the
-/// request would be lost.
+/// After the grace of a half-close, the attempt in progress is the last one. If the module could cancel it for a retry,
+/// the request would be lost.
 #[test]
 fn an_attempt_that_cannot_be_retried_is_not_cancelled() {
     let mut rig = Rig::new(Mode::CancelAfterHalfClose);
--- a/tests/new_versions.rs
+++ b/tests/new_versions.rs
@@ -1,5 +1,6 @@
-//! Releases of new function versions: all copies of the old version are unloaded at once, without notice to the routers. A
-//! router finds out by a miss, after which it no longer assumes a copy at that host, and the others learn it by gossip.
+//! Releases of new function versions: all copies of the old version are unloaded at once, without notice to the
+//! routers. A router finds out by a miss, after which it no longer assumes a copy at that host, and the others learn it
+//! by gossip.
 
 mod common;
 
@@ -93,8 +94,8 @@
     fleet.counts
 }
 
-/// No call fails, at most one in a hundred is refused, and few are late. With gossip, a router that misses a copy saves the
-/// other routers from sending calls there.
+/// No call fails, at most one in a hundred is refused, and few are late. With gossip, a router that misses a copy saves
+/// the other routers from sending calls there.
 #[test]
 fn releases_at_a_low_rate_affect_few_calls_and_break_no_guarantee() {
     let mut misses = [0, 0];
--- a/tests/no_connection.rs
+++ b/tests/no_connection.rs
@@ -1,6 +1,6 @@
 //! Attempts and orders that end because the process of the router has no connection left, which says nothing about the
-//! worker, and load orders that a worker rejects, which means that it has no room at present. The router must not repeat
-//! either of them at once without end.
+//! worker, and load orders that a worker rejects, which means that it has no room at present. The router must not
+//! repeat either of them at once without end.
 
 mod common;
 
--- a/tests/preferred_locations.rs
+++ b/tests/preferred_locations.rs
@@ -35,7 +35,8 @@
     bed
 }
 
-/// Overlapping calls that answers report are used only where routers do not gossip; with gossip they change no decision.
+/// Overlapping calls that answers report are used only where routers do not gossip; with gossip they change no
+/// decision.
 #[test]
 fn reported_overlap_affects_routing_only_without_gossip() {
     let run = |max_gossip_bytes: usize, reports: bool| {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,5 @@
-//! The guarantees of a router, and its determinism, under random orders of events from fixed seeds: one final answer, no
-//! forbidden retry, at most one attempt in progress, no new work for workers that are not up, and the load budget.
+//! The guarantees of a router, and its determinism, under random orders of events from fixed seeds: one final answer,
+//! no forbidden retry, at most one attempt in progress, no new work for workers that are not up, and the load budget.
 
 mod common;
 
--- a/tests/random_traces.rs
+++ b/tests/random_traces.rs
@@ -1,6 +1,6 @@
-//! Random traces of events on the engine with its router, against a model of the connections to hosts. In whatever order
-//! clients leave, attempts and orders end, due times pass, and lists and settings change, each request gets one answer and
-//! no attempt begins that no client waits for.
+//! Random traces of events on the engine with its router, against a model of the connections to hosts. In whatever
+//! order clients leave, attempts and orders end, due times pass, and lists and settings change, each request gets one
+//! answer and no attempt begins that no client waits for.
 
 mod common;
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -565,8 +565,8 @@
     assert_eq!(refused(&bed.advance(100 * MS)), 1);
 }
 
-/// Found in a run of recorded traffic: two workers answered rarely and a hundred times too late. They counted as neither
-/// silent nor failing, and safe requests stayed with them until they timed out.
+/// Found in a run of recorded traffic: two workers answered rarely and a hundred times too late. They counted as
+/// neither silent nor failing, and safe requests stayed with them until they timed out.
 #[test]
 fn safe_requests_at_a_worker_that_has_almost_stopped_are_cancelled() {
     let settings = Settings { when_cold: WhenCold::Misses, ..settings() };
@@ -736,8 +736,8 @@
         .all(|(i, p)| known.contains(&(format!("f{i}").as_str().into(), p.clone()))));
 }
 
-/// Found in a run with an upgrade: a replacing router used a whole load budget on top of what its predecessor had used in
-/// the same period.
+/// Found in a run with an upgrade: a replacing router used a whole load budget on top of what its predecessor had used
+/// in the same period.
 #[test]
 fn the_load_budget_counts_the_orders_of_the_predecessor() {
     let budget = LoadBudget { free: 2.0, share: 0.5, period: 10 * S };
@@ -792,7 +792,8 @@
 }
 
 /// Found in the second deployment, whose calls take a third of their aim on an idle worker: after a release each worker
-/// counted as slow and got one call at a time, so that the estimate could not improve, and 98 in 100 calls were refused.
+/// counted as slow and got one call at a time, so that the estimate could not improve, and 98 in 100 calls were
+/// refused.
 #[test]
 fn a_high_slowness_estimate_excludes_no_worker() {
     let mut bed = TestBed::new(settings(), 2);
@@ -839,8 +840,8 @@
     assert!((1..=6).contains(&sends), "{sends}");
 }
 
-/// Found by a test of the node with one host: once it had rejected requests, it was passed over as slow for ever, though
-/// there was no other host.
+/// Found by a test of the node with one host: once it had rejected requests, it was passed over as slow for ever,
+/// though there was no other host.
 #[test]
 fn the_only_workers_are_used_again_however_slow_they_were() {
     for workers in [1, 2] {
@@ -870,8 +871,8 @@
     }
 }
 
-/// The list changes twice while attempts are in progress: the worker drains, and then a new process has its id. Answers of
-/// the earlier process show no loaded copy, no failure and no load at the new one.
+/// The list changes twice while attempts are in progress: the worker drains, and then a new process has its id. Answers
+/// of the earlier process show no loaded copy, no failure and no load at the new one.
 #[test]
 fn answers_of_an_earlier_process_do_not_apply_to_the_next_one() {
     for end in [Outcome::Done, Outcome::Reset, Outcome::Error, Outcome::TimedOut] {
--- a/tests/source_style.rs
+++ b/tests/source_style.rs
@@ -1,6 +1,6 @@
-//! Style of the decision module: in each file that deploy/balancer.toml lists under `policy`, lines are short enough, the
-//! file begins with a module comment, and a longer file names src/interface.rs near its head. The number of files and of
-//! all lines together is not limited.
+//! Style of the decision module: in each file that deploy/balancer.toml lists under `policy`, lines are short enough,
+//! the file begins with a module comment, and a longer file names src/interface.rs near its head. The number of files
+//! and of all lines together is not limited.
 
 /// Maximum number of characters in a line.
 const MAX_LINE_CHARS: usize = 110;
