--- a/node/src/bus.rs
+++ b/node/src/bus.rs
@@ -29,7 +29,7 @@
 /// A frame of the bus.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    Nothing,
+    Heartbeat,
     Event(Event),
 }
 
@@ -63,7 +63,7 @@
     ring.consume(4 + length);
     let number = u64::from_be_bytes(frame[..8].try_into().unwrap());
     let kind = match frame[8] {
-        0 => return Ok(Some(Frame::Nothing)),
+        0 => return Ok(Some(Frame::Heartbeat)),
         1 => ListKind::Full,
         2 => ListKind::Delta,
         other => return Err(format!("a frame of kind {other}")),
@@ -99,7 +99,7 @@
 }
 
 /// An event as `known` holds it.
-pub fn known(value: &Value, deployment: &Deployment) -> Result<Event, String> {
+pub fn parse_event(value: &Value, deployment: &Deployment) -> Result<Event, String> {
     let number = value.get("offset").and_then(Value::as_u64).ok_or("an event with no offset")?;
     let topology = value.get("topology").ok_or("an event with no topology")?;
     let members = topology.get("members").and_then(Value::as_array).ok_or("an event with no members")?;
@@ -133,7 +133,7 @@
 pub struct Bus {
     pub address: SocketAddr,
     pub conn: Option<Conn>,
-    pub standing: bool,
+    pub connected: bool,
     heard: Micros,
     /// A frame has begun then and is not whole.
     partial: Option<Micros>,
@@ -141,7 +141,7 @@
     stood: Micros,
     told: bool,
     /// When it last said that there is nothing new.
-    whole_at: Option<Micros>,
+    synced_at: Option<Micros>,
     /// The event that another process had read when this one began.
     wanted: u64,
     retry_at: Micros,
@@ -179,12 +179,12 @@
         Self {
             address,
             conn: None,
-            standing: false,
+            connected: false,
             heard: 0,
             partial: None,
             stood: 0,
             told: false,
-            whole_at: None,
+            synced_at: None,
             wanted: 0,
             retry_at: 0,
             pause: FIRST_PAUSE,
@@ -195,7 +195,7 @@
 
     /// When something must be looked at next.
     pub fn next_tick(&self) -> Micros {
-        match (&self.conn, self.standing) {
+        match (&self.conn, self.connected) {
             (Some(_), true) => {
                 let silent = self.heard + SILENT;
                 self.partial.map_or(silent, |since| silent.min(since + FRAME))
@@ -210,29 +210,29 @@
         self.conn.is_none() && self.retry_at <= now
     }
 
-    pub fn is_silent(&self, now: Micros) -> bool {
+    pub fn has_timed_out(&self, now: Micros) -> bool {
         self.conn.is_some() && self.next_tick() <= now
     }
 
     /// Whether the list is as new as the bus: it said so, or has had nothing new for a while. What there is
     /// comes at once.
     pub fn is_caught_up(&self, now: Micros) -> bool {
-        let quiet = self.standing && now - self.stood.max(self.heard) >= QUIET;
+        let quiet = self.connected && now - self.stood.max(self.heard) >= QUIET;
         self.catching_up.is_none() && self.last >= self.wanted && (self.told || quiet)
     }
 
     /// When the list was last known to be as new as the bus.
-    pub fn whole_at(&self) -> Option<Micros> {
-        self.whole_at
+    pub fn synced_at(&self) -> Option<Micros> {
+        self.synced_at
     }
 
     /// Where it is read, and how far.
-    pub fn place(&self) -> (SocketAddr, u64) {
+    pub fn position(&self) -> (SocketAddr, u64) {
         (self.address, self.last)
     }
 
     /// Another process has read the same bus so far.
-    pub fn read_elsewhere(&mut self, (address, last): (SocketAddr, u64)) {
+    pub fn require_position(&mut self, (address, last): (SocketAddr, u64)) {
         if address == self.address {
             self.wanted = last;
         }
@@ -240,24 +240,24 @@
 
     /// It has nothing new. After a gap the list is then as new as the bus has it, also where the event after the gap
     /// never comes: the news to tell, if any.
-    pub fn told_all(&mut self, now: Micros) -> Option<(ListKind, Vec<Host>)> {
+    pub fn heartbeat_received(&mut self, now: Micros) -> Option<(ListKind, Vec<Host>)> {
         self.told = true;
         let last = self.last;
         let whole = self.catching_up.take_if(|c| !c.list.is_empty() && last >= c.known);
         if whole.is_none() && self.catching_up.is_none() {
-            self.whole_at = Some(now);
+            self.synced_at = Some(now);
         }
         whole.map(|mut caught_up| (ListKind::Full, caught_up.take_list()))
     }
 
     /// The bus is found elsewhere from now on, with the same events: asked there at once for what is new.
-    pub fn moved(&mut self, address: SocketAddr) {
+    pub fn set_address(&mut self, address: SocketAddr) {
         (self.address, self.retry_at, self.pause) = (address, 0, FIRST_PAUSE);
     }
 
     /// A connection has been begun, or could not be.
-    pub fn begun(&mut self, now: Micros, conn: Option<Conn>) {
-        (self.standing, self.heard, self.partial) = (false, now, None);
+    pub fn connect_started(&mut self, now: Micros, conn: Option<Conn>) {
+        (self.connected, self.heard, self.partial) = (false, now, None);
         match conn {
             Some(conn) => self.conn = Some(conn),
             None => self.paused(now),
@@ -265,10 +265,10 @@
     }
 
     /// Once the connection stands, asks for what came after the last event known, by 8 bytes.
-    pub fn greet(&mut self, now: Micros) -> Result<(), Reason> {
-        let Some(conn) = self.conn.as_mut().filter(|_| !self.standing) else { return Ok(()) };
-        self.standing = conn.connected().map_err(|_| Reason::ConnectRefused)?;
-        if self.standing {
+    pub fn subscribe(&mut self, now: Micros) -> Result<(), Reason> {
+        let Some(conn) = self.conn.as_mut().filter(|_| !self.connected) else { return Ok(()) };
+        self.connected = conn.connected().map_err(|_| Reason::ConnectRefused)?;
+        if self.connected {
             (self.stood, self.heard) = (now, now);
             // From the start there is the whole list first, then all that has changed since.
             let last = if self.catching_up.is_some() { 0 } else { self.last };
@@ -278,9 +278,9 @@
     }
 
     /// The connection has ended.
-    pub fn ended(&mut self, now: Micros) -> Option<Conn> {
+    pub fn disconnect(&mut self, now: Micros) -> Option<Conn> {
         self.paused(now);
-        self.standing = false;
+        self.connected = false;
         self.conn.take()
     }
 
@@ -290,17 +290,17 @@
     }
 
     /// Some bytes have come: a frame may come in pieces.
-    pub fn moved_on(&mut self, now: Micros) {
+    pub fn bytes_received(&mut self, now: Micros) {
         self.heard = now;
     }
 
     /// All whole frames have been taken; whether a part of the next one is there.
-    pub fn taken(&mut self, now: Micros, part_of_next: bool) {
+    pub fn set_partial(&mut self, now: Micros, part_of_next: bool) {
         self.partial = if part_of_next { self.partial.or(Some(now)) } else { None };
     }
 
     /// A frame has come.
-    pub fn heard(&mut self, now: Micros) {
+    pub fn frame_received(&mut self, now: Micros) {
         (self.heard, self.partial) = (now, None);
         // A bus that ends each connection after a frame is not asked again and again at the first pause.
         if now - self.stood >= STEADY {
@@ -309,7 +309,7 @@
     }
 
     /// Places an event in the sequence: the list news to tell for it, if any.
-    pub fn take(&mut self, event: Event) -> Result<Option<(ListKind, Vec<Host>)>, Gap> {
+    pub fn apply(&mut self, event: Event) -> Result<Option<(ListKind, Vec<Host>)>, Gap> {
         let Event { number, kind, hosts } = event;
         let whole = kind == ListKind::Full;
         if let Some(catching_up) = &mut self.catching_up {
--- a/node/src/bus/tests.rs
+++ b/node/src/bus/tests.rs
@@ -20,31 +20,31 @@
 fn events_are_told_once_and_in_order() {
     let mut bus = Bus::new(([127, 0, 0, 1], 9).into(), 4);
     let up = [("a", Condition::Up)];
-    assert_eq!(bus.take(event(4, ListKind::Delta, &up)), Ok(None));
+    assert_eq!(bus.apply(event(4, ListKind::Delta, &up)), Ok(None));
     let told = Some((ListKind::Delta, vec![host("a", Condition::Up)]));
-    assert_eq!(bus.take(event(5, ListKind::Delta, &up)), Ok(told));
+    assert_eq!(bus.apply(event(5, ListKind::Delta, &up)), Ok(told));
     let told = Some((ListKind::Full, vec![host("a", Condition::Up)]));
-    assert_eq!(bus.take(event(9, ListKind::Full, &up)), Ok(told), "a whole list closes any gap");
-    assert_eq!(bus.take(event(9, ListKind::Full, &up)), Ok(None));
+    assert_eq!(bus.apply(event(9, ListKind::Full, &up)), Ok(told), "a whole list closes any gap");
+    assert_eq!(bus.apply(event(9, ListKind::Full, &up)), Ok(None));
 }
 
 #[test]
 fn after_a_gap_nothing_older_than_what_is_known_is_told() {
     let mut bus = Bus::new(([127, 0, 0, 1], 9).into(), 3);
-    assert_eq!(bus.take(event(6, ListKind::Delta, &[])), Err(Gap { changes: Vec::new() }));
+    assert_eq!(bus.apply(event(6, ListKind::Delta, &[])), Err(Gap { changes: Vec::new() }));
     let all = [("a", Condition::Up), ("b", Condition::Up), ("c", Condition::Up)];
-    assert_eq!(bus.take(event(1, ListKind::Full, &all)), Ok(None));
-    assert_eq!(bus.take(event(2, ListKind::Delta, &[("a", Condition::Draining)])), Ok(None));
-    let again = bus.take(event(4, ListKind::Delta, &[("b", Condition::Gone)]));
+    assert_eq!(bus.apply(event(1, ListKind::Full, &all)), Ok(None));
+    assert_eq!(bus.apply(event(2, ListKind::Delta, &[("a", Condition::Draining)])), Ok(None));
+    let again = bus.apply(event(4, ListKind::Delta, &[("b", Condition::Gone)]));
     assert_eq!(again, Err(Gap { changes: Vec::new() }), "older than what is known");
-    assert_eq!(bus.take(event(1, ListKind::Full, &all)), Ok(None));
+    assert_eq!(bus.apply(event(1, ListKind::Full, &all)), Ok(None));
     for number in 2..6 {
-        assert_eq!(bus.take(event(number, ListKind::Delta, &[("a", Condition::Draining)])), Ok(None));
+        assert_eq!(bus.apply(event(number, ListKind::Delta, &[("a", Condition::Draining)])), Ok(None));
     }
     let told = vec![host("a", Condition::Draining), host("b", Condition::Up)];
     let last = event(6, ListKind::Delta, &[("c", Condition::Gone)]);
-    assert_eq!(bus.take(last), Ok(Some((ListKind::Full, told))));
-    assert!(matches!(bus.take(event(7, ListKind::Delta, &[])), Ok(Some((ListKind::Delta, _)))));
+    assert_eq!(bus.apply(last), Ok(Some((ListKind::Full, told))));
+    assert!(matches!(bus.apply(event(7, ListKind::Delta, &[])), Ok(Some((ListKind::Delta, _)))));
 }
 
 fn bytes(kind: u8, payload: &[u8]) -> Vec<u8> {
@@ -74,7 +74,7 @@
     };
     let hosts = vec![Host { entry, address: ([10, 1, 0, 9], 6565).into() }];
     let event = Event { number: 7, kind: ListKind::Delta, hosts };
-    assert_eq!(frames, [Frame::Nothing, Frame::Event(event)]);
+    assert_eq!(frames, [Frame::Heartbeat, Frame::Event(event)]);
 }
 
 #[rstest]
@@ -95,20 +95,20 @@
     let mut bus = Bus::new(([127, 0, 0, 1], 9).into(), 3);
     let drains = [("a", Condition::Draining)];
     let told = vec![host("a", Condition::Draining)];
-    assert_eq!(bus.take(event(6, ListKind::Delta, &drains)), Err(Gap { changes: told }));
+    assert_eq!(bus.apply(event(6, ListKind::Delta, &drains)), Err(Gap { changes: told }));
     let all = [("a", Condition::Up), ("b", Condition::Up)];
-    assert_eq!(bus.take(event(1, ListKind::Full, &all)), Ok(None));
+    assert_eq!(bus.apply(event(1, ListKind::Full, &all)), Ok(None));
     let gone = vec![host("b", Condition::Gone)];
-    let again = bus.take(event(8, ListKind::Delta, &[("b", Condition::Gone)]));
+    let again = bus.apply(event(8, ListKind::Delta, &[("b", Condition::Gone)]));
     assert_eq!(again, Err(Gap { changes: gone }));
-    assert_eq!(bus.take(event(1, ListKind::Full, &all)), Ok(None));
+    assert_eq!(bus.apply(event(1, ListKind::Full, &all)), Ok(None));
     for number in 2..6 {
-        assert_eq!(bus.take(event(number, ListKind::Delta, &[])), Ok(None));
+        assert_eq!(bus.apply(event(number, ListKind::Delta, &[])), Ok(None));
     }
-    assert_eq!(bus.take(event(6, ListKind::Delta, &drains)), Ok(None), "older than event 8");
-    assert_eq!(bus.take(event(7, ListKind::Delta, &[])), Ok(None));
+    assert_eq!(bus.apply(event(6, ListKind::Delta, &drains)), Ok(None), "older than event 8");
+    assert_eq!(bus.apply(event(7, ListKind::Delta, &[])), Ok(None));
     let list = Some((ListKind::Full, vec![host("a", Condition::Draining)]));
-    assert_eq!(bus.take(event(8, ListKind::Delta, &[("b", Condition::Gone)])), Ok(list));
+    assert_eq!(bus.apply(event(8, ListKind::Delta, &[("b", Condition::Gone)])), Ok(list));
 }
 
 const SECOND: Micros = 1_000_000;
@@ -141,26 +141,26 @@
         self.pass();
         assert!(self.bus.wants_connection(self.now));
         let conn = Conn::connect(&self.events.handle(), 1, self.bus.address, (1000, 64), |_| Wake::Bus);
-        self.bus.begun(self.now, Some(conn.unwrap()));
+        self.bus.connect_started(self.now, Some(conn.unwrap()));
     }
 
     /// Begins one that comes up at once.
     fn stand(&mut self) {
         self.begin();
-        while !self.bus.standing {
-            self.bus.greet(self.now).unwrap();
+        while !self.bus.connected {
+            self.bus.subscribe(self.now).unwrap();
         }
     }
 
     /// Waits until the connection is given up, and ends it.
     fn give_up(&mut self) {
         self.pass();
-        assert!(self.bus.is_silent(self.now));
+        assert!(self.bus.has_timed_out(self.now));
         self.end();
     }
 
     fn end(&mut self) {
-        let conn = self.bus.ended(self.now).expect("a connection");
+        let conn = self.bus.disconnect(self.now).expect("a connection");
         conn.close(&self.events.handle());
         drop(self.listener.accept());
     }
@@ -173,7 +173,7 @@
     let mut rig = Rig::new();
     rig.stand();
     rig.now += 10 * SECOND;
-    rig.bus.heard(rig.now);
+    rig.bus.frame_received(rig.now);
     // What is new comes right after, and none of it arrives.
     let told = rig.now;
     rig.give_up();
@@ -192,10 +192,10 @@
     let mut rig = Rig::new();
     rig.stand();
     let begun = rig.now;
-    while !rig.bus.is_silent(rig.now) {
+    while !rig.bus.has_timed_out(rig.now) {
         assert!(rig.now - begun <= 2 * SECOND, "still waiting");
-        rig.bus.moved_on(rig.now);
-        rig.bus.taken(rig.now, true);
+        rig.bus.bytes_received(rig.now);
+        rig.bus.set_partial(rig.now, true);
         rig.now += SECOND / 10;
     }
     rig.end();
@@ -203,12 +203,12 @@
     // A connection of its own, on which frames come in pieces and whole.
     for _ in 0..100 {
         rig.now += SECOND / 2;
-        rig.bus.moved_on(rig.now);
-        rig.bus.taken(rig.now, true);
+        rig.bus.bytes_received(rig.now);
+        rig.bus.set_partial(rig.now, true);
         rig.now += SECOND / 2;
-        rig.bus.heard(rig.now);
-        rig.bus.taken(rig.now, false);
-        assert!(!rig.bus.is_silent(rig.now));
+        rig.bus.frame_received(rig.now);
+        rig.bus.set_partial(rig.now, false);
+        assert!(!rig.bus.has_timed_out(rig.now));
     }
 }
 
@@ -225,14 +225,14 @@
         rig.stand();
         connections += 1;
         if frame {
-            rig.bus.heard(rig.now);
+            rig.bus.frame_received(rig.now);
         }
         rig.end();
     }
     assert!(connections <= 30, "{connections} in 10 s");
     rig.stand();
     rig.now += SECOND;
-    rig.bus.heard(rig.now);
+    rig.bus.frame_received(rig.now);
     let broke = rig.now;
     rig.end();
     rig.pass();
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -18,7 +18,7 @@
 use wheellink_settings::{Deployment, Options};
 
 use crate::bus::{self, Event};
-use crate::descriptors::Ledger;
+use crate::descriptors::Budget;
 use crate::front::invoke::results::Bounds;
 use crate::membership::Setup;
 use crate::peers::Addresses;
@@ -30,7 +30,7 @@
     pub control: Option<SocketAddr>,
     pub seed: u64,
     /// Descriptors that the process may hold, and whose they are.
-    pub descriptors: Ledger,
+    pub descriptors: Budget,
     /// Bytes of memory that it may take.
     pub memory: usize,
     pub deployment: Deployment,
@@ -58,7 +58,7 @@
     pub fn within_system_limit(mut self) -> Result<Self, String> {
         let system = getrlimit(Resource::Nofile).current.and_then(|most| usize::try_from(most).ok());
         if let Some(system) = system.filter(|system| *system < self.descriptors.limit()) {
-            self.descriptors = Ledger::new(system).map_err(|e| format!("limit of the system: {e}"))?;
+            self.descriptors = Budget::new(system).map_err(|e| format!("limit of the system: {e}"))?;
         }
         Ok(self)
     }
@@ -170,12 +170,12 @@
         .known
         .batch
         .iter()
-        .map(|e| bus::known(e, &deployment).map_err(|e| format!("known: {e}")))
+        .map(|e| bus::parse_event(e, &deployment).map_err(|e| format!("known: {e}")))
         .collect();
     file.rollout.as_ref().map_or(Ok(()), rollout::Setup::check)?;
     let limits = file.limits.unwrap_or_default();
     let sockets = limits.sockets.unwrap_or(SOCKETS);
-    let descriptors = Ledger::new(sockets).map_err(|e| format!("limits.sockets: {e}"))?;
+    let descriptors = Budget::new(sockets).map_err(|e| format!("limits.sockets: {e}"))?;
     check(file.admission.as_ref(), sockets)?;
     let control = control.or(file.control.as_deref());
     let one = |what: &str, text: &Option<String>| {
--- a/node/src/config/operator.rs
+++ b/node/src/config/operator.rs
@@ -9,7 +9,7 @@
 use wheellink_settings::{Deployment, Transport};
 
 use super::{Config, Side};
-use crate::descriptors::Ledger;
+use crate::descriptors::Budget;
 use crate::dnssd;
 use crate::front::invoke::results::Bounds;
 
@@ -252,7 +252,7 @@
         control: file.control,
         listen: file.listen,
         seed,
-        descriptors: Ledger::new(file.sockets).map_err(|e| format!("sockets: {e}"))?,
+        descriptors: Budget::new(file.sockets).map_err(|e| format!("sockets: {e}"))?,
         memory: file.memory_mb << 20,
         deployment,
         peers: Err("an operator's file names none".into()),
--- a/node/src/descriptors.rs
+++ b/node/src/descriptors.rs
@@ -5,69 +5,69 @@
 
 /// Descriptors that one part of the program may hold at once.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct Reservation {
     /// Which part.
     pub holder: &'static str,
     /// How many at most.
-    pub most: usize,
+    pub max: usize,
 }
 
 /// Processes that have come to the upgrade socket and said nothing valid so far; one more may stand until the oldest is
 /// dropped.
-pub const GUESTS: usize = 4;
+pub const MAX_PENDING_HANDSHAKES: usize = 4;
 
 /// What the program needs for itself whatever else it holds, but for operators' connections.
-pub const OWN: [Entry; 12] = [
-    Entry { holder: "standard streams", most: 3 },
+pub const RESERVED: [Reservation; 12] = [
+    Reservation { holder: "standard streams", max: 3 },
     // epoll, its wake-up, its timer.
-    Entry { holder: "event loop", most: 3 },
-    Entry { holder: "signals", most: 1 },
-    Entry { holder: "listening sockets", most: 2 },
+    Reservation { holder: "event loop", max: 3 },
+    Reservation { holder: "signals", max: 1 },
+    Reservation { holder: "listening sockets", max: 2 },
     // A resolver is asked by datagram and by stream.
-    Entry { holder: "event bus or resolver", most: 2 },
-    Entry { holder: "datagrams of peers and members", most: 2 },
-    Entry { holder: "reader of agreed documents", most: 1 },
-    Entry { holder: "upgrade socket and its guests", most: 1 + GUESTS + 1 },
+    Reservation { holder: "event bus or resolver", max: 2 },
+    Reservation { holder: "datagrams of peers and members", max: 2 },
+    Reservation { holder: "reader of agreed documents", max: 1 },
+    Reservation { holder: "upgrade socket and its guests", max: 1 + MAX_PENDING_HANDSHAKES + 1 },
     // Its connection, its process, the copy of the listening socket for it.
-    Entry { holder: "other process of an upgrade", most: 3 },
+    Reservation { holder: "other process of an upgrade", max: 3 },
     // Read again on SIGHUP.
-    Entry { holder: "configuration file", most: 1 },
+    Reservation { holder: "configuration file", max: 1 },
     // Given up to turn newcomers away.
-    Entry { holder: "spare", most: 1 },
+    Reservation { holder: "spare", max: 1 },
     // A client and an operator, accepted before another is closed in their place.
-    Entry { holder: "newcomers", most: 2 },
+    Reservation { holder: "newcomers", max: 2 },
 ];
 
 /// Operators' connections: one for so many descriptors, within these bounds.
-const PER_CALLER: usize = 32;
-const FEWEST_CALLERS: usize = 2;
-const MOST_CALLERS: usize = 12;
+const DESCRIPTORS_PER_OPERATOR: usize = 32;
+const MIN_OPERATORS: usize = 2;
+const MAX_OPERATORS: usize = 12;
 /// Connections to hosts below which nothing can be routed: a host, another to repeat at, and one more for each of them.
-const FEWEST_HOSTS: usize = 4;
+const MIN_HOST_CONNS: usize = 4;
 
 /// A limit of descriptors that is too low for what the program needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooFew {
+pub struct LimitTooLow {
     /// The limit.
     pub limit: usize,
     /// The lowest limit that will do.
     pub needed: usize,
 }
 
-impl fmt::Display for TooFew {
+impl fmt::Display for LimitTooLow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { limit, needed } = self;
         let clients = needed / 3;
         write!(f, "{limit} descriptors are too few, {needed} are needed: ")?;
-        OWN.iter().try_for_each(|entry| write!(f, "{} {}, ", entry.most, entry.holder))?;
-        write!(f, "{} operators, {clients} clients, {FEWEST_HOSTS} hosts", callers(*needed))
+        RESERVED.iter().try_for_each(|entry| write!(f, "{} {}, ", entry.max, entry.holder))?;
+        write!(f, "{} operators, {clients} clients, {MIN_HOST_CONNS} hosts", operators(*needed))
     }
 }
-impl std::error::Error for TooFew {}
+impl std::error::Error for LimitTooLow {}
 
 /// What clients and hosts hold, and how many hosts are listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct Usage {
     /// Connections of clients.
     pub clients: usize,
     /// Connections to hosts.
@@ -87,30 +87,30 @@
 
 /// See the module's page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ledger {
+pub struct Budget {
     limit: usize,
 }
 
-fn callers(limit: usize) -> usize {
-    (limit / PER_CALLER).clamp(FEWEST_CALLERS, MOST_CALLERS)
+fn operators(limit: usize) -> usize {
+    (limit / DESCRIPTORS_PER_OPERATOR).clamp(MIN_OPERATORS, MAX_OPERATORS)
 }
 
-fn own(limit: usize) -> usize {
-    OWN.iter().map(|entry| entry.most).sum::<usize>() + callers(limit)
+fn reserved(limit: usize) -> usize {
+    RESERVED.iter().map(|entry| entry.max).sum::<usize>() + operators(limit)
 }
 
-impl Ledger {
+impl Budget {
     /// For a process that may hold so many.
     ///
     /// # Errors
     /// Where what is set apart, a third for clients and the fewest for hosts are more than that.
-    pub fn new(limit: usize) -> Result<Self, TooFew> {
-        let suffices = |limit: usize| own(limit) + limit / 3 + FEWEST_HOSTS <= limit;
+    pub fn new(limit: usize) -> Result<Self, LimitTooLow> {
+        let suffices = |limit: usize| reserved(limit) + limit / 3 + MIN_HOST_CONNS <= limit;
         if suffices(limit) {
             return Ok(Self { limit });
         }
         let needed = (limit..).find(|limit| suffices(*limit)).unwrap_or(usize::MAX);
-        Err(TooFew { limit, needed })
+        Err(LimitTooLow { limit, needed })
     }
 
     /// All that the process may hold.
@@ -119,37 +119,37 @@
     }
 
     /// Operators' connections.
-    pub fn callers(&self) -> usize {
-        callers(self.limit)
+    pub fn operators(&self) -> usize {
+        operators(self.limit)
     }
 
     /// What is set apart for the program itself, operators' connections included.
-    pub fn own(&self) -> usize {
-        own(self.limit)
+    pub fn reserved(&self) -> usize {
+        reserved(self.limit)
     }
 
     /// The clients' part: they are told that it is theirs.
-    pub fn third(&self) -> usize {
+    pub fn client_share(&self) -> usize {
         self.limit / 3
     }
 
     fn shared(&self) -> usize {
-        self.limit - self.own()
+        self.limit - self.reserved()
     }
 
     /// Of a process that runs alone. What hosts neither hold nor may want soon is the clients', up to half of all; what
     /// clients hold beyond their third is the hosts' again once these want it.
-    pub fn alone(&self, held: Held) -> Bounds {
-        let unwanted = self.shared().saturating_sub(held.hosts + held.listed);
-        let clients = unwanted.min(self.limit / 2).max(self.third());
-        let hosts = self.shared().saturating_sub(held.clients.max(self.third()));
+    pub fn bounds(&self, usage: Usage) -> Bounds {
+        let unwanted = self.shared().saturating_sub(usage.hosts + usage.listed);
+        let clients = unwanted.min(self.limit / 2).max(self.client_share());
+        let hosts = self.shared().saturating_sub(usage.clients.max(self.client_share()));
         Bounds { clients, hosts: hosts.max(1) }
     }
 
     /// Of a process beside another one of the same address, whose clients hold so many: both keep to the limit together.
-    pub fn beside(&self, their_clients: usize) -> Bounds {
-        let clients = self.third().saturating_sub(their_clients).max(self.third() / 2);
-        let hosts = self.limit.saturating_sub(self.third() + 2 * self.own()) / 2;
+    pub fn shared_bounds(&self, their_clients: usize) -> Bounds {
+        let clients = self.client_share().saturating_sub(their_clients).max(self.client_share() / 2);
+        let hosts = self.limit.saturating_sub(self.client_share() + 2 * self.reserved()) / 2;
         Bounds { clients, hosts: hosts.max(1) }
     }
 }
--- a/node/src/dnssd.rs
+++ b/node/src/dnssd.rs
@@ -54,7 +54,7 @@
     }
 
     /// Another resolver is asked from now on; what is known stays known as long as its records say.
-    pub fn moved(&mut self, resolver: SocketAddr) -> io::Result<()> {
+    pub fn set_resolver(&mut self, resolver: SocketAddr) -> io::Result<()> {
         if resolver != self.resolver {
             let (socket, token) = Self::socket(&self.handle, resolver)?;
             self.handle.remove(std::mem::replace(&mut self.token, token));
--- a/node/src/hosts.rs
+++ b/node/src/hosts.rs
@@ -1,10 +1,10 @@
 //! Script hosts: the lines that are spoken with them, and the pool of connections to them.
 
-mod idling;
+mod idle_limit;
 pub mod lines;
 mod pool;
-mod quiet;
-mod starts;
+mod probe_delay;
+mod start_times;
 
-pub use pool::{Call, CallTimes, Hosts, Notice};
-pub use starts::Starts;
+pub use pool::{Call, CallTimes, HostPool, PoolEvent};
+pub use start_times::StartTimes;
--- a/node/src/hosts/idling.rs
+++ b/node/src/hosts/idle_limit.rs
@@ -17,14 +17,14 @@
 
 /// See the module's page.
 #[derive(Default)]
-pub struct Idling {
+pub struct IdleLimit {
     /// First uses after such an idle time, and those that met a break.
     steps: [(f64, f64); STEPS],
     halved: Micros,
     limit: Option<Micros>,
 }
 
-impl Idling {
+impl IdleLimit {
     fn step(idle: Micros) -> usize {
         let octaves = (idle.max(1) as f64 / 1000.0).log2().max(0.0);
         ((octaves * 2.0) as usize).min(STEPS - 1)
--- a/node/src/hosts/lines.rs
+++ b/node/src/hosts/lines.rs
@@ -6,11 +6,11 @@
 use crate::ring::Ring;
 
 /// Longest first line of an answer.
-const LONGEST_LINE: usize = 4096;
+const MAX_LINE_BYTES: usize = 4096;
 /// Longest body that still fits into one frame to a client.
-pub const LONGEST_BODY: usize = 262_144 - 64;
+pub const MAX_BODY_BYTES: usize = 262_144 - 64;
 /// What the ring of a connection must hold for the longest answer.
-pub const LONGEST_ANSWER: usize = LONGEST_BODY + LONGEST_LINE + 4;
+pub const MAX_ANSWER_BYTES: usize = MAX_BODY_BYTES + MAX_LINE_BYTES + 4;
 
 /// Whether a word may stand in a line or a list of fields without changing its meaning.
 pub fn is_word(text: &str) -> bool {
@@ -152,7 +152,7 @@
 /// Takes the next answer off the ring; `None` while it is not whole.
 pub fn next_answer(ring: &mut Ring) -> Result<Option<Answer>, String> {
     let Some(end) = ring.find_line_end() else {
-        return if ring.len() > LONGEST_LINE { Err("a line without an end".into()) } else { Ok(None) };
+        return if ring.len() > MAX_LINE_BYTES { Err("a line without an end".into()) } else { Ok(None) };
     };
     let line = ring.copy(0, end).and_then(|l| String::from_utf8(l).ok()).ok_or("a line that is no text")?;
     let mut words = line.split(' ');
@@ -162,7 +162,7 @@
         return Err(format!("no answer: {line:?}"));
     };
     let length: usize = length.parse().map_err(|_| format!("no length: {line:?}"))?;
-    if length > LONGEST_BODY {
+    if length > MAX_BODY_BYTES {
         return Err(format!("a body of {length} bytes"));
     }
     let fields = match fields {
--- a/node/src/hosts/lines/tests.rs
+++ b/node/src/hosts/lines/tests.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 
 fn parse(bytes: &[u8]) -> Result<Option<Answer>, String> {
-    let mut ring = Ring::new(LONGEST_ANSWER);
+    let mut ring = Ring::new(MAX_ANSWER_BYTES);
     assert!(ring.push(bytes));
     next_answer(&mut ring)
 }
@@ -28,7 +28,7 @@
 
 #[test]
 fn answers_are_read_at_any_split() {
-    let mut ring = Ring::new(LONGEST_ANSWER);
+    let mut ring = Ring::new(MAX_ANSWER_BYTES);
     let mut answers = Vec::new();
     for byte in b"a 200 tell=warm,queue_fn=3 5\r\n\r\nxyz\r\no1 503 copies=2 0\r\n\r\n" {
         ring.push(&[*byte]);
@@ -100,5 +100,5 @@
 
 #[test]
 fn a_line_without_end_is_cut_off() {
-    assert!(parse(&vec![b'a'; LONGEST_LINE + 1]).is_err());
+    assert!(parse(&vec![b'a'; MAX_LINE_BYTES + 1]).is_err());
 }
--- a/node/src/hosts/pool.rs
+++ b/node/src/hosts/pool.rs
@@ -21,9 +21,9 @@
 pub use connection::CallTimes;
 use connection::{HostConn, Item};
 
-use super::idling::Idling;
+use super::idle_limit::IdleLimit;
 use super::lines;
-use super::quiet::Quiet;
+use super::probe_delay::ProbeDelay;
 use crate::bus::Host;
 use crate::conn::{is_exhaustion, Conn, ConnId};
 use crate::log::{Log, Reason};
@@ -39,7 +39,7 @@
 }
 
 /// What the pool has learnt.
-pub enum Notice {
+pub enum PoolEvent {
     /// With the answer's body and fields, where there is one.
     Attempt {
         attempt: AttemptId,
@@ -60,7 +60,7 @@
     conns: Vec<ConnId>,
 }
 
-pub struct Hosts {
+pub struct HostPool {
     handle: Handle,
     transport: Transport,
     /// Connections to all hosts together.
@@ -69,19 +69,19 @@
     bytes: usize,
     members: BTreeMap<WorkerId, Member>,
     /// Taken out by hand, whether the list knows them now or not: nothing new is sent to them.
-    barred: BTreeSet<WorkerId>,
+    maintenance: BTreeSet<WorkerId>,
     conns: HashMap<ConnId, HostConn>,
     /// Where each attempt is that has not ended.
     attempts: HashMap<AttemptId, ConnId>,
     next_probe: u64,
-    idling: Idling,
-    quiet: Quiet,
+    idle_limit: IdleLimit,
+    probe_delay: ProbeDelay,
     /// The system had no descriptor for a connection to a host.
     pub exhausted: bool,
-    pub notices: VecDeque<Notice>,
+    pub events: VecDeque<PoolEvent>,
 }
 
-impl Hosts {
+impl HostPool {
     pub fn new(handle: Handle, transport: Transport, (most, bytes): (usize, usize)) -> Self {
         Self {
             handle,
@@ -89,19 +89,19 @@
             most,
             bytes,
             members: BTreeMap::new(),
-            barred: BTreeSet::new(),
+            maintenance: BTreeSet::new(),
             conns: HashMap::new(),
             attempts: HashMap::new(),
             next_probe: 0,
-            idling: Idling::default(),
-            quiet: Quiet::default(),
+            idle_limit: IdleLimit::default(),
+            probe_delay: ProbeDelay::default(),
             exhausted: false,
-            notices: VecDeque::new(),
+            events: VecDeque::new(),
         }
     }
 
     /// Connections that are open or being made.
-    pub fn held(&self) -> usize {
+    pub fn conns(&self) -> usize {
         self.conns.len()
     }
 
@@ -111,12 +111,12 @@
     }
 
     /// Connections are used by other settings from now on.
-    pub fn retune(&mut self, transport: Transport) {
+    pub fn set_transport(&mut self, transport: Transport) {
         self.transport = transport;
     }
 
     /// Holds to other bounds from now on; idle connections beyond them are closed.
-    pub fn bound(&mut self, (most, bytes): (usize, usize)) {
+    pub fn set_limits(&mut self, (most, bytes): (usize, usize)) {
         (self.most, self.bytes) = (most, bytes);
     }
 
@@ -127,8 +127,8 @@
     }
 
     /// Whether somebody has this id, or had it when it was taken out.
-    pub fn knows(&self, host: &WorkerId) -> bool {
-        self.members.contains_key(host) || self.barred.contains(host)
+    pub fn is_known(&self, host: &WorkerId) -> bool {
+        self.members.contains_key(host) || self.maintenance.contains(host)
     }
 
     /// All that have been listed and may be again.
@@ -136,18 +136,18 @@
         self.members.keys()
     }
 
-    pub fn is_barred(&self, host: &WorkerId) -> bool {
-        self.barred.contains(host)
+    pub fn in_maintenance(&self, host: &WorkerId) -> bool {
+        self.maintenance.contains(host)
     }
 
     /// Takes a host out by hand, or back in. What has not begun to leave is withdrawn; what runs may end.
     /// Idle connections are closed: whoever is taken out is mostly restarted.
-    pub fn bar(&mut self, now: Micros, host: &WorkerId, out: bool, log: &mut Log) {
+    pub fn set_maintenance(&mut self, now: Micros, host: &WorkerId, out: bool, log: &mut Log) {
         if !out {
-            self.barred.remove(host);
+            self.maintenance.remove(host);
             return;
         }
-        self.barred.insert(host.clone());
+        self.maintenance.insert(host.clone());
         self.withdraw(host);
         for id in self.members.get(host).map(|m| m.conns.clone()).unwrap_or_default() {
             if self.conns.get(&id).is_some_and(HostConn::is_idle) {
@@ -158,7 +158,7 @@
 
     /// Whether anything new may be sent there.
     fn takes(&self, host: &WorkerId) -> bool {
-        !self.barred.contains(host)
+        !self.maintenance.contains(host)
             && self.members.get(host).is_some_and(|m| m.entry.condition == Condition::Up)
     }
 
@@ -179,7 +179,7 @@
 
     /// News of the host list. What has not begun to leave for a host that drains or is gone is withdrawn at
     /// once: after its time the rules allow not even the first byte.
-    pub fn list(&mut self, now: Micros, kind: ListKind, hosts: &[Host], log: &mut Log) {
+    pub fn update_hosts(&mut self, now: Micros, kind: ListKind, hosts: &[Host], log: &mut Log) {
         if kind != ListKind::Delta {
             let named: Vec<&WorkerId> = hosts.iter().map(|h| &h.entry.worker).collect();
             let left: Vec<_> = self.members.keys().filter(|m| !named.contains(m)).cloned().collect();
@@ -242,7 +242,7 @@
                 match item {
                     Item::Call { attempt, .. } => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
                     Item::Order { order, .. } => {
-                        self.notices.push_back(Notice::Order { order, outcome: Outcome::Full, copies: 0 })
+                        self.events.push_back(PoolEvent::Order { order, outcome: Outcome::Full, copies: 0 })
                     }
                     Item::Kill { .. } | Item::Plain(_) => {}
                 }
--- a/node/src/hosts/pool/answers.rs
+++ b/node/src/hosts/pool/answers.rs
@@ -5,7 +5,7 @@
 /// An answer above this size is large: few may be on their way at once.
 const LARGE: usize = 32 << 10;
 
-impl Hosts {
+impl HostPool {
     /// The socket has something to say, or may take more.
     pub fn ready(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id) else { return };
@@ -38,7 +38,7 @@
                 c.heard = now;
                 c.asks += u32::from(c.asked.take().is_some());
                 if let Some(idle) = c.idled.take() {
-                    self.idling.learn(now, idle, false);
+                    self.idle_limit.learn(now, idle, false);
                 }
             }
             loop {
@@ -77,7 +77,7 @@
         if let Some((order, _)) = c.orders.remove(&answer.id) {
             c.asks = 0;
             let (outcome, copies) = (answer.outcome(), answer.copies());
-            return self.notices.push_back(Notice::Order { order, outcome, copies });
+            return self.events.push_back(PoolEvent::Order { order, outcome, copies });
         }
         let Some((attempt, since)) = c.calls.remove(answer.id.as_str()) else { return };
         c.asks = 0;
@@ -86,8 +86,8 @@
         self.attempts.remove(&attempt);
         let end = answer.attempt_end(self.transport.says_warm, self.transport.counts_alike);
         if end.outcome == Outcome::Done {
-            self.quiet.learn(now - since);
+            self.probe_delay.learn(now - since);
         }
-        self.notices.push_back(Notice::Attempt { attempt, end, body: answer.body, fields: answer.fields });
+        self.events.push_back(PoolEvent::Attempt { attempt, end, body: answer.body, fields: answer.fields });
     }
 }
--- a/node/src/hosts/pool/ending.rs
+++ b/node/src/hosts/pool/ending.rs
@@ -14,10 +14,10 @@
 /// ... but from its first byte an answer must be whole by then: others on its connection wait behind it.
 const HALTING: Micros = 4_000_000;
 
-impl Hosts {
+impl HostPool {
     pub(super) fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd) {
         self.attempts.remove(&attempt);
-        self.notices.push_back(Notice::Attempt { attempt, end, body: Vec::new(), fields: Vec::new() });
+        self.events.push_back(PoolEvent::Attempt { attempt, end, body: Vec::new(), fields: Vec::new() });
     }
 
     /// Ends a connection: what had left whole may have run, all else proves that it did not. What has not
@@ -30,7 +30,7 @@
         }
         let broke = matches!(reason, Reason::PeerReset | Reason::PeerClosed);
         if let Some(idle) = c.idled.filter(|_| broke && !c.is_idle()) {
-            self.idling.learn(now, idle, true);
+            self.idle_limit.learn(now, idle, true);
         }
         let detail = format!("calls={} orders={} queued={}", c.calls.len(), c.orders.len(), c.queue.len());
         log.ended(now, format_args!("host {}", c.host.0), reason, detail);
@@ -45,7 +45,7 @@
                 Item::Call { attempt, .. } => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
                 Item::Order { order, .. } => {
                     let outcome = Outcome::ConnectFailed;
-                    self.notices.push_back(Notice::Order { order, outcome, copies: 0 });
+                    self.events.push_back(PoolEvent::Order { order, outcome, copies: 0 });
                 }
                 // The end of the connection gives up what it carried, as KILL would have.
                 Item::Kill { attempt, id } => {
@@ -64,7 +64,7 @@
         let mut orders: Vec<_> = c.orders.into_values().map(|(order, _)| order).collect();
         orders.sort();
         for order in orders {
-            self.notices.push_back(Notice::Order { order, outcome: Outcome::Reset, copies: 0 });
+            self.events.push_back(PoolEvent::Order { order, outcome: Outcome::Reset, copies: 0 });
         }
         c.conn.close(&self.handle);
     }
@@ -114,8 +114,8 @@
         self.conns.values_mut().for_each(|c| c.orders.retain(|_, (_, at)| now - *at <= patience));
         if self.transport.probes {
             let silent = |c: &HostConn| {
-                let quiet = now - c.heard >= self.quiet.patience(c.asks);
-                c.standing && c.owes() && quiet && !self.barred.contains(&c.host)
+                let quiet = now - c.heard >= self.probe_delay.patience(c.asks);
+                c.standing && c.owes() && quiet && !self.maintenance.contains(&c.host)
             };
             let silent = self.conns.iter().filter(|(_, c)| c.asked.is_none() && silent(c));
             let mut silent: Vec<_> = silent.map(|(id, _)| *id).collect();
@@ -136,8 +136,8 @@
             true if c.partial.is_some_and(|since| now - since >= HALTING) => Some(Reason::Protocol),
             true if c.asked.is_some_and(|since| now - since >= UNHEARD) => Some(Reason::Silent),
             true if c.writing.is_some() && c.is_stuck(now) => Some(Reason::SlowReader),
-            true if c.is_idle() && self.barred.contains(&c.host) => Some(Reason::Barred),
-            true if c.is_idle() && (now - c.used >= idle || self.idling.too_long(now - c.used)) => {
+            true if c.is_idle() && self.maintenance.contains(&c.host) => Some(Reason::Barred),
+            true if c.is_idle() && (now - c.used >= idle || self.idle_limit.too_long(now - c.used)) => {
                 Some(Reason::Idle)
             }
             _ => None,
--- a/node/src/hosts/pool/sending.rs
+++ b/node/src/hosts/pool/sending.rs
@@ -14,7 +14,7 @@
 /// handshake. A hundred activators hold one each.
 const SPREAD_OF_ALL: usize = 24;
 
-impl Hosts {
+impl HostPool {
     /// Sends an attempt, with further fields of the call's line; how it ends is noticed later, once.
     pub fn send(
         &mut self,
@@ -99,7 +99,7 @@
                 // A host that turned it away would be told of to the whole fleet; and as this end comes at once, an order that
                 // is given anew for it would be given for ever.
                 let outcome = if self.takes(host) { Outcome::NotSent } else { Outcome::ConnectFailed };
-                self.notices.push_back(Notice::Order { order, outcome, copies: 0 });
+                self.events.push_back(PoolEvent::Order { order, outcome, copies: 0 });
             }
         }
     }
@@ -152,7 +152,7 @@
         }
         let id = crate::conn::fresh_id();
         let conn =
-            match Conn::connect(&self.handle, id, address, (lines::LONGEST_ANSWER, 64 << 10), Wake::Host) {
+            match Conn::connect(&self.handle, id, address, (lines::MAX_ANSWER_BYTES, 64 << 10), Wake::Host) {
                 Ok(conn) => conn,
                 Err(e) => {
                     self.exhausted |= is_exhaustion(&e);
@@ -196,7 +196,7 @@
         let fitting = member.conns.iter().filter_map(|id| self.conns.get(id).map(|c| (*id, c)));
         let fitting = fitting.filter(|(_, c)| fits(c, self.transport.streams));
         // The last used goes first, and one that has been idle for too long is left to be closed.
-        let fresh = fitting.filter(|(_, c)| !(c.is_idle() && self.idling.too_long(now - c.used)));
+        let fresh = fitting.filter(|(_, c)| !(c.is_idle() && self.idle_limit.too_long(now - c.used)));
         let best = fresh.map(|(id, c)| (c.load(), !c.standing, Reverse(c.used), id)).min();
         Some(best.map(|(load, _, _, id)| (load, id)))
     }
--- a/node/src/hosts/pool/tests.rs
+++ b/node/src/hosts/pool/tests.rs
@@ -21,7 +21,7 @@
 
 /// A pool before one host, whose connections are accepted and read when the test says so.
 struct Rig {
-    hosts: Hosts,
+    hosts: HostPool,
     now: Micros,
     log: Log,
     events: EventLoop<'static, Wakes>,
@@ -49,7 +49,7 @@
         };
         let events: EventLoop<'static, Wakes> = EventLoop::try_new().unwrap();
         let mut rig = Self {
-            hosts: Hosts::new(events.handle(), transport, (100, 1 << 20)),
+            hosts: HostPool::new(events.handle(), transport, (100, 1 << 20)),
             now: 1_000 * SECOND,
             log: Log::new(),
             events,
@@ -72,7 +72,7 @@
 
     fn list(&mut self, condition: Condition) {
         let host = self.listed(condition);
-        self.hosts.list(self.now, ListKind::Delta, &[host], &mut self.log);
+        self.hosts.update_hosts(self.now, ListKind::Delta, &[host], &mut self.log);
         self.note();
     }
 
@@ -115,10 +115,10 @@
 
     /// Keeps what the pool has noticed.
     fn note(&mut self) {
-        for notice in self.hosts.notices.drain(..) {
+        for notice in self.hosts.events.drain(..) {
             match notice {
-                Notice::Attempt { attempt, end, .. } => self.ended.push((attempt.ticket.0, end.outcome)),
-                Notice::Order { order, outcome, .. } => self.orders.push((order.0, outcome)),
+                PoolEvent::Attempt { attempt, end, .. } => self.ended.push((attempt.ticket.0, end.outcome)),
+                PoolEvent::Order { order, outcome, .. } => self.orders.push((order.0, outcome)),
             }
         }
     }
@@ -564,7 +564,7 @@
     let mut left = other.clone();
     left.entry.condition = Condition::Gone;
     assert_eq!(rig.hosts.displaced(&[left]), []);
-    rig.hosts.list(rig.now, ListKind::Delta, std::slice::from_ref(&other), &mut rig.log);
+    rig.hosts.update_hosts(rig.now, ListKind::Delta, std::slice::from_ref(&other), &mut rig.log);
     assert_eq!(rig.hosts.displaced(&[other]), []);
 }
 
@@ -574,14 +574,14 @@
 fn only_an_idle_connection_is_evicted() {
     let mut rig = Rig::new();
     let order = rig.order();
-    rig.hosts.bound((0, 1 << 20));
+    rig.hosts.set_limits((0, 1 << 20));
     rig.tick(0);
     rig.until(|rig| rig.conn().orders.len() == 1);
     rig.tick(0);
     let (mut stream, _) = rig.listener.accept().unwrap();
-    rig.hosts.bound((1, 1 << 20));
+    rig.hosts.set_limits((1, 1 << 20));
     let call = rig.send(10);
-    rig.hosts.bound((0, 1 << 20));
+    rig.hosts.set_limits((0, 1 << 20));
     stream.write_all(format!("o{order} 200 copies=1 0\r\n\r\n").as_bytes()).unwrap();
     rig.until(|rig| !rig.orders.is_empty());
     rig.tick(0);
@@ -604,7 +604,7 @@
 ) {
     let mut rig = Rig::new();
     rig.list(condition);
-    rig.hosts.bound((0, 1 << 20));
+    rig.hosts.set_limits((0, 1 << 20));
     let (call, order) = (rig.send(10), rig.order());
     assert_eq!((rig.outcomes(call), rig.orders), (vec![of_call], vec![(order, of_order)]));
 }
@@ -615,7 +615,7 @@
     let (_, stream) = rig.stand();
     let part = rig.clog();
     rig.cancel(part);
-    rig.hosts.bound((0, 1 << 20));
+    rig.hosts.set_limits((0, 1 << 20));
     rig.tick(0);
     assert_eq!(rig.outcomes(part), []);
     let reading = read_on(&stream);
--- a/node/src/hosts/quiet.rs
+++ b/node/src/hosts/probe_delay.rs
@@ -21,11 +21,11 @@
 
 /// Learns how long answers take.
 #[derive(Default)]
-pub struct Quiet {
+pub struct ProbeDelay {
     usual: Option<(f64, f64)>,
 }
 
-impl Quiet {
+impl ProbeDelay {
     /// A call was answered after so long.
     pub fn learn(&mut self, took: Micros) {
         let took = took.max(0) as f64;
--- a/node/src/hosts/quiet/tests.rs
+++ b/node/src/hosts/probe_delay/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn what_is_usual_is_no_silence_and_asks_grow_rare() {
-    let mut quiet = Quiet::default();
+    let mut quiet = ProbeDelay::default();
     assert_eq!(quiet.patience(0), LEAST, "nothing is known");
     (0..50).for_each(|_| quiet.learn(20_000));
     assert_eq!(quiet.patience(0), LEAST, "short answers are asked after as ever");
--- a/node/src/hosts/starts.rs
+++ b/node/src/hosts/start_times.rs
@@ -31,15 +31,15 @@
     listed: bool,
 }
 
-/// Starts of all hosts that were told.
+/// StartTimes of all hosts that were told.
 #[derive(Default)]
-pub struct Starts {
+pub struct StartTimes {
     known: BTreeMap<WorkerId, Start>,
     /// To be added to what is told; never below 0, lest one host with a wrong clock make all others look older.
     correction: Micros,
 }
 
-impl Starts {
+impl StartTimes {
     /// Puts this program's time in the place of the time told, in the entries of one event. `whole` is when the list was
     /// last known to be as new as its source, if that was ever so.
     pub fn translate<'a>(
--- a/node/src/ipc.rs
+++ b/node/src/ipc.rs
@@ -21,7 +21,7 @@
 /// Bytes of the length before each.
 const HEAD: usize = 4;
 // The longest answer of a host goes in one frame, with its line and all that is said besides.
-const _: () = assert!(crate::hosts::lines::LONGEST_ANSWER + more::MOST_WIRE < MOST_FRAME);
+const _: () = assert!(crate::hosts::lines::MAX_ANSWER_BYTES + more::MOST_WIRE < MOST_FRAME);
 
 /// One word. New ones go to the end: postcard tells them apart by their place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -35,14 +35,14 @@
 use crate::config::{self, Config};
 use crate::conn::{fresh_id, Conn, ConnId};
 use crate::control::{self, Control};
-use crate::descriptors::{Bounds, Held};
+use crate::descriptors::{Bounds, Usage};
 use crate::dnssd::{Browser, DnsSd};
 use crate::faults::{meet, Call as Faulty};
 use crate::front::invoke::{self, Invoke};
 use crate::front::platform::frames::Request;
 use crate::front::platform::{self, Platform};
 use crate::front::Reply;
-use crate::hosts::{self, Call, CallTimes, Hosts, Starts};
+use crate::hosts::{self, Call, CallTimes, HostPool, StartTimes};
 use crate::http::Response;
 use crate::ipc::more::Said;
 use crate::listener::{self, Listener};
@@ -174,8 +174,8 @@
     /// Ids of the pending requests, as clients chose them.
     ids: HashSet<Rc<str>>,
     side: Side,
-    hosts: Hosts,
-    host_starts: Starts,
+    hosts: HostPool,
+    host_starts: StartTimes,
     peers: Option<Peers>,
     membership: Option<Membership>,
     drafting: Option<Box<Drafting>>,
@@ -226,7 +226,7 @@
             .map_err(|e| format!("no word with the peer: {e}"))?;
         let transport = config.deployment.transport.clone();
         let descriptors = config.descriptors;
-        let Bounds { clients, hosts: most } = descriptors.alone(Held::default());
+        let Bounds { clients, hosts: most } = descriptors.bounds(Usage::default());
         let share = config.memory / MEMORY_SHARE;
         let router = config.deployment.router(config.seed).map_err(|e| e.to_string())?;
         let mut known = Vec::new();
@@ -265,7 +265,7 @@
         let mut node = Self {
             client_listener: None,
             control_listener: None,
-            control: Control::new(handle.clone(), descriptors.callers()),
+            control: Control::new(handle.clone(), descriptors.operators()),
             upgrade,
             gradual: Gradual::new(config.memory),
             admission: AdmissionControl::new(config.admission.as_ref(), descriptors.limit(), share),
@@ -282,8 +282,8 @@
             pending: HashMap::new(),
             ids: HashSet::new(),
             side,
-            hosts: Hosts::new(handle.clone(), transport, (most, share)),
-            host_starts: Starts::default(),
+            hosts: HostPool::new(handle.clone(), transport, (most, share)),
+            host_starts: StartTimes::default(),
             peers: None,
             membership: None,
             drafting: None,
@@ -503,7 +503,7 @@
         loop {
             if let Some(command) = self.commands.pop_front() {
                 self.carry_out(command);
-            } else if let Some(notice) = self.hosts.notices.pop_front() {
+            } else if let Some(notice) = self.hosts.events.pop_front() {
                 self.host_notice(notice);
             } else if let Some(news) = self.upgrade.news.pop_front() {
                 let now = self.clock.now();
@@ -554,7 +554,7 @@
             }
             Command::Unload { host, function } => self.hosts.unload(now, &host, &function, &mut self.log),
             Command::Probe { host } => self.hosts.probe(now, &host, &mut self.log),
-            Command::Broadcast { data } => self.peers.iter().for_each(|peers| peers.tell(&data)),
+            Command::Broadcast { data } => self.peers.iter().for_each(|peers| peers.broadcast(&data)),
             Command::Answer { ticket, verdict } => self.answer(now, ticket, verdict),
             Command::Log { text } => self.log.line(now, text),
         }
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -155,9 +155,9 @@
         let descriptors = self.config.descriptors;
         let limit = descriptors.limit();
         let limit = if self.upgrade.has_peer() { limit / 2 } else { limit };
-        let callers = descriptors.callers();
-        let part = (limit, descriptors.own() - callers, callers);
-        let held = (self.hosts.reserve(), self.hosts.held(), self.control.held());
+        let callers = descriptors.operators();
+        let part = (limit, descriptors.reserved() - callers, callers);
+        let held = (self.hosts.reserve(), self.hosts.conns(), self.control.held());
         self.admission.bound_descriptors(now, part, held).unwrap_or(bounds)
     }
 
@@ -180,7 +180,7 @@
     pub(super) fn bus_begun(&mut self, now: Micros, conn: io::Result<Conn>) {
         let Side::Platform(_, bus) = &mut self.side else { return };
         let problem = conn.as_ref().err().map(|e| (is_exhaustion(e), e.to_string()));
-        bus.begun(now, conn.ok());
+        bus.connect_started(now, conn.ok());
         let Some((exhausted, problem)) = problem else { return };
         let made = exhausted && self.evict_client(now, true);
         let made = if made { ", a client made room" } else { "" };
--- a/node/src/node/drafts.rs
+++ b/node/src/node/drafts.rs
@@ -294,7 +294,7 @@
         if let Some(membership) = &self.membership {
             d.drafts.set_members(d.names.keys().copied(), membership.there());
         }
-        d.told.retain(|host, _| self.hosts.knows(host));
+        d.told.retain(|host, _| self.hosts.is_known(host));
         let mut out = Vec::new();
         d.drafts.wake(here, &mut out);
         let (table, version) = (d.table.clone(), d.version);
--- a/node/src/node/life.rs
+++ b/node/src/node/life.rs
@@ -14,7 +14,7 @@
             self.admission.inherit(now, learnt.clone());
         }
         if let (Side::Platform(_, bus), Some(place)) = (&mut self.side, state.bus) {
-            bus.read_elsewhere(place);
+            bus.require_position(place);
         }
     }
 
@@ -22,18 +22,18 @@
     pub(super) fn resize(&mut self) {
         let descriptors = self.config.descriptors;
         let share = self.config.memory / MEMORY_SHARE;
-        let held = Held { clients: self.clients(), hosts: self.hosts.held(), listed: self.hosts.reserve() };
+        let held = Usage { clients: self.clients(), hosts: self.hosts.conns(), listed: self.hosts.reserve() };
         let (share, bounds) = if self.upgrade.has_peer() {
-            (share / 2, descriptors.beside(self.peer_clients))
+            (share / 2, descriptors.shared_bounds(self.peer_clients))
         } else {
-            (share, descriptors.alone(held))
+            (share, descriptors.bounds(held))
         };
         self.admission.bound_memory(share);
         self.gradual.bound(share);
         let now = self.clock.now();
-        self.control.bound(descriptors.callers());
+        self.control.bound(descriptors.operators());
         let bounds = self.bound_descriptors(now, bounds);
-        self.hosts.bound((bounds.hosts, share));
+        self.hosts.set_limits((bounds.hosts, share));
         let clients = bounds.clients;
         match &mut self.side {
             Side::Platform(front, _) => front.bound((clients, share)),
@@ -142,7 +142,7 @@
             admission: self.admission.state(self.tallied),
             clock: Some(self.clock.base()),
             bus: match &self.side {
-                Side::Platform(_, bus) => Some(bus.place()),
+                Side::Platform(_, bus) => Some(bus.position()),
                 Side::Operator { .. } => None,
             },
             ..State::default()
@@ -288,7 +288,7 @@
                 config::Side::Operator { resolver, bounds, .. },
             ) => {
                 let failed = |e| format!("no socket for queries to {resolver}: {e}");
-                hosts.moved(*resolver).map_err(failed)?;
+                hosts.set_resolver(*resolver).map_err(failed)?;
                 front.retune(idle, *bounds, (d.classes.clone(), d.tenants.clone()));
                 if let config::Side::Operator { classes: new, .. } = &config.side {
                     classes.clone_from(new);
@@ -300,13 +300,13 @@
         if let Some(address) = moved {
             self.end_bus(now, Reason::Moved);
             if let Side::Platform(_, bus) = &mut self.side {
-                bus.moved(address);
+                bus.set_address(address);
             }
         }
         let what = format!("{source}, {} classes, {} attempts", d.classes.len(), d.settings.max_attempts);
         let transport = d.transport.clone();
         let patience = transport.order_timeout;
-        self.hosts.retune(transport);
+        self.hosts.set_transport(transport);
         if (config.listen, config.control) != (self.config.listen, self.config.control) {
             self.log.line(now, "addresses to listen on change with the next start only");
         }
--- a/node/src/node/news.rs
+++ b/node/src/node/news.rs
@@ -49,18 +49,18 @@
     pub(super) fn read_bus(&mut self, now: Micros) -> Result<(), Reason> {
         loop {
             let Side::Platform(_, bus) = &mut self.side else { return Ok(()) };
-            bus.greet(now)?;
-            let Some(conn) = bus.conn.as_mut().filter(|_| bus.standing) else { return Ok(()) };
+            bus.subscribe(now)?;
+            let Some(conn) = bus.conn.as_mut().filter(|_| bus.connected) else { return Ok(()) };
             conn.flush()?;
             let before = conn.inbox.len();
             let filled = conn.fill();
             if conn.inbox.len() > before {
-                bus.moved_on(now);
+                bus.bytes_received(now);
             }
             while self.take_bus_frame(now)? {}
             let more = filled?;
             let Side::Platform(_, bus) = &mut self.side else { return Ok(()) };
-            bus.taken(now, bus.conn.as_ref().is_some_and(|c| !c.inbox.is_empty()));
+            bus.set_partial(now, bus.conn.as_ref().is_some_and(|c| !c.inbox.is_empty()));
             if bus.conn.as_ref().is_some_and(|c| c.eof) {
                 return Err(Reason::PeerClosed);
             }
@@ -82,15 +82,15 @@
                 return Err(Reason::Protocol);
             }
         };
-        bus.heard(now);
+        bus.frame_received(now);
         let Frame::Event(event) = frame else {
-            if let Some((kind, hosts)) = bus.told_all(now) {
+            if let Some((kind, hosts)) = bus.heartbeat_received(now) {
                 self.list(kind, hosts);
             }
             return Ok(true);
         };
         let number = event.number;
-        match bus.take(event) {
+        match bus.apply(event) {
             Ok(None) => {}
             Ok(Some((kind, hosts))) => self.list(kind, hosts),
             Err(Gap { changes }) => {
@@ -110,14 +110,14 @@
             let bounds = (BUS_RING, 64);
             let conn = Conn::connect(&self.handle, fresh_id(), bus.address, bounds, |_| Wake::Bus);
             self.bus_begun(now, conn);
-        } else if bus.is_silent(now) {
+        } else if bus.has_timed_out(now) {
             self.end_bus(now, Reason::Silent);
         }
     }
 
     pub(super) fn end_bus(&mut self, now: Micros, reason: Reason) {
         let Side::Platform(_, bus) = &mut self.side else { return };
-        if let Some(conn) = bus.ended(now) {
+        if let Some(conn) = bus.disconnect(now) {
             self.log.ended(now, "bus", reason, "");
             conn.close(&self.handle);
         }
@@ -136,7 +136,7 @@
             return;
         }
         self.log_list(now, kind, &hosts);
-        self.hosts.list(now, kind, &hosts, &mut self.log);
+        self.hosts.update_hosts(now, kind, &hosts, &mut self.log);
         // The engine may send to them at once: clients beyond their part make room before.
         self.resize();
         let entries: Vec<ListEntry> = hosts.into_iter().map(|h| h.entry).collect();
@@ -148,7 +148,7 @@
     /// Has hosts have started by this program's time, not by the one that the list's source goes by.
     fn take_starts(&mut self, now: Micros, kind: ListKind, hosts: &mut [bus::Host]) {
         let whole = match &self.side {
-            Side::Platform(_, bus) => bus.whole_at(),
+            Side::Platform(_, bus) => bus.synced_at(),
             Side::Operator { .. } => None,
         };
         let before = self.host_starts.correction();
@@ -196,7 +196,7 @@
 
     pub(super) fn peers_ready(&mut self) {
         let now = self.clock.now();
-        for (from, data) in self.peers.as_ref().map(Peers::heard).unwrap_or_default() {
+        for (from, data) in self.peers.as_ref().map(Peers::receive).unwrap_or_default() {
             self.run_engine(|engine, out| engine.gossip_received(now, from, data, out));
         }
         self.settle();
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -50,7 +50,7 @@
             control::Call::Turns => self.show_turns(),
             control::Call::Host { id, out } => {
                 let host: WorkerId = id.as_str().into();
-                if !self.hosts.knows(&host) {
+                if !self.hosts.is_known(&host) {
                     return Response::problem(404, "no script host has this id");
                 }
                 if self.by_hand.contains(&host) != out {
@@ -102,15 +102,15 @@
     /// again, as the engine may send at once, and after the engine else, so that what is withdrawn goes elsewhere.
     pub(super) fn bar(&mut self, now: Micros, host: &WorkerId) {
         let out = self.by_hand.contains(host) || self.is_out_as_agreed(host);
-        if self.hosts.is_barred(host) == out {
+        if self.hosts.in_maintenance(host) == out {
             return;
         }
         if !out {
-            self.hosts.bar(now, host, out, &mut self.log);
+            self.hosts.set_maintenance(now, host, out, &mut self.log);
         }
         self.run_engine(|engine, commands| engine.set_out_of_service(now, host.clone(), out, commands));
         if out {
-            self.hosts.bar(now, host, out, &mut self.log);
+            self.hosts.set_maintenance(now, host, out, &mut self.log);
         }
     }
 
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -316,10 +316,10 @@
         }
     }
 
-    pub(super) fn host_notice(&mut self, notice: hosts::Notice) {
+    pub(super) fn host_notice(&mut self, notice: hosts::PoolEvent) {
         let now = self.clock.now();
         match notice {
-            hosts::Notice::Attempt { attempt, end, body, fields } => {
+            hosts::PoolEvent::Attempt { attempt, end, body, fields } => {
                 self.log_attempt_end(attempt, end.outcome);
                 self.drafted(now, attempt, &end, &fields);
                 self.turn_ended(now, attempt, &end, &fields);
@@ -333,7 +333,7 @@
                 self.tell_end(attempt, end.outcome);
                 self.run_engine(|engine, out| engine.attempt_ended(now, attempt, end, out));
             }
-            hosts::Notice::Order { order, outcome, copies } => {
+            hosts::PoolEvent::Order { order, outcome, copies } => {
                 self.run_engine(|engine, out| engine.order_ended(now, order, outcome, copies, out));
             }
         }
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -11,9 +11,9 @@
 use crate::wake::{Handle, Wake};
 
 /// The longest datagram that may be sent, and the longest that is taken.
-pub const LONGEST: usize = wheellink_settings::LONGEST_WORD;
+pub const MAX_DATAGRAM_BYTES: usize = wheellink_settings::LONGEST_WORD;
 /// Datagrams taken at one go: a flood of them must not keep the loop.
-const AT_ONCE: usize = 64;
+const MAX_DATAGRAMS_PER_WAKE: usize = 64;
 
 /// Where the activators hear one another.
 #[derive(Clone, Debug, PartialEq)]
@@ -45,19 +45,19 @@
     }
 
     /// Tells all others. One that cannot be sent is lost, as any may be.
-    pub fn tell(&self, data: &[u8]) {
-        if data.len() <= LONGEST {
+    pub fn broadcast(&self, data: &[u8]) {
+        if data.len() <= MAX_DATAGRAM_BYTES {
             let _ = self.socket.send_to(data, self.addresses.all);
         }
     }
 
     /// What has come, by the sender's number. What is too long, from elsewhere or this one's own is dropped.
-    pub fn heard(&self) -> Vec<(u32, Vec<u8>)> {
-        let mut buf = [0; LONGEST + 1];
+    pub fn receive(&self) -> Vec<(u32, Vec<u8>)> {
+        let mut buf = [0; MAX_DATAGRAM_BYTES + 1];
         let mut all = Vec::new();
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKE {
             match self.socket.recv_from(&mut buf) {
-                Ok((n, from)) if n <= LONGEST => {
+                Ok((n, from)) if n <= MAX_DATAGRAM_BYTES => {
                     let number = self.numbers.get(&from);
                     all.extend(number.map(|number| (*number, buf[..n].to_vec())));
                 }
--- a/node/src/peers/tests.rs
+++ b/node/src/peers/tests.rs
@@ -17,7 +17,7 @@
     let mut heard = Vec::new();
     while heard.last().is_none_or(|(_, length)| *length != last) {
         assert!(begun.elapsed() < Duration::from_secs(10), "waited in vain: {heard:?}");
-        heard.extend(peers.heard().into_iter().map(|(from, data)| (from, data.len())));
+        heard.extend(peers.receive().into_iter().map(|(from, data)| (from, data.len())));
     }
     heard
 }
@@ -33,16 +33,16 @@
     let each = vec![listen, other.local_addr().unwrap()];
     // What it tells all comes back to itself, as a broadcast does.
     let peers = Peers::open(&events.handle(), Addresses { listen, each, all: listen }).unwrap();
-    for _ in 0..2 * AT_ONCE {
+    for _ in 0..2 * MAX_DATAGRAMS_PER_WAKE {
         stranger.send_to(&[1; 10], listen).unwrap();
     }
-    peers.tell(&[2; 20]);
-    peers.tell(&[2; LONGEST + 1]);
-    other.send_to(&[3; LONGEST + 1], listen).unwrap();
+    peers.broadcast(&[2; 20]);
+    peers.broadcast(&[2; MAX_DATAGRAM_BYTES + 1]);
+    other.send_to(&[3; MAX_DATAGRAM_BYTES + 1], listen).unwrap();
     other.send_to(&[3; 1200], listen).unwrap();
     other.send_to(&[], listen).unwrap();
-    other.send_to(&[3; LONGEST], listen).unwrap();
+    other.send_to(&[3; MAX_DATAGRAM_BYTES], listen).unwrap();
     other.send_to(&[3; 7], listen).unwrap();
-    assert_eq!(heard_up_to(&peers, 7), [(1, 0), (1, LONGEST), (1, 7)]);
+    assert_eq!(heard_up_to(&peers, 7), [(1, 0), (1, MAX_DATAGRAM_BYTES), (1, 7)]);
     peers.close();
 }
--- a/node/src/upgrade.rs
+++ b/node/src/upgrade.rs
@@ -32,7 +32,7 @@
 use crate::clock::TimeBase;
 use crate::conn::ConnId;
 use crate::control::AdmissionCall;
-use crate::descriptors::GUESTS;
+use crate::descriptors::MAX_PENDING_HANDSHAKES;
 use crate::ipc::{self, Word};
 use crate::listener;
 use crate::ring::Ring;
@@ -598,7 +598,7 @@
         if let Ok(wire) = Wire::new(&self.handle, id, stream) {
             self.wires.insert(id, wire);
             let guests: Vec<_> = self.wires.keys().copied().filter(|id| Some(*id) != self.peer).collect();
-            if guests.len() > GUESTS {
+            if guests.len() > MAX_PENDING_HANDSHAKES {
                 self.drop_wire(guests[0], "it said nothing");
             }
             self.ready(id);
