--- a/node/src/hosts.rs
+++ b/node/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Script hosts: the lines that are spoken with them, and the pool of connections to them.
+//! Script hosts: the line protocol that they speak, and the pool of connections to them.
 
 mod idle_limit;
 pub mod lines;
--- a/node/src/hosts/pool/answers.rs
+++ b/node/src/hosts/pool/answers.rs
@@ -38,7 +38,7 @@
                 c.heard = now;
                 c.asks += u32::from(c.asked.take().is_some());
                 if let Some(idle) = c.idled.take() {
-                    self.idle_limit.learn(now, idle, false);
+                    self.idle_limit.record(now, idle, false);
                 }
             }
             loop {
@@ -86,7 +86,7 @@
         self.attempts.remove(&attempt);
         let end = answer.attempt_end(self.transport.says_warm, self.transport.counts_alike);
         if end.outcome == Outcome::Done {
-            self.probe_delay.learn(now - since);
+            self.probe_delay.record(now - since);
         }
         self.events.push_back(PoolEvent::Attempt { attempt, end, body: answer.body, fields: answer.fields });
     }
--- a/node/src/hosts/pool/ending.rs
+++ b/node/src/hosts/pool/ending.rs
@@ -30,7 +30,7 @@
         }
         let broke = matches!(reason, Reason::PeerReset | Reason::PeerClosed);
         if let Some(idle) = c.idled.filter(|_| broke && !c.is_idle()) {
-            self.idle_limit.learn(now, idle, true);
+            self.idle_limit.record(now, idle, true);
         }
         let detail = format!("calls={} orders={} queued={}", c.calls.len(), c.orders.len(), c.queue.len());
         log.ended(now, format_args!("host {}", c.host.0), reason, detail);
@@ -114,7 +114,7 @@
         self.conns.values_mut().for_each(|c| c.orders.retain(|_, (_, at)| now - *at <= patience));
         if self.transport.probes {
             let silent = |c: &HostConn| {
-                let quiet = now - c.heard >= self.probe_delay.patience(c.asks);
+                let quiet = now - c.heard >= self.probe_delay.delay(c.asks);
                 c.standing && c.owes() && quiet && !self.maintenance.contains(&c.host)
             };
             let silent = self.conns.iter().filter(|(_, c)| c.asked.is_none() && silent(c));
@@ -137,7 +137,7 @@
             true if c.asked.is_some_and(|since| now - since >= UNHEARD) => Some(Reason::Silent),
             true if c.writing.is_some() && c.is_stuck(now) => Some(Reason::SlowReader),
             true if c.is_idle() && self.maintenance.contains(&c.host) => Some(Reason::Barred),
-            true if c.is_idle() && (now - c.used >= idle || self.idle_limit.too_long(now - c.used)) => {
+            true if c.is_idle() && (now - c.used >= idle || self.idle_limit.is_exceeded(now - c.used)) => {
                 Some(Reason::Idle)
             }
             _ => None,
--- a/node/src/hosts/pool/sending.rs
+++ b/node/src/hosts/pool/sending.rs
@@ -196,7 +196,7 @@
         let fitting = member.conns.iter().filter_map(|id| self.conns.get(id).map(|c| (*id, c)));
         let fitting = fitting.filter(|(_, c)| fits(c, self.transport.streams));
         // The last used goes first, and one that has been idle for too long is left to be closed.
-        let fresh = fitting.filter(|(_, c)| !(c.is_idle() && self.idle_limit.too_long(now - c.used)));
+        let fresh = fitting.filter(|(_, c)| !(c.is_idle() && self.idle_limit.is_exceeded(now - c.used)));
         let best = fresh.map(|(id, c)| (c.load(), !c.standing, Reverse(c.used), id)).min();
         Some(best.map(|(load, _, _, id)| (load, id)))
     }
--- a/node/src/hosts/probe_delay/tests.rs
+++ b/node/src/hosts/probe_delay/tests.rs
@@ -1,19 +1,19 @@
-//! Tests of `quiet` that need its private state.
+//! Tests of `probe_delay` that need its private state.
 
 use super::*;
 
 #[test]
-fn what_is_usual_is_no_silence_and_asks_grow_rare() {
-    let mut quiet = ProbeDelay::default();
-    assert_eq!(quiet.patience(0), LEAST, "nothing is known");
-    (0..50).for_each(|_| quiet.learn(20_000));
-    assert_eq!(quiet.patience(0), LEAST, "short answers are asked after as ever");
-    (0..50).for_each(|i| quiet.learn(if i % 3 == 0 { 900_000 } else { 150_000 }));
-    assert!(quiet.patience(0) > 1_200_000, "long ones are usual: {}", quiet.patience(0));
-    // One call that runs for 10 s is asked after a few times, not every half second.
-    let asks = (0..).scan(0, |at, k| Some(*at).inspect(|_| *at += quiet.patience(k)));
-    assert!(asks.skip(1).take_while(|at| *at < 10_000_000).count() <= 4);
-    (0..50).for_each(|_| quiet.learn(60_000_000));
-    assert_eq!((quiet.patience(0), quiet.patience(99)), (MOST, MOST << DOUBLINGS), "bounded");
-    quiet.learn(-1);
+fn the_delay_follows_answer_times_and_doubles_with_each_probe() {
+    let mut probes = ProbeDelay::default();
+    assert_eq!(probes.delay(0), MIN_DELAY_US, "no estimate yet");
+    (0..50).for_each(|_| probes.record(20_000));
+    assert_eq!(probes.delay(0), MIN_DELAY_US, "short answers keep the minimum");
+    (0..50).for_each(|i| probes.record(if i % 3 == 0 { 900_000 } else { 150_000 }));
+    assert!(probes.delay(0) > 1_200_000, "long answers raise the delay: {}", probes.delay(0));
+    // A call that runs for 10 s causes a few probes, not one every 0.5 s.
+    let times = (0..).scan(0, |at, k| Some(*at).inspect(|_| *at += probes.delay(k)));
+    assert!(times.skip(1).take_while(|at| *at < 10_000_000).count() <= 4);
+    (0..50).for_each(|_| probes.record(60_000_000));
+    assert_eq!((probes.delay(0), probes.delay(99)), (MAX_DELAY_US, MAX_DELAY_US << MAX_DOUBLINGS), "bounded");
+    probes.record(-1);
 }
