--- a/node/src/hosts/lines.rs
+++ b/node/src/hosts/lines.rs
@@ -1,32 +1,32 @@
-//! The lines codec: commands to a script host and its answers. Pure: bytes in, values out.
+//! Codec of the line protocol: commands to a script host, and its answers. Pure: converts between bytes and values.
 
 use wheellink::engine::AttemptEnd;
 use wheellink::{Found, LoadReport, Outcome};
 
 use crate::ring::Ring;
 
-/// Longest first line of an answer.
+/// Maximum length of the first line of an answer.
 const MAX_LINE_BYTES: usize = 4096;
-/// Longest body that still fits into one frame to a client.
+/// Maximum length of a body: it must fit into one frame to a client.
 pub const MAX_BODY_BYTES: usize = 262_144 - 64;
-/// What the ring of a connection must hold for the longest answer.
+/// Capacity that a connection's ring needs for the largest answer.
 pub const MAX_ANSWER_BYTES: usize = MAX_BODY_BYTES + MAX_LINE_BYTES + 4;
 
-/// Whether a word may stand in a line or a list of fields without changing its meaning.
+/// Whether the text can be one word of a line, or the value of a field: without separators, at most 128 bytes.
 pub fn is_word(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= 128
         && text.chars().all(|c| !c.is_whitespace() && !c.is_control() && c != ',' && c != '=')
 }
 
-/// A request but for how long it will be waited for, which is known when it leaves.
+/// A call in encoded form, except for the value of its field `limit`, which is only known when the call is written.
 pub struct CallLine {
     before_limit: String,
     after_limit: Vec<u8>,
 }
 
 impl CallLine {
-    /// `more` are further fields, a comma before each.
+    /// `more` holds additional fields, each preceded by a comma.
     pub fn new(
         id: &str,
         (class, function): (&str, &str),
@@ -40,13 +40,13 @@
         Self { before_limit, after_limit }
     }
 
-    /// The whole request, to be waited for so many milliseconds.
+    /// The whole call, with `limit` as the time in milliseconds that is left for it.
     pub fn bytes(&self, limit: i64) -> Vec<u8> {
         [self.before_limit.as_bytes(), limit.to_string().as_bytes(), &self.after_limit].concat()
     }
 }
 
-/// The blocks of a turn's prefix, as a field.
+/// The field `blocks`: the hashes of the blocks of a turn's prefix.
 pub fn blocks(hashes: &[u64]) -> String {
     let hashes: Vec<String> = hashes.iter().map(|h| format!("{h:x}")).collect();
     format!(",blocks={}", hashes.join(";"))
@@ -68,11 +68,12 @@
     format!("HELO {tag}\r\n").into_bytes()
 }
 
-/// An answer: to a request, an order or a probe.
+/// An answer to a call, an order or a probe.
 #[derive(Debug, PartialEq)]
 pub struct Answer {
     pub id: String,
-    pub word: String,
+    /// Status code.
+    pub status: String,
     pub fields: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -82,7 +83,8 @@
         self.fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// What it says of an attempt. A word that is not known proves nothing.
+    /// The end of the attempt that this answers. An unknown status counts as an error, which does not prove that the
+    /// attempt never ran.
     pub fn attempt_end(&self, says_warm: bool, counts_alike: bool) -> AttemptEnd {
         let outcome = self.outcome();
         let found = match (self.field("tell"), outcome) {
@@ -93,11 +95,11 @@
             _ => None,
         };
         let counted = counts_alike && matches!(outcome, Outcome::Done | Outcome::Full);
-        let held = self.field("queue_fn").and_then(|n| n.parse().ok()).unwrap_or(0);
-        AttemptEnd { outcome, found, overlap: counted.then_some(held), report: self.report() }
+        let overlap = self.field("queue_fn").and_then(|n| n.parse().ok()).unwrap_or(0);
+        AttemptEnd { outcome, found, overlap: counted.then_some(overlap), report: self.report() }
     }
 
-    /// The load report that it carries, as in `outstanding:7.3;backlog:2`; other figures are passed over.
+    /// The load report in the field `meter`, as in `outstanding:7.3;backlog:2`; other figures are ignored.
     fn report(&self) -> Option<LoadReport> {
         let figures = self.field("meter")?;
         let figure = |names: [&str; 2]| {
@@ -109,7 +111,7 @@
     }
 
     pub fn outcome(&self) -> Outcome {
-        match self.word.as_str() {
+        match self.status.as_str() {
             "200" => Outcome::Done,
             "404" => Outcome::Miss,
             "503" => Outcome::Full,
@@ -118,24 +120,24 @@
         }
     }
 
-    /// Copies that stand, in the answer to an order.
+    /// The number of loaded copies, in the answer to an order.
     pub fn copies(&self) -> u32 {
         self.field("copies").and_then(|n| n.parse().ok()).unwrap_or(0)
     }
 }
 
-/// What an answer says of drafting, `ROUNDS;K1;...;Kn;TOKENS;MICROS`.
+/// Drafting figures of an answer, in the form `ROUNDS;K1;...;Kn;TOKENS;MICROS`.
 #[derive(Debug, PartialEq)]
 pub struct Accepted {
     pub rounds: u32,
-    /// By position.
+    /// Accepted tokens, by position in the draft.
     pub accepted: Vec<u32>,
     pub tokens: u32,
     pub micros: u64,
 }
 
 impl Accepted {
-    /// `None` where it has another form; whether such figures can be is not looked at.
+    /// Parses the figures; `None` if the text has another form. Does not check that they are plausible.
     pub fn read(text: &str) -> Option<Self> {
         let mut parts: Vec<&str> = text.split(';').collect();
         let micros = parts.pop()?.parse().ok()?;
@@ -149,21 +151,21 @@
     }
 }
 
-/// Takes the next answer off the ring; `None` while it is not whole.
+/// Takes the next answer from the ring; `None` while it is incomplete.
 pub fn next_answer(ring: &mut Ring) -> Result<Option<Answer>, String> {
     let Some(end) = ring.find_line_end() else {
-        return if ring.len() > MAX_LINE_BYTES { Err("a line without an end".into()) } else { Ok(None) };
+        return if ring.len() > MAX_LINE_BYTES { Err("a line that is too long".into()) } else { Ok(None) };
     };
-    let line = ring.copy(0, end).and_then(|l| String::from_utf8(l).ok()).ok_or("a line that is no text")?;
+    let line = ring.copy(0, end).and_then(|l| String::from_utf8(l).ok()).ok_or("a line that is not UTF-8")?;
     let mut words = line.split(' ');
-    let (Some(id), Some(word), Some(fields), Some(length), None) =
+    let (Some(id), Some(status), Some(fields), Some(length), None) =
         (words.next(), words.next(), words.next(), words.next(), words.next())
     else {
-        return Err(format!("no answer: {line:?}"));
+        return Err(format!("a malformed answer: {line:?}"));
     };
-    let length: usize = length.parse().map_err(|_| format!("no length: {line:?}"))?;
+    let length: usize = length.parse().map_err(|_| format!("an invalid body length: {line:?}"))?;
     if length > MAX_BODY_BYTES {
-        return Err(format!("a body of {length} bytes"));
+        return Err(format!("a body of {length} bytes, over the maximum"));
     }
     let fields = match fields {
         "-" => Vec::new(),
@@ -171,14 +173,14 @@
             .split(',')
             .map(|f| f.split_once('=').map(|(n, v)| (n.to_string(), v.to_string())))
             .collect::<Option<_>>()
-            .ok_or_else(|| format!("no fields: {line:?}"))?,
+            .ok_or_else(|| format!("malformed fields: {line:?}"))?,
     };
     let Some(mut body) = ring.copy(end + 2, length + 2) else { return Ok(None) };
     if !body.ends_with(b"\r\n") {
-        return Err("a body that is longer than told".into());
+        return Err("a body longer than its stated length".into());
     }
     body.truncate(length);
-    let answer = Answer { id: id.into(), word: word.into(), fields, body };
+    let answer = Answer { id: id.into(), status: status.into(), fields, body };
     ring.consume(end + 2 + length + 2);
     Ok(Some(answer))
 }
--- a/node/src/hosts/start_times.rs
+++ b/node/src/hosts/start_times.rs
@@ -1,51 +1,51 @@
-//! When hosts started, on this program's clock. Pure: what was told and the time come in.
+//! Converts the start times of hosts to this process's clock. Pure: reported times and the current time are parameters.
 //!
-//! The host list tells starts as Unix milliseconds of some other machine, and this machine's wall clock may have been
-//! wrong when the program began by it. A start that is taken for too old frees a host from its slow start; one taken for
-//! too young only costs a little. So each start is turned once into this program's time, when it is first told, and held
-//! against what is known without any wall clock:
+//! The host list reports start times as Unix milliseconds of another machine's clock, and this machine's wall clock may
+//! have been wrong when the process initialized its clock from it. A start time that is taken as too old ends a host's
+//! slow start early; one that is taken as too recent costs little. So each start time is converted once, when it is
+//! first reported, and checked against two facts that need no wall clock:
 //!
 //! - a host has not started in the future;
-//! - a start that is news has not happened long before the last time that the list was known to be whole.
+//! - a start time that is new in the list is not much older than the last time at which the list was in sync with its
+//!   source.
 //!
-//! A clock that is found to be ahead by the newest start of an event is corrected for it, and for all that follow. Where
-//! it is behind, hosts are taken to have started when they were told.
+//! Where the newest start time of an event shows that this process's clock is ahead, a correction is added to that start
+//! time and to all later ones. Where the clock is behind, hosts count as started when they were reported.
 
 use std::collections::BTreeMap;
 
 use wheellink::{Condition, ListEntry, ListKind, Micros, WorkerId};
 
-/// The list tells of a start at most so much later; the platform counts it as told after 7 s.
-const LONGEST_DELAY: Micros = 10_000_000;
-/// Hosts that have gone are remembered, as they may come back, while all together are no more than this multiple of those
-/// that are listed.
-const REMEMBERED: usize = 2;
-/// ... or no more than these.
-const FEW: usize = 64;
+/// Maximum delay between a host's start and its report in the list; the platform counts it as delivered after 7 s.
+const MAX_REPORT_DELAY_US: Micros = 10_000_000;
+/// Removed hosts are kept, as they may return, until there are more entries than this multiple of the listed hosts ...
+const MAX_ENTRIES_PER_LISTED: usize = 2;
+/// ... and more than this number.
+const MIN_CAPACITY: usize = 64;
 
-/// A start as it was told, and as it is taken.
+/// A start time as reported, and converted to this process's clock.
 #[derive(Clone, Copy)]
 struct Start {
-    told: Micros,
-    taken: Micros,
+    reported: Micros,
+    local: Micros,
     listed: bool,
 }
 
-/// StartTimes of all hosts that were told.
+/// Start times of all hosts that the list has reported.
 #[derive(Default)]
 pub struct StartTimes {
     known: BTreeMap<WorkerId, Start>,
-    /// To be added to what is told; never below 0, lest one host with a wrong clock make all others look older.
+    /// Added to reported times. Never negative, so that one host with a wrong clock cannot make all others look older.
     correction: Micros,
 }
 
 impl StartTimes {
-    /// Puts this program's time in the place of the time told, in the entries of one event. `whole` is when the list was
-    /// last known to be as new as its source, if that was ever so.
+    /// Replaces the reported start times in the entries of one event by local ones. `synced_at` is when the list was last
+    /// known to be in sync with its source, if ever.
     pub fn translate<'a>(
         &mut self,
         now: Micros,
-        whole: Option<Micros>,
+        synced_at: Option<Micros>,
         kind: ListKind,
         entries: impl Iterator<Item = &'a mut ListEntry>,
     ) {
@@ -58,50 +58,50 @@
             self.known.entry(entry.worker.clone()).and_modify(|start| start.listed = listed);
         }
         entries.retain(|entry| entry.ready_at > 0);
-        let news = entries.iter().filter(|e| self.is_news(e)).map(|e| e.ready_at);
-        if let Some(newest) = news.max() {
-            self.correct(now, whole, newest);
+        let new = entries.iter().filter(|e| self.is_new(e)).map(|e| e.ready_at);
+        if let Some(newest) = new.max() {
+            self.correct(now, synced_at, newest);
         }
         for entry in &mut entries {
-            entry.ready_at = self.take(now, entry);
+            entry.ready_at = self.convert(now, entry);
         }
-        self.forget();
+        self.evict();
     }
 
-    /// How much is added to what is told.
+    /// How much is added to reported times.
     pub fn correction(&self) -> Micros {
         self.correction
     }
 
-    fn is_news(&self, entry: &ListEntry) -> bool {
-        let known = self.known.get(&entry.worker).map(|start| start.told);
+    fn is_new(&self, entry: &ListEntry) -> bool {
+        let known = self.known.get(&entry.worker).map(|start| start.reported);
         entry.condition != Condition::Gone && known != Some(entry.ready_at)
     }
 
-    /// Holds the newest start of an event against what is known of its time.
-    fn correct(&mut self, now: Micros, whole: Option<Micros>, newest: Micros) {
-        let taken = newest + self.correction;
-        let earliest = whole.map_or(Micros::MIN, |at| at - LONGEST_DELAY);
-        if taken > now || taken < earliest {
+    /// Checks the newest start time of an event against its possible range, and adjusts the correction.
+    fn correct(&mut self, now: Micros, synced_at: Option<Micros>, newest: Micros) {
+        let local = newest + self.correction;
+        let earliest = synced_at.map_or(Micros::MIN, |at| at - MAX_REPORT_DELAY_US);
+        if local > now || local < earliest {
             self.correction = (now - newest).max(0);
         }
     }
 
-    fn take(&mut self, now: Micros, entry: &ListEntry) -> Micros {
+    fn convert(&mut self, now: Micros, entry: &ListEntry) -> Micros {
         let listed = entry.condition != Condition::Gone;
-        let told = entry.ready_at;
-        let fresh = Start { told, taken: (told + self.correction).min(now), listed };
+        let reported = entry.ready_at;
+        let fresh = Start { reported, local: (reported + self.correction).min(now), listed };
         let start = self.known.entry(entry.worker.clone()).or_insert(fresh);
-        if start.told != told {
+        if start.reported != reported {
             *start = fresh;
         }
-        start.taken
+        start.local
     }
 
-    /// Drops those that have gone, when they have become many.
-    fn forget(&mut self) {
+    /// Drops removed hosts once there are too many entries.
+    fn evict(&mut self) {
         let listed = self.known.values().filter(|s| s.listed).count();
-        if self.known.len() > FEW.max(REMEMBERED * listed) {
+        if self.known.len() > MIN_CAPACITY.max(MAX_ENTRIES_PER_LISTED * listed) {
             self.known.retain(|_, s| s.listed);
         }
     }
