--- a/node/src/hosts/idle_limit.rs
+++ b/node/src/hosts/idle_limit.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether a connection that has been idle for `idle` should not be reused.
-    pub fn is_exceeded(&self, idle: Micros) -> bool {
+    pub fn exceeded(&self, idle: Micros) -> bool {
         self.limit.is_some_and(|limit| idle >= limit)
     }
 }
--- a/node/src/hosts/pool.rs
+++ b/node/src/hosts/pool.rs
@@ -19,7 +19,7 @@
 use wheellink_settings::Transport;
 
 pub use connection::CallTimes;
-use connection::{HostConn, Item};
+use connection::{Command, HostConn};
 
 use super::idle_limit::IdleLimit;
 use super::lines;
@@ -54,7 +54,7 @@
     },
 }
 
-struct Member {
+struct KnownHost {
     address: SocketAddr,
     entry: ListEntry,
     conns: Vec<ConnId>,
@@ -64,10 +64,10 @@
     handle: Handle,
     transport: Transport,
     /// Connections to all hosts together.
-    most: usize,
+    max_conns: usize,
     /// Bytes of answers that are not whole, all together.
-    bytes: usize,
-    members: BTreeMap<WorkerId, Member>,
+    max_bytes: usize,
+    known: BTreeMap<WorkerId, KnownHost>,
     /// Taken out by hand, whether the list knows them now or not: nothing new is sent to them.
     maintenance: BTreeSet<WorkerId>,
     conns: HashMap<ConnId, HostConn>,
@@ -82,13 +82,13 @@
 }
 
 impl HostPool {
-    pub fn new(handle: Handle, transport: Transport, (most, bytes): (usize, usize)) -> Self {
+    pub fn new(handle: Handle, transport: Transport, (max_conns, max_bytes): (usize, usize)) -> Self {
         Self {
             handle,
             transport,
-            most,
-            bytes,
-            members: BTreeMap::new(),
+            max_conns,
+            max_bytes,
+            known: BTreeMap::new(),
             maintenance: BTreeSet::new(),
             conns: HashMap::new(),
             attempts: HashMap::new(),
@@ -107,7 +107,7 @@
 
     /// Connections that may be wanted soon: one more to each host.
     pub fn reserve(&self) -> usize {
-        self.members.len()
+        self.known.len()
     }
 
     /// Connections are used by other settings from now on.
@@ -116,24 +116,24 @@
     }
 
     /// Holds to other bounds from now on; idle connections beyond them are closed.
-    pub fn set_limits(&mut self, (most, bytes): (usize, usize)) {
-        (self.most, self.bytes) = (most, bytes);
+    pub fn set_limits(&mut self, (max_conns, max_bytes): (usize, usize)) {
+        (self.max_conns, self.max_bytes) = (max_conns, max_bytes);
     }
 
     /// When a connection that is being made is given up next.
     pub fn next_tick(&self) -> Option<Micros> {
-        let pending = self.conns.values().filter(|c| !c.standing).map(|c| c.begun);
+        let pending = self.conns.values().filter(|c| !c.connected).map(|c| c.started);
         pending.min().map(|begun| begun + self.transport.connect_timeout)
     }
 
     /// Whether somebody has this id, or had it when it was taken out.
     pub fn is_known(&self, host: &WorkerId) -> bool {
-        self.members.contains_key(host) || self.maintenance.contains(host)
+        self.known.contains_key(host) || self.maintenance.contains(host)
     }
 
     /// All that have been listed and may be again.
     pub fn listed(&self) -> impl Iterator<Item = &WorkerId> {
-        self.members.keys()
+        self.known.keys()
     }
 
     pub fn in_maintenance(&self, host: &WorkerId) -> bool {
@@ -149,27 +149,27 @@
         }
         self.maintenance.insert(host.clone());
         self.withdraw(host);
-        for id in self.members.get(host).map(|m| m.conns.clone()).unwrap_or_default() {
+        for id in self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default() {
             if self.conns.get(&id).is_some_and(HostConn::is_idle) {
-                self.end(now, id, Reason::Barred, log);
+                self.end_conn(now, id, Reason::Barred, log);
             }
         }
     }
 
     /// Whether anything new may be sent there.
-    fn takes(&self, host: &WorkerId) -> bool {
+    fn is_available(&self, host: &WorkerId) -> bool {
         !self.maintenance.contains(host)
-            && self.members.get(host).is_some_and(|m| m.entry.condition == Condition::Up)
+            && self.known.get(host).is_some_and(|m| m.entry.condition == Condition::Up)
     }
 
     /// Hosts that these changes say nothing of, but whose address they give to another one: what listened there has gone,
     /// whether the list says so by now or not. They are told as gone.
     pub fn displaced(&self, changes: &[Host]) -> Vec<Host> {
         let named: BTreeSet<&WorkerId> = changes.iter().map(|h| &h.entry.worker).collect();
-        let had = |h: &Host| self.members.get(&h.entry.worker).is_some_and(|m| m.address == h.address);
+        let had = |h: &Host| self.known.get(&h.entry.worker).is_some_and(|m| m.address == h.address);
         let come = changes.iter().filter(|h| h.entry.condition != Condition::Gone && !had(h));
         let taken: BTreeSet<SocketAddr> = come.map(|h| h.address).collect();
-        let left = self.members.iter().filter(|(id, m)| taken.contains(&m.address) && !named.contains(id));
+        let left = self.known.iter().filter(|(id, m)| taken.contains(&m.address) && !named.contains(id));
         let gone = left.map(|(_, m)| Host {
             entry: ListEntry { condition: Condition::Gone, ..m.entry.clone() },
             address: m.address,
@@ -182,14 +182,14 @@
     pub fn update_hosts(&mut self, now: Micros, kind: ListKind, hosts: &[Host], log: &mut Log) {
         if kind != ListKind::Delta {
             let named: Vec<&WorkerId> = hosts.iter().map(|h| &h.entry.worker).collect();
-            let left: Vec<_> = self.members.keys().filter(|m| !named.contains(m)).cloned().collect();
+            let left: Vec<_> = self.known.keys().filter(|m| !named.contains(m)).cloned().collect();
             for host in left {
-                self.gone(now, &host, log);
+                self.remove_host(now, &host, log);
             }
         }
         for Host { entry, address } in hosts {
             let host = &entry.worker;
-            let known = self.members.entry(host.clone()).or_insert_with(|| Member {
+            let known = self.known.entry(host.clone()).or_insert_with(|| KnownHost {
                 address: *address,
                 entry: entry.clone(),
                 conns: Vec::new(),
@@ -198,53 +198,53 @@
             let moved = known.address != *address;
             known.address = *address;
             if moved || entry.condition == Condition::Gone {
-                self.gone_conns(now, host, |_| true, log);
+                self.end_conns(now, host, |_| true, log);
             } else if entry.ready_at > 0 {
                 // The same host with a new process: whatever was begun before that is with the dead one.
-                self.gone_conns(now, host, |c| c.begun < entry.ready_at, log);
+                self.end_conns(now, host, |c| c.started < entry.ready_at, log);
             }
             match entry.condition {
                 Condition::Up => {}
                 Condition::Draining => self.withdraw(host),
-                Condition::Gone => drop(self.members.remove(host)),
+                Condition::Gone => drop(self.known.remove(host)),
             }
         }
     }
 
-    fn gone(&mut self, now: Micros, host: &WorkerId, log: &mut Log) {
-        self.gone_conns(now, host, |_| true, log);
-        self.members.remove(host);
+    fn remove_host(&mut self, now: Micros, host: &WorkerId, log: &mut Log) {
+        self.end_conns(now, host, |_| true, log);
+        self.known.remove(host);
     }
 
-    fn gone_conns(&mut self, now: Micros, host: &WorkerId, which: impl Fn(&HostConn) -> bool, log: &mut Log) {
-        let ids = self.members.get(host).map(|m| m.conns.clone()).unwrap_or_default();
+    fn end_conns(&mut self, now: Micros, host: &WorkerId, which: impl Fn(&HostConn) -> bool, log: &mut Log) {
+        let ids = self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default();
         for id in ids {
             if self.conns.get(&id).is_some_and(&which) {
-                self.end(now, id, Reason::HostGone, log);
+                self.end_conn(now, id, Reason::HostGone, log);
             }
         }
     }
 
     /// Takes back all that has not begun to leave for the host.
     fn withdraw(&mut self, host: &WorkerId) {
-        let ids = self.members.get(host).map(|m| m.conns.clone()).unwrap_or_default();
+        let ids = self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default();
         for id in ids {
             let Some(c) = self.conns.get_mut(&id) else { continue };
-            let mut items: Vec<Item> = Vec::new();
-            if let Some((item, false)) = c.writing.take_if(|(i, begun)| !*begun && i.is_new()) {
+            let mut items: Vec<Command> = Vec::new();
+            if let Some((item, false)) = c.writing.take_if(|(i, begun)| !*begun && i.is_new_work()) {
                 c.conn.outbox.consume(usize::MAX);
                 items.push(item);
             }
-            let (new, rest): (VecDeque<_>, VecDeque<_>) = c.queue.drain(..).partition(Item::is_new);
+            let (new, rest): (VecDeque<_>, VecDeque<_>) = c.queue.drain(..).partition(Command::is_new_work);
             c.queue = rest;
             items.extend(new);
             for item in items {
                 match item {
-                    Item::Call { attempt, .. } => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
-                    Item::Order { order, .. } => {
+                    Command::Call { attempt, .. } => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
+                    Command::Order { order, .. } => {
                         self.events.push_back(PoolEvent::Order { order, outcome: Outcome::Full, copies: 0 })
                     }
-                    Item::Kill { .. } | Item::Plain(_) => {}
+                    Command::Kill { .. } | Command::Untracked(_) => {}
                 }
             }
         }
--- a/node/src/hosts/pool/answers.rs
+++ b/node/src/hosts/pool/answers.rs
@@ -3,28 +3,28 @@
 use super::*;
 
 /// An answer above this size is large: few may be on their way at once.
-const LARGE: usize = 32 << 10;
+const LARGE_ANSWER_BYTES: usize = 32 << 10;
 
 impl HostPool {
     /// The socket has something to say, or may take more.
     pub fn ready(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id) else { return };
-        if !c.standing {
+        if !c.connected {
             match c.conn.connected() {
-                Ok(true) => (c.standing, c.wrote) = (true, now),
+                Ok(true) => (c.connected, c.sent_at) = (true, now),
                 Ok(false) => return,
                 // One that was taken and broke at once does not say that nobody listens.
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => {
-                    return self.end(now, id, Reason::PeerReset, log)
+                    return self.end_conn(now, id, Reason::PeerReset, log)
                 }
-                Err(_) => return self.end(now, id, Reason::ConnectRefused, log),
+                Err(_) => return self.end_conn(now, id, Reason::ConnectRefused, log),
             }
         }
         // What the host said or did counts before anything more is written: an answer makes its KILL needless, and
         // an end has what is queued go elsewhere.
         match self.read(now, id, log) {
-            Ok(()) => self.pump(now, id, log),
-            Err(reason) => self.end(now, id, reason, log),
+            Ok(()) => self.write_queued(now, id, log),
+            Err(reason) => self.end_conn(now, id, reason, log),
         }
     }
 
@@ -35,16 +35,16 @@
             let before = c.conn.inbox.len();
             let filled = c.conn.fill();
             if c.conn.inbox.len() > before {
-                c.heard = now;
-                c.asks += u32::from(c.asked.take().is_some());
-                if let Some(idle) = c.idled.take() {
+                c.read_at = now;
+                c.answered_probes += u32::from(c.probed_at.take().is_some());
+                if let Some(idle) = c.idle_before.take() {
                     self.idle_limit.record(now, idle, false);
                 }
             }
             loop {
                 let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
                 match lines::next_answer(&mut c.conn.inbox) {
-                    Ok(Some(answer)) => self.answered(now, id, answer),
+                    Ok(Some(answer)) => self.answer_received(now, id, answer),
                     Ok(None) => break,
                     Err(problem) => {
                         log.bad(now, format_args!("host {} sent {problem}", c.host.0));
@@ -54,10 +54,10 @@
             }
             let more = filled?;
             let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
-            c.partial = if c.conn.inbox.is_empty() { None } else { c.partial.or(Some(now)) };
-            if c.conn.inbox.len() > LARGE {
+            c.partial_since = if c.conn.inbox.is_empty() { None } else { c.partial_since.or(Some(now)) };
+            if c.conn.inbox.len() > LARGE_ANSWER_BYTES {
                 let held: usize = self.conns.values().map(|c| c.conn.inbox.len()).sum();
-                if held > self.bytes {
+                if held > self.max_bytes {
                     return Err(Reason::Protocol);
                 }
             }
@@ -71,18 +71,18 @@
         }
     }
 
-    fn answered(&mut self, now: Micros, id: ConnId, answer: lines::Answer) {
+    fn answer_received(&mut self, now: Micros, id: ConnId, answer: lines::Answer) {
         let Some(c) = self.conns.get_mut(&id) else { return };
-        (c.used, c.partial) = (now, None);
+        (c.used_at, c.partial_since) = (now, None);
         if let Some((order, _)) = c.orders.remove(&answer.id) {
-            c.asks = 0;
+            c.answered_probes = 0;
             let (outcome, copies) = (answer.outcome(), answer.copies());
             return self.events.push_back(PoolEvent::Order { order, outcome, copies });
         }
         let Some((attempt, since)) = c.calls.remove(answer.id.as_str()) else { return };
-        c.asks = 0;
+        c.answered_probes = 0;
         // Its KILL has nothing left to give up.
-        c.queue.retain(|i| !matches!(i, Item::Kill { attempt: a, .. } if *a == attempt));
+        c.queue.retain(|i| !matches!(i, Command::Kill { attempt: a, .. } if *a == attempt));
         self.attempts.remove(&attempt);
         let end = answer.attempt_end(self.transport.says_warm, self.transport.counts_alike);
         if end.outcome == Outcome::Done {
--- a/node/src/hosts/pool/sending.rs
+++ b/node/src/hosts/pool/sending.rs
@@ -4,15 +4,15 @@
 use super::*;
 
 /// Ids of given-up attempts that a connection remembers: more than it carries within any deadline.
-const KILLED: usize = 256;
+const MAX_KILLED_IDS: usize = 256;
 /// Connections to one host, as long as descriptors suffice.
-const PER_HOST: usize = 24;
+const MAX_CONNS_PER_HOST: usize = 24;
 /// Connections to one host that calls are spread over, a part of all that may be open: one answer that cannot
 /// be read spoils whatever else is out on its connection, and mails are never repeated.
-const SPREAD: usize = 8;
+const MAX_SPREAD: usize = 8;
 /// ... and that all activators together hold for this at one host: it takes only so many, and each is a
 /// handshake. A hundred activators hold one each.
-const SPREAD_OF_ALL: usize = 24;
+const MAX_FLEET_SPREAD: usize = 24;
 
 impl HostPool {
     /// Sends an attempt, with further fields of the call's line; how it ends is noticed later, once.
@@ -27,15 +27,15 @@
     ) {
         let what = (call.class.as_str(), &*call.function.0);
         let line = CallLine::new(&call.id, what, call.key.as_deref(), more, &call.body);
-        let fits = |c: &HostConn, streams| c.load() < streams && !c.knows(&call.id);
-        match self.pick(now, host, fits, log) {
+        let fits = |c: &HostConn, streams| c.load() < streams && !c.uses_id(&call.id);
+        match self.pick_conn(now, host, fits, log) {
             Some(id) => {
                 self.attempts.insert(attempt, id);
-                let item = Item::Call { attempt, id: call.id.clone(), line, times, moves: 0 };
-                self.push(now, id, item, log);
+                let item = Command::Call { attempt, id: call.id.clone(), line, times, moves: 0 };
+                self.enqueue(now, id, item, log);
             }
             // The bounds of this process say nothing against a host.
-            None if self.takes(host) => self.end_attempt(attempt, Outcome::NoConnection.into()),
+            None if self.is_available(host) => self.end_attempt(attempt, Outcome::NoConnection.into()),
             None => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
         }
     }
@@ -49,17 +49,17 @@
         let Some(id) = self.attempts.get(&attempt).copied() else { return };
         let Some(c) = self.conns.get_mut(&id) else { return };
         // A second KILL could come after the request's next attempt has begun.
-        if c.kills(attempt) {
+        if c.has_kill(attempt) {
             return;
         }
         let written = c.calls.iter().find(|(_, (a, _))| *a == attempt).map(|(id, _)| id.clone());
         let wire_id = written.or_else(|| match &c.writing {
-            Some((Item::Call { id, attempt: a, .. }, _)) if *a == attempt => Some(id.clone()),
+            Some((Command::Call { id, attempt: a, .. }, _)) if *a == attempt => Some(id.clone()),
             _ => None,
         });
         if let Some(wire_id) = wire_id {
-            c.queue.push_front(Item::Kill { attempt, id: wire_id });
-            self.pump(now, id, log);
+            c.queue.push_front(Command::Kill { attempt, id: wire_id });
+            self.write_queued(now, id, log);
         }
     }
 
@@ -67,7 +67,7 @@
     pub fn withdraw_attempt(&mut self, now: Micros, attempt: AttemptId, log: &mut Log) -> bool {
         let Some(id) = self.attempts.get(&attempt).copied() else { return false };
         let Some(c) = self.conns.get_mut(&id) else { return false };
-        let is_it = |i: &Item| matches!(i, Item::Call { attempt: a, .. } if *a == attempt);
+        let is_it = |i: &Command| matches!(i, Command::Call { attempt: a, .. } if *a == attempt);
         if let Some(at) = c.queue.iter().position(is_it) {
             c.queue.remove(at);
             self.end_attempt(attempt, Outcome::NotSent.into());
@@ -78,7 +78,7 @@
         }
         c.conn.outbox.consume(usize::MAX);
         self.end_attempt(attempt, Outcome::NotSent.into());
-        self.pump(now, id, log);
+        self.write_queued(now, id, log);
         true
     }
 
@@ -90,36 +90,36 @@
         (function, copies): (&FunctionId, u32),
         log: &mut Log,
     ) {
-        match self.pick(now, host, |_, _| true, log) {
+        match self.pick_conn(now, host, |_, _| true, log) {
             Some(id) => {
                 let bytes = lines::spawn(&order_tag(order), &function.0, copies);
-                self.push(now, id, Item::Order { order, bytes, moves: 0 }, log);
+                self.enqueue(now, id, Command::Order { order, bytes, moves: 0 }, log);
             }
             None => {
                 // A host that turned it away would be told of to the whole fleet; and as this end comes at once, an order that
                 // is given anew for it would be given for ever.
-                let outcome = if self.takes(host) { Outcome::NotSent } else { Outcome::ConnectFailed };
+                let outcome = if self.is_available(host) { Outcome::NotSent } else { Outcome::ConnectFailed };
                 self.events.push_back(PoolEvent::Order { order, outcome, copies: 0 });
             }
         }
     }
 
     pub fn unload(&mut self, now: Micros, host: &WorkerId, function: &FunctionId, log: &mut Log) {
-        if let Some(id) = self.pick(now, host, |_, _| true, log) {
-            self.push(now, id, Item::Plain(lines::reap(&function.0)), log);
+        if let Some(id) = self.pick_conn(now, host, |_, _| true, log) {
+            self.enqueue(now, id, Command::Untracked(lines::reap(&function.0)), log);
         }
     }
 
     pub fn probe(&mut self, now: Micros, host: &WorkerId, log: &mut Log) {
-        if let Some(id) = self.pick(now, host, |_, _| true, log) {
+        if let Some(id) = self.pick_conn(now, host, |_, _| true, log) {
             self.next_probe += 1;
-            self.push(now, id, Item::Plain(lines::helo(&format!("p{}", self.next_probe))), log);
+            self.enqueue(now, id, Command::Untracked(lines::helo(&format!("p{}", self.next_probe))), log);
         }
     }
 
     /// The connection for the next command: one that stands, fits and carries nothing; else a new one, as
     /// long as the calls are to be spread; else the least used.
-    pub(super) fn pick(
+    pub(super) fn pick_conn(
         &mut self,
         now: Micros,
         host: &WorkerId,
@@ -127,26 +127,26 @@
         log: &mut Log,
     ) -> Option<ConnId> {
         let best = loop {
-            let best = self.best(now, host, &fits)?;
+            let best = self.best_conn(now, host, &fits)?;
             // The host may have closed it while it was idle: known before the first byte, that costs nothing.
             if !best.is_some_and(|(_, id)| self.end_if_closed(now, id, log)) {
                 break best;
             }
         };
-        let member = self.members.get(host)?;
-        let spread = (self.most / 2 / self.members.len().max(1)).clamp(1, SPREAD);
-        let spread = spread.min(SPREAD_OF_ALL / self.transport.activators.max(1)).max(1);
+        let member = self.known.get(host)?;
+        let spread = (self.max_conns / 2 / self.known.len().max(1)).clamp(1, MAX_SPREAD);
+        let spread = spread.min(MAX_FLEET_SPREAD / self.transport.activators.max(1)).max(1);
         if let Some((load, id)) = best {
-            if load == 0 || member.conns.len() >= spread || self.conns.len() >= self.most {
+            if load == 0 || member.conns.len() >= spread || self.conns.len() >= self.max_conns {
                 return Some(id);
             }
         }
         let (address, held) = (member.address, member.conns.len());
         // A host without a connection gets one in the place of another's that is used least.
-        if held < PER_HOST && self.conns.len() >= self.most {
+        if held < MAX_CONNS_PER_HOST && self.conns.len() >= self.max_conns {
             self.evict_longest_idle(now, log);
         }
-        if held >= PER_HOST || self.conns.len() >= self.most {
+        if held >= MAX_CONNS_PER_HOST || self.conns.len() >= self.max_conns {
             log.line(now, format_args!("no connection left for host {}", host.0));
             return None;
         }
@@ -163,78 +163,78 @@
         let fresh = HostConn {
             host: host.clone(),
             conn,
-            standing: false,
-            begun: now,
-            used: now,
-            idled: None,
-            heard: now,
-            wrote: now,
-            partial: None,
-            asked: None,
-            asks: 0,
+            connected: false,
+            started: now,
+            used_at: now,
+            idle_before: None,
+            read_at: now,
+            sent_at: now,
+            partial_since: None,
+            probed_at: None,
+            answered_probes: 0,
             queue: VecDeque::new(),
             writing: None,
-            written_since: now,
+            writing_since: now,
             calls: HashMap::new(),
             orders: HashMap::new(),
             killed: VecDeque::new(),
         };
         self.conns.insert(id, fresh);
-        self.members.get_mut(host)?.conns.push(id);
+        self.known.get_mut(host)?.conns.push(id);
         Some(id)
     }
 
     /// The connection to a host that suits a command best, and what it carries; `None` within where none fits, and
     /// without where the host takes nothing.
-    fn best(
+    fn best_conn(
         &self,
         now: Micros,
         host: &WorkerId,
         fits: impl Fn(&HostConn, usize) -> bool,
     ) -> Option<Option<(usize, ConnId)>> {
-        let member = self.members.get(host).filter(|_| self.takes(host))?;
+        let member = self.known.get(host).filter(|_| self.is_available(host))?;
         let fitting = member.conns.iter().filter_map(|id| self.conns.get(id).map(|c| (*id, c)));
         let fitting = fitting.filter(|(_, c)| fits(c, self.transport.streams));
         // The last used goes first, and one that has been idle for too long is left to be closed.
-        let fresh = fitting.filter(|(_, c)| !(c.is_idle() && self.idle_limit.is_exceeded(now - c.used)));
-        let best = fresh.map(|(id, c)| (c.load(), !c.standing, Reverse(c.used), id)).min();
+        let fresh = fitting.filter(|(_, c)| !(c.is_idle() && self.idle_limit.exceeded(now - c.used_at)));
+        let best = fresh.map(|(id, c)| (c.load(), !c.connected, Reverse(c.used_at), id)).min();
         Some(best.map(|(load, _, _, id)| (load, id)))
     }
 
     /// Ends an idle connection that the other side has ended, whether the loop has told so or not.
     fn end_if_closed(&mut self, now: Micros, id: ConnId, log: &mut Log) -> bool {
-        if !self.conns.get(&id).is_some_and(|c| c.standing && c.is_idle()) {
+        if !self.conns.get(&id).is_some_and(|c| c.connected && c.is_idle()) {
             return false;
         }
         let Err(reason) = self.read(now, id, log) else { return false };
-        self.end(now, id, reason, log);
+        self.end_conn(now, id, reason, log);
         true
     }
 
     /// Closes the connection that has been idle longest, where one is.
     fn evict_longest_idle(&mut self, now: Micros, log: &mut Log) {
-        let idle = self.conns.iter().filter(|(_, c)| c.standing && c.is_idle());
-        let longest = idle.map(|(id, c)| (c.used, *id)).min();
-        longest.into_iter().for_each(|(_, id)| self.end(now, id, Reason::Evicted, log));
+        let idle = self.conns.iter().filter(|(_, c)| c.connected && c.is_idle());
+        let longest = idle.map(|(id, c)| (c.used_at, *id)).min();
+        longest.into_iter().for_each(|(_, id)| self.end_conn(now, id, Reason::Evicted, log));
     }
 
-    pub(super) fn push(&mut self, now: Micros, id: ConnId, item: Item, log: &mut Log) {
+    pub(super) fn enqueue(&mut self, now: Micros, id: ConnId, item: Command, log: &mut Log) {
         if let Some(c) = self.conns.get_mut(&id) {
-            if c.standing && c.is_idle() {
-                c.idled = Some(now - c.used);
+            if c.connected && c.is_idle() {
+                c.idle_before = Some(now - c.used_at);
             }
             c.queue.push_back(item);
-            c.used = now;
-            self.pump(now, id, log);
+            c.used_at = now;
+            self.write_queued(now, id, log);
         }
     }
 
     /// Moves queued commands into the socket, one at a time.
-    pub(super) fn pump(&mut self, now: Micros, id: ConnId, log: &mut Log) {
-        let Some(c) = self.conns.get_mut(&id).filter(|c| c.standing) else { return };
+    pub(super) fn write_queued(&mut self, now: Micros, id: ConnId, log: &mut Log) {
+        let Some(c) = self.conns.get_mut(&id).filter(|c| c.connected) else { return };
         // Nothing of it has left: what it may still do, and the time that is left, are looked at again.
-        let unsent = c.writing.take_if(|(item, begun)| !*begun && matches!(item, Item::Call { .. }));
-        let mut waits_since = unsent.is_some().then_some(c.written_since);
+        let unsent = c.writing.take_if(|(item, begun)| !*begun && matches!(item, Command::Call { .. }));
+        let mut waits_since = unsent.is_some().then_some(c.writing_since);
         if let Some((item, _)) = unsent {
             c.conn.outbox.consume(usize::MAX);
             c.queue.push_front(item);
@@ -244,7 +244,7 @@
             if c.writing.is_none() {
                 let Some(item) = c.queue.pop_front() else { break None };
                 let fits = match &item {
-                    Item::Call { attempt, line, times, .. } => match times.limit(now) {
+                    Command::Call { attempt, line, times, .. } => match times.limit(now) {
                         Some(limit) => c.conn.outbox.push(&line.bytes(limit)),
                         None => {
                             too_late.push(*attempt);
@@ -252,18 +252,18 @@
                             continue;
                         }
                     },
-                    Item::Order { bytes, .. } | Item::Plain(bytes) => c.conn.outbox.push(bytes),
-                    Item::Kill { id, .. } => c.conn.outbox.push(&lines::kill(id)),
+                    Command::Order { bytes, .. } | Command::Untracked(bytes) => c.conn.outbox.push(bytes),
+                    Command::Kill { id, .. } => c.conn.outbox.push(&lines::kill(id)),
                 };
                 debug_assert!(fits, "a command is shorter than the ring");
                 c.writing = Some((item, false));
-                c.written_since = waits_since.take().unwrap_or(now);
+                c.writing_since = waits_since.take().unwrap_or(now);
             }
             match c.conn.flush() {
                 Err(reason) => break Some(reason),
                 Ok(written) => {
                     if written > 0 {
-                        c.wrote = now;
+                        c.sent_at = now;
                     }
                     let whole = c.conn.outbox.is_empty();
                     if let Some((_, begun)) = &mut c.writing {
@@ -275,25 +275,25 @@
                 }
             }
             match c.writing.take() {
-                Some((Item::Call { attempt, id, .. }, _)) => {
-                    c.owes_from(now);
+                Some((Command::Call { attempt, id, .. }, _)) => {
+                    c.expect_answer(now);
                     c.calls.insert(id, (attempt, now));
                 }
-                Some((Item::Order { order, .. }, _)) => {
-                    c.owes_from(now);
+                Some((Command::Order { order, .. }, _)) => {
+                    c.expect_answer(now);
                     c.orders.insert(order_tag(order), (order, now));
                 }
-                Some((Item::Kill { attempt, id }, _)) => {
+                Some((Command::Kill { attempt, id }, _)) => {
                     // An answer may have come just before: then it is the end of the attempt.
                     if c.calls.remove(&id).is_some() {
                         c.killed.push_back(id);
-                        if c.killed.len() > KILLED {
+                        if c.killed.len() > MAX_KILLED_IDS {
                             c.killed.pop_front();
                         }
                         killed.push(attempt);
                     }
                 }
-                Some((Item::Plain(_), _)) | None => {}
+                Some((Command::Untracked(_), _)) | None => {}
             }
         };
         for attempt in too_late {
@@ -305,7 +305,7 @@
         if let Some(reason) = ended {
             // What the host said before it broke off still counts.
             let reason = self.read(now, id, log).err().unwrap_or(reason);
-            self.end(now, id, reason, log);
+            self.end_conn(now, id, reason, log);
         }
     }
 }
--- a/node/src/hosts/pool/tests.rs
+++ b/node/src/hosts/pool/tests.rs
@@ -8,8 +8,8 @@
 use rstest::rstest;
 use wheellink::Ticket;
 
-use super::connection::STALLED;
-use super::ending::MOVES;
+use super::connection::MAX_STALL_US;
+use super::ending::MAX_MOVES;
 use super::*;
 use crate::wake::Wakes;
 
@@ -186,7 +186,7 @@
             let left = self.conn().conn.outbox.len();
             self.look();
             let id = self.conn_id();
-            self.hosts.pump(self.now, id, &mut self.log);
+            self.hosts.write_queued(self.now, id, &mut self.log);
             self.note();
             left > 0 && self.conn().conn.outbox.len() == left
         })
@@ -242,7 +242,7 @@
     assert!(rig.conn().writing.as_ref().is_some_and(|(_, begun)| !begun), "no byte has left");
     rig.now += 5 * SECOND;
     let id = rig.conn_id();
-    rig.hosts.pump(rig.now, id, &mut rig.log);
+    rig.hosts.write_queued(rig.now, id, &mut rig.log);
     rig.note();
     assert_eq!(rig.outcomes(waits), [Outcome::NotSent]);
 }
@@ -289,7 +289,7 @@
     rig.clog();
     let waits = rig.send(10);
     rig.tick(SECOND);
-    assert!(rig.conn().asked.is_some());
+    assert!(rig.conn().probed_at.is_some());
     rig.list(Condition::Draining);
     assert_eq!(rig.outcomes(waits), [Outcome::ConnectFailed]);
     let reading = read_on(&stream);
@@ -312,7 +312,7 @@
     while rig.outcomes(part).is_empty() {
         assert!(rig.now - begun < 5 * SECOND, "held for ever");
         if trickles {
-            rig.hosts.conns.values_mut().for_each(|c| c.wrote = rig.now);
+            rig.hosts.conns.values_mut().for_each(|c| c.sent_at = rig.now);
         }
         rig.tick(SECOND / 2);
     }
@@ -327,10 +327,10 @@
     let mut rig = Rig::new();
     let (_, _stream) = rig.stand();
     rig.clog();
-    rig.hosts.conns.values_mut().for_each(|c| c.wrote = rig.now - 2 * STALLED);
+    rig.hosts.conns.values_mut().for_each(|c| c.sent_at = rig.now - 2 * MAX_STALL_US);
     rig.tick(0);
     assert_eq!(rig.hosts.conns.len(), 1);
-    rig.tick(STALLED);
+    rig.tick(MAX_STALL_US);
     assert!(rig.hosts.conns.is_empty());
 }
 
@@ -353,7 +353,7 @@
     let order = rig.order();
     rig.list(Condition::Draining);
     assert_eq!(rig.orders, [(order, Outcome::Full)]);
-    rig.until(|rig| rig.conn().standing);
+    rig.until(|rig| rig.conn().connected);
     rig.list(Condition::Up);
     let (stream, _) = rig.listener.accept().unwrap();
     assert_eq!(rig.all_said(stream), "");
@@ -410,7 +410,7 @@
     let mut rig = Rig::new();
     let first = rig.send(10);
     if looks {
-        rig.until(|rig| rig.conn().standing);
+        rig.until(|rig| rig.conn().connected);
     }
     let (stream, _) = rig.listener.accept().unwrap();
     rig.tick(SECOND / 4);
@@ -483,10 +483,10 @@
 fn what_waits_is_moved_twice_at_most() {
     let mut rig = Rig::new();
     let (waits, order) = (rig.send(10), rig.order());
-    for moves in 0..=MOVES {
+    for moves in 0..=MAX_MOVES {
         assert_eq!((rig.outcomes(waits), rig.orders.len()), (vec![], 0), "after {moves} moves");
         let id = rig.conn_id();
-        rig.hosts.end(rig.now, id, Reason::PeerReset, &mut rig.log);
+        rig.hosts.end_conn(rig.now, id, Reason::PeerReset, &mut rig.log);
         rig.note();
     }
     assert_eq!(rig.outcomes(waits), [Outcome::ConnectFailed]);
@@ -499,7 +499,7 @@
     let (whole, _stream) = rig.stand();
     let (part, waits) = (rig.clog(), rig.send(10));
     let id = rig.conn_id();
-    rig.hosts.end(rig.now, id, Reason::PeerReset, &mut rig.log);
+    rig.hosts.end_conn(rig.now, id, Reason::PeerReset, &mut rig.log);
     rig.note();
     assert_eq!(rig.outcomes(whole), [Outcome::Reset]);
     assert_eq!(rig.outcomes(part), [Outcome::ConnectFailed]);
@@ -520,9 +520,9 @@
     assert_eq!(again.ticket, first.ticket);
     rig.ended.clear();
     stream.write_all(format!("r{} 503 - 0\r\n\r\n", first.ticket.0).as_bytes()).unwrap();
-    rig.until(|rig| rig.hosts.conns[&old].heard == rig.now && rig.hosts.attempts[&again] != old);
+    rig.until(|rig| rig.hosts.conns[&old].read_at == rig.now && rig.hosts.attempts[&again] != old);
     rig.until(|rig| rig.hosts.conns.values().any(|c| c.calls.len() == 1));
-    rig.hosts.end(rig.now, old, Reason::PeerReset, &mut rig.log);
+    rig.hosts.end_conn(rig.now, old, Reason::PeerReset, &mut rig.log);
     rig.note();
     assert_eq!(rig.ended, [], "the late answer is no end of the next attempt");
 }
@@ -547,7 +547,7 @@
     rig.tick(3 * SECOND);
     assert!(rig.conn().orders.is_empty(), "nothing is kept of it");
     stream.write_all(answer.as_bytes()).unwrap();
-    rig.until(|rig| rig.conn().heard == rig.now);
+    rig.until(|rig| rig.conn().read_at == rig.now);
     assert_eq!(rig.orders, []);
 }
 
