--- a/node/src/hosts/pool.rs
+++ b/node/src/hosts/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to script hosts: who listens where, what is queued, what is out.
+//! Pool of connections to script hosts: addresses, queued commands and outstanding calls and orders.
 //!
-//! A command waits in its connection's queue until all before it has left the ring, so that it can be
-//! withdrawn, as never sent, up to its first byte.
+//! A command waits in its connection's queue until all earlier bytes have left the ring. So until its first byte is
+//! written to the socket, it can be withdrawn as never sent.
 
 mod answers;
 mod connection;
@@ -29,7 +29,7 @@
 use crate::log::{Log, Reason};
 use crate::wake::{Handle, Wake};
 
-/// What is sent for a request, however many attempts it takes.
+/// The content of a request, the same for all of its attempts.
 pub struct Call {
     pub id: Rc<str>,
     pub class: String,
@@ -38,9 +38,9 @@
     pub body: Rc<[u8]>,
 }
 
-/// What the pool has learnt.
+/// The end of an attempt or an order.
 pub enum PoolEvent {
-    /// With the answer's body and fields, where there is one.
+    /// Body and fields are those of the answer, and empty without one.
     Attempt {
         attempt: AttemptId,
         end: AttemptEnd,
@@ -54,30 +54,33 @@
     },
 }
 
+/// A host of the list, with its open connections.
 struct KnownHost {
     address: SocketAddr,
     entry: ListEntry,
     conns: Vec<ConnId>,
 }
 
+/// See the module documentation.
 pub struct HostPool {
     handle: Handle,
     transport: Transport,
-    /// Connections to all hosts together.
+    /// Maximum number of connections to all hosts together.
     max_conns: usize,
-    /// Bytes of answers that are not whole, all together.
+    /// Maximum size of all incomplete answers together.
     max_bytes: usize,
     known: BTreeMap<WorkerId, KnownHost>,
-    /// Taken out by hand, whether the list knows them now or not: nothing new is sent to them.
+    /// Hosts that operators have put into maintenance, listed or not: no new work is sent to them.
     maintenance: BTreeSet<WorkerId>,
     conns: HashMap<ConnId, HostConn>,
-    /// Where each attempt is that has not ended.
+    /// The connection of each attempt that has not ended.
     attempts: HashMap<AttemptId, ConnId>,
     next_probe: u64,
     idle_limit: IdleLimit,
     probe_delay: ProbeDelay,
-    /// The system had no descriptor for a connection to a host.
+    /// The system had no descriptor left for a connection to a host. Cleared by the owner of the pool.
     pub exhausted: bool,
+    /// Ends of attempts and orders that the owner of the pool has yet to process.
     pub events: VecDeque<PoolEvent>,
 }
 
@@ -100,38 +103,38 @@
         }
     }
 
-    /// Connections that are open or being made.
+    /// Number of connections that are open or being established.
     pub fn conns(&self) -> usize {
         self.conns.len()
     }
 
-    /// Connections that may be wanted soon: one more to each host.
+    /// Number of connections that may soon be needed in addition: one per listed host.
     pub fn reserve(&self) -> usize {
         self.known.len()
     }
 
-    /// Connections are used by other settings from now on.
+    /// Replaces the settings of connections.
     pub fn set_transport(&mut self, transport: Transport) {
         self.transport = transport;
     }
 
-    /// Holds to other bounds from now on; idle connections beyond them are closed.
+    /// Replaces the limits; the next tick closes idle connections beyond them.
     pub fn set_limits(&mut self, (max_conns, max_bytes): (usize, usize)) {
         (self.max_conns, self.max_bytes) = (max_conns, max_bytes);
     }
 
-    /// When a connection that is being made is given up next.
+    /// When the next connection attempt times out.
     pub fn next_tick(&self) -> Option<Micros> {
         let pending = self.conns.values().filter(|c| !c.connected).map(|c| c.started);
         pending.min().map(|begun| begun + self.transport.connect_timeout)
     }
 
-    /// Whether somebody has this id, or had it when it was taken out.
+    /// Whether the host is listed, or is in maintenance.
     pub fn is_known(&self, host: &WorkerId) -> bool {
         self.known.contains_key(host) || self.maintenance.contains(host)
     }
 
-    /// All that have been listed and may be again.
+    /// Ids of all listed hosts, in whatever condition.
     pub fn listed(&self) -> impl Iterator<Item = &WorkerId> {
         self.known.keys()
     }
@@ -140,8 +143,8 @@
         self.maintenance.contains(host)
     }
 
-    /// Takes a host out by hand, or back in. What has not begun to leave is withdrawn; what runs may end.
-    /// Idle connections are closed: whoever is taken out is mostly restarted.
+    /// Puts a host into maintenance (`out`), or back into service. Commands of which no byte has been written are
+    /// withdrawn; running calls may finish. Idle connections are closed, as a host in maintenance is mostly restarted.
     pub fn set_maintenance(&mut self, now: Micros, host: &WorkerId, out: bool, log: &mut Log) {
         if !out {
             self.maintenance.remove(host);
@@ -156,14 +159,14 @@
         }
     }
 
-    /// Whether anything new may be sent there.
+    /// Whether new work may be sent to the host.
     fn is_available(&self, host: &WorkerId) -> bool {
         !self.maintenance.contains(host)
             && self.known.get(host).is_some_and(|m| m.entry.condition == Condition::Up)
     }
 
-    /// Hosts that these changes say nothing of, but whose address they give to another one: what listened there has gone,
-    /// whether the list says so by now or not. They are told as gone.
+    /// Hosts that these changes do not contain, but whose address they assign to another host: the process that
+    /// listened there has gone, even if the list does not say so yet. Returned as gone.
     pub fn displaced(&self, changes: &[Host]) -> Vec<Host> {
         let named: BTreeSet<&WorkerId> = changes.iter().map(|h| &h.entry.worker).collect();
         let had = |h: &Host| self.known.get(&h.entry.worker).is_some_and(|m| m.address == h.address);
@@ -177,8 +180,8 @@
         gone.collect()
     }
 
-    /// News of the host list. What has not begun to leave for a host that drains or is gone is withdrawn at
-    /// once: after its time the rules allow not even the first byte.
+    /// Applies an update of the host list. Commands for a draining or removed host are withdrawn at once if no byte of
+    /// them has been written, since the rules do not allow even the first byte after the update.
     pub fn update_hosts(&mut self, now: Micros, kind: ListKind, hosts: &[Host], log: &mut Log) {
         if kind != ListKind::Delta {
             let named: Vec<&WorkerId> = hosts.iter().map(|h| &h.entry.worker).collect();
@@ -200,7 +203,7 @@
             if moved || entry.condition == Condition::Gone {
                 self.end_conns(now, host, |_| true, log);
             } else if entry.ready_at > 0 {
-                // The same host with a new process: whatever was begun before that is with the dead one.
+                // The host's process was restarted: connections from before its start belong to the old process.
                 self.end_conns(now, host, |c| c.started < entry.ready_at, log);
             }
             match entry.condition {
@@ -211,11 +214,13 @@
         }
     }
 
+    /// Ends all connections to a host and removes it.
     fn remove_host(&mut self, now: Micros, host: &WorkerId, log: &mut Log) {
         self.end_conns(now, host, |_| true, log);
         self.known.remove(host);
     }
 
+    /// Ends the connections to a host that `which` selects.
     fn end_conns(&mut self, now: Micros, host: &WorkerId, which: impl Fn(&HostConn) -> bool, log: &mut Log) {
         let ids = self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default();
         for id in ids {
@@ -225,7 +230,7 @@
         }
     }
 
-    /// Takes back all that has not begun to leave for the host.
+    /// Withdraws all new work for the host of which no byte has been written.
     fn withdraw(&mut self, host: &WorkerId) {
         let ids = self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default();
         for id in ids {
--- a/node/src/hosts/pool/answers.rs
+++ b/node/src/hosts/pool/answers.rs
@@ -1,37 +1,38 @@
-//! What hosts say: answers to calls and orders, and the ends of connections.
+//! Receiving: answers to calls and orders, and closed connections.
 
 use super::*;
 
-/// An answer above this size is large: few may be on their way at once.
+/// Size of an incomplete answer above which its connection is ended once all incomplete answers exceed their limit.
 const LARGE_ANSWER_BYTES: usize = 32 << 10;
 
 impl HostPool {
-    /// The socket has something to say, or may take more.
+    /// Handles readiness of a connection's socket for reading or writing.
     pub fn ready(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id) else { return };
         if !c.connected {
             match c.conn.connected() {
                 Ok(true) => (c.connected, c.sent_at) = (true, now),
                 Ok(false) => return,
-                // One that was taken and broke at once does not say that nobody listens.
+                // A connection that was accepted and reset at once does not show that nobody listens.
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => {
                     return self.end_conn(now, id, Reason::PeerReset, log)
                 }
                 Err(_) => return self.end_conn(now, id, Reason::ConnectRefused, log),
             }
         }
-        // What the host said or did counts before anything more is written: an answer makes its KILL needless, and
-        // an end has what is queued go elsewhere.
+        // Reads before it writes: an answer makes a queued KILL of its call unnecessary, and after the end of the
+        // connection the queued commands go elsewhere.
         match self.read(now, id, log) {
             Ok(()) => self.write_queued(now, id, log),
             Err(reason) => self.end_conn(now, id, reason, log),
         }
     }
 
+    /// Reads and processes all answers that have arrived; an error if the connection is to be ended.
     pub(super) fn read(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<(), Reason> {
         loop {
             let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
-            // A reset must not swallow the answers that came before it.
+            // Answers that arrived before a reset are processed first.
             let before = c.conn.inbox.len();
             let filled = c.conn.fill();
             if c.conn.inbox.len() > before {
@@ -81,7 +82,7 @@
         }
         let Some((attempt, since)) = c.calls.remove(answer.id.as_str()) else { return };
         c.answered_probes = 0;
-        // Its KILL has nothing left to give up.
+        // A queued KILL of this call is obsolete.
         c.queue.retain(|i| !matches!(i, Command::Kill { attempt: a, .. } if *a == attempt));
         self.attempts.remove(&attempt);
         let end = answer.attempt_end(self.transport.says_warm, self.transport.counts_alike);
--- a/node/src/hosts/pool/connection.rs
+++ b/node/src/hosts/pool/connection.rs
@@ -1,41 +1,43 @@
-//! One connection to a host: what is queued, written and out on it.
+//! State of a connection to a host: queued, partially written and outstanding commands.
 
 use super::lines::CallLine;
 use super::*;
 
-/// A host that takes no bytes for so long while some wait has stopped reading.
+/// A host that accepts no bytes for this long while some are to be written has stopped reading.
 pub(super) const MAX_STALL_US: Micros = 3_000_000;
-/// ... and one that takes a command a few bytes at a time holds up all behind it, its KILL among them.
+/// Maximum time to write a command: a host that accepts it a few bytes at a time blocks all commands behind it,
+/// among them its KILL.
 const MAX_WRITE_US: Micros = 4_000_000;
 
-/// Until when a call is worth something.
+/// Time limits of an attempt.
 #[derive(Clone, Copy)]
 pub struct CallTimes {
-    /// It is over then.
+    /// Deadline: the attempt has ended by then.
     pub until: Micros,
-    /// It may not leave after this.
+    /// Latest time at which it may be written.
     pub leave_by: Micros,
 }
 
 impl CallTimes {
-    /// How long a host that gets it now is told that it is waited for, in milliseconds; `None`: it may not leave.
+    /// The time in milliseconds until the deadline, which is sent to the host; `None` if the call may not be sent any
+    /// more.
     pub(super) fn limit(&self, now: Micros) -> Option<i64> {
         let limit = (self.until - now) / 1000;
         (now <= self.leave_by && limit > 0).then_some(limit)
     }
 }
 
+/// A command to a host that has not been written completely.
 pub(super) enum Command {
     Call {
         attempt: AttemptId,
         id: Rc<str>,
         line: CallLine,
-        /// When it is over, and after when it may not leave.
         times: CallTimes,
-        /// How often it has been on a connection that ended before it left.
+        /// How often it was moved here from a connection that ended before it was written.
         moves: u32,
     },
-    /// Ends the attempt once it has been written.
+    /// Cancels a call. Once it has been written, the attempt ends.
     Kill {
         attempt: AttemptId,
         id: Rc<str>,
@@ -45,85 +47,90 @@
         bytes: Vec<u8>,
         moves: u32,
     },
+    /// A command whose answer needs no processing: HELO or REAP.
     Untracked(Vec<u8>),
 }
 
 impl Command {
-    /// Whether it is new work for the host. A KILL ends work, and a probe asks after what is out already.
+    /// Whether it is new work for the host. A KILL ends work, and a probe concerns outstanding commands.
     pub(super) fn is_new_work(&self) -> bool {
         matches!(self, Command::Call { .. } | Command::Order { .. })
     }
 }
 
+/// A connection to a host.
 pub(super) struct HostConn {
     pub(super) host: WorkerId,
     pub(super) conn: Conn,
     pub(super) connected: bool,
+    /// When connecting started.
     pub(super) started: Micros,
+    /// When a command was last queued or an answer last completed.
     pub(super) used_at: Micros,
-    /// It had been idle for so long when what is out now was begun, and nothing has come since.
+    /// How long it had been idle before the outstanding commands, as long as nothing has been received since.
     pub(super) idle_before: Option<Micros>,
-    /// When something was last read, or the first of the calls that are out was written.
+    /// When bytes were last received, or the first of the outstanding calls and orders was written.
     pub(super) read_at: Micros,
-    /// When bytes last left.
+    /// When bytes were last written to the socket.
     pub(super) sent_at: Micros,
-    /// An answer has begun then and is not whole.
+    /// When an answer that is still incomplete began.
     pub(super) partial_since: Option<Micros>,
-    /// Asked then whether anybody still answers.
+    /// When a probe was queued that has not been answered.
     pub(super) probed_at: Option<Micros>,
-    /// Asks since its last answer that somebody answered.
+    /// Answered probes since the last answer to a call or an order.
     pub(super) answered_probes: u32,
     pub(super) queue: VecDeque<Command>,
-    /// The item whose bytes are in the ring, and whether any of them has left it.
+    /// The command whose bytes are in the ring, and whether any of them has been written to the socket.
     pub(super) writing: Option<(Command, bool)>,
-    /// When its bytes were put there.
+    /// When that command was put into the ring.
     pub(super) writing_since: Micros,
-    /// Calls that have left whole, and when.
+    /// Calls that have been written completely, and when.
     pub(super) calls: HashMap<Rc<str>, (AttemptId, Micros)>,
-    /// Orders that have left whole, and when: one that is lost gets no answer.
+    /// Orders that have been written completely, and when. A lost order gets no answer and is dropped on timeout.
     pub(super) orders: HashMap<String, (OrderId, Micros)>,
-    /// Ids given up here, newest last: their answers may still come, and must not be taken for those of a
-    /// later attempt of the same request.
+    /// Ids of calls that were cancelled here, newest last: their answers may still arrive, and must not be taken as
+    /// answers to a later attempt of the same request.
     pub(super) killed: VecDeque<Rc<str>>,
 }
 
 impl HostConn {
-    /// Attempts that are queued or out here.
+    /// Number of queued and outstanding attempts.
     pub(super) fn load(&self) -> usize {
         let queued = self.queue.iter().filter(|i| matches!(i, Command::Call { .. })).count();
         let writing = matches!(self.writing, Some((Command::Call { .. }, _)));
         queued + usize::from(writing) + self.calls.len()
     }
 
-    /// Whether answers are owed to what has left.
+    /// Whether an answer to a call or an order is outstanding.
     pub(super) fn awaits_answer(&self) -> bool {
         !self.calls.is_empty() || !self.orders.is_empty()
     }
 
-    /// Something leaves that is to be answered.
+    /// Notes that a command with an answer was written: starts the silence timer if none was outstanding.
     pub(super) fn expect_answer(&mut self, now: Micros) {
         if !self.awaits_answer() {
             self.read_at = now;
         }
     }
 
+    /// Whether nothing is queued, being written or outstanding.
     pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.writing.is_none() && self.calls.is_empty() && self.orders.is_empty()
     }
 
-    /// Whether the command that is being written should have left by now.
+    /// Whether writing the current command takes too long.
     pub(super) fn is_write_stalled(&self, now: Micros) -> bool {
         now - self.sent_at.max(self.writing_since) >= MAX_STALL_US || now - self.writing_since >= MAX_WRITE_US
     }
 
-    /// Whether its KILL is queued or being written.
+    /// Whether a KILL of this attempt is queued or being written.
     pub(super) fn has_kill(&self, attempt: AttemptId) -> bool {
         let is_it = |i: &Command| matches!(i, Command::Kill { attempt: a, .. } if *a == attempt);
         self.queue.iter().chain(self.writing.iter().map(|(item, _)| item)).any(is_it)
     }
 
-    /// Whether an answer under this id could be meant for another attempt: of this request or, as clients
-    /// choose the ids, of another.
+    /// Whether an answer with this id could belong to another attempt: of the same request, or of another one, as
+    /// clients choose the ids.
     pub(super) fn uses_id(&self, id: &Rc<str>) -> bool {
         let is_it = |i: &Command| matches!(i, Command::Call { id: other, .. } if other == id);
         let waiting = self.queue.iter().chain(self.writing.iter().map(|(item, _)| item)).any(is_it);
--- a/node/src/hosts/pool/ending.rs
+++ b/node/src/hosts/pool/ending.rs
@@ -1,28 +1,28 @@
-//! What ends: attempts and connections, by what they met or by the time.
+//! Ends of attempts and connections, by errors and by timeouts.
 
 use super::*;
 
-/// Idle connections are closed a little early, so that no request meets a close by the host.
+/// Idle connections are closed after this share of the configured idle time, before the host closes them.
 const IDLE_SHARE: f64 = 0.8;
-/// Moves of what has not begun to leave from a connection that ended to another one.
+/// How often a command of which no byte was written may be moved from an ended connection to another one.
 pub(super) const MAX_MOVES: u32 = 2;
-/// An ask whether anybody still answers is given up after this. Hosts answer beside their queue.
+/// A probe without an answer fails after this. Hosts answer probes independently of their queue of calls.
 const PROBE_TIMEOUT_US: Micros = 400_000;
-/// A host that sends nothing for so long within an answer has gone silent. As long as pieces come, of any size,
-/// it is at it.
-const MAX_ANSWER_GAP_US: Micros = 500_000;
-/// ... but from its first byte an answer must be whole by then: others on its connection wait behind it.
+/// A host that pauses for this long within an answer has failed. Any received byte restarts the interval.
+const ANSWER_GAP_US: Micros = 500_000;
+/// Maximum time from the first to the last byte of an answer, as answers behind it on the connection wait.
 const ANSWER_TIMEOUT_US: Micros = 4_000_000;
 
 impl HostPool {
+    /// Ends an attempt without an answer.
     pub(super) fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd) {
         self.attempts.remove(&attempt);
         self.events.push_back(PoolEvent::Attempt { attempt, end, body: Vec::new(), fields: Vec::new() });
     }
 
-    /// Ends a connection: what had left whole may have run, all else proves that it did not. What has not
-    /// begun to leave goes on another connection, unless the host takes none: a connection that breaks says
-    /// nothing against it, and giving the attempt back would.
+    /// Ends a connection. Commands that were written completely may have run; all others certainly did not. Commands of
+    /// which no byte was written move to another connection to the host, unless it accepts none: a broken connection
+    /// alone does not count against a host, while a failed attempt would.
     pub(super) fn end_conn(&mut self, now: Micros, id: ConnId, reason: Reason, log: &mut Log) {
         let Some(mut c) = self.conns.remove(&id) else { return };
         if let Some(m) = self.known.get_mut(&c.host) {
@@ -47,7 +47,7 @@
                     let outcome = Outcome::ConnectFailed;
                     self.events.push_back(PoolEvent::Order { order, outcome, copies: 0 });
                 }
-                // The end of the connection gives up what it carried, as KILL would have.
+                // The end of the connection cancels its calls, as the KILL would have.
                 Command::Kill { attempt, id } => {
                     if c.calls.remove(&id).is_some() {
                         self.end_attempt(attempt, Outcome::Cancelled.into());
@@ -69,7 +69,7 @@
         c.conn.close(&self.handle);
     }
 
-    /// Has a command go on another connection to the host, if that may and can be; else gives it back.
+    /// Moves a command to another connection to the host if possible; otherwise returns it.
     fn requeue(
         &mut self,
         now: Micros,
@@ -89,7 +89,7 @@
             }
             _ => return Some(item),
         };
-        // Where the host turns connections away, only one that stands will do.
+        // If the host refused this connection, only a connection that is already established is used.
         let refused = reason == Reason::ConnectRefused;
         let fits = |c: &HostConn, streams| {
             (c.connected || !refused) && known.as_ref().is_none_or(|id| c.load() < streams && !c.uses_id(id))
@@ -106,8 +106,9 @@
         None
     }
 
-    /// Gives up connections that do not come up, that nobody answers on any more, or that are stuck within an
-    /// answer or a command, and closes idle ones.
+    /// Drops orders that timed out, probes silent connections, and ends connections that could not be established in
+    /// time, left a probe unanswered, or stall within an answer or a command. Closes idle connections that are too
+    /// old, lead to a host in maintenance, or exceed the limit.
     pub fn tick(&mut self, now: Micros, log: &mut Log) {
         let idle = (self.transport.conn_idle as f64 * IDLE_SHARE) as Micros;
         let timeout = self.transport.order_timeout;
@@ -132,9 +133,7 @@
         }
         let over = |c: &HostConn| match c.connected {
             false if now - c.started >= self.transport.connect_timeout => Some(Reason::ConnectTimeout),
-            true if c.partial_since.is_some() && now - c.read_at >= MAX_ANSWER_GAP_US => {
-                Some(Reason::Protocol)
-            }
+            true if c.partial_since.is_some() && now - c.read_at >= ANSWER_GAP_US => Some(Reason::Protocol),
             true if c.partial_since.is_some_and(|at| now - at >= ANSWER_TIMEOUT_US) => Some(Reason::Protocol),
             true if c.probed_at.is_some_and(|at| now - at >= PROBE_TIMEOUT_US) => Some(Reason::Silent),
             true if c.writing.is_some() && c.is_write_stalled(now) => Some(Reason::SlowReader),
--- a/node/src/hosts/pool/sending.rs
+++ b/node/src/hosts/pool/sending.rs
@@ -1,21 +1,23 @@
-//! Commands on their way: which connection they take, when they leave, and how they are taken back.
+//! Sending: choice of the connection, queueing, writing and withdrawal of commands.
 
 use super::lines::CallLine;
 use super::*;
 
-/// Ids of given-up attempts that a connection remembers: more than it carries within any deadline.
+/// Maximum number of ids of cancelled calls that a connection remembers: more calls than it carries within any
+/// deadline.
 const MAX_KILLED_IDS: usize = 256;
-/// Connections to one host, as long as descriptors suffice.
+/// Maximum number of connections to one host, if the limit of all connections allows it.
 const MAX_CONNS_PER_HOST: usize = 24;
-/// Connections to one host that calls are spread over, a part of all that may be open: one answer that cannot
-/// be read spoils whatever else is out on its connection, and mails are never repeated.
+/// Maximum number of connections to one host that calls are spread over, as long as all hosts together get at most
+/// half of the connections. A malformed answer ends its connection and so fails all other calls on it, and calls that
+/// are not idempotent are never repeated.
 const MAX_SPREAD: usize = 8;
-/// ... and that all activators together hold for this at one host: it takes only so many, and each is a
-/// handshake. A hundred activators hold one each.
+/// Maximum number of connections that calls of all activators together are spread over at one host: a host accepts a
+/// limited number, and each costs a handshake. 100 activators hold one each.
 const MAX_FLEET_SPREAD: usize = 24;
 
 impl HostPool {
-    /// Sends an attempt, with further fields of the call's line; how it ends is noticed later, once.
+    /// Sends an attempt, with additional fields in the call's line. Exactly one event reports its end later.
     pub fn send(
         &mut self,
         now: Micros,
@@ -34,21 +36,21 @@
                 let item = Command::Call { attempt, id: call.id.clone(), line, times, moves: 0 };
                 self.enqueue(now, id, item, log);
             }
-            // The bounds of this process say nothing against a host.
+            // Reaching a limit of this process does not count against the host.
             None if self.is_available(host) => self.end_attempt(attempt, Outcome::NoConnection.into()),
             None => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
         }
     }
 
-    /// Gives an attempt up. What has not begun to leave is taken back, which proves that it never ran; else
-    /// the attempt ends once KILL has been written, so that no other attempt can be out beside it.
+    /// Cancels an attempt. If no byte of it has been written, it is withdrawn and certainly never ran. Otherwise it
+    /// ends once its KILL has been written, so that no other attempt of the request is outstanding at the same time.
     pub fn cancel(&mut self, now: Micros, attempt: AttemptId, log: &mut Log) {
         if self.withdraw_attempt(now, attempt, log) {
             return;
         }
         let Some(id) = self.attempts.get(&attempt).copied() else { return };
         let Some(c) = self.conns.get_mut(&id) else { return };
-        // A second KILL could come after the request's next attempt has begun.
+        // A second KILL could arrive after the request's next attempt and cancel that one.
         if c.has_kill(attempt) {
             return;
         }
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Takes an attempt back that has not begun to leave, which ends it as never sent. Whether it had not.
+    /// Withdraws an attempt of which no byte has been written, and ends it as never sent. Returns whether it did.
     pub fn withdraw_attempt(&mut self, now: Micros, attempt: AttemptId, log: &mut Log) -> bool {
         let Some(id) = self.attempts.get(&attempt).copied() else { return false };
         let Some(c) = self.conns.get_mut(&id) else { return false };
@@ -82,6 +84,7 @@
         true
     }
 
+    /// Sends an order to load copies of a function. Exactly one event reports its end, unless the answer is lost.
     pub fn load(
         &mut self,
         now: Micros,
@@ -96,20 +99,23 @@
                 self.enqueue(now, id, Command::Order { order, bytes, moves: 0 }, log);
             }
             None => {
-                // A host that turned it away would be told of to the whole fleet; and as this end comes at once, an order that
-                // is given anew for it would be given for ever.
+                // Without a connection here the order is not sent, which does not count against the host: a refusal by
+                // the host would be reported to the whole fleet. And as the order ends at once, an outcome on which it
+                // is repeated would repeat it for ever.
                 let outcome = if self.is_available(host) { Outcome::NotSent } else { Outcome::ConnectFailed };
                 self.events.push_back(PoolEvent::Order { order, outcome, copies: 0 });
             }
         }
     }
 
+    /// Sends the command to unload a function, if a connection can be had.
     pub fn unload(&mut self, now: Micros, host: &WorkerId, function: &FunctionId, log: &mut Log) {
         if let Some(id) = self.pick_conn(now, host, |_, _| true, log) {
             self.enqueue(now, id, Command::Untracked(lines::reap(&function.0)), log);
         }
     }
 
+    /// Sends a probe, if a connection can be had.
     pub fn probe(&mut self, now: Micros, host: &WorkerId, log: &mut Log) {
         if let Some(id) = self.pick_conn(now, host, |_, _| true, log) {
             self.next_probe += 1;
@@ -117,8 +123,8 @@
         }
     }
 
-    /// The connection for the next command: one that stands, fits and carries nothing; else a new one, as
-    /// long as the calls are to be spread; else the least used.
+    /// The connection for the next command: an established one without load that fits; otherwise a new one, while calls
+    /// are still to be spread over more connections; otherwise the fitting one with the least load.
     pub(super) fn pick_conn(
         &mut self,
         now: Micros,
@@ -128,7 +134,7 @@
     ) -> Option<ConnId> {
         let best = loop {
             let best = self.best_conn(now, host, &fits)?;
-            // The host may have closed it while it was idle: known before the first byte, that costs nothing.
+            // The host may have closed it while it was idle. Detected before the first byte, this fails no command.
             if !best.is_some_and(|(_, id)| self.end_if_closed(now, id, log)) {
                 break best;
             }
@@ -142,7 +148,7 @@
             }
         }
         let (address, held) = (member.address, member.conns.len());
-        // A host without a connection gets one in the place of another's that is used least.
+        // At the limit of all connections, the connection that has been idle longest makes room.
         if held < MAX_CONNS_PER_HOST && self.conns.len() >= self.max_conns {
             self.evict_longest_idle(now, log);
         }
@@ -184,8 +190,8 @@
         Some(id)
     }
 
-    /// The connection to a host that suits a command best, and what it carries; `None` within where none fits, and
-    /// without where the host takes nothing.
+    /// The best fitting connection to a host, with its load: `None` if the host is not available, `Some(None)` if no
+    /// connection fits.
     fn best_conn(
         &self,
         now: Micros,
@@ -195,13 +201,14 @@
         let member = self.known.get(host).filter(|_| self.is_available(host))?;
         let fitting = member.conns.iter().filter_map(|id| self.conns.get(id).map(|c| (*id, c)));
         let fitting = fitting.filter(|(_, c)| fits(c, self.transport.streams));
-        // The last used goes first, and one that has been idle for too long is left to be closed.
+        // Prefers the most recently used. Skips connections that have been idle for too long; the next tick closes
+        // them.
         let fresh = fitting.filter(|(_, c)| !(c.is_idle() && self.idle_limit.exceeded(now - c.used_at)));
         let best = fresh.map(|(id, c)| (c.load(), !c.connected, Reverse(c.used_at), id)).min();
         Some(best.map(|(load, _, _, id)| (load, id)))
     }
 
-    /// Ends an idle connection that the other side has ended, whether the loop has told so or not.
+    /// Ends an idle connection that the host has closed, even if the event loop has not reported it yet.
     fn end_if_closed(&mut self, now: Micros, id: ConnId, log: &mut Log) -> bool {
         if !self.conns.get(&id).is_some_and(|c| c.connected && c.is_idle()) {
             return false;
@@ -211,13 +218,14 @@
         true
     }
 
-    /// Closes the connection that has been idle longest, where one is.
+    /// Closes the connection that has been idle longest, if any is idle.
     fn evict_longest_idle(&mut self, now: Micros, log: &mut Log) {
         let idle = self.conns.iter().filter(|(_, c)| c.connected && c.is_idle());
         let longest = idle.map(|(id, c)| (c.used_at, *id)).min();
         longest.into_iter().for_each(|(_, id)| self.end_conn(now, id, Reason::Evicted, log));
     }
 
+    /// Queues a command on a connection and writes what the socket accepts.
     pub(super) fn enqueue(&mut self, now: Micros, id: ConnId, item: Command, log: &mut Log) {
         if let Some(c) = self.conns.get_mut(&id) {
             if c.connected && c.is_idle() {
@@ -229,10 +237,10 @@
         }
     }
 
-    /// Moves queued commands into the socket, one at a time.
+    /// Writes queued commands to the socket, one at a time.
     pub(super) fn write_queued(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id).filter(|c| c.connected) else { return };
-        // Nothing of it has left: what it may still do, and the time that is left, are looked at again.
+        // No byte of this call has been written: check again whether it may be sent, and update the time that is left.
         let unsent = c.writing.take_if(|(item, begun)| !*begun && matches!(item, Command::Call { .. }));
         let mut waits_since = unsent.is_some().then_some(c.writing_since);
         if let Some((item, _)) = unsent {
@@ -255,7 +263,7 @@
                     Command::Order { bytes, .. } | Command::Untracked(bytes) => c.conn.outbox.push(bytes),
                     Command::Kill { id, .. } => c.conn.outbox.push(&lines::kill(id)),
                 };
-                debug_assert!(fits, "a command is shorter than the ring");
+                debug_assert!(fits, "a command fits into the ring");
                 c.writing = Some((item, false));
                 c.writing_since = waits_since.take().unwrap_or(now);
             }
@@ -284,7 +292,7 @@
                     c.orders.insert(order_tag(order), (order, now));
                 }
                 Some((Command::Kill { attempt, id }, _)) => {
-                    // An answer may have come just before: then it is the end of the attempt.
+                    // If an answer came just before, that has already ended the attempt.
                     if c.calls.remove(&id).is_some() {
                         c.killed.push_back(id);
                         if c.killed.len() > MAX_KILLED_IDS {
@@ -303,7 +311,7 @@
             self.end_attempt(attempt, Outcome::Cancelled.into());
         }
         if let Some(reason) = ended {
-            // What the host said before it broke off still counts.
+            // Answers that the host sent before the connection broke are still processed.
             let reason = self.read(now, id, log).err().unwrap_or(reason);
             self.end_conn(now, id, reason, log);
         }
--- a/node/src/hosts/pool/tests.rs
+++ b/node/src/hosts/pool/tests.rs
@@ -279,8 +279,8 @@
     assert_eq!(count(&said, "SPAWN"), 0);
 }
 
-/// A host that is asked whether it is there while it takes nothing is asked also when it begins to drain: it is given up
-/// for silence only where the question could reach it.
+/// A host that is asked whether it is there while it takes nothing is asked also when it begins to drain: it is given
+/// up for silence only where the question could reach it.
 #[test]
 fn a_drain_takes_no_question_back() {
     let mut rig = Rig::new();
@@ -592,8 +592,8 @@
     assert_eq!((rig.outcomes(call), rig.orders), (vec![Outcome::Done], vec![(order, Outcome::Done)]));
 }
 
-/// The bound on connections is the process's own: neither a call nor an order that finds none says that the host turned it
-/// away. Of a host that takes nothing new it is said as before.
+/// The bound on connections is the process's own: neither a call nor an order that finds none says that the host
+/// turned it away. Of a host that takes nothing new it is said as before.
 #[rstest]
 #[case::up(Condition::Up, Outcome::NoConnection, Outcome::NotSent)]
 #[case::draining(Condition::Draining, Outcome::ConnectFailed, Outcome::ConnectFailed)]
--- a/node/src/hosts/probe_delay.rs
+++ b/node/src/hosts/probe_delay.rs
@@ -1,8 +1,8 @@
 //! How long a connection with outstanding commands may be silent before the host is probed. Pure.
 //!
-//! Each probe has a cost and is work for the host. Where a host gets few calls, a connection mostly carries one call at a time,
-//! so that every long-running call means a silent connection: with a fixed interval of 0.5 s a fleet of
-//! 100 activators sent more probes than calls.
+//! Each probe has a cost and is work for the host. Where a host gets few calls, a connection mostly carries one call
+//! at a time, so that every long-running call means a silent connection: with a fixed interval of 0.5 s a fleet of 100
+//! activators sent more probes than calls.
 
 use wheellink::Micros;
 
--- a/node/src/hosts/start_times.rs
+++ b/node/src/hosts/start_times.rs
@@ -9,8 +9,8 @@
 //! - a start time that is new in the list is not much older than the last time at which the list was in sync with its
 //!   source.
 //!
-//! Where the newest start time of an event shows that this process's clock is ahead, a correction is added to that start
-//! time and to all later ones. Where the clock is behind, hosts count as started when they were reported.
+//! Where the newest start time of an event shows that this process's clock is ahead, a correction is added to that
+//! start time and to all later ones. Where the clock is behind, hosts count as started when they were reported.
 
 use std::collections::BTreeMap;
 
@@ -40,8 +40,8 @@
 }
 
 impl StartTimes {
-    /// Replaces the reported start times in the entries of one event by local ones. `synced_at` is when the list was last
-    /// known to be in sync with its source, if ever.
+    /// Replaces the reported start times in the entries of one event by local ones. `synced_at` is when the list was
+    /// last known to be in sync with its source, if ever.
     pub fn translate<'a>(
         &mut self,
         now: Micros,
--- a/node/src/hosts/start_times/tests.rs
+++ b/node/src/hosts/start_times/tests.rs
@@ -29,8 +29,8 @@
     assert_eq!(starts.correction(), 0);
 }
 
-/// The local clock is ahead of, or behind, the clock of the list's source: a new start time is never taken as older than
-/// possible, and a start time that is reported again keeps its converted value.
+/// The local clock is ahead of, or behind, the clock of the list's source: a new start time is never taken as older
+/// than possible, and a start time that is reported again keeps its converted value.
 #[test]
 fn a_wrong_clock_makes_no_start_time_older_than_possible() {
     for (off, ages_again) in [(HOUR, [8, 4]), (20 * SECOND, [8, 4]), (-20 * SECOND, [8, 0]), (-HOUR, [8, 0])]
