--- a/node/src/bus.rs
+++ b/node/src/bus.rs
@@ -1,4 +1,5 @@
-//! The event bus: the host list as numbered events, over TCP and in the configuration.
+//! Client of the event bus, which delivers the host list as numbered events over TCP. The configuration holds an event
+//! in JSON form as the initial list.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,7 +12,7 @@
 use crate::log::Reason;
 use crate::ring::Ring;
 
-/// One numbered event.
+/// A numbered event: the full host list, or changes of it.
 #[derive(Debug, PartialEq)]
 pub struct Event {
     pub number: u64,
@@ -19,7 +20,7 @@
     pub hosts: Vec<Host>,
 }
 
-/// An entry of the host list and where it listens.
+/// An entry of the host list, with the host's address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
     pub entry: ListEntry,
@@ -29,34 +30,38 @@
 /// A frame of the bus.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
+    /// Sent each second while there is no new event.
     Heartbeat,
     Event(Event),
 }
 
-/// Bytes of one record.
-const RECORD: usize = 27;
-/// A longer frame is not one of a host list.
-const LONGEST: usize = 200_000;
-/// An empty frame comes each second: after so long without one the connection is dead. What the bus has to
-/// tell counts as told whether it arrives or not, so there is no time to be lost.
-const SILENT: Micros = 2_000_000;
-/// A frame that has begun must be whole by then: bytes that trickle are no news.
-const FRAME: Micros = 2_000_000;
-/// So long without news after asking for them, there are none.
-const QUIET: Micros = 100_000;
-/// A connection that is not up by then is begun anew.
-const CONNECT: Micros = 1_000_000;
-/// Between attempts to connect: the bus may be gone for seconds, and its news count as told all the same.
-const FIRST_PAUSE: Micros = 50_000;
-const LONGEST_PAUSE: Micros = 400_000;
-/// A connection that has stood for so long is in order, and its end no part of a series. An empty frame comes by then.
-const STEADY: Micros = 900_000;
-
-/// Takes the next frame off the ring; `None` while it is not whole.
+/// Encoded size of a host.
+const RECORD_BYTES: usize = 27;
+/// Maximum frame length; no frame of a host list is longer.
+const MAX_FRAME_BYTES: usize = 200_000;
+/// A heartbeat arrives each second: without any data for this long, the connection is considered dead. The platform
+/// counts events as delivered after a fixed time even if they do not arrive, so a dead connection must be replaced
+/// fast.
+const SILENCE_TIMEOUT_US: Micros = 2_000_000;
+/// Maximum time from the first to the last byte of a frame: single bytes that keep arriving are not progress.
+const FRAME_TIMEOUT_US: Micros = 2_000_000;
+/// Without data for this long after subscribing, there are no new events.
+const CATCH_UP_QUIET_US: Micros = 100_000;
+/// A connection that is not established by then is replaced.
+const CONNECT_TIMEOUT_US: Micros = 1_000_000;
+/// Delays between attempts to connect, doubling from the first to the maximum. They are short because events count as
+/// delivered even while the bus is unreachable, which may last for seconds.
+const FIRST_RETRY_DELAY_US: Micros = 50_000;
+const MAX_RETRY_DELAY_US: Micros = 400_000;
+/// A frame this long after connecting resets the retry delay: the next end is then not part of a series of failures.
+/// The first heartbeat arrives after this time.
+const STABLE_AFTER_US: Micros = 900_000;
+
+/// Takes the next frame from the ring; `None` while it is incomplete.
 pub fn next_frame(ring: &mut Ring, zones: &[String]) -> Result<Option<Frame>, String> {
     let Some(head) = ring.copy(0, 4) else { return Ok(None) };
     let length = u32::from_be_bytes(head.try_into().unwrap()) as usize;
-    if !(9..=LONGEST).contains(&length) {
+    if !(9..=MAX_FRAME_BYTES).contains(&length) {
         return Err(format!("a frame of {length} bytes"));
     }
     let Some(frame) = ring.copy(4, length) else { return Ok(None) };
@@ -66,17 +71,17 @@
         0 => return Ok(Some(Frame::Heartbeat)),
         1 => ListKind::Full,
         2 => ListKind::Delta,
-        other => return Err(format!("a frame of kind {other}")),
+        other => return Err(format!("a frame of unknown kind {other}")),
     };
     let payload = &frame[9..];
-    if payload.len() % RECORD != 0 {
-        return Err(format!("{} bytes of records", payload.len()));
+    if payload.len() % RECORD_BYTES != 0 {
+        return Err(format!("records of {} bytes, not a multiple of {RECORD_BYTES}", payload.len()));
     }
-    let hosts = payload.chunks_exact(RECORD).map(|r| record(r, zones)).collect::<Result<_, _>>()?;
+    let hosts = payload.chunks_exact(RECORD_BYTES).map(|r| decode(r, zones)).collect::<Result<_, _>>()?;
     Ok(Some(Frame::Event(Event { number, kind, hosts })))
 }
 
-fn record(r: &[u8], zones: &[String]) -> Result<Host, String> {
+fn decode(r: &[u8], zones: &[String]) -> Result<Host, String> {
     let u32_at = |i: usize| u32::from_be_bytes(r[i..i + 4].try_into().unwrap());
     let u16_at = |i: usize| u16::from_be_bytes(r[i..i + 2].try_into().unwrap());
     let started = u64::from_be_bytes(r[19..27].try_into().unwrap());
@@ -84,7 +89,7 @@
         0 => Condition::Up,
         1 => Condition::Draining,
         2 => Condition::Gone,
-        other => return Err(format!("a host of state {other}")),
+        other => return Err(format!("a host in unknown state {other}")),
     };
     let zone = if usize::from(r[11]) < zones.len() { u32::from(r[11]) } else { u32::MAX };
     let entry = ListEntry {
@@ -98,7 +103,7 @@
     Ok(Host { entry, address: (Ipv4Addr::from(u32_at(4)), u16_at(8)).into() })
 }
 
-/// An event as `known` holds it.
+/// Parses an event in the form of the configuration's `known`.
 pub fn parse_event(value: &Value, deployment: &Deployment) -> Result<Event, String> {
     let number = value.get("offset").and_then(Value::as_u64).ok_or("an event with no offset")?;
     let topology = value.get("topology").ok_or("an event with no topology")?;
@@ -129,33 +134,35 @@
     Ok(Host { entry, address: address.ok_or_else(|| format!("member {id} has no address"))? })
 }
 
-/// How far the bus has been read, and the connection that reads it.
+/// The connection to the bus, and the position up to which its events have been applied.
 pub struct Bus {
     pub address: SocketAddr,
     pub conn: Option<Conn>,
     pub connected: bool,
-    heard: Micros,
-    /// A frame has begun then and is not whole.
-    partial: Option<Micros>,
-    /// When the connection came to stand, and whether all was told on it: it says so once a second.
-    stood: Micros,
-    told: bool,
-    /// When it last said that there is nothing new.
+    /// When data last arrived, or connecting started.
+    last_received: Micros,
+    /// When a frame began that is still incomplete.
+    partial_since: Option<Micros>,
+    connected_at: Micros,
+    /// Whether a heartbeat has arrived: all events before it have.
+    heartbeat_seen: bool,
+    /// When a heartbeat last arrived while no event was missing.
     synced_at: Option<Micros>,
-    /// The event that another process had read when this one began.
-    wanted: u64,
+    /// The last event that another process had applied when this one started.
+    required: u64,
     retry_at: Micros,
-    pause: Micros,
+    retry_delay: Micros,
+    /// Number of the last event that was applied.
     last: u64,
     catching_up: Option<CatchUp>,
 }
 
-/// After a gap: the list as told from the start on. It is handed on once it is no older than what is known, lest a host
-/// that drains be taken back into service.
+/// Replay of all events after a gap. The list is only passed on once it is at least as new as what was passed on
+/// before, so that a draining host does not return into service.
 struct CatchUp {
-    /// The event before which some were missing. Nothing proves that the bus has it.
+    /// The event before which some were missing. It is not certain that the bus still has it.
     until: u64,
-    /// The last event that was handed on before the gap.
+    /// The last event that was passed on before the gap.
     known: u64,
     list: BTreeMap<WorkerId, Host>,
 }
@@ -167,10 +174,10 @@
     }
 }
 
-/// Some events are missing before this one: the connection is to be made anew.
+/// Events are missing before the applied one: the connection must be replaced, and all events be replayed.
 #[derive(Debug, PartialEq)]
 pub struct Gap {
-    /// What the event itself changes. It is known by now, and holds whatever the missing ones say.
+    /// The changes of the event itself, which hold whatever the missing events contain.
     pub changes: Vec<Host>,
 }
 
@@ -180,45 +187,46 @@
             address,
             conn: None,
             connected: false,
-            heard: 0,
-            partial: None,
-            stood: 0,
-            told: false,
+            last_received: 0,
+            partial_since: None,
+            connected_at: 0,
+            heartbeat_seen: false,
             synced_at: None,
-            wanted: 0,
+            required: 0,
             retry_at: 0,
-            pause: FIRST_PAUSE,
+            retry_delay: FIRST_RETRY_DELAY_US,
             last,
             catching_up: None,
         }
     }
 
-    /// When something must be looked at next.
+    /// When the next timeout or connection attempt is due.
     pub fn next_tick(&self) -> Micros {
         match (&self.conn, self.connected) {
             (Some(_), true) => {
-                let silent = self.heard + SILENT;
-                self.partial.map_or(silent, |since| silent.min(since + FRAME))
+                let silent = self.last_received + SILENCE_TIMEOUT_US;
+                self.partial_since.map_or(silent, |since| silent.min(since + FRAME_TIMEOUT_US))
             }
-            (Some(_), false) => self.heard + CONNECT,
+            (Some(_), false) => self.last_received + CONNECT_TIMEOUT_US,
             (None, _) => self.retry_at,
         }
     }
 
-    /// Whether it is time to connect.
+    /// Whether a connection attempt is due.
     pub fn wants_connection(&self, now: Micros) -> bool {
         self.conn.is_none() && self.retry_at <= now
     }
 
+    /// Whether the connection was not established in time, is silent, or has an incomplete frame for too long.
     pub fn has_timed_out(&self, now: Micros) -> bool {
         self.conn.is_some() && self.next_tick() <= now
     }
 
-    /// Whether the list is as new as the bus: it said so, or has had nothing new for a while. What there is
-    /// comes at once.
+    /// Whether the list is as new as the bus: a heartbeat has arrived, or nothing for a while. Events that the bus has
+    /// arrive right after subscribing.
     pub fn is_caught_up(&self, now: Micros) -> bool {
-        let quiet = self.connected && now - self.stood.max(self.heard) >= QUIET;
-        self.catching_up.is_none() && self.last >= self.wanted && (self.told || quiet)
+        let is_quiet = self.connected && now - self.connected_at.max(self.last_received) >= CATCH_UP_QUIET_US;
+        self.catching_up.is_none() && self.last >= self.required && (self.heartbeat_seen || is_quiet)
     }
 
     /// When the list was last known to be as new as the bus.
@@ -226,89 +234,91 @@
         self.synced_at
     }
 
-    /// Where it is read, and how far.
+    /// The address of the bus, and the last event that was applied.
     pub fn position(&self) -> (SocketAddr, u64) {
         (self.address, self.last)
     }
 
-    /// Another process has read the same bus so far.
+    /// Requires the list to reach the position of another process before it counts as caught up, if both use the same
+    /// bus.
     pub fn require_position(&mut self, (address, last): (SocketAddr, u64)) {
         if address == self.address {
-            self.wanted = last;
+            self.required = last;
         }
     }
 
-    /// It has nothing new. After a gap the list is then as new as the bus has it, also where the event after the gap
-    /// never comes: the news to tell, if any.
+    /// Handles a heartbeat: the bus has no further events. A replay after a gap is then complete, even if the event
+    /// after the gap never arrives. Returns the list to apply, if any.
     pub fn heartbeat_received(&mut self, now: Micros) -> Option<(ListKind, Vec<Host>)> {
-        self.told = true;
+        self.heartbeat_seen = true;
         let last = self.last;
-        let whole = self.catching_up.take_if(|c| !c.list.is_empty() && last >= c.known);
-        if whole.is_none() && self.catching_up.is_none() {
+        let done = self.catching_up.take_if(|c| !c.list.is_empty() && last >= c.known);
+        if done.is_none() && self.catching_up.is_none() {
             self.synced_at = Some(now);
         }
-        whole.map(|mut caught_up| (ListKind::Full, caught_up.take_list()))
+        done.map(|mut caught_up| (ListKind::Full, caught_up.take_list()))
     }
 
-    /// The bus is found elsewhere from now on, with the same events: asked there at once for what is new.
+    /// Changes the address of the bus, which has the same events there. Connects at once.
     pub fn set_address(&mut self, address: SocketAddr) {
-        (self.address, self.retry_at, self.pause) = (address, 0, FIRST_PAUSE);
+        (self.address, self.retry_at, self.retry_delay) = (address, 0, FIRST_RETRY_DELAY_US);
     }
 
-    /// A connection has been begun, or could not be.
+    /// Notes that connecting started, or that it failed (`None`).
     pub fn connect_started(&mut self, now: Micros, conn: Option<Conn>) {
-        (self.connected, self.heard, self.partial) = (false, now, None);
+        (self.connected, self.last_received, self.partial_since) = (false, now, None);
         match conn {
             Some(conn) => self.conn = Some(conn),
-            None => self.paused(now),
+            None => self.schedule_retry(now),
         }
     }
 
-    /// Once the connection stands, asks for what came after the last event known, by 8 bytes.
+    /// Once the connection is established, requests all events after the last known one, by sending its number in 8
+    /// bytes.
     pub fn subscribe(&mut self, now: Micros) -> Result<(), Reason> {
         let Some(conn) = self.conn.as_mut().filter(|_| !self.connected) else { return Ok(()) };
         self.connected = conn.connected().map_err(|_| Reason::ConnectRefused)?;
         if self.connected {
-            (self.stood, self.heard) = (now, now);
-            // From the start there is the whole list first, then all that has changed since.
+            (self.connected_at, self.last_received) = (now, now);
+            // From position 0 the bus sends the full list first, then all changes since.
             let last = if self.catching_up.is_some() { 0 } else { self.last };
             conn.outbox.push(&last.to_be_bytes());
         }
         Ok(())
     }
 
-    /// The connection has ended.
+    /// Takes the connection, to be closed, and schedules the next one.
     pub fn disconnect(&mut self, now: Micros) -> Option<Conn> {
-        self.paused(now);
+        self.schedule_retry(now);
         self.connected = false;
         self.conn.take()
     }
 
-    fn paused(&mut self, now: Micros) {
-        self.retry_at = now + self.pause;
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+    fn schedule_retry(&mut self, now: Micros) {
+        self.retry_at = now + self.retry_delay;
+        self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY_US);
     }
 
-    /// Some bytes have come: a frame may come in pieces.
+    /// Notes that bytes have arrived, of which no frame may be complete.
     pub fn bytes_received(&mut self, now: Micros) {
-        self.heard = now;
+        self.last_received = now;
     }
 
-    /// All whole frames have been taken; whether a part of the next one is there.
-    pub fn set_partial(&mut self, now: Micros, part_of_next: bool) {
-        self.partial = if part_of_next { self.partial.or(Some(now)) } else { None };
+    /// Notes whether a part of the next frame is left after all complete ones were taken.
+    pub fn set_partial(&mut self, now: Micros, partial: bool) {
+        self.partial_since = if partial { self.partial_since.or(Some(now)) } else { None };
     }
 
-    /// A frame has come.
+    /// Notes that a complete frame has arrived.
     pub fn frame_received(&mut self, now: Micros) {
-        (self.heard, self.partial) = (now, None);
-        // A bus that ends each connection after a frame is not asked again and again at the first pause.
-        if now - self.stood >= STEADY {
-            self.pause = FIRST_PAUSE;
+        (self.last_received, self.partial_since) = (now, None);
+        // The retry delay keeps growing if the bus ends every connection right after its first frame.
+        if now - self.connected_at >= STABLE_AFTER_US {
+            self.retry_delay = FIRST_RETRY_DELAY_US;
         }
     }
 
-    /// Places an event in the sequence: the list news to tell for it, if any.
+    /// Applies an event in sequence. Returns the update of the list to pass on, if any.
     pub fn apply(&mut self, event: Event) -> Result<Option<(ListKind, Vec<Host>)>, Gap> {
         let Event { number, kind, hosts } = event;
         let whole = kind == ListKind::Full;
@@ -320,7 +330,7 @@
                 if number <= self.last {
                     return Ok(None);
                 }
-                // The list must then be as new as this, too.
+                // The replay must then reach this event, too.
                 let newer = number > catching_up.until;
                 catching_up.until = number.max(catching_up.until);
                 return Err(Gap { changes: if newer { hosts } else { Vec::new() } });
--- a/node/src/bus/tests.rs
+++ b/node/src/bus/tests.rs
@@ -52,7 +52,7 @@
     [&length.to_be_bytes()[..], &7u64.to_be_bytes(), &[kind], payload].concat()
 }
 
-const RECORD_OF_A: [u8; RECORD] =
+const RECORD_OF_A: [u8; RECORD_BYTES] =
     [0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x19, 0xa5, 1, 0, 1, 0, 2, 0, 0, 0x0f, 0xa0, 0, 0, 0, 0, 0, 0, 0, 5];
 
 #[test]
@@ -236,5 +236,5 @@
     let broke = rig.now;
     rig.end();
     rig.pass();
-    assert_eq!(rig.now - broke, FIRST_PAUSE);
+    assert_eq!(rig.now - broke, FIRST_RETRY_DELAY_US);
 }
--- a/node/src/dnssd.rs
+++ b/node/src/dnssd.rs
@@ -1,4 +1,5 @@
-//! Script hosts by DNS-SD (RFC 6763): unicast queries to one resolver, whose records become host-list news.
+//! Discovery of script hosts by DNS-SD (RFC 6763): sends unicast queries to a resolver, and turns its records into
+//! changes of the host list.
 
 mod browser;
 mod records;
@@ -19,41 +20,42 @@
 pub use browser::Browser;
 pub use records::parse_name;
 
-/// The longest answer taken: what the queries say, too.
-const LONGEST: usize = records::PAYLOAD as usize;
-/// Answers read at one go: a flood of them must not keep the loop.
-const AT_ONCE: usize = 64;
+/// Maximum size of an answer, which the queries announce to the resolver.
+const MAX_ANSWER_BYTES: usize = records::MAX_PAYLOAD_BYTES as usize;
+/// Maximum number of answers read per wake-up, so that a flood of them does not block the event loop.
+const MAX_ANSWERS_PER_WAKE: usize = 64;
 
-/// A query over TCP is given up after this.
-const PATIENCE: Micros = 1_000_000;
-/// Queries over TCP at once.
-const CONNECTIONS: usize = 8;
+/// Timeout of a query over TCP.
+const TIMEOUT_US: Micros = 1_000_000;
+/// Maximum number of concurrent queries over TCP.
+const MAX_TCP_QUERIES: usize = 8;
 
-/// One query over TCP, for an answer that did not fit.
-struct Asking {
+/// A query over TCP, used when the answer did not fit into a datagram.
+struct TcpQuery {
     conn: Conn,
-    begun: Micros,
-    asked: bool,
+    started: Micros,
+    sent: bool,
     query: Vec<u8>,
 }
 
+/// Sockets to the resolver, and the state of the discovery.
 pub struct DnsSd {
     handle: Handle,
     resolver: SocketAddr,
     socket: Rc<UdpSocket>,
     token: RegistrationToken,
-    asking: BTreeMap<ConnId, Asking>,
+    queries: BTreeMap<ConnId, TcpQuery>,
     pub browser: Browser,
 }
 
 impl DnsSd {
     pub fn new(handle: &Handle, resolver: SocketAddr, browser: Browser) -> io::Result<Self> {
         let (socket, token) = Self::socket(handle, resolver)?;
-        let (handle, asking) = (handle.clone(), BTreeMap::new());
-        Ok(Self { handle, resolver, socket, token, asking, browser })
+        let (handle, queries) = (handle.clone(), BTreeMap::new());
+        Ok(Self { handle, resolver, socket, token, queries, browser })
     }
 
-    /// Another resolver is asked from now on; what is known stays known as long as its records say.
+    /// Changes the resolver. Known records stay in use until they expire.
     pub fn set_resolver(&mut self, resolver: SocketAddr) -> io::Result<()> {
         if resolver != self.resolver {
             let (socket, token) = Self::socket(&self.handle, resolver)?;
@@ -63,14 +65,14 @@
         Ok(())
     }
 
-    /// A socket that hears the resolver and nobody else.
+    /// Opens a datagram socket that is connected to the resolver, so that it receives from no other address.
     fn socket(handle: &Handle, resolver: SocketAddr) -> io::Result<(Rc<UdpSocket>, RegistrationToken)> {
-        let any = if resolver.is_ipv4() { Ipv4Addr::LOCALHOST.into() } else { Ipv6Addr::LOCALHOST.into() };
-        let socket = UdpSocket::bind(SocketAddr::new(any, 0))?;
+        let local = if resolver.is_ipv4() { Ipv4Addr::LOCALHOST.into() } else { Ipv6Addr::LOCALHOST.into() };
+        let socket = UdpSocket::bind(SocketAddr::new(local, 0))?;
         socket.connect(resolver)?;
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
-        // Level-triggered: what is left by one go is taken by the next.
+        // Level-triggered, as datagrams may be left after a wake-up.
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
         let token = handle.insert_source(source, |_, _, wakes| {
             wakes.push(Wake::Resolver);
@@ -80,49 +82,49 @@
         Ok((socket, token))
     }
 
-    /// Answers have come. What is new of the host list.
+    /// Handles readiness of the datagram socket. Returns the changes of the host list.
     pub fn ready(&mut self, now: Micros, log: &mut Log) -> Vec<Host> {
-        let mut buf = [0; LONGEST];
-        for _ in 0..AT_ONCE {
+        let mut buf = [0; MAX_ANSWER_BYTES];
+        for _ in 0..MAX_ANSWERS_PER_WAKE {
             match self.socket.recv(&mut buf) {
                 Ok(n) => self.browser.answer(now, &buf[..n]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Nothing left, or word that the resolver does not listen: the query's time-out tells as much.
+                // No datagram left, or an ICMP error as the resolver does not listen: the query times out.
                 Err(_) => break,
             }
         }
-        self.ask_over_tcp(now, log);
+        self.query_over_tcp(now, log);
         self.browser.changes(now)
     }
 
-    /// Sends the queries that are due. What is new of the host list, as records run out.
+    /// Sends the queries that are due. Returns the changes of the host list, as records expire.
     pub fn tick(&mut self, now: Micros, log: &mut Log) -> Vec<Host> {
         for query in self.browser.due(now) {
-            // A query that could not be sent is one that is not answered.
+            // A query that cannot be sent times out.
             let _ = self.socket.send(&query);
         }
         let late: Vec<_> =
-            self.asking.iter().filter(|(_, a)| now - a.begun >= PATIENCE).map(|(id, _)| *id).collect();
+            self.queries.iter().filter(|(_, q)| now - q.started >= TIMEOUT_US).map(|(id, _)| *id).collect();
         late.into_iter().for_each(|id| self.end(now, id, Reason::Silent, log));
         self.browser.changes(now)
     }
 
-    fn ask_over_tcp(&mut self, now: Micros, log: &mut Log) {
+    fn query_over_tcp(&mut self, now: Micros, log: &mut Log) {
         for query in std::mem::take(&mut self.browser.over_tcp) {
             let id = crate::conn::fresh_id();
-            let bounds = (2 + usize::from(u16::MAX), 2 + LONGEST);
+            let bounds = (2 + usize::from(u16::MAX), 2 + MAX_ANSWER_BYTES);
             match Conn::connect(&self.handle, id, self.resolver, bounds, Wake::ResolverConn) {
-                Ok(conn) if self.asking.len() < CONNECTIONS => {
-                    self.asking.insert(id, Asking { conn, begun: now, asked: false, query });
+                Ok(conn) if self.queries.len() < MAX_TCP_QUERIES => {
+                    self.queries.insert(id, TcpQuery { conn, started: now, sent: false, query });
                 }
-                // Its time-out has the query sent again.
+                // The query times out and is sent again.
                 Ok(conn) => conn.close(&self.handle),
                 Err(e) => log.line(now, format_args!("no connection to the resolver: {e}")),
             }
         }
     }
 
-    /// A connection for a query has something to say. What is new of the host list.
+    /// Handles readiness of a TCP connection. Returns the changes of the host list.
     pub fn tcp_ready(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Vec<Host> {
         match self.read_tcp(now, id) {
             Ok(false) => {}
@@ -132,40 +134,41 @@
         self.browser.changes(now)
     }
 
-    /// True once the answer has been read: two bytes of length, then the message.
+    /// Sends the query and reads the answer, each with a length of two bytes before the message. True once the answer
+    /// is complete.
     fn read_tcp(&mut self, now: Micros, id: ConnId) -> Result<bool, Reason> {
-        let Some(a) = self.asking.get_mut(&id) else { return Ok(false) };
-        if !a.asked {
-            a.asked = a.conn.connected().map_err(|_| Reason::ConnectRefused)?;
-            if !a.asked {
+        let Some(q) = self.queries.get_mut(&id) else { return Ok(false) };
+        if !q.sent {
+            q.sent = q.conn.connected().map_err(|_| Reason::ConnectRefused)?;
+            if !q.sent {
                 return Ok(false);
             }
-            a.conn.outbox.push(&(a.query.len() as u16).to_be_bytes());
-            a.conn.outbox.push(&a.query);
+            q.conn.outbox.push(&(q.query.len() as u16).to_be_bytes());
+            q.conn.outbox.push(&q.query);
         }
-        a.conn.flush()?;
-        a.conn.fill()?;
-        let length = a.conn.inbox.copy(0, 2).map(|b| usize::from(u16::from_be_bytes([b[0], b[1]])));
-        match length.and_then(|n| a.conn.inbox.copy(2, n)) {
+        q.conn.flush()?;
+        q.conn.fill()?;
+        let length = q.conn.inbox.copy(0, 2).map(|b| usize::from(u16::from_be_bytes([b[0], b[1]])));
+        match length.and_then(|n| q.conn.inbox.copy(2, n)) {
             Some(message) => {
                 self.browser.answer(now, &message);
                 Ok(true)
             }
-            None if a.conn.eof => Err(Reason::PeerClosed),
+            None if q.conn.eof => Err(Reason::PeerClosed),
             None => Ok(false),
         }
     }
 
     fn end(&mut self, now: Micros, id: ConnId, reason: Reason, log: &mut Log) {
-        if let Some(asking) = self.asking.remove(&id) {
+        if let Some(query) = self.queries.remove(&id) {
             log.ended(now, "resolver", reason, "");
-            asking.conn.close(&self.handle);
+            query.conn.close(&self.handle);
         }
     }
 
     pub fn close(&mut self, now: Micros, log: &mut Log) {
         self.handle.remove(self.token);
-        let ids: Vec<_> = self.asking.keys().copied().collect();
+        let ids: Vec<_> = self.queries.keys().copied().collect();
         ids.into_iter().for_each(|id| self.end(now, id, Reason::Shutdown, log));
     }
 }
--- a/node/src/dnssd/browser.rs
+++ b/node/src/dnssd/browser.rs
@@ -1,8 +1,9 @@
-//! What is known of a service's instances, how long, and what to ask next. Pure: time is passed in.
+//! Cache of the records of a service and its instances: how long they are valid, and which queries are due. Pure: the
+//! current time is a parameter.
 //!
-//! An instance is in service while a PTR names it and its SRV and address are known. When one of them goes it
-//! drains, and some time later it is gone. A resolver that fails takes nothing away at first: records stay in
-//! use for a while beyond their time (as in RFC 8767), since hosts outlive a resolver's restart.
+//! An instance is in service while a PTR record names it and its SRV and address records are known. When one of them
+//! is removed, the instance drains, and is gone some time later. If the resolver fails, expired records stay in use
+//! for a while (as in RFC 8767), since hosts keep running while a resolver restarts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,49 +15,52 @@
 use crate::bus::Host;
 
 const SECOND: Micros = 1_000_000;
-/// A query that has no answer by then has failed.
-const TIMEOUT: Micros = 500_000;
-/// Between attempts after failures: doubles from the first to the longest.
-const FIRST_PAUSE: Micros = 250_000;
-const LONGEST_PAUSE: Micros = 4 * SECOND;
-/// Records are asked for anew after this share of their time, and hold within these bounds.
-const REFRESH: f64 = 0.8;
-const TIMES: std::ops::RangeInclusive<u32> = 1..=3600;
-/// How long a 'no' holds, where it does not say, and at most.
-const NOTHING_FOR: u32 = 2;
-const NOTHING_AT_MOST: u32 = 30;
-/// Records that could not be renewed stay in use for so long.
-const STALE: Micros = 30 * SECOND;
-/// An instance whose PTR has gone drains for so long, then it is gone.
-const DRAINING: Micros = 10 * SECOND;
-/// Instances of one service: a resolver gone wrong must not fill the memory.
-const MOST: usize = 256;
-/// Queries sent at one go.
-const AT_ONCE: usize = 32;
+/// A query without an answer fails after this.
+const QUERY_TIMEOUT_US: Micros = 500_000;
+/// Delays before a failed query is repeated, doubling from the first to the maximum.
+const FIRST_RETRY_DELAY_US: Micros = 250_000;
+const MAX_RETRY_DELAY_US: Micros = 4 * SECOND;
+/// Records are queried again after this share of their TTL.
+const REFRESH_SHARE: f64 = 0.8;
+/// Bounds that the TTLs of records are clamped to.
+const TTL_SECS: std::ops::RangeInclusive<u32> = 1..=3600;
+/// TTL of a negative answer without one, and its maximum.
+const NEGATIVE_TTL_SECS: u32 = 2;
+const MAX_NEGATIVE_TTL_SECS: u32 = 30;
+/// How long expired records that could not be renewed stay in use.
+const MAX_STALE_US: Micros = 30 * SECOND;
+/// How long a removed instance drains before it is gone.
+const DRAIN_TIME_US: Micros = 10 * SECOND;
+/// Maximum number of instances, so that a faulty resolver cannot fill the memory.
+const MAX_INSTANCES: usize = 256;
+/// Maximum number of queries sent at a time.
+const MAX_QUERIES_AT_ONCE: usize = 32;
 
-/// What is held for one question.
+/// Cached records of a question.
 #[derive(Default)]
 struct Entry {
     data: Vec<Data>,
-    /// The records hold until then, by their own account.
-    until: Micros,
-    ask_at: Micros,
-    asked: Option<(u16, Micros)>,
+    /// When the TTL of the records ends.
+    expires: Micros,
+    query_at: Micros,
+    /// Id and time of the query that awaits its answer.
+    pending: Option<(u16, Micros)>,
     failures: u32,
-    /// Something has been learnt, be it that there is nothing.
+    /// Whether there has been an answer, be it a negative one.
     known: bool,
 }
 
+/// See the module documentation.
 pub struct Browser {
     service: Name,
     entries: BTreeMap<Question, Entry>,
-    /// The list as it was last told.
-    told: BTreeMap<Name, (Host, Option<Micros>)>,
-    /// The list has been told once: whoever comes later has just started.
-    complete: bool,
+    /// The list as last reported, with the time since when an instance has been missing.
+    list: BTreeMap<Name, (Host, Option<Micros>)>,
+    /// Whether any host has been reported. Instances that appear later have just started.
+    populated: bool,
     zones: Vec<String>,
     ids: fastrand::Rng,
-    /// Queries whose answers did not fit: to be sent over TCP.
+    /// Queries to send over TCP, as their answers were truncated.
     pub over_tcp: Vec<Vec<u8>>,
 }
 
@@ -65,13 +69,13 @@
         let mut entries = BTreeMap::new();
         entries.insert(Question { name: service.clone(), kind: Kind::Ptr }, Entry::default());
         let ids = fastrand::Rng::with_seed(seed);
-        Self { service, entries, told: BTreeMap::new(), complete: false, zones, ids, over_tcp: Vec::new() }
+        Self { service, entries, list: BTreeMap::new(), populated: false, zones, ids, over_tcp: Vec::new() }
     }
 
-    /// When [`Browser::due`] is wanted next.
+    /// When [`Browser::due`] and [`Browser::changes`] must be called next.
     pub fn next_tick(&self) -> Micros {
-        let at = |e: &Entry| e.asked.map_or(e.ask_at, |(_, sent)| sent + TIMEOUT);
-        let ends = self.told.values().filter_map(|(_, since)| since.map(|s| s + DRAINING));
+        let at = |e: &Entry| e.pending.map_or(e.query_at, |(_, sent)| sent + QUERY_TIMEOUT_US);
+        let ends = self.list.values().filter_map(|(_, since)| since.map(|s| s + DRAIN_TIME_US));
         self.entries.values().map(at).chain(ends).min().unwrap_or(Micros::MAX)
     }
 
@@ -79,44 +83,45 @@
     pub fn due(&mut self, now: Micros) -> Vec<Vec<u8>> {
         let mut queries = Vec::new();
         for (question, e) in &mut self.entries {
-            if e.asked.is_some_and(|(_, sent)| now - sent >= TIMEOUT) {
+            if e.pending.is_some_and(|(_, sent)| now - sent >= QUERY_TIMEOUT_US) {
                 e.failed(now);
             }
-            if e.asked.is_none() && e.ask_at <= now && queries.len() < AT_ONCE {
+            if e.pending.is_none() && e.query_at <= now && queries.len() < MAX_QUERIES_AT_ONCE {
                 let id = self.ids.u16(..);
-                e.asked = Some((id, now));
+                e.pending = Some((id, now));
                 queries.push(records::encode(id, question));
             }
         }
         queries
     }
 
-    /// Takes an answer in, if it is one to an open query.
+    /// Processes an answer; ignored if it does not match a pending query.
     pub fn answer(&mut self, now: Micros, bytes: &[u8]) {
         let Some(reply) = records::decode(bytes) else { return };
         let Some(e) = self.entries.get_mut(&reply.question) else { return };
-        if e.asked.is_none_or(|(id, _)| id != reply.id) {
+        if e.pending.is_none_or(|(id, _)| id != reply.id) {
             return;
         }
         if reply.result == Err(Failure::Truncated) {
-            e.asked = Some((reply.id, now));
+            e.pending = Some((reply.id, now));
             return self.over_tcp.push(records::encode(reply.id, &reply.question));
         }
-        e.asked = None;
+        e.pending = None;
         match reply.result {
             Err(Failure::Truncated) => {}
-            Err(Failure::Unknown) => e.failed(now),
-            Err(Failure::Nothing(ttl)) => {
-                e.learn(now, Vec::new(), ttl.unwrap_or(NOTHING_FOR).min(NOTHING_AT_MOST))
+            Err(Failure::ServerError) => e.failed(now),
+            Err(Failure::NotFound(ttl)) => {
+                e.store(now, Vec::new(), ttl.unwrap_or(NEGATIVE_TTL_SECS).min(MAX_NEGATIVE_TTL_SECS))
             }
             Ok(records) => {
                 let mut found: BTreeMap<Question, (u32, Vec<Data>)> = BTreeMap::new();
                 for (question, ttl, data) in records {
-                    let (least, all) = found.entry(question).or_insert((ttl, Vec::new()));
-                    *least = ttl.min(*least);
+                    let (min_ttl, all) = found.entry(question).or_insert((ttl, Vec::new()));
+                    *min_ttl = ttl.min(*min_ttl);
                     all.push(data);
                 }
-                // Resolvers add what will be asked for next (RFC 6763, 12): that is taken for instances too.
+                // Resolvers add records that will be queried next (RFC 6763, 12): those of named instances and hosts
+                // are stored, too.
                 let named = |data: &Data| match data {
                     Data::Ptr(name) => Some(name.clone()),
                     Data::Srv { target, .. } => Some(target.clone()),
@@ -125,19 +130,19 @@
                 let wanted: BTreeSet<Name> =
                     found.values().flat_map(|(_, d)| d.iter().filter_map(named)).collect();
                 for (question, (ttl, data)) in found {
-                    let asked = question == reply.question;
-                    if asked || self.entries.contains_key(&question) || wanted.contains(&question.name) {
+                    let is_answer = question == reply.question;
+                    if is_answer || self.entries.contains_key(&question) || wanted.contains(&question.name) {
                         let e = self.entries.entry(question).or_default();
-                        e.learn(now, data, ttl);
+                        e.store(now, data, ttl);
                     }
                 }
             }
         }
-        self.follow(now);
+        self.update_questions(now);
     }
 
-    /// Asks for what the records name, and forgets what nothing names any more.
-    fn follow(&mut self, now: Micros) {
+    /// Adds questions for names in the records, and drops entries that are no longer named.
+    fn update_questions(&mut self, now: Micros) {
         let mut wanted = BTreeSet::from([Question { name: self.service.clone(), kind: Kind::Ptr }]);
         for name in self.instances(now) {
             wanted.insert(Question { name: name.clone(), kind: Kind::Txt });
@@ -149,12 +154,12 @@
         }
         self.entries.retain(|question, _| wanted.contains(question));
         for question in wanted {
-            self.entries.entry(question).or_insert_with(|| Entry { ask_at: now, ..Entry::default() });
+            self.entries.entry(question).or_insert_with(|| Entry { query_at: now, ..Entry::default() });
         }
     }
 
     fn records(&self, now: Micros, question: &Question) -> &[Data] {
-        let entry = self.entries.get(question).filter(|e| e.until + STALE > now);
+        let entry = self.entries.get(question).filter(|e| e.expires + MAX_STALE_US > now);
         entry.map_or(&[], |e| e.data.as_slice())
     }
 
@@ -164,10 +169,10 @@
             Data::Ptr(name) => Some(name.clone()),
             _ => None,
         });
-        names.take(MOST).collect()
+        names.take(MAX_INSTANCES).collect()
     }
 
-    /// Where the instance listens: the best of its SRV records.
+    /// Target and port of the instance: from the SRV record with the best priority, then the highest weight.
     fn srv(&self, now: Micros, question: &Question) -> Option<(Name, u16)> {
         let srv = self.records(now, question).iter().filter_map(|d| match d {
             Data::Srv { priority, weight, port, target } => {
@@ -178,7 +183,7 @@
         srv.min().map(|(_, _, target, port)| (target.clone(), port))
     }
 
-    /// The instance as an entry of the host list, once all of it is known.
+    /// The instance as an entry of the host list, once all its records are known.
     fn host(&self, now: Micros, name: &Name) -> Option<Host> {
         let (target, port) = self.srv(now, &Question { name: name.clone(), kind: Kind::Srv })?;
         let a =
@@ -190,30 +195,31 @@
         if !self.entries.get(&txt).is_some_and(|e| e.known) {
             return None;
         }
-        let of = |key: &str| {
+        let attr = |key: &str| {
             self.records(now, &txt).iter().find_map(|d| match d {
                 Data::Txt(pairs) => pairs.iter().find(|(k, _)| k == key).map(|(_, v)| v.as_str()),
                 _ => None,
             })
         };
-        let zone = of("zone").and_then(|z| self.zones.iter().position(|known| known == z));
+        let zone = attr("zone").and_then(|z| self.zones.iter().position(|known| known == z));
         let started =
-            of("started").and_then(|ms| ms.parse::<Micros>().ok()).map(|ms| ms.saturating_mul(1000));
-        let since = self.told.get(name).map(|(host, _)| host.entry.ready_at);
+            attr("started").and_then(|ms| ms.parse::<Micros>().ok()).map(|ms| ms.saturating_mul(1000));
+        let since = self.list.get(name).map(|(host, _)| host.entry.ready_at);
         let entry = ListEntry {
             worker: name.to_utf8().as_str().into(),
             zone: zone.map_or(u32::MAX, |z| z as u32),
-            cell: of("cell").and_then(|c| c.parse().ok()).unwrap_or(-1),
-            condition: if of("state") == Some("draining") { Condition::Draining } else { Condition::Up },
-            size: of("size").and_then(|s| s.parse().ok()).unwrap_or(1.0),
-            // One that turns up later and does not say when it started has started now: cold, for the rules.
-            ready_at: started.or(since).unwrap_or(if self.complete { now } else { 0 }),
+            cell: attr("cell").and_then(|c| c.parse().ok()).unwrap_or(-1),
+            condition: if attr("state") == Some("draining") { Condition::Draining } else { Condition::Up },
+            size: attr("size").and_then(|s| s.parse().ok()).unwrap_or(1.0),
+            // An instance without a start time that appears later counts as just started, and so as cold.
+            ready_at: started.or(since).unwrap_or(if self.populated { now } else { 0 }),
         };
         Some(Host { entry, address: SocketAddr::from((a, port)) })
     }
 
-    /// Whether the resolver has said that what the instance needs besides its name is not there. What was not asked for
-    /// yet may be there, and what could not be renewed is still in use as long as its name is.
+    /// Whether the resolver has answered that the SRV or address record of the instance does not exist. Records that
+    /// were not queried yet may exist, and records that could not be renewed stay in use as long as the PTR record
+    /// does.
     fn is_lost(&self, now: Micros, name: &Name) -> bool {
         let is_missing =
             |question: &Question| self.entries.get(question).is_some_and(|e| e.known && e.data.is_empty());
@@ -224,66 +230,68 @@
         }
     }
 
-    /// What has changed in the host list since it was last told.
+    /// Changes of the host list since it was last reported.
     pub fn changes(&mut self, now: Micros) -> Vec<Host> {
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         let mut named = self.instances(now);
         named.retain(|name| !self.is_lost(now, name));
         for name in &named {
             let Some(mut host) = self.host(now, name) else { continue };
-            if let Some((last, _)) = self.told.get(name) {
-                // Another address is another process, whatever it says of its start.
+            if let Some((last, _)) = self.list.get(name) {
+                // A new address means a new process, even with the same start time.
                 if last.address != host.address && last.entry.ready_at == host.entry.ready_at {
                     host.entry.ready_at = now;
                 }
                 if *last == host {
-                    self.told.get_mut(name).expect("it was just found").1 = None;
+                    self.list.get_mut(name).expect("just found").1 = None;
                     continue;
                 }
             }
-            news.push(host.clone());
-            self.told.insert(name.clone(), (host, None));
+            changes.push(host.clone());
+            self.list.insert(name.clone(), (host, None));
         }
-        self.complete |= !news.is_empty();
+        self.populated |= !changes.is_empty();
         let named: BTreeSet<_> = named.into_iter().collect();
-        let unnamed: Vec<_> = self.told.keys().filter(|name| !named.contains(name)).cloned().collect();
-        for name in unnamed {
-            let Some((host, since)) = self.told.get_mut(&name) else { continue };
+        let missing: Vec<_> = self.list.keys().filter(|name| !named.contains(name)).cloned().collect();
+        for name in missing {
+            let Some((host, since)) = self.list.get_mut(&name) else { continue };
             match *since {
                 None => {
                     *since = Some(now);
                     if host.entry.condition == Condition::Up {
                         host.entry.condition = Condition::Draining;
-                        news.push(host.clone());
+                        changes.push(host.clone());
                     }
                 }
-                Some(since) if now - since >= DRAINING => {
+                Some(since) if now - since >= DRAIN_TIME_US => {
                     host.entry.condition = Condition::Gone;
-                    news.push(host.clone());
-                    self.told.remove(&name);
+                    changes.push(host.clone());
+                    self.list.remove(&name);
                 }
                 Some(_) => {}
             }
         }
-        news
+        changes
     }
 
     /// Whether any instance is in service.
     pub fn any_up(&self) -> bool {
-        self.told.values().any(|(host, _)| host.entry.condition == Condition::Up)
+        self.list.values().any(|(host, _)| host.entry.condition == Condition::Up)
     }
 }
 
 impl Entry {
-    fn learn(&mut self, now: Micros, data: Vec<Data>, ttl: u32) {
-        let ttl = Micros::from(ttl.clamp(*TIMES.start(), *TIMES.end())) * SECOND;
-        (self.data, self.until, self.known, self.failures) = (data, now + ttl, true, 0);
-        (self.asked, self.ask_at) = (None, now + (ttl as f64 * REFRESH) as Micros);
+    /// Replaces the records, and schedules their renewal.
+    fn store(&mut self, now: Micros, data: Vec<Data>, ttl: u32) {
+        let ttl = Micros::from(ttl.clamp(*TTL_SECS.start(), *TTL_SECS.end())) * SECOND;
+        (self.data, self.expires, self.known, self.failures) = (data, now + ttl, true, 0);
+        (self.pending, self.query_at) = (None, now + (ttl as f64 * REFRESH_SHARE) as Micros);
     }
 
+    /// Notes a failed query, and schedules the next one.
     fn failed(&mut self, now: Micros) {
-        self.asked = None;
-        self.ask_at = now + (FIRST_PAUSE << self.failures.min(8)).min(LONGEST_PAUSE);
+        self.pending = None;
+        self.query_at = now + (FIRST_RETRY_DELAY_US << self.failures.min(8)).min(MAX_RETRY_DELAY_US);
         self.failures += 1;
     }
 }
--- a/node/src/dnssd/browser/tests.rs
+++ b/node/src/dnssd/browser/tests.rs
@@ -118,9 +118,9 @@
     rig.records.remove(0);
     let news = rig.pass(80 * SECOND);
     assert_eq!(conditions(&news), [Condition::Draining]);
-    assert_eq!(conditions(&rig.pass(DRAINING)), [Condition::Gone]);
+    assert_eq!(conditions(&rig.pass(DRAIN_TIME_US)), [Condition::Gone]);
     rig.records.push(("s.test", 100, ptr("a.s.test")));
-    let back = rig.pass(NOTHING_AT_MOST as Micros * SECOND);
+    let back = rig.pass(MAX_NEGATIVE_TTL_SECS as Micros * SECOND);
     assert_eq!(conditions(&back), [Condition::Up]);
     assert!(back[0].entry.ready_at > 1000 * SECOND, "whoever turns up later has started then");
 }
@@ -130,8 +130,8 @@
     let mut rig = Rig::new();
     rig.pass(0);
     rig.fails = Some(ResponseCode::ServFail);
-    assert_eq!(rig.pass(100 * SECOND + STALE - 2), [], "the longest records hold for 100 s");
-    assert_eq!(conditions(&rig.pass(LONGEST_PAUSE)), [Condition::Draining]);
+    assert_eq!(rig.pass(100 * SECOND + MAX_STALE_US - 2), [], "the longest records hold for 100 s");
+    assert_eq!(conditions(&rig.pass(MAX_RETRY_DELAY_US)), [Condition::Draining]);
     let asked = rig.asked;
     rig.pass(40 * SECOND);
     assert!(rig.asked - asked <= 4 * 11, "failures are paced: {}", rig.asked - asked);
@@ -186,8 +186,8 @@
     rig.records.retain(|(of, _, data)| *of != owner || data.record_type() == RecordType::TXT);
     assert_eq!(conditions(&rig.pass(asked_by * SECOND)), [Condition::Draining]);
     rig.records = whole;
-    assert_eq!(conditions(&rig.pass(DRAINING - SECOND)), [Condition::Up]);
-    assert_eq!(conditions(&rig.pass(2 * DRAINING)), []);
+    assert_eq!(conditions(&rig.pass(DRAIN_TIME_US - SECOND)), [Condition::Up]);
+    assert_eq!(conditions(&rig.pass(2 * DRAIN_TIME_US)), []);
 }
 
 /// An instance moves to a target whose address has not been asked for: it stays in service until that is known.
@@ -209,9 +209,9 @@
     let mut rig = Rig::new();
     rig.pass(0);
     rig.silent = true;
-    assert_eq!(rig.pass(100 * SECOND + STALE - 2), [], "the longest records hold for 100 s");
-    assert_eq!(conditions(&rig.pass(LONGEST_PAUSE + TIMEOUT)), [Condition::Draining]);
-    assert_eq!(conditions(&rig.pass(DRAINING)), [Condition::Gone]);
+    assert_eq!(rig.pass(100 * SECOND + MAX_STALE_US - 2), [], "the longest records hold for 100 s");
+    assert_eq!(conditions(&rig.pass(MAX_RETRY_DELAY_US + QUERY_TIMEOUT_US)), [Condition::Draining]);
+    assert_eq!(conditions(&rig.pass(DRAIN_TIME_US)), [Condition::Gone]);
     let asked = rig.asked;
     rig.pass(60 * SECOND);
     assert!((4..=4 * 16).contains(&(rig.asked - asked)), "{}", rig.asked - asked);
--- a/node/src/dnssd/records.rs
+++ b/node/src/dnssd/records.rs
@@ -1,21 +1,22 @@
-//! DNS messages as the browser needs them, by hickory-proto's codec. Pure.
+//! Encodes and decodes the DNS messages that the browser needs, with hickory-proto. Pure.
 
 use std::net::Ipv4Addr;
 
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{DNSClass, Name, RData, Record, RecordType};
 
-/// Longest answer that a resolver may send over UDP.
-pub const PAYLOAD: u16 = 8192;
+/// Maximum size of an answer over UDP, which queries announce by EDNS.
+pub const MAX_PAYLOAD_BYTES: u16 = 8192;
 
-/// What is asked for.
+/// A question: a name and a record type.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Question {
-    /// In lower case: names are compared without regard to it.
+    /// In lower case, as names are compared case-insensitively.
     pub name: Name,
     pub kind: Kind,
 }
 
+/// A record type that the browser uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
     Ptr,
@@ -44,7 +45,7 @@
     A(Ipv4Addr),
 }
 
-/// An answer, its records by what they answer.
+/// An answer, with the question that each record belongs to, its TTL in seconds and its data.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
     pub id: u16,
@@ -52,35 +53,36 @@
     pub result: Result<Vec<(Question, u32, Data)>, Failure>,
 }
 
+/// Why an answer has no records.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
-    /// There is no such name, or no such record of it; for so many seconds, where that is told.
-    Nothing(Option<u32>),
-    /// The resolver could not say.
-    Unknown,
-    /// The answer did not fit: it is to be asked for over TCP (RFC 7766).
+    /// The name, or a record of this type, does not exist; with the TTL of this in seconds, if the answer has one.
+    NotFound(Option<u32>),
+    /// The resolver reports an error.
+    ServerError,
+    /// The answer did not fit into a datagram: to be queried over TCP (RFC 7766).
     Truncated,
 }
 
-/// A name in lower case, with its root.
+/// Parses a name: in lower case, and fully qualified.
 pub fn parse_name(text: &str) -> Result<Name, String> {
-    let mut name = Name::from_utf8(text).map_err(|e| format!("{text:?} is no DNS name: {e}"))?;
+    let mut name = Name::from_utf8(text).map_err(|e| format!("{text:?} is not a DNS name: {e}"))?;
     name.set_fqdn(true);
     Ok(name.to_lowercase())
 }
 
-/// A query for records.
+/// Encodes a query.
 pub fn encode(id: u16, question: &Question) -> Vec<u8> {
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.metadata.recursion_desired = true;
     message.add_query(Query::query(question.name.clone(), question.kind.record_type()));
     let mut edns = Edns::new();
-    edns.set_max_payload(PAYLOAD);
+    edns.set_max_payload(MAX_PAYLOAD_BYTES);
     message.set_edns(edns);
     message.to_vec().unwrap_or_default()
 }
 
-/// Reads an answer; `None` for what is none.
+/// Decodes an answer; `None` if the message is not one, or its question is not of a supported kind.
 pub fn decode(bytes: &[u8]) -> Option<Reply> {
     let message = Message::from_vec(bytes).ok()?;
     if message.metadata.message_type != MessageType::Response || message.metadata.op_code != OpCode::Query {
@@ -90,22 +92,22 @@
     let kind = kind_of(asked.query_type()).filter(|_| asked.query_class() == DNSClass::IN)?;
     let question = Question { name: asked.name().to_lowercase(), kind };
     let code = message.metadata.response_code;
-    let known = code == ResponseCode::NoError || code == ResponseCode::NXDomain;
+    let is_definite = code == ResponseCode::NoError || code == ResponseCode::NXDomain;
     let records: Vec<_> = message.answers.iter().chain(&message.additionals).filter_map(record).collect();
     let result = if message.metadata.truncation {
-        // With records cut off, what is missing would look removed.
+        // Records that were cut off would otherwise count as removed.
         Err(Failure::Truncated)
-    } else if !known {
-        Err(Failure::Unknown)
+    } else if !is_definite {
+        Err(Failure::ServerError)
     } else if records.iter().any(|(q, ..)| *q == question) {
         Ok(records)
     } else {
-        // The time that a 'no' holds is in the SOA (RFC 2308).
+        // The TTL of a negative answer is in the SOA record (RFC 2308).
         let soa = message.authorities.iter().find_map(|r| match &r.data {
             RData::SOA(soa) => Some(r.ttl.min(soa.minimum)),
             _ => None,
         });
-        Err(Failure::Nothing(soa))
+        Err(Failure::NotFound(soa))
     };
     Some(Reply { id: message.metadata.id, question, result })
 }
@@ -131,7 +133,7 @@
     Some((Question { name: r.name.to_lowercase(), kind }, r.ttl, data))
 }
 
-/// One attribute (RFC 6763, 6.3): the key without regard to case; one without a key is passed over.
+/// Parses a TXT attribute (RFC 6763, 6.3): keys are case-insensitive, and strings without a key are ignored.
 fn pair(text: &[u8]) -> Option<(String, String)> {
     let text = std::str::from_utf8(text).ok()?;
     let (key, value) = text.split_once('=').unwrap_or((text, ""));
