--- a/node/src/datagrams.rs
+++ b/node/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! Where datagrams are heard.
+//! Datagram sockets in the event loop.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,19 +10,19 @@
 
 use crate::wake::{Handle, Wake};
 
-/// A socket in the loop, which says this when it can be read.
+/// Binds a datagram socket and registers it with the event loop, which queues `wake` when the socket is readable.
 pub fn open(
     handle: &Handle,
     listen: SocketAddr,
     wake: Wake,
 ) -> io::Result<(Rc<UdpSocket>, RegistrationToken)> {
     let socket = Socket::new(Domain::for_address(listen), Type::DGRAM, Some(Protocol::UDP))?;
-    // In an upgrade two processes stand at one address, and the later one hears.
+    // During an upgrade two processes are bound to the same address; the later one receives.
     socket.set_reuse_address(true)?;
     socket.bind(&listen.into())?;
     socket.set_nonblocking(true)?;
     let socket: Rc<UdpSocket> = Rc::new(socket.into());
-    // Level-triggered: what is left by one go is taken by the next.
+    // Level-triggered, as datagrams may be left after a wake-up.
     let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
     let token = handle.insert_source(source, move |_, _, wakes| {
         wakes.push(wake);
--- a/node/src/descriptors.rs
+++ b/node/src/descriptors.rs
@@ -1,56 +1,55 @@
-//! The ledger of the process's file descriptors: what the program itself needs is set apart before clients and hosts
-//! share the rest, so that the bus, operators, SIGHUP and SIGTERM find theirs however many clients come.
+//! Budget of the process's file descriptors: those that the program needs for itself are reserved, and clients and
+//! hosts share the rest. So the bus, operators, SIGHUP and SIGTERM work however many clients connect.
 
 use std::fmt;
 
-/// Descriptors that one part of the program may hold at once.
+/// Descriptors that are reserved for a part of the program.
 #[derive(Clone, Copy, Debug)]
 pub struct Reservation {
-    /// Which part.
+    /// The part of the program, as named in error messages.
     pub holder: &'static str,
-    /// How many at most.
+    /// Maximum number of descriptors that it holds at once.
     pub max: usize,
 }
 
-/// Processes that have come to the upgrade socket and said nothing valid so far; one more may stand until the oldest is
-/// dropped.
+/// Maximum number of connections to the upgrade socket that have sent no valid message yet. One more may be open until
+/// the oldest is dropped.
 pub const MAX_PENDING_HANDSHAKES: usize = 4;
 
-/// What the program needs for itself whatever else it holds, but for operators' connections.
+/// Descriptors that the program needs for itself, except for operators' connections.
 pub const RESERVED: [Reservation; 12] = [
     Reservation { holder: "standard streams", max: 3 },
-    // epoll, its wake-up, its timer.
+    // epoll, wake-up and timer.
     Reservation { holder: "event loop", max: 3 },
     Reservation { holder: "signals", max: 1 },
     Reservation { holder: "listening sockets", max: 2 },
-    // A resolver is asked by datagram and by stream.
+    // A resolver is queried over UDP and TCP.
     Reservation { holder: "event bus or resolver", max: 2 },
-    Reservation { holder: "datagrams of peers and members", max: 2 },
+    Reservation { holder: "datagram sockets of peers and members", max: 2 },
     Reservation { holder: "reader of agreed documents", max: 1 },
-    Reservation { holder: "upgrade socket and its guests", max: 1 + MAX_PENDING_HANDSHAKES + 1 },
-    // Its connection, its process, the copy of the listening socket for it.
+    Reservation { holder: "upgrade socket and handshakes", max: 1 + MAX_PENDING_HANDSHAKES + 1 },
+    // Connection to it, its process, and the copy of the listening socket for it.
     Reservation { holder: "other process of an upgrade", max: 3 },
-    // Read again on SIGHUP.
+    // Reread on SIGHUP.
     Reservation { holder: "configuration file", max: 1 },
-    // Given up to turn newcomers away.
+    // Closed to accept and then refuse connections when the system has no descriptor left.
     Reservation { holder: "spare", max: 1 },
-    // A client and an operator, accepted before another is closed in their place.
+    // A client and an operator, accepted before another connection is closed for them.
     Reservation { holder: "newcomers", max: 2 },
 ];
 
-/// Operators' connections: one for so many descriptors, within these bounds.
+/// Operators' connections: one for each of this many descriptors, within the bounds below.
 const DESCRIPTORS_PER_OPERATOR: usize = 32;
 const MIN_OPERATORS: usize = 2;
 const MAX_OPERATORS: usize = 12;
-/// Connections to hosts below which nothing can be routed: a host, another to repeat at, and one more for each of them.
+/// Minimum number of connections to hosts to route requests: to a host and another one for retries, with one more each.
 const MIN_HOST_CONNS: usize = 4;
 
-/// A limit of descriptors that is too low for what the program needs.
+/// Error: the limit of descriptors is too low.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitTooLow {
-    /// The limit.
     pub limit: usize,
-    /// The lowest limit that will do.
+    /// The lowest sufficient limit.
     pub needed: usize,
 }
 
@@ -65,18 +64,18 @@
 }
 impl std::error::Error for LimitTooLow {}
 
-/// What clients and hosts hold, and how many hosts are listed.
+/// Current numbers of connections and hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Connections of clients.
     pub clients: usize,
     /// Connections to hosts.
     pub hosts: usize,
-    /// Hosts that may want one more connection.
+    /// Listed hosts, each of which may need one more connection.
     pub listed: usize,
 }
 
-/// How many clients and hosts may hold from now on.
+/// Maximum numbers of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Connections of clients.
@@ -85,7 +84,7 @@
     pub hosts: usize,
 }
 
-/// See the module's page.
+/// Splits a limit of descriptors between the program itself, clients and hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     limit: usize,
@@ -100,10 +99,10 @@
 }
 
 impl Budget {
-    /// For a process that may hold so many.
+    /// The budget of a process with this limit.
     ///
     /// # Errors
-    /// Where what is set apart, a third for clients and the fewest for hosts are more than that.
+    /// If the limit is lower than the reserved descriptors, a third for clients and the minimum for hosts together.
     pub fn new(limit: usize) -> Result<Self, LimitTooLow> {
         let suffices = |limit: usize| reserved(limit) + limit / 3 + MIN_HOST_CONNS <= limit;
         if suffices(limit) {
@@ -113,22 +112,22 @@
         Err(LimitTooLow { limit, needed })
     }
 
-    /// All that the process may hold.
+    /// The limit of the process.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Operators' connections.
+    /// Maximum number of operators' connections.
     pub fn operators(&self) -> usize {
         operators(self.limit)
     }
 
-    /// What is set apart for the program itself, operators' connections included.
+    /// Descriptors reserved for the program itself, including operators' connections.
     pub fn reserved(&self) -> usize {
         reserved(self.limit)
     }
 
-    /// The clients' part: they are told that it is theirs.
+    /// The number of connections that clients are promised: a third of the limit.
     pub fn client_share(&self) -> usize {
         self.limit / 3
     }
@@ -137,8 +136,8 @@
         self.limit - self.reserved()
     }
 
-    /// Of a process that runs alone. What hosts neither hold nor may want soon is the clients', up to half of all; what
-    /// clients hold beyond their third is the hosts' again once these want it.
+    /// Bounds for a process that runs alone. Clients may use what hosts neither use nor may need soon, up to half of
+    /// the limit. What clients use beyond their third goes back to hosts when these need it.
     pub fn bounds(&self, usage: Usage) -> Bounds {
         let unwanted = self.shared().saturating_sub(usage.hosts + usage.listed);
         let clients = unwanted.min(self.limit / 2).max(self.client_share());
@@ -146,7 +145,8 @@
         Bounds { clients, hosts: hosts.max(1) }
     }
 
-    /// Of a process beside another one of the same address, whose clients hold so many: both keep to the limit together.
+    /// Bounds for a process that shares its address with another one, which has this many clients: both processes
+    /// together stay within the limit.
     pub fn shared_bounds(&self, their_clients: usize) -> Bounds {
         let clients = self.client_share().saturating_sub(their_clients).max(self.client_share() / 2);
         let hosts = self.limit.saturating_sub(self.client_share() + 2 * self.reserved()) / 2;
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! The activators of the same tier: datagrams to all of them, and theirs. Each is known by its address.
+//! Datagrams to and from the other activators of the same tier, which are identified by their addresses.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -10,23 +10,23 @@
 use crate::datagrams;
 use crate::wake::{Handle, Wake};
 
-/// The longest datagram that may be sent, and the longest that is taken.
+/// Maximum length of datagrams that are sent or accepted.
 pub const MAX_DATAGRAM_BYTES: usize = wheellink_settings::LONGEST_WORD;
-/// Datagrams taken at one go: a flood of them must not keep the loop.
+/// Maximum number of datagrams read per wake-up, so that a flood of them does not block the event loop.
 const MAX_DATAGRAMS_PER_WAKE: usize = 64;
 
-/// Where the activators hear one another.
+/// Addresses of the activators of the tier.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Addresses {
-    /// Where this one hears.
+    /// The address of this activator.
     pub listen: SocketAddr,
-    /// By their numbers, this one's own included.
+    /// All addresses by activator number, including that of this activator.
     pub each: Vec<SocketAddr>,
-    /// Reaches all of them.
+    /// An address that reaches all activators, such as a broadcast address.
     pub all: SocketAddr,
 }
 
-/// See the module's page.
+/// The socket of this activator, and the numbers of the others.
 pub struct Peers {
     handle: Handle,
     socket: Rc<UdpSocket>,
@@ -38,36 +38,37 @@
 impl Peers {
     pub fn open(handle: &Handle, addresses: Addresses) -> io::Result<Self> {
         let (socket, token) = datagrams::open(handle, addresses.listen, Wake::Peers)?;
-        // What is told to all may come back to the one that told it.
+        // A broadcast may come back to its sender, so this activator's own address is left out.
         let others = addresses.each.iter().zip(0..).filter(|(address, _)| **address != addresses.listen);
         let numbers = others.map(|(address, number)| (*address, number)).collect();
         Ok(Self { handle: handle.clone(), socket, token, numbers, addresses })
     }
 
-    /// Tells all others. One that cannot be sent is lost, as any may be.
+    /// Sends a datagram to all others. A datagram that cannot be sent is lost, as any datagram may be.
     pub fn broadcast(&self, data: &[u8]) {
         if data.len() <= MAX_DATAGRAM_BYTES {
             let _ = self.socket.send_to(data, self.addresses.all);
         }
     }
 
-    /// What has come, by the sender's number. What is too long, from elsewhere or this one's own is dropped.
+    /// Received datagrams, with the numbers of their senders. Datagrams that are too long, from unknown addresses or
+    /// from this activator are dropped.
     pub fn receive(&self) -> Vec<(u32, Vec<u8>)> {
         let mut buf = [0; MAX_DATAGRAM_BYTES + 1];
-        let mut all = Vec::new();
+        let mut received = Vec::new();
         for _ in 0..MAX_DATAGRAMS_PER_WAKE {
             match self.socket.recv_from(&mut buf) {
                 Ok((n, from)) if n <= MAX_DATAGRAM_BYTES => {
                     let number = self.numbers.get(&from);
-                    all.extend(number.map(|number| (*number, buf[..n].to_vec())));
+                    received.extend(number.map(|number| (*number, buf[..n].to_vec())));
                 }
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Nothing left, or word that one of them does not listen.
+                // No datagram left, or an ICMP error as an activator does not listen.
                 Err(_) => break,
             }
         }
-        all
+        received
     }
 
     pub fn close(self) {
