--- a/node/src/bus/tests.rs
+++ b/node/src/bus/tests.rs
@@ -17,33 +17,33 @@
 }
 
 #[test]
-fn events_are_told_once_and_in_order() {
+fn events_are_applied_once_and_in_order() {
     let mut bus = Bus::new(([127, 0, 0, 1], 9).into(), 4);
     let up = [("a", Condition::Up)];
     assert_eq!(bus.apply(event(4, ListKind::Delta, &up)), Ok(None));
-    let told = Some((ListKind::Delta, vec![host("a", Condition::Up)]));
-    assert_eq!(bus.apply(event(5, ListKind::Delta, &up)), Ok(told));
-    let told = Some((ListKind::Full, vec![host("a", Condition::Up)]));
-    assert_eq!(bus.apply(event(9, ListKind::Full, &up)), Ok(told), "a whole list closes any gap");
+    let update = Some((ListKind::Delta, vec![host("a", Condition::Up)]));
+    assert_eq!(bus.apply(event(5, ListKind::Delta, &up)), Ok(update));
+    let update = Some((ListKind::Full, vec![host("a", Condition::Up)]));
+    assert_eq!(bus.apply(event(9, ListKind::Full, &up)), Ok(update), "a full list closes any gap");
     assert_eq!(bus.apply(event(9, ListKind::Full, &up)), Ok(None));
 }
 
 #[test]
-fn after_a_gap_nothing_older_than_what_is_known_is_told() {
+fn after_a_gap_no_list_older_than_the_known_one_is_passed_on() {
     let mut bus = Bus::new(([127, 0, 0, 1], 9).into(), 3);
     assert_eq!(bus.apply(event(6, ListKind::Delta, &[])), Err(Gap { changes: Vec::new() }));
     let all = [("a", Condition::Up), ("b", Condition::Up), ("c", Condition::Up)];
     assert_eq!(bus.apply(event(1, ListKind::Full, &all)), Ok(None));
     assert_eq!(bus.apply(event(2, ListKind::Delta, &[("a", Condition::Draining)])), Ok(None));
     let again = bus.apply(event(4, ListKind::Delta, &[("b", Condition::Gone)]));
-    assert_eq!(again, Err(Gap { changes: Vec::new() }), "older than what is known");
+    assert_eq!(again, Err(Gap { changes: Vec::new() }), "older than the known list");
     assert_eq!(bus.apply(event(1, ListKind::Full, &all)), Ok(None));
     for number in 2..6 {
         assert_eq!(bus.apply(event(number, ListKind::Delta, &[("a", Condition::Draining)])), Ok(None));
     }
-    let told = vec![host("a", Condition::Draining), host("b", Condition::Up)];
+    let update = vec![host("a", Condition::Draining), host("b", Condition::Up)];
     let last = event(6, ListKind::Delta, &[("c", Condition::Gone)]);
-    assert_eq!(bus.apply(last), Ok(Some((ListKind::Full, told))));
+    assert_eq!(bus.apply(last), Ok(Some((ListKind::Full, update))));
     assert!(matches!(bus.apply(event(7, ListKind::Delta, &[])), Ok(Some((ListKind::Delta, _)))));
 }
 
@@ -56,7 +56,7 @@
     [0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x19, 0xa5, 1, 0, 1, 0, 2, 0, 0, 0x0f, 0xa0, 0, 0, 0, 0, 0, 0, 0, 5];
 
 #[test]
-fn frames_are_read_at_any_split() {
+fn frames_are_parsed_from_single_bytes() {
     let mut ring = Ring::new(1000);
     let all = [bytes(0, &[]), bytes(2, &RECORD_OF_A)].concat();
     let mut frames = Vec::new();
@@ -83,19 +83,20 @@
 #[case::unknown_kind(bytes(3, &[]))]
 #[case::half_a_record(bytes(1, &RECORD_OF_A[..20]))]
 #[case::unknown_state(bytes(1, &[&RECORD_OF_A[..10], &[3], &RECORD_OF_A[11..]].concat()))]
-fn what_is_no_frame_is_told(#[case] bytes: Vec<u8>) {
+fn malformed_frames_are_errors(#[case] bytes: Vec<u8>) {
     let mut ring = Ring::new(1000);
     ring.push(&bytes);
     assert!(next_frame(&mut ring, &[]).is_err());
 }
 
-/// The event after a gap is known at once; the list must be as new as the newest of them before it is told.
+/// The changes of an event after a gap are passed on at once. The replayed list is only passed on once it contains the
+/// newest of these events.
 #[test]
-fn what_comes_after_a_gap_is_told_at_once_and_never_taken_back() {
+fn changes_after_a_gap_are_passed_on_at_once_and_not_reverted() {
     let mut bus = Bus::new(([127, 0, 0, 1], 9).into(), 3);
     let drains = [("a", Condition::Draining)];
-    let told = vec![host("a", Condition::Draining)];
-    assert_eq!(bus.apply(event(6, ListKind::Delta, &drains)), Err(Gap { changes: told }));
+    let update = vec![host("a", Condition::Draining)];
+    assert_eq!(bus.apply(event(6, ListKind::Delta, &drains)), Err(Gap { changes: update }));
     let all = [("a", Condition::Up), ("b", Condition::Up)];
     assert_eq!(bus.apply(event(1, ListKind::Full, &all)), Ok(None));
     let gone = vec![host("b", Condition::Gone)];
@@ -112,10 +113,10 @@
 }
 
 const SECOND: Micros = 1_000_000;
-/// What the bus has to tell counts as told by then.
-const TOLD: Micros = 7 * SECOND;
+/// The platform counts events as delivered after this.
+const DELIVERED_US: Micros = 7 * SECOND;
 
-/// A bus, the time, and an event loop without which no connection can be had.
+/// A bus client, a test clock, and the event loop that connections need.
 struct Rig {
     bus: Bus,
     now: Micros,
@@ -131,30 +132,30 @@
         Self { bus, now: SECOND, events, listener }
     }
 
-    /// Lets the time pass up to the next thing that is due by itself.
-    fn pass(&mut self) {
+    /// Advances the time to the next timeout or connection attempt.
+    fn advance(&mut self) {
         self.now = self.now.max(self.bus.next_tick());
     }
 
-    /// Waits out the pause, and begins a connection.
-    fn begin(&mut self) {
-        self.pass();
+    /// Waits for the retry delay, and starts to connect.
+    fn start_connect(&mut self) {
+        self.advance();
         assert!(self.bus.wants_connection(self.now));
         let conn = Conn::connect(&self.events.handle(), 1, self.bus.address, (1000, 64), |_| Wake::Bus);
         self.bus.connect_started(self.now, Some(conn.unwrap()));
     }
 
-    /// Begins one that comes up at once.
-    fn stand(&mut self) {
-        self.begin();
+    /// Establishes a connection.
+    fn connect(&mut self) {
+        self.start_connect();
         while !self.bus.connected {
             self.bus.subscribe(self.now).unwrap();
         }
     }
 
-    /// Waits until the connection is given up, and ends it.
-    fn give_up(&mut self) {
-        self.pass();
+    /// Waits until the connection times out, and ends it.
+    fn time_out(&mut self) {
+        self.advance();
         assert!(self.bus.has_timed_out(self.now));
         self.end();
     }
@@ -166,41 +167,41 @@
     }
 }
 
-/// Silence is noticed, the connection replaced and the list caught up with well before the news count as told, also
-/// where the next connection does not come up and the one after it is as silent.
+/// A silent connection is detected and replaced well before events count as delivered, even if the next connection
+/// cannot be established and the one after that is silent, too.
 #[test]
-fn a_silent_bus_is_replaced_before_its_news_count_as_told() {
+fn a_silent_connection_is_replaced_before_events_count_as_delivered() {
     let mut rig = Rig::new();
-    rig.stand();
+    rig.connect();
     rig.now += 10 * SECOND;
     rig.bus.frame_received(rig.now);
-    // What is new comes right after, and none of it arrives.
-    let told = rig.now;
-    rig.give_up();
-    assert!(rig.now - told <= 2 * SECOND, "noticed");
-    rig.begin();
-    rig.give_up();
-    rig.stand();
-    rig.give_up();
-    rig.stand();
-    assert!(rig.now - told <= TOLD - SECOND, "after {} us", rig.now - told);
+    // Events follow right after this, and none of them arrives.
+    let sent = rig.now;
+    rig.time_out();
+    assert!(rig.now - sent <= 2 * SECOND, "detected");
+    rig.start_connect();
+    rig.time_out();
+    rig.connect();
+    rig.time_out();
+    rig.connect();
+    assert!(rig.now - sent <= DELIVERED_US - SECOND, "after {} us", rig.now - sent);
 }
 
-/// Bytes say that somebody is there, not that news come: a frame that never ends is given up as silence is.
+/// Bytes of a frame that is never completed do not keep a connection alive.
 #[test]
-fn a_frame_that_trickles_is_given_up_in_time() {
+fn a_frame_that_is_not_completed_times_out() {
     let mut rig = Rig::new();
-    rig.stand();
+    rig.connect();
     let begun = rig.now;
     while !rig.bus.has_timed_out(rig.now) {
-        assert!(rig.now - begun <= 2 * SECOND, "still waiting");
+        assert!(rig.now - begun <= 2 * SECOND, "not timed out");
         rig.bus.bytes_received(rig.now);
         rig.bus.set_partial(rig.now, true);
         rig.now += SECOND / 10;
     }
     rig.end();
-    rig.stand();
-    // A connection of its own, on which frames come in pieces and whole.
+    rig.connect();
+    // On a new connection, frames that arrive in parts and are completed keep it alive.
     for _ in 0..100 {
         rig.now += SECOND / 2;
         rig.bus.bytes_received(rig.now);
@@ -212,17 +213,17 @@
     }
 }
 
-/// A bus that ends each connection, with or without a frame before it, is not asked more than a few times a second;
-/// one that was in order and breaks once is asked again at once.
+/// A bus that ends every connection, with or without a frame before, is connected to only a few times per second.
+/// After a stable connection breaks, the first retry is immediate.
 #[rstest]
 #[case::after_a_frame(true)]
 #[case::at_once(false)]
-fn reconnects_are_bounded_and_the_first_is_quick(#[case] frame: bool) {
+fn the_rate_of_reconnects_is_bounded_and_the_first_is_fast(#[case] frame: bool) {
     let mut rig = Rig::new();
     let begun = rig.now;
     let mut connections = 0;
     while rig.now - begun < 10 * SECOND {
-        rig.stand();
+        rig.connect();
         connections += 1;
         if frame {
             rig.bus.frame_received(rig.now);
@@ -230,11 +231,11 @@
         rig.end();
     }
     assert!(connections <= 30, "{connections} in 10 s");
-    rig.stand();
+    rig.connect();
     rig.now += SECOND;
     rig.bus.frame_received(rig.now);
     let broke = rig.now;
     rig.end();
-    rig.pass();
+    rig.advance();
     assert_eq!(rig.now - broke, FIRST_RETRY_DELAY_US);
 }
--- a/node/src/dnssd/browser/tests.rs
+++ b/node/src/dnssd/browser/tests.rs
@@ -4,15 +4,15 @@
 use hickory_proto::rr::{RData, Record, RecordType};
 use rstest::rstest;
 
-/// A resolver in memory: the records of a name, or a failure for all.
+/// A simulated resolver, which answers with records or with an error for all queries.
 struct Rig {
     browser: Browser,
     now: Micros,
     records: Vec<(&'static str, u32, RData)>,
-    fails: Option<ResponseCode>,
-    /// Nothing is answered.
+    error: Option<ResponseCode>,
+    /// Whether no query is answered.
     silent: bool,
-    asked: usize,
+    queries: usize,
 }
 
 fn name(text: &str) -> Name {
@@ -41,12 +41,12 @@
             ("box.test", 10, RData::A(A([127, 0, 0, 1].into()))),
         ];
         let browser = Browser::new(name("s.test"), vec!["z0".into(), "z1".into()], 5);
-        Self { browser, now: 1000 * SECOND, records, fails: None, silent: false, asked: 0 }
+        Self { browser, now: 1000 * SECOND, records, error: None, silent: false, queries: 0 }
     }
 
-    /// Answers all that is asked until nothing is, time standing still; then lets it pass.
+    /// Advances the time, and answers all queries as they become due. Returns the changes of the host list.
     fn pass(&mut self, time: Micros) -> Vec<Host> {
-        let (end, mut news) = (self.now + time, Vec::new());
+        let (end, mut changes) = (self.now + time, Vec::new());
         loop {
             loop {
                 let queries = self.browser.due(self.now);
@@ -54,42 +54,42 @@
                     break;
                 }
                 for query in queries {
-                    self.asked += 1;
+                    self.queries += 1;
                     if self.silent {
                         continue;
                     }
                     let mut message = Message::from_vec(&query).unwrap().into_response();
-                    let asked = message.queries[0].clone();
+                    let question = message.queries[0].clone();
                     for (owner, ttl, data) in &self.records {
-                        if name(owner) == *asked.name() && data.record_type() == asked.query_type() {
+                        if name(owner) == *question.name() && data.record_type() == question.query_type() {
                             message.add_answer(Record::from_rdata(name(owner), *ttl, data.clone()));
                         }
                     }
-                    if let Some(code) = self.fails {
+                    if let Some(code) = self.error {
                         message.answers.clear();
                         message.metadata.response_code = code;
                     }
                     self.browser.answer(self.now, &message.to_vec().unwrap());
                 }
             }
-            news.extend(self.browser.changes(self.now));
+            changes.extend(self.browser.changes(self.now));
             let next = self.browser.next_tick();
             if next > end {
                 self.now = end;
-                return news;
+                return changes;
             }
             self.now = self.now.max(next);
         }
     }
 }
 
-fn conditions(news: &[Host]) -> Vec<Condition> {
-    news.iter().map(|h| h.entry.condition).collect()
+fn conditions(hosts: &[Host]) -> Vec<Condition> {
+    hosts.iter().map(|h| h.entry.condition).collect()
 }
 
 #[test]
-fn an_instance_is_told_once_all_of_it_is_known() {
-    let news = Rig::new().pass(SECOND);
+fn an_instance_is_reported_once_all_its_records_are_known() {
+    let changes = Rig::new().pass(SECOND);
     let entry = ListEntry {
         worker: "a.s.test.".into(),
         zone: 1,
@@ -98,59 +98,59 @@
         size: 1.0,
         ready_at: 0,
     };
-    assert_eq!(news, [Host { entry, address: ([127, 0, 0, 1], 7000).into() }]);
+    assert_eq!(changes, [Host { entry, address: ([127, 0, 0, 1], 7000).into() }]);
 }
 
 #[test]
-fn records_are_renewed_within_their_time_and_not_all_the_time() {
+fn records_are_renewed_before_they_expire_and_not_more_often() {
     let mut rig = Rig::new();
     rig.pass(0);
-    assert_eq!(rig.asked, 4);
+    assert_eq!(rig.queries, 4);
     assert_eq!(rig.pass(100 * SECOND), []);
-    // The address holds for 10 s and is asked for each 8; the three others after 80.
-    assert_eq!(rig.asked, 4 + 12 + 3);
+    // The address has a TTL of 10 s and is queried every 8 s; the other three records are queried after 80 s.
+    assert_eq!(rig.queries, 4 + 12 + 3);
 }
 
 #[test]
-fn an_instance_that_is_no_longer_named_drains_and_goes() {
+fn an_instance_without_a_ptr_record_drains_and_is_removed() {
     let mut rig = Rig::new();
     rig.pass(0);
     rig.records.remove(0);
-    let news = rig.pass(80 * SECOND);
-    assert_eq!(conditions(&news), [Condition::Draining]);
+    let changes = rig.pass(80 * SECOND);
+    assert_eq!(conditions(&changes), [Condition::Draining]);
     assert_eq!(conditions(&rig.pass(DRAIN_TIME_US)), [Condition::Gone]);
     rig.records.push(("s.test", 100, ptr("a.s.test")));
     let back = rig.pass(MAX_NEGATIVE_TTL_SECS as Micros * SECOND);
     assert_eq!(conditions(&back), [Condition::Up]);
-    assert!(back[0].entry.ready_at > 1000 * SECOND, "whoever turns up later has started then");
+    assert!(back[0].entry.ready_at > 1000 * SECOND, "an instance that appears later has just started");
 }
 
 #[test]
-fn a_failing_resolver_takes_hosts_away_only_long_after_their_time() {
+fn with_a_failing_resolver_hosts_are_removed_only_long_after_their_records_expire() {
     let mut rig = Rig::new();
     rig.pass(0);
-    rig.fails = Some(ResponseCode::ServFail);
-    assert_eq!(rig.pass(100 * SECOND + MAX_STALE_US - 2), [], "the longest records hold for 100 s");
+    rig.error = Some(ResponseCode::ServFail);
+    assert_eq!(rig.pass(100 * SECOND + MAX_STALE_US - 2), [], "the longest TTL is 100 s");
     assert_eq!(conditions(&rig.pass(MAX_RETRY_DELAY_US)), [Condition::Draining]);
-    let asked = rig.asked;
+    let queries = rig.queries;
     rig.pass(40 * SECOND);
-    assert!(rig.asked - asked <= 4 * 11, "failures are paced: {}", rig.asked - asked);
+    assert!(rig.queries - queries <= 4 * 11, "queries after failures are limited: {}", rig.queries - queries);
 }
 
 #[test]
-fn a_new_port_is_a_new_process_and_txt_tells_of_draining() {
+fn a_new_port_is_a_new_process_and_the_txt_record_reports_draining() {
     let mut rig = Rig::new();
     rig.pass(0);
     rig.records[2].2 = srv(0, 7002);
-    let news = rig.pass(80 * SECOND);
-    assert_eq!((news.len(), news[0].address.port()), (1, 7002));
-    assert!(news[0].entry.ready_at > 0);
+    let changes = rig.pass(80 * SECOND);
+    assert_eq!((changes.len(), changes[0].address.port()), (1, 7002));
+    assert!(changes[0].entry.ready_at > 0);
     rig.records[3].2 = txt(&["state=draining"]);
     assert_eq!(conditions(&rig.pass(80 * SECOND)), [Condition::Draining]);
 }
 
 #[test]
-fn an_answer_to_another_query_is_passed_over() {
+fn an_answer_to_another_query_is_ignored() {
     let mut rig = Rig::new();
     let query = rig.browser.due(rig.now).remove(0);
     let mut message = Message::from_vec(&query).unwrap().into_response();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_truncated_answer_is_asked_for_over_tcp_and_waited_for() {
+fn a_truncated_answer_is_queried_over_tcp() {
     let mut rig = Rig::new();
     let query = rig.browser.due(rig.now).remove(0);
     let mut message = Message::from_vec(&query).unwrap().into_response();
@@ -174,45 +174,45 @@
     assert_eq!(rig.browser.instances(rig.now), [name("a.s.test")]);
 }
 
-/// An instance whose name is still given, but whose place or address is not, can't be reached by any new connection: it
-/// drains as one that is named no longer, and is back in service when it is told again.
+/// An instance that still has its PTR record, but no SRV or address record, cannot be reached by new connections. It
+/// drains like one without a PTR record, and returns into service with its records.
 #[rstest]
-#[case::no_place("a.s.test", 81)]
+#[case::no_srv("a.s.test", 81)]
 #[case::no_address("box.test", 9)]
-fn an_instance_without_a_place_or_an_address_drains(#[case] owner: &str, #[case] asked_by: Micros) {
+fn an_instance_without_srv_or_address_record_drains(#[case] owner: &str, #[case] queried_by: Micros) {
     let mut rig = Rig::new();
     rig.pass(0);
     let whole = rig.records.clone();
     rig.records.retain(|(of, _, data)| *of != owner || data.record_type() == RecordType::TXT);
-    assert_eq!(conditions(&rig.pass(asked_by * SECOND)), [Condition::Draining]);
+    assert_eq!(conditions(&rig.pass(queried_by * SECOND)), [Condition::Draining]);
     rig.records = whole;
     assert_eq!(conditions(&rig.pass(DRAIN_TIME_US - SECOND)), [Condition::Up]);
     assert_eq!(conditions(&rig.pass(2 * DRAIN_TIME_US)), []);
 }
 
-/// An instance moves to a target whose address has not been asked for: it stays in service until that is known.
+/// An instance moves to a target whose address has not been queried yet: it stays in service until that is known.
 #[test]
 fn an_instance_that_moves_to_another_target_stays_in_service() {
     let mut rig = Rig::new();
     rig.pass(0);
     rig.records[2].2 = RData::SRV(SRV::new(0, 0, 7000, name("other.test")));
     rig.records.push(("other.test", 10, RData::A(A([127, 0, 0, 2].into()))));
-    let news = rig.pass(100 * SECOND);
-    assert_eq!(conditions(&news), [Condition::Up]);
-    assert_eq!(news[0].address, ([127, 0, 0, 2], 7000).into());
+    let changes = rig.pass(100 * SECOND);
+    assert_eq!(conditions(&changes), [Condition::Up]);
+    assert_eq!(changes[0].address, ([127, 0, 0, 2], 7000).into());
 }
 
-/// A resolver that says nothing at all: its records stay in use beyond their time, then each host drains, once, and is
-/// gone; and it is asked on at the longest pause.
+/// A resolver does not answer at all: expired records stay in use for a while, then each host drains, once, and is
+/// removed. The resolver is queried further at the maximum delay.
 #[test]
-fn a_silent_resolver_has_its_hosts_drain_before_they_go() {
+fn with_a_silent_resolver_hosts_drain_before_they_are_removed() {
     let mut rig = Rig::new();
     rig.pass(0);
     rig.silent = true;
-    assert_eq!(rig.pass(100 * SECOND + MAX_STALE_US - 2), [], "the longest records hold for 100 s");
+    assert_eq!(rig.pass(100 * SECOND + MAX_STALE_US - 2), [], "the longest TTL is 100 s");
     assert_eq!(conditions(&rig.pass(MAX_RETRY_DELAY_US + QUERY_TIMEOUT_US)), [Condition::Draining]);
     assert_eq!(conditions(&rig.pass(DRAIN_TIME_US)), [Condition::Gone]);
-    let asked = rig.asked;
+    let queries = rig.queries;
     rig.pass(60 * SECOND);
-    assert!((4..=4 * 16).contains(&(rig.asked - asked)), "{}", rig.asked - asked);
+    assert!((4..=4 * 16).contains(&(rig.queries - queries)), "{}", rig.queries - queries);
 }
