--- a/node/tests/late_connections.rs
+++ b/node/tests/late_connections.rs
@@ -1,5 +1,5 @@
-//! A connection to a host comes up long after the call for it was decided: what the call was allowed to do, and the time
-//! that its client had left, are those of when it leaves.
+//! A connection to a host is established long after the call for it was routed: whether the call may be sent, and the
+//! time that is left for it, must be computed when it is written.
 
 mod common;
 
@@ -12,12 +12,12 @@
 
 const SERVED: u8 = 79;
 const FAILED: u8 = 69;
-/// By the rules a host may be told of so much more time than the client has left.
+/// By how much the limit that is sent to a host may exceed the time that the client has left.
 const LIMIT_SLACK_MS: u64 = 150;
 
-/// A keyed call is reset within its window, and its repeat waits for a connection that comes up when the window is over.
+/// A keyed call is reset within its window, and its retry waits for a connection that is established after the window.
 #[test]
-fn a_keyed_repeat_leaves_within_its_window_or_not_at_all() {
+fn a_keyed_retry_is_sent_within_its_window_or_not_at_all() {
     let mut puppet = Puppet::start();
     let short = |text: String| patient(text).replace("\"WindowUs\":8000000", "\"WindowUs\":1000000");
     let p = platform_of(&[(0, puppet.address)], short);
@@ -25,39 +25,39 @@
     client.write_all(&call_frame(1, "save-answers", 3500, b"")).unwrap();
     let mut line = puppet.accept();
     line.call();
-    let sent = Instant::now();
+    let received = Instant::now();
     puppet.hold();
     line.reset();
-    wait_for("the repeat's connection", || puppet.is_knocked_at());
-    sleep(ms(1100).saturating_sub(sent.elapsed()));
+    wait_for("the connection of the retry", || puppet.is_knocked_at());
+    sleep(ms(1100).saturating_sub(received.elapsed()));
     let late = puppet.let_in();
-    assert!(!late.is_empty(), "the connection came up");
+    assert!(!late.is_empty(), "no connection");
     assert_eq!(read_frame(&mut client).expect("an answer").code, FAILED);
     drop(p);
     for mut line in late {
-        let said = line.rest();
-        assert!(!said.iter().any(|s| matches!(s, Said::Call { .. })), "left outside its window: {said:?}");
+        let sent = line.rest();
+        assert!(!sent.iter().any(|s| matches!(s, Said::Call { .. })), "sent outside its window: {sent:?}");
     }
 }
 
-/// The first connection to a host comes up late: the host is told of the time that is left by then.
+/// The first connection to a host is established late: the limit that is sent is the time that is left by then.
 #[test]
-fn a_host_is_told_of_the_time_that_is_left_when_the_call_leaves() {
+fn the_limit_is_the_time_that_is_left_when_the_call_is_sent() {
     const TIMEOUT_MS: u64 = 4000;
     let mut puppet = Puppet::start();
     puppet.hold();
     let p = platform_of(&[(0, puppet.address)], patient);
     let mut client = p.program.connect();
-    let asked = Instant::now();
+    let started = Instant::now();
     client.write_all(&call_frame(1, "check-score", TIMEOUT_MS as u32, b"")).unwrap();
     wait_for("the connection", || puppet.is_knocked_at());
     sleep(ms(500));
-    let waited = asked.elapsed().as_millis() as u64;
+    let waited = started.elapsed().as_millis() as u64;
     let mut late = puppet.let_in();
     let Some(Said::Call { id, limit, .. }) = late[0].next() else { panic!("no call") };
     assert!(
         limit + waited <= TIMEOUT_MS + LIMIT_SLACK_MS,
-        "told {limit} ms after {waited} ms of {TIMEOUT_MS}"
+        "limit of {limit} ms after {waited} ms of {TIMEOUT_MS}"
     );
     late[0].answer(&id, "200", "tell=warm");
     assert_eq!(read_frame(&mut client).expect("an answer").code, SERVED);
