--- a/node/src/bus.rs
+++ b/node/src/bus.rs
@@ -54,7 +54,7 @@
 const FIRST_RETRY_DELAY_US: Micros = 50_000;
 const MAX_RETRY_DELAY_US: Micros = 400_000;
 /// A frame this long after connecting resets the retry delay: the next end is then not part of a series of failures.
-/// The first heartbeat arrives after this time.
+/// Heartbeats arrive each second, so that a stable connection has received one after this time.
 const STABLE_AFTER_US: Micros = 900_000;
 
 /// Takes the next frame from the ring; `None` while it is incomplete.
@@ -160,7 +160,7 @@
 /// Replay of all events after a gap. The list is only passed on once it is at least as new as what was passed on
 /// before, so that a draining host does not return into service.
 struct CatchUp {
-    /// The event before which some were missing. It is not certain that the bus still has it.
+    /// The event before which some were missing. Nothing proves that the bus has that event.
     until: u64,
     /// The last event that was passed on before the gap.
     known: u64,
--- a/node/tests/endings_hosts.rs
+++ b/node/tests/endings_hosts.rs
@@ -1,5 +1,5 @@
-//! Whatever ends on the side of hosts and host lists while something is still owed, on real sockets. The crossing is
-//! forced: the stand-ins hold a reply, a frame or a connection until the test lets go.
+//! Hosts, connections to them or the bus end while answers are outstanding, on real sockets. The test forces the order
+//! of events: its stand-ins hold back answers, frames or connections until it releases them.
 
 mod common;
 
@@ -18,8 +18,8 @@
 const READ: &str = "check-score";
 const MAIL: &str = "send-mail";
 
-/// Sends mails on these streams one after the other, each of which is to be served.
-fn serve_mails(program: &Program, streams: std::ops::Range<u32>) {
+/// Sends calls of class `send-mail` on these streams one after the other, and checks that each is served.
+fn serve_calls(program: &Program, streams: std::ops::Range<u32>) {
     let mut client = program.connect();
     for stream in streams {
         client.write_all(&call_frame(stream, "send-mail", 4000, b"")).unwrap();
@@ -28,7 +28,7 @@
     }
 }
 
-/// A program of one host whose list names another one besides from event 2 on, and has the first one drain.
+/// An activator with host `a`, which an event then drains while it adds host `b`.
 struct Handover {
     a: Host,
     b: Host,
@@ -37,8 +37,8 @@
 }
 
 impl Handover {
-    /// With the bus's connection.
-    fn begin() -> (Self, TcpStream) {
+    /// Starts the activator; also returns the bus's connection.
+    fn start() -> (Self, TcpStream) {
         let (a, b) = (Host::warm(), Host::warm());
         let Platform { program, bus, feed } = platform(&[&a]);
         (Self { a, b, program, bus }, feed)
@@ -48,39 +48,39 @@
         marked(number, false, &[(0, self.a.address, DRAINING), (1, self.b.address, READY)])
     }
 
-    /// The event of this number has been taken in: all goes to the other host.
-    fn is_done(&self, number: u64) {
+    /// Waits until the event has been applied, and checks that all calls go to host `b`.
+    fn check_applied(&self, number: u64) {
         wait_taken_in(&self.program, number);
-        serve_mails(&self.program, 1..7);
+        serve_calls(&self.program, 1..7);
         assert_eq!((self.a.calls(), self.b.calls()), (0, 6));
     }
 }
 
-/// A bus that stops talking without an end is left for a new connection, which tells what has been missed.
+/// A connection to the bus that falls silent is replaced, and the missed events arrive on the new one.
 #[rstest]
 #[case::nothing_at_all(0)]
 #[case::within_a_length(2)]
 #[case::within_a_frame(20)]
-fn a_silent_bus_is_left_and_what_it_missed_is_caught_up_with(#[case] part: usize) {
-    let (handover, mut feed) = Handover::begin();
+fn a_silent_connection_to_the_bus_is_replaced_and_missed_events_are_applied(#[case] part: usize) {
+    let (handover, mut feed) = Handover::start();
     let event = handover.event(2);
     feed.write_all(&event[..part]).unwrap();
     let (last, mut feed) = handover.bus.greeted();
-    assert_eq!(last, 1, "half an event is none");
-    wait_for("its line in the log", || handover.program.logged("conn bus ended reason=silent") == 1);
+    assert_eq!(last, 1, "a partial event does not count");
+    wait_for("its log line", || handover.program.logged("conn bus ended reason=silent") == 1);
     feed.write_all(&event).unwrap();
-    handover.is_done(2);
+    handover.check_applied(2);
 }
 
-/// One that closes or breaks off, in the middle of a frame or not, is connected to again and asked from the last event
-/// that came whole.
+/// After the bus closes or resets the connection, within a frame or between frames, the activator reconnects and
+/// requests the events after the last complete one.
 #[rstest]
 #[case::closes(false, 0)]
 #[case::closes_within_a_frame(false, 20)]
 #[case::resets(true, 0)]
 #[case::resets_within_a_frame(true, 20)]
-fn changes_after_a_reconnect_are_taken_in(#[case] resets: bool, #[case] part: usize) {
-    let (handover, mut feed) = Handover::begin();
+fn events_after_a_reconnect_are_applied(#[case] resets: bool, #[case] part: usize) {
+    let (handover, mut feed) = Handover::start();
     let event = handover.event(3);
     let nobody: SocketAddr = ([127, 0, 0, 1], 1).into();
     let bytes = [marked(2, false, &[(9, nobody, GONE)]), event[..part].to_vec()].concat();
@@ -93,27 +93,27 @@
     let (last, mut feed) = handover.bus.greeted();
     assert_eq!(last, 2);
     feed.write_all(&event).unwrap();
-    handover.is_done(3);
+    handover.check_applied(3);
 }
 
-/// The event after a gap is known, however long the missing ones are withheld: its host drains from then on.
+/// An event after a gap is applied at once, so that its host drains, even if the missing events do not arrive.
 #[test]
-fn what_comes_after_a_gap_holds_while_the_list_is_not_told_anew() {
-    let (handover, mut feed) = Handover::begin();
+fn an_event_after_a_gap_is_applied_before_the_missing_ones_arrive() {
+    let (handover, mut feed) = Handover::start();
     let event = handover.event(4);
     feed.write_all(&event).unwrap();
     let (last, held) = handover.bus.greeted();
-    assert_eq!(last, 0, "asked for from the start, and held back");
-    handover.is_done(4);
+    assert_eq!(last, 0, "all events are requested, and held back");
+    handover.check_applied(4);
     drop(held);
 }
 
-/// An old event that comes again, on the same connection or on the next one, takes no host back into service.
+/// A repeated old event, on the same connection or on the next one, does not return a host into service.
 #[rstest]
 #[case::on_the_same_connection(false)]
 #[case::on_the_next_one(true)]
-fn an_event_that_comes_again_changes_nothing(#[case] reconnected: bool) {
-    let (handover, mut feed) = Handover::begin();
+fn a_repeated_event_changes_nothing(#[case] reconnected: bool) {
+    let (handover, mut feed) = Handover::start();
     let again = event(2, false, &[(0, handover.a.address, READY)]);
     let drains = handover.event(3);
     feed.write_all(&[again.clone(), drains.clone()].concat()).unwrap();
@@ -127,13 +127,13 @@
     let next = marked(4, false, &[]);
     feed.write_all(&[again, drains, next].concat()).unwrap();
     wait_taken_in(&handover.program, 4);
-    handover.is_done(3);
+    handover.check_applied(3);
 }
 
-/// Whoever is missing from a whole list has left, with all that is open there: a mail that runs has failed, a call that
-/// comes goes elsewhere.
+/// A host that is missing from a full list is removed, and its connections end: a running call of a class that is not
+/// idempotent fails, and later calls go to other hosts.
 #[test]
-fn a_host_missing_from_a_whole_list_has_left() {
+fn a_host_missing_from_a_full_list_is_removed() {
     let (puppet, b) = (Puppet::start(), Host::warm());
     let mut p = platform_of(&[(7, puppet.address)], patient);
     let mut client = p.program.connect();
@@ -141,19 +141,19 @@
     let mut line = puppet.accept();
     line.call();
     p.feed.write_all(&marked(2, true, &[(1, b.address, READY)])).unwrap();
-    assert_eq!(line.rest(), [], "its connection ends, and nothing more is said on it");
+    assert_eq!(line.rest(), [], "its connection ends without further commands");
     let answer = read_frame(&mut client).unwrap();
     assert_eq!((answer.stream, answer.code), (1, FAILED), "it may have run");
-    serve_mails(&p.program, 2..5);
+    serve_calls(&p.program, 2..5);
     assert_eq!((b.calls(), p.program.maintain("exit", 7)), (3, 404));
 }
 
-/// A bus that is not there, or does not come up, is asked again and again; the list of the configuration does until
-/// then, and what the bus tells at last is taken in.
+/// While the bus refuses connections or does not accept them, the activator keeps retrying and uses the list of the
+/// configuration. Once the bus is available, its events are applied.
 #[rstest]
-#[case::turns_connections_away(false)]
-#[case::does_not_come_up(true)]
-fn a_bus_that_comes_late_is_found(#[case] held: bool) {
+#[case::refuses_connections(false)]
+#[case::accepts_no_connection(true)]
+fn a_bus_that_becomes_available_late_is_used(#[case] held: bool) {
     let (a, b) = (Host::warm(), Host::warm());
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -166,53 +166,54 @@
     let program = Program::start(&config_with(address, &[(0, a.address)]), false);
     let reason = if held { "conn bus ended reason=silent" } else { "conn bus ended reason=connect_refused" };
     wait_for("several attempts", || program.logged(reason) >= 3);
-    serve_mails(&program, 1..4);
-    assert_eq!(a.calls(), 3, "by the list of the configuration");
+    serve_calls(&program, 1..4);
+    assert_eq!(a.calls(), 3, "routed by the list of the configuration");
     let own: Vec<_> = fill.iter().map(|s| s.local_addr().unwrap()).collect();
     socket.listen(128).unwrap();
     let listener: TcpListener = socket.into();
     let mut feed = loop {
         let (stream, from) = listener.accept().unwrap();
-        // One that was given up before it came up has ended by now.
-        if !own.contains(&from) && first_greeting(&stream) {
+        // Connections that timed out before they were accepted have ended by now.
+        if !own.contains(&from) && sends_request(&stream) {
             break stream;
         }
     };
     feed.write_all(&marked(2, false, &[(0, a.address, DRAINING), (1, b.address, READY)])).unwrap();
     wait_taken_in(&program, 2);
-    serve_mails(&program, 4..7);
+    serve_calls(&program, 4..7);
     assert_eq!((a.calls(), b.calls()), (3, 3));
 }
 
-/// Whether the connection says from where it wants to go on.
-fn first_greeting(stream: &TcpStream) -> bool {
+/// Whether the client requests events on this connection.
+fn sends_request(stream: &TcpStream) -> bool {
     let mut last = [0; 8];
     std::io::Read::read_exact(&mut &*stream, &mut last).is_ok()
 }
 
-/// A process that was held up for longer than the bus may be silent has not heard what came meanwhile: it looks before
-/// it gives the connection up.
+/// A process is stopped for longer than the silence timeout while an event arrives: it must read before it checks the
+/// timeout, and keep the connection.
 #[test]
-fn a_bus_that_spoke_while_the_process_was_held_up_is_not_silent() {
-    let (handover, mut feed) = Handover::begin();
+fn data_that_arrived_while_the_process_was_stopped_prevents_the_silence_timeout() {
+    let (handover, mut feed) = Handover::start();
     wait_for("readiness", || handover.program.status() == 200);
-    // A stopped process often finds its wait broken off, and looks at the time first; hence three rounds.
+    // The wait of a stopped process is often interrupted, so that it checks timeouts first; hence three rounds.
     for number in 2..5 {
         handover.program.stop(true);
-        // By its own clock the bus has said nothing for too long.
+        // Longer than the silence timeout of 2 s.
         std::thread::sleep(ms(2_200));
         feed.write_all(&handover.event(number)).unwrap();
         wait_for("the event to arrive", || unread(&feed) > 0);
         handover.program.stop(false);
         wait_taken_in(&handover.program, number);
     }
-    handover.is_done(4);
+    handover.check_applied(4);
     assert_eq!(handover.program.logged("conn bus ended"), 0);
 }
 
-/// An answer whose end came while the process was held up is whole, though it paused for too long by the clock.
+/// The second half of an answer arrives while the process is stopped for longer than the allowed pause within an
+/// answer: the answer counts.
 #[test]
-fn an_answer_that_became_whole_while_the_process_was_held_up_counts() {
+fn an_answer_that_was_completed_while_the_process_was_stopped_counts() {
     let puppet = Puppet::start();
     let p = platform_of(&[(7, puppet.address)], patient);
     let mut client = p.program.connect();
@@ -223,11 +224,11 @@
         let id = held.call();
         let begun = Instant::now();
         held.say(&format!("{id} 200 tell=warm 10\r\nhalf"));
-        // Answered after the half has been read.
+        // The status request is answered after the first half has been read.
         p.program.status();
         p.program.stop(true);
         if begun.elapsed() > ms(250) {
-            // This test was held up itself, so that the answer may rightly have been given up.
+            // This test itself was delayed, so that the pause may rightly have ended the answer.
             p.program.stop(false);
             drop(held);
             read_frame(&mut client).unwrap();
@@ -247,16 +248,16 @@
     }
 }
 
-/// A connection that came up while the process was held up stands, though it took too long by the clock.
+/// A connection is established while the process is stopped for longer than the connect timeout: it is used.
 #[test]
-fn a_connection_that_came_up_while_the_process_was_held_up_stands() {
+fn a_connection_that_was_established_while_the_process_was_stopped_is_used() {
     let mut puppet = Puppet::start();
     let timeout = |text: String| patient(text).replace("60000000", "3000000");
     let p = platform_of(&[(7, puppet.address)], timeout);
     puppet.hold();
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, "send-mail", 8000, b"")).unwrap();
-    wait_for("the connection's beginning", || puppet.is_knocked_at());
+    wait_for("the connection attempt", || puppet.is_knocked_at());
     p.program.stop(true);
     let mut lines = puppet.let_in();
     std::thread::sleep(ms(3_000));
@@ -268,74 +269,74 @@
     assert_eq!(p.program.logged("conn host s-00000007 ended"), 0);
 }
 
-/// Calls that are under way to a host which listens and takes no connection.
-struct Waiting {
+/// A call that waits for a connection to a host that listens but accepts none.
+struct WaitingCall {
     puppet: Puppet,
     p: Platform,
     client: TcpStream,
 }
 
-impl Waiting {
-    /// A mail waits for a connection to host 7.
-    fn begin() -> Self {
+impl WaitingCall {
+    /// A call of class `send-mail` waits for a connection to host 7.
+    fn start() -> Self {
         let mut puppet = Puppet::start();
         puppet.hold();
         let p = platform_of(&[(7, puppet.address)], patient);
         let mut client = p.program.connect();
         client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
-        wait_for("the connection's beginning", || puppet.is_knocked_at());
+        wait_for("the connection attempt", || puppet.is_knocked_at());
         Self { puppet, p, client }
     }
 
-    /// The mail has been served elsewhere, and host 7 has heard nothing when it lets connections in at last.
-    fn has_gone_elsewhere(mut self, served: impl Fn() -> usize) {
+    /// Checks that the call was served elsewhere, and that host 7 receives no command once it accepts connections.
+    fn check_served_elsewhere(mut self, served: impl Fn() -> usize) {
         assert_eq!(read_frame(&mut self.client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
         assert_eq!(served(), 1);
-        let nothing: Vec<_> =
-            self.puppet.let_in().iter_mut().map(Line::rest).filter(|said| !said.is_empty()).collect();
-        assert_eq!(nothing, Vec::<Vec<Said>>::new());
+        let sent: Vec<_> =
+            self.puppet.let_in().iter_mut().map(Line::rest).filter(|sent| !sent.is_empty()).collect();
+        assert_eq!(sent, Vec::<Vec<Said>>::new());
     }
 }
 
-/// A mail waits for a connection, and what is told of its host says that it can't be meant any more: it is withdrawn as
-/// never sent, and goes elsewhere.
+/// A call waits for a connection when its host starts to drain or is removed: it is withdrawn as never sent, and goes
+/// to another host.
 #[rstest]
 #[case::the_host_drains(DRAINING)]
 #[case::the_host_has_gone(GONE)]
-fn a_mail_that_waits_for_a_connection_goes_elsewhere(#[case] state: u8) {
-    let mut w = Waiting::begin();
+fn a_call_that_waits_for_a_connection_goes_to_another_host(#[case] state: u8) {
+    let mut w = WaitingCall::start();
     let other = Host::warm();
     let hosts = [(7, w.puppet.address, state), (8, other.address, READY)];
     tell(&w.p.program, &mut w.p.feed, 2, &hosts);
-    w.has_gone_elsewhere(|| other.calls());
+    w.check_served_elsewhere(|| other.calls());
 }
 
-/// A new id at the address of a host that waits for its connection: what was meant for the old one is not sent to the
-/// new process as if it were that, and nobody waits for the connection any more.
+/// A new host gets the address of a host to which a call waits for a connection: the call must not be sent to the new
+/// host as if it were the old one, and the pending connection ends.
 #[test]
-fn a_mail_for_a_host_whose_address_another_takes_over_is_withdrawn() {
-    let mut w = Waiting::begin();
+fn a_call_for_a_host_whose_address_another_one_gets_is_withdrawn() {
+    let mut w = WaitingCall::start();
     tell(&w.p.program, &mut w.p.feed, 2, &[(8, w.puppet.address, READY)]);
-    wait_for("its line in the log", || w.p.program.logged("host s-00000007 ended reason=host_gone") == 1);
-    assert_eq!(w.p.program.maintain("exit", 7), 404, "it has gone, whether the list says so by now or not");
-    // It goes to the new one, on a connection that was begun for it.
+    wait_for("its log line", || w.p.program.logged("host s-00000007 ended reason=host_gone") == 1);
+    assert_eq!(w.p.program.maintain("exit", 7), 404, "it is removed, though the list does not say so yet");
+    // The call goes to the new host, on a connection that was opened for it.
     let mut lines = w.puppet.let_in();
     let calls: Vec<_> = lines.iter_mut().filter_map(|line| Some((line.next()?, line))).collect();
     assert_eq!(calls.len(), 1);
-    for (said, line) in calls {
-        let Said::Call { id, .. } = said else { panic!("{said:?}") };
+    for (command, line) in calls {
+        let Said::Call { id, .. } = command else { panic!("{command:?}") };
         line.say(&format!("{id} 200 tell=warm 2\r\nok\r\n"));
     }
     assert_eq!(read_frame(&mut w.client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
-    // The old one's end comes in its own event, and changes nothing for the new one.
+    // The removal of the old host arrives in a later event, and does not affect the new one.
     tell(&w.p.program, &mut w.p.feed, 3, &[(7, w.puppet.address, GONE)]);
     assert_eq!(w.p.program.maintain("exit", 8), 200);
 }
 
-/// A process started anew at the same id and address: what waits for a connection to the old one is withdrawn.
+/// A host restarts with the same id and address: a call that waits for a connection to the old process is withdrawn.
 #[test]
-fn a_mail_for_a_process_that_was_started_anew_is_withdrawn() {
-    let mut w = Waiting::begin();
+fn a_call_for_a_restarted_host_is_withdrawn() {
+    let mut w = WaitingCall::start();
     let other = Host::warm();
     let started = unix_ms() + 1;
     let nowhere: SocketAddr = ([127, 0, 0, 1], 2).into();
@@ -343,18 +344,18 @@
         [(7, w.puppet.address, READY, started), (8, other.address, READY, 0), (9, nowhere, DRAINING, 0)];
     w.p.feed.write_all(&event_of(2, false, &entries)).unwrap();
     wait_for("the event", || w.p.program.maintain("exit", 9) == 200);
-    wait_for("its line in the log", || w.p.program.logged("host s-00000007 ended reason=host_gone") == 1);
-    // To whichever it goes now, its old connection is not used.
+    wait_for("its log line", || w.p.program.logged("host s-00000007 ended reason=host_gone") == 1);
+    // It is sent once, to either host, but not on the old connection.
     let mut lines = w.puppet.let_in();
-    let said: Vec<_> = lines.iter_mut().filter_map(Line::next).collect();
-    assert_eq!(said.len() + other.calls(), 1);
+    let commands: Vec<_> = lines.iter_mut().filter_map(Line::next).collect();
+    assert_eq!(commands.len() + other.calls(), 1);
 }
 
-/// A host that is told to drain gets no order for what it has just missed, and no repeat: they go elsewhere.
+/// A host answers a call with a miss and drains: the order for the missing function and the retry go to another host.
 #[rstest]
-#[case::a_read(READ)]
-#[case::a_mail(MAIL)]
-fn a_miss_of_a_host_that_drains_is_followed_by_no_order_there(#[case] class: &str) {
+#[case::idempotent(READ)]
+#[case::not_idempotent(MAIL)]
+fn after_a_miss_a_draining_host_gets_no_order(#[case] class: &str) {
     let (puppet, other) = (Puppet::start(), Host::warm());
     let mut p = platform_of(&[(7, puppet.address)], patient);
     let mut client = p.program.connect();
@@ -369,9 +370,9 @@
     assert_eq!(line.rest(), [], "neither an order nor a call");
 }
 
-/// An order goes on a connection that is not up, as the one before it ended with the miss: the drain withdraws it.
+/// An order waits for a new connection, as the previous one ended after the miss: a drain withdraws it.
 #[test]
-fn an_order_that_waits_for_a_connection_is_never_sent_to_a_host_that_drains() {
+fn an_order_that_waits_for_a_connection_is_never_sent_to_a_draining_host() {
     let (mut puppet, other) = (Puppet::start(), Host::warm());
     let mut p = platform_of(&[(7, puppet.address)], patient);
     let mut client = p.program.connect();
@@ -379,22 +380,22 @@
     let mut line = puppet.accept();
     let id = line.call();
     puppet.hold();
-    // Both are there when the program looks again.
+    // The answer and the end of the connection are both there when the program continues.
     p.program.stop(true);
     line.answer(&id, "404", "-");
     line.close();
     p.program.stop(false);
-    wait_for("the order's connection", || puppet.is_knocked_at());
+    wait_for("the connection of the order", || puppet.is_knocked_at());
     tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
     assert_eq!(other.calls(), 1);
     tell(&p.program, &mut p.feed, 3, &[(7, puppet.address, GONE)]);
-    let said: Vec<_> = puppet.let_in().iter_mut().flat_map(Line::rest).collect();
-    assert_eq!(said, []);
+    let commands: Vec<_> = puppet.let_in().iter_mut().flat_map(Line::rest).collect();
+    assert_eq!(commands, []);
 }
 
-/// A connection ends while an answer is awaited or half there: its call has one end, may have run, and a mail is not sent
-/// again. A call on another connection to the host goes on.
+/// A connection ends while an answer is outstanding or incomplete: its call fails once, and is not repeated if its
+/// class is not idempotent, since it may have run. A call on another connection to the host is not affected.
 #[rstest]
 #[case::closed_before_the_answer("", false)]
 #[case::closed_within_its_line("ID 200 tell=wa", false)]
@@ -402,11 +403,11 @@
 #[case::closed_before_its_last_byte("ID 200 tell=warm 2\r\nok\r", false)]
 #[case::reset_before_the_answer("", true)]
 #[case::reset_within_its_body("ID 200 tell=warm 10\r\nhalf", true)]
-#[case::too_long("ID 200 tell=warm 2\r\nmore than two\r\n", false)]
-#[case::no_length("ID 200 tell=warm many\r\n\r\n", false)]
-#[case::no_fields("ID 200 tell 0\r\n\r\n", false)]
+#[case::body_too_long("ID 200 tell=warm 2\r\nmore than two\r\n", false)]
+#[case::invalid_length("ID 200 tell=warm many\r\n\r\n", false)]
+#[case::malformed_fields("ID 200 tell 0\r\n\r\n", false)]
 #[case::a_word_too_few("ID 200 0\r\n\r\n", false)]
-fn a_mail_whose_answer_is_spoilt_or_cut_short_fails_once(#[case] bytes: &str, #[case] resets: bool) {
+fn a_call_whose_answer_is_malformed_or_cut_short_fails_once(#[case] bytes: &str, #[case] resets: bool) {
     let puppet = Puppet::start();
     let mut p = platform_of(&[(7, puppet.address)], patient);
     let mut client = p.program.connect();
@@ -427,15 +428,15 @@
     usual.say(&format!("{first} 200 tell=warm 2\r\nok\r\n"));
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
     tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, GONE)]);
-    assert_eq!(usual.rest(), [], "nothing of the mail is sent again");
+    assert_eq!(usual.rest(), [], "the call is not sent again");
     assert!(puppet.accept_within(ms(300)).is_none());
 }
 
-/// The same of a read: it goes on elsewhere, once.
+/// An idempotent call whose answer is cut short is repeated at another host, once.
 #[rstest]
 #[case::closed(false)]
 #[case::reset(true)]
-fn a_read_whose_answer_is_cut_short_goes_on_elsewhere(#[case] resets: bool) {
+fn an_idempotent_call_whose_answer_is_cut_short_is_repeated_elsewhere(#[case] resets: bool) {
     let (puppet, other) = (Puppet::start(), Host::warm());
     let mut p = platform_of(&[(7, puppet.address)], patient);
     let mut client = p.program.connect();
@@ -454,10 +455,10 @@
     assert_eq!(other.runs("read"), 1);
 }
 
-/// A host says an answer twice, the second time when the call has long been answered: it is dropped, and the next call
-/// on the connection gets its own answer alone.
+/// A host sends an answer twice, the second time long after the call has ended: that one is ignored, and the next call
+/// on the connection gets its own answer.
 #[test]
-fn a_second_answer_that_comes_later_is_dropped() {
+fn a_repeated_answer_is_ignored() {
     let puppet = Puppet::start();
     let p = platform_of(&[(7, puppet.address)], patient);
     let mut client = p.program.connect();
@@ -475,10 +476,10 @@
     assert_eq!(p.program.logged("conn host s-00000007 ended"), 0);
 }
 
-/// The client leaves, and the answer crosses the KILL: it is nobody's, and the connection is used on. A call under the
-/// same id, as a client may choose it, goes on another connection.
+/// The client cancels a call, and the answer crosses the KILL: it is ignored, and the connection stays in use. A call
+/// with the same id, which clients choose, uses another connection.
 #[test]
-fn an_answer_after_the_kill_is_nobodys() {
+fn an_answer_after_the_kill_is_ignored() {
     let puppet = Puppet::start();
     let p = platform_of(&[(7, puppet.address)], patient);
     let mut client = p.program.connect();
@@ -501,12 +502,12 @@
     assert_eq!(p.program.logged("conn host s-00000007 ended"), 0);
 }
 
-/// The host ends its idle connection and a mail comes before the program looks again, in either order: the mail is sent
-/// once, where it is heard.
+/// The host closes an idle connection and a call arrives before the program runs again, in either order: the call is
+/// sent once, on a new connection.
 #[rstest]
 #[case::the_end_first(true)]
-#[case::the_mail_first(false)]
-fn a_mail_that_crosses_the_end_of_an_idle_connection_is_served(#[case] end_first: bool) {
+#[case::the_call_first(false)]
+fn a_call_that_crosses_the_end_of_an_idle_connection_is_served(#[case] end_first: bool) {
     let puppet = Puppet::start();
     let p = platform_of(&[(7, puppet.address)], patient);
     let mut client = p.program.connect();
@@ -516,12 +517,12 @@
     line.say(&format!("{id} 200 tell=warm 2\r\nok\r\n"));
     assert_eq!(read_frame(&mut client).map(|f| f.code), Some(SERVED));
     p.program.stop(true);
-    let mail = call_frame(2, MAIL, 8000, b"");
+    let call = call_frame(2, MAIL, 8000, b"");
     if end_first {
         line.half_close();
-        client.write_all(&mail).unwrap();
+        client.write_all(&call).unwrap();
     } else {
-        client.write_all(&mail).unwrap();
+        client.write_all(&call).unwrap();
         line.half_close();
     }
     p.program.stop(false);
