--- a/node/src/bus.rs
+++ b/node/src/bus.rs
@@ -109,11 +109,11 @@
     let topology = value.get("topology").ok_or("an event with no topology")?;
     let members = topology.get("members").and_then(Value::as_array).ok_or("an event with no members")?;
     let full = topology.get("complete").and_then(Value::as_bool).unwrap_or(false);
-    let hosts = members.iter().map(|m| member(m, deployment)).collect::<Result<_, _>>()?;
+    let hosts = members.iter().map(|m| parse_member(m, deployment)).collect::<Result<_, _>>()?;
     Ok(Event { number, kind: if full { ListKind::Full } else { ListKind::Delta }, hosts })
 }
 
-fn member(m: &Value, deployment: &Deployment) -> Result<Host, String> {
+fn parse_member(m: &Value, deployment: &Deployment) -> Result<Host, String> {
     let text = |key: &str| m.get(key).and_then(Value::as_str);
     let id = text("id").ok_or("a member with no id")?;
     let address = text("host_port").and_then(|a| a.parse().ok());
@@ -204,8 +204,8 @@
     pub fn next_tick(&self) -> Micros {
         match (&self.conn, self.connected) {
             (Some(_), true) => {
-                let silent = self.last_received + SILENCE_TIMEOUT_US;
-                self.partial_since.map_or(silent, |since| silent.min(since + FRAME_TIMEOUT_US))
+                let timeout = self.last_received + SILENCE_TIMEOUT_US;
+                self.partial_since.map_or(timeout, |since| timeout.min(since + FRAME_TIMEOUT_US))
             }
             (Some(_), false) => self.last_received + CONNECT_TIMEOUT_US,
             (None, _) => self.retry_at,
--- a/node/src/descriptors.rs
+++ b/node/src/descriptors.rs
@@ -104,11 +104,11 @@
     /// # Errors
     /// If the limit is lower than the reserved descriptors, a third for clients and the minimum for hosts together.
     pub fn new(limit: usize) -> Result<Self, LimitTooLow> {
-        let suffices = |limit: usize| reserved(limit) + limit / 3 + MIN_HOST_CONNS <= limit;
-        if suffices(limit) {
+        let is_sufficient = |limit: usize| reserved(limit) + limit / 3 + MIN_HOST_CONNS <= limit;
+        if is_sufficient(limit) {
             return Ok(Self { limit });
         }
-        let needed = (limit..).find(|limit| suffices(*limit)).unwrap_or(usize::MAX);
+        let needed = (limit..).find(|limit| is_sufficient(*limit)).unwrap_or(usize::MAX);
         Err(LimitTooLow { limit, needed })
     }
 
@@ -139,8 +139,8 @@
     /// Bounds for a process that runs alone. Clients may use what hosts neither use nor may need soon, up to half of
     /// the limit. What clients use beyond their third goes back to hosts when these need it.
     pub fn bounds(&self, usage: Usage) -> Bounds {
-        let unwanted = self.shared().saturating_sub(usage.hosts + usage.listed);
-        let clients = unwanted.min(self.limit / 2).max(self.client_share());
+        let unused = self.shared().saturating_sub(usage.hosts + usage.listed);
+        let clients = unused.min(self.limit / 2).max(self.client_share());
         let hosts = self.shared().saturating_sub(usage.clients.max(self.client_share()));
         Bounds { clients, hosts: hosts.max(1) }
     }
--- a/node/src/hosts/pool.rs
+++ b/node/src/hosts/pool.rs
@@ -126,7 +126,7 @@
     /// When the next connection attempt times out.
     pub fn next_tick(&self) -> Option<Micros> {
         let pending = self.conns.values().filter(|c| !c.connected).map(|c| c.started);
-        pending.min().map(|begun| begun + self.transport.connect_timeout)
+        pending.min().map(|started| started + self.transport.connect_timeout)
     }
 
     /// Whether the host is listed, or is in maintenance.
@@ -169,11 +169,11 @@
     /// listened there has gone, even if the list does not say so yet. Returned as gone.
     pub fn displaced(&self, changes: &[Host]) -> Vec<Host> {
         let named: BTreeSet<&WorkerId> = changes.iter().map(|h| &h.entry.worker).collect();
-        let had = |h: &Host| self.known.get(&h.entry.worker).is_some_and(|m| m.address == h.address);
-        let come = changes.iter().filter(|h| h.entry.condition != Condition::Gone && !had(h));
-        let taken: BTreeSet<SocketAddr> = come.map(|h| h.address).collect();
-        let left = self.known.iter().filter(|(id, m)| taken.contains(&m.address) && !named.contains(id));
-        let gone = left.map(|(_, m)| Host {
+        let has_address = |h: &Host| self.known.get(&h.entry.worker).is_some_and(|m| m.address == h.address);
+        let newcomers = changes.iter().filter(|h| h.entry.condition != Condition::Gone && !has_address(h));
+        let reused: BTreeSet<SocketAddr> = newcomers.map(|h| h.address).collect();
+        let removed = self.known.iter().filter(|(id, m)| reused.contains(&m.address) && !named.contains(id));
+        let gone = removed.map(|(_, m)| Host {
             entry: ListEntry { condition: Condition::Gone, ..m.entry.clone() },
             address: m.address,
         });
@@ -185,8 +185,8 @@
     pub fn update_hosts(&mut self, now: Micros, kind: ListKind, hosts: &[Host], log: &mut Log) {
         if kind != ListKind::Delta {
             let named: Vec<&WorkerId> = hosts.iter().map(|h| &h.entry.worker).collect();
-            let left: Vec<_> = self.known.keys().filter(|m| !named.contains(m)).cloned().collect();
-            for host in left {
+            let removed: Vec<_> = self.known.keys().filter(|m| !named.contains(m)).cloned().collect();
+            for host in removed {
                 self.remove_host(now, &host, log);
             }
         }
@@ -220,11 +220,11 @@
         self.known.remove(host);
     }
 
-    /// Ends the connections to a host that `which` selects.
-    fn end_conns(&mut self, now: Micros, host: &WorkerId, which: impl Fn(&HostConn) -> bool, log: &mut Log) {
+    /// Ends the connections to a host that `select` returns true for.
+    fn end_conns(&mut self, now: Micros, host: &WorkerId, select: impl Fn(&HostConn) -> bool, log: &mut Log) {
         let ids = self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default();
         for id in ids {
-            if self.conns.get(&id).is_some_and(&which) {
+            if self.conns.get(&id).is_some_and(&select) {
                 self.end_conn(now, id, Reason::HostGone, log);
             }
         }
@@ -235,16 +235,16 @@
         let ids = self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default();
         for id in ids {
             let Some(c) = self.conns.get_mut(&id) else { continue };
-            let mut items: Vec<Command> = Vec::new();
-            if let Some((item, false)) = c.writing.take_if(|(i, begun)| !*begun && i.is_new_work()) {
+            let mut commands: Vec<Command> = Vec::new();
+            if let Some((command, false)) = c.writing.take_if(|(i, started)| !*started && i.is_new_work()) {
                 c.conn.outbox.consume(usize::MAX);
-                items.push(item);
+                commands.push(command);
             }
             let (new, rest): (VecDeque<_>, VecDeque<_>) = c.queue.drain(..).partition(Command::is_new_work);
             c.queue = rest;
-            items.extend(new);
-            for item in items {
-                match item {
+            commands.extend(new);
+            for command in commands {
+                match command {
                     Command::Call { attempt, .. } => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
                     Command::Order { order, .. } => {
                         self.events.push_back(PoolEvent::Order { order, outcome: Outcome::Full, copies: 0 })
--- a/node/src/hosts/pool/connection.rs
+++ b/node/src/hosts/pool/connection.rs
@@ -126,14 +126,14 @@
     /// Whether a KILL of this attempt is queued or being written.
     pub(super) fn has_kill(&self, attempt: AttemptId) -> bool {
         let is_it = |i: &Command| matches!(i, Command::Kill { attempt: a, .. } if *a == attempt);
-        self.queue.iter().chain(self.writing.iter().map(|(item, _)| item)).any(is_it)
+        self.queue.iter().chain(self.writing.iter().map(|(command, _)| command)).any(is_it)
     }
 
     /// Whether an answer with this id could belong to another attempt: of the same request, or of another one, as
     /// clients choose the ids.
     pub(super) fn uses_id(&self, id: &Rc<str>) -> bool {
         let is_it = |i: &Command| matches!(i, Command::Call { id: other, .. } if other == id);
-        let waiting = self.queue.iter().chain(self.writing.iter().map(|(item, _)| item)).any(is_it);
+        let waiting = self.queue.iter().chain(self.writing.iter().map(|(command, _)| command)).any(is_it);
         waiting || self.calls.contains_key(id) || self.killed.contains(id)
     }
 }
--- a/node/src/hosts/pool/ending.rs
+++ b/node/src/hosts/pool/ending.rs
@@ -34,14 +34,14 @@
         }
         let detail = format!("calls={} orders={} queued={}", c.calls.len(), c.orders.len(), c.queue.len());
         log.ended(now, format_args!("host {}", c.host.0), reason, detail);
-        let begun = c.writing.as_ref().is_some_and(|(_, begun)| *begun);
-        let unsent = c.writing.take().map(|(item, _)| item).into_iter().chain(c.queue.drain(..));
-        let dead = matches!(reason, Reason::ConnectTimeout | Reason::HostGone | Reason::Shutdown);
-        for (i, item) in unsent.collect::<Vec<_>>().into_iter().enumerate() {
-            let stays = dead || (i == 0 && begun);
-            let item = if stays { Some(item) } else { self.requeue(now, &c.host, item, reason, log) };
-            let Some(item) = item else { continue };
-            match item {
+        let started = c.writing.as_ref().is_some_and(|(_, started)| *started);
+        let unsent = c.writing.take().map(|(command, _)| command).into_iter().chain(c.queue.drain(..));
+        let lost = matches!(reason, Reason::ConnectTimeout | Reason::HostGone | Reason::Shutdown);
+        for (i, command) in unsent.collect::<Vec<_>>().into_iter().enumerate() {
+            let ends = lost || (i == 0 && started);
+            let command = if ends { Some(command) } else { self.requeue(now, &c.host, command, reason, log) };
+            let Some(command) = command else { continue };
+            match command {
                 Command::Call { attempt, .. } => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
                 Command::Order { order, .. } => {
                     let outcome = Outcome::ConnectFailed;
@@ -74,11 +74,11 @@
         &mut self,
         now: Micros,
         host: &WorkerId,
-        mut item: Command,
+        mut command: Command,
         reason: Reason,
         log: &mut Log,
     ) -> Option<Command> {
-        let known = match &mut item {
+        let known = match &mut command {
             Command::Call { id, moves, .. } if *moves < MAX_MOVES => {
                 *moves += 1;
                 Some(id.clone())
@@ -87,22 +87,22 @@
                 *moves += 1;
                 None
             }
-            _ => return Some(item),
+            _ => return Some(command),
         };
         // If the host refused this connection, only a connection that is already established is used.
         let refused = reason == Reason::ConnectRefused;
         let fits = |c: &HostConn, streams| {
             (c.connected || !refused) && known.as_ref().is_none_or(|id| c.load() < streams && !c.uses_id(id))
         };
-        let stands = |id: &ConnId| self.conns.get(id).is_some_and(|c| c.connected);
-        if refused && !self.known.get(host).is_some_and(|m| m.conns.iter().any(stands)) {
-            return Some(item);
+        let is_connected = |id: &ConnId| self.conns.get(id).is_some_and(|c| c.connected);
+        if refused && !self.known.get(host).is_some_and(|m| m.conns.iter().any(is_connected)) {
+            return Some(command);
         }
-        let Some(id) = self.pick_conn(now, host, fits, log) else { return Some(item) };
-        if let Command::Call { attempt, .. } = &item {
+        let Some(id) = self.pick_conn(now, host, fits, log) else { return Some(command) };
+        if let Command::Call { attempt, .. } = &command {
             self.attempts.insert(*attempt, id);
         }
-        self.enqueue(now, id, item, log);
+        self.enqueue(now, id, command, log);
         None
     }
 
@@ -131,7 +131,7 @@
                 }
             }
         }
-        let over = |c: &HostConn| match c.connected {
+        let end_reason = |c: &HostConn| match c.connected {
             false if now - c.started >= self.transport.connect_timeout => Some(Reason::ConnectTimeout),
             true if c.partial_since.is_some() && now - c.read_at >= ANSWER_GAP_US => Some(Reason::Protocol),
             true if c.partial_since.is_some_and(|at| now - at >= ANSWER_TIMEOUT_US) => Some(Reason::Protocol),
@@ -143,9 +143,9 @@
             }
             _ => None,
         };
-        let mut ends: Vec<_> = self.conns.iter().filter_map(|(id, c)| Some((*id, over(c)?))).collect();
+        let mut ends: Vec<_> = self.conns.iter().filter_map(|(id, c)| Some((*id, end_reason(c)?))).collect();
         let spare = self.conns.len().saturating_sub(ends.len() + self.max_conns);
-        let idle = self.conns.iter().filter(|(_, c)| spare > 0 && c.is_idle() && over(c).is_none());
+        let idle = self.conns.iter().filter(|(_, c)| spare > 0 && c.is_idle() && end_reason(c).is_none());
         let mut idle: Vec<_> = idle.map(|(id, c)| (c.used_at, *id)).collect();
         idle.sort();
         ends.extend(idle.into_iter().take(spare).map(|(_, id)| (id, Reason::Evicted)));
--- a/node/src/hosts/pool/sending.rs
+++ b/node/src/hosts/pool/sending.rs
@@ -33,8 +33,8 @@
         match self.pick_conn(now, host, fits, log) {
             Some(id) => {
                 self.attempts.insert(attempt, id);
-                let item = Command::Call { attempt, id: call.id.clone(), line, times, moves: 0 };
-                self.enqueue(now, id, item, log);
+                let command = Command::Call { attempt, id: call.id.clone(), line, times, moves: 0 };
+                self.enqueue(now, id, command, log);
             }
             // Reaching a limit of this process does not count against the host.
             None if self.is_available(host) => self.end_attempt(attempt, Outcome::NoConnection.into()),
@@ -75,7 +75,7 @@
             self.end_attempt(attempt, Outcome::NotSent.into());
             return true;
         }
-        if c.writing.take_if(|(i, begun)| !*begun && is_it(i)).is_none() {
+        if c.writing.take_if(|(i, started)| !*started && is_it(i)).is_none() {
             return false;
         }
         c.conn.outbox.consume(usize::MAX);
@@ -139,15 +139,15 @@
                 break best;
             }
         };
-        let member = self.known.get(host)?;
+        let known = self.known.get(host)?;
         let spread = (self.max_conns / 2 / self.known.len().max(1)).clamp(1, MAX_SPREAD);
         let spread = spread.min(MAX_FLEET_SPREAD / self.transport.activators.max(1)).max(1);
         if let Some((load, id)) = best {
-            if load == 0 || member.conns.len() >= spread || self.conns.len() >= self.max_conns {
+            if load == 0 || known.conns.len() >= spread || self.conns.len() >= self.max_conns {
                 return Some(id);
             }
         }
-        let (address, held) = (member.address, member.conns.len());
+        let (address, held) = (known.address, known.conns.len());
         // At the limit of all connections, the connection that has been idle longest makes room.
         if held < MAX_CONNS_PER_HOST && self.conns.len() >= self.max_conns {
             self.evict_longest_idle(now, log);
@@ -198,8 +198,8 @@
         host: &WorkerId,
         fits: impl Fn(&HostConn, usize) -> bool,
     ) -> Option<Option<(usize, ConnId)>> {
-        let member = self.known.get(host).filter(|_| self.is_available(host))?;
-        let fitting = member.conns.iter().filter_map(|id| self.conns.get(id).map(|c| (*id, c)));
+        let known = self.known.get(host).filter(|_| self.is_available(host))?;
+        let fitting = known.conns.iter().filter_map(|id| self.conns.get(id).map(|c| (*id, c)));
         let fitting = fitting.filter(|(_, c)| fits(c, self.transport.streams));
         // Prefers the most recently used. Skips connections that have been idle for too long; the next tick closes
         // them.
@@ -226,12 +226,12 @@
     }
 
     /// Queues a command on a connection and writes what the socket accepts.
-    pub(super) fn enqueue(&mut self, now: Micros, id: ConnId, item: Command, log: &mut Log) {
+    pub(super) fn enqueue(&mut self, now: Micros, id: ConnId, command: Command, log: &mut Log) {
         if let Some(c) = self.conns.get_mut(&id) {
             if c.connected && c.is_idle() {
                 c.idle_before = Some(now - c.used_at);
             }
-            c.queue.push_back(item);
+            c.queue.push_back(command);
             c.used_at = now;
             self.write_queued(now, id, log);
         }
@@ -241,22 +241,22 @@
     pub(super) fn write_queued(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id).filter(|c| c.connected) else { return };
         // No byte of this call has been written: check again whether it may be sent, and update the time that is left.
-        let unsent = c.writing.take_if(|(item, begun)| !*begun && matches!(item, Command::Call { .. }));
-        let mut waits_since = unsent.is_some().then_some(c.writing_since);
-        if let Some((item, _)) = unsent {
+        let unsent = c.writing.take_if(|(i, started)| !*started && matches!(i, Command::Call { .. }));
+        let mut unsent_since = unsent.is_some().then_some(c.writing_since);
+        if let Some((command, _)) = unsent {
             c.conn.outbox.consume(usize::MAX);
-            c.queue.push_front(item);
+            c.queue.push_front(command);
         }
         let (mut killed, mut too_late) = (Vec::new(), Vec::new());
         let ended = loop {
             if c.writing.is_none() {
-                let Some(item) = c.queue.pop_front() else { break None };
-                let fits = match &item {
+                let Some(command) = c.queue.pop_front() else { break None };
+                let fits = match &command {
                     Command::Call { attempt, line, times, .. } => match times.limit(now) {
                         Some(limit) => c.conn.outbox.push(&line.bytes(limit)),
                         None => {
                             too_late.push(*attempt);
-                            waits_since = None;
+                            unsent_since = None;
                             continue;
                         }
                     },
@@ -264,8 +264,8 @@
                     Command::Kill { id, .. } => c.conn.outbox.push(&lines::kill(id)),
                 };
                 debug_assert!(fits, "a command fits into the ring");
-                c.writing = Some((item, false));
-                c.writing_since = waits_since.take().unwrap_or(now);
+                c.writing = Some((command, false));
+                c.writing_since = unsent_since.take().unwrap_or(now);
             }
             match c.conn.flush() {
                 Err(reason) => break Some(reason),
@@ -274,8 +274,8 @@
                         c.sent_at = now;
                     }
                     let whole = c.conn.outbox.is_empty();
-                    if let Some((_, begun)) = &mut c.writing {
-                        *begun |= written > 0;
+                    if let Some((_, started)) = &mut c.writing {
+                        *started |= written > 0;
                     }
                     if !whole {
                         break None;
