--- a/node/src/hosts/pool.rs
+++ b/node/src/hosts/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to script hosts: who listens where, what is queued, what is out.
+//! Pool of connections to script hosts: addresses, queued commands and outstanding calls and orders.
 //!
-//! A command waits in its connection's queue until all before it has left the ring, so that it can be
-//! withdrawn, as never sent, up to its first byte.
+//! A command waits in its connection's queue until all earlier bytes have left the ring. So until its first byte is
+//! written to the socket, it can be withdrawn as never sent.
 
 mod answers;
 mod connection;
@@ -19,17 +19,17 @@
 use wheellink_settings::Transport;
 
 pub use connection::CallTimes;
-use connection::{HostConn, Item};
+use connection::{Command, HostConn};
 
-use super::idling::Idling;
+use super::idle_limit::IdleLimit;
 use super::lines;
-use super::quiet::Quiet;
+use super::probe_delay::ProbeDelay;
 use crate::bus::Host;
 use crate::conn::{is_exhaustion, Conn, ConnId};
 use crate::log::{Log, Reason};
 use crate::wake::{Handle, Wake};
 
-/// What is sent for a request, however many attempts it takes.
+/// The content of a request, the same for all of its attempts.
 pub struct Call {
     pub id: Rc<str>,
     pub class: String,
@@ -38,9 +38,9 @@
     pub body: Rc<[u8]>,
 }
 
-/// What the pool has learnt.
-pub enum Notice {
-    /// With the answer's body and fields, where there is one.
+/// The end of an attempt or an order.
+pub enum PoolEvent {
+    /// Body and fields are those of the answer, and empty without one.
     Attempt {
         attempt: AttemptId,
         end: AttemptEnd,
@@ -54,142 +54,145 @@
     },
 }
 
-struct Member {
+/// A host of the list, with its open connections.
+struct KnownHost {
     address: SocketAddr,
     entry: ListEntry,
     conns: Vec<ConnId>,
 }
 
-pub struct Hosts {
+/// See the module documentation.
+pub struct HostPool {
     handle: Handle,
     transport: Transport,
-    /// Connections to all hosts together.
-    most: usize,
-    /// Bytes of answers that are not whole, all together.
-    bytes: usize,
-    members: BTreeMap<WorkerId, Member>,
-    /// Taken out by hand, whether the list knows them now or not: nothing new is sent to them.
-    barred: BTreeSet<WorkerId>,
+    /// Maximum number of connections to all hosts together.
+    max_conns: usize,
+    /// Maximum size of all incomplete answers together.
+    max_bytes: usize,
+    known: BTreeMap<WorkerId, KnownHost>,
+    /// Hosts that operators have put into maintenance, listed or not: no new work is sent to them.
+    maintenance: BTreeSet<WorkerId>,
     conns: HashMap<ConnId, HostConn>,
-    /// Where each attempt is that has not ended.
+    /// The connection of each attempt that has not ended.
     attempts: HashMap<AttemptId, ConnId>,
     next_probe: u64,
-    idling: Idling,
-    quiet: Quiet,
-    /// The system had no descriptor for a connection to a host.
+    idle_limit: IdleLimit,
+    probe_delay: ProbeDelay,
+    /// The system had no descriptor left for a connection to a host. Cleared by the owner of the pool.
     pub exhausted: bool,
-    pub notices: VecDeque<Notice>,
+    /// Ends of attempts and orders that the owner of the pool has yet to process.
+    pub events: VecDeque<PoolEvent>,
 }
 
-impl Hosts {
-    pub fn new(handle: Handle, transport: Transport, (most, bytes): (usize, usize)) -> Self {
+impl HostPool {
+    pub fn new(handle: Handle, transport: Transport, (max_conns, max_bytes): (usize, usize)) -> Self {
         Self {
             handle,
             transport,
-            most,
-            bytes,
-            members: BTreeMap::new(),
-            barred: BTreeSet::new(),
+            max_conns,
+            max_bytes,
+            known: BTreeMap::new(),
+            maintenance: BTreeSet::new(),
             conns: HashMap::new(),
             attempts: HashMap::new(),
             next_probe: 0,
-            idling: Idling::default(),
-            quiet: Quiet::default(),
+            idle_limit: IdleLimit::default(),
+            probe_delay: ProbeDelay::default(),
             exhausted: false,
-            notices: VecDeque::new(),
+            events: VecDeque::new(),
         }
     }
 
-    /// Connections that are open or being made.
-    pub fn held(&self) -> usize {
+    /// Number of connections that are open or being established.
+    pub fn conns(&self) -> usize {
         self.conns.len()
     }
 
-    /// Connections that may be wanted soon: one more to each host.
+    /// Number of connections that may soon be needed in addition: one per listed host.
     pub fn reserve(&self) -> usize {
-        self.members.len()
+        self.known.len()
     }
 
-    /// Connections are used by other settings from now on.
-    pub fn retune(&mut self, transport: Transport) {
+    /// Replaces the settings of connections.
+    pub fn set_transport(&mut self, transport: Transport) {
         self.transport = transport;
     }
 
-    /// Holds to other bounds from now on; idle connections beyond them are closed.
-    pub fn bound(&mut self, (most, bytes): (usize, usize)) {
-        (self.most, self.bytes) = (most, bytes);
+    /// Replaces the limits; the next tick closes idle connections beyond them.
+    pub fn set_limits(&mut self, (max_conns, max_bytes): (usize, usize)) {
+        (self.max_conns, self.max_bytes) = (max_conns, max_bytes);
     }
 
-    /// When a connection that is being made is given up next.
+    /// When the next connection attempt times out.
     pub fn next_tick(&self) -> Option<Micros> {
-        let pending = self.conns.values().filter(|c| !c.standing).map(|c| c.begun);
-        pending.min().map(|begun| begun + self.transport.connect_timeout)
+        let pending = self.conns.values().filter(|c| !c.connected).map(|c| c.started);
+        pending.min().map(|started| started + self.transport.connect_timeout)
     }
 
-    /// Whether somebody has this id, or had it when it was taken out.
-    pub fn knows(&self, host: &WorkerId) -> bool {
-        self.members.contains_key(host) || self.barred.contains(host)
+    /// Whether the host is listed, or is in maintenance.
+    pub fn is_known(&self, host: &WorkerId) -> bool {
+        self.known.contains_key(host) || self.maintenance.contains(host)
     }
 
-    /// All that have been listed and may be again.
+    /// Ids of all listed hosts, in whatever condition.
     pub fn listed(&self) -> impl Iterator<Item = &WorkerId> {
-        self.members.keys()
+        self.known.keys()
     }
 
-    pub fn is_barred(&self, host: &WorkerId) -> bool {
-        self.barred.contains(host)
+    pub fn in_maintenance(&self, host: &WorkerId) -> bool {
+        self.maintenance.contains(host)
     }
 
-    /// Takes a host out by hand, or back in. What has not begun to leave is withdrawn; what runs may end.
-    /// Idle connections are closed: whoever is taken out is mostly restarted.
-    pub fn bar(&mut self, now: Micros, host: &WorkerId, out: bool, log: &mut Log) {
+    /// Puts a host into maintenance (`out`), or back into service. Commands of which no byte has been written are
+    /// withdrawn; running calls may finish. Idle connections are closed, as a host in maintenance is mostly restarted.
+    pub fn set_maintenance(&mut self, now: Micros, host: &WorkerId, out: bool, log: &mut Log) {
         if !out {
-            self.barred.remove(host);
+            self.maintenance.remove(host);
             return;
         }
-        self.barred.insert(host.clone());
+        self.maintenance.insert(host.clone());
         self.withdraw(host);
-        for id in self.members.get(host).map(|m| m.conns.clone()).unwrap_or_default() {
+        for id in self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default() {
             if self.conns.get(&id).is_some_and(HostConn::is_idle) {
-                self.end(now, id, Reason::Barred, log);
+                self.end_conn(now, id, Reason::Barred, log);
             }
         }
     }
 
-    /// Whether anything new may be sent there.
-    fn takes(&self, host: &WorkerId) -> bool {
-        !self.barred.contains(host)
-            && self.members.get(host).is_some_and(|m| m.entry.condition == Condition::Up)
+    /// Whether new work may be sent to the host.
+    fn is_available(&self, host: &WorkerId) -> bool {
+        !self.maintenance.contains(host)
+            && self.known.get(host).is_some_and(|m| m.entry.condition == Condition::Up)
     }
 
-    /// Hosts that these changes say nothing of, but whose address they give to another one: what listened there has gone,
-    /// whether the list says so by now or not. They are told as gone.
+    /// Hosts that these changes do not contain, but whose address they assign to another host: the process that
+    /// listened there has gone, even if the list does not say so yet. Returned as gone.
     pub fn displaced(&self, changes: &[Host]) -> Vec<Host> {
         let named: BTreeSet<&WorkerId> = changes.iter().map(|h| &h.entry.worker).collect();
-        let had = |h: &Host| self.members.get(&h.entry.worker).is_some_and(|m| m.address == h.address);
-        let come = changes.iter().filter(|h| h.entry.condition != Condition::Gone && !had(h));
-        let taken: BTreeSet<SocketAddr> = come.map(|h| h.address).collect();
-        let left = self.members.iter().filter(|(id, m)| taken.contains(&m.address) && !named.contains(id));
-        let gone = left.map(|(_, m)| Host {
+        let has_address = |h: &Host| self.known.get(&h.entry.worker).is_some_and(|m| m.address == h.address);
+        let newcomers = changes.iter().filter(|h| h.entry.condition != Condition::Gone && !has_address(h));
+        let reused: BTreeSet<SocketAddr> = newcomers.map(|h| h.address).collect();
+        let removed = self.known.iter().filter(|(id, m)| reused.contains(&m.address) && !named.contains(id));
+        let gone = removed.map(|(_, m)| Host {
             entry: ListEntry { condition: Condition::Gone, ..m.entry.clone() },
             address: m.address,
         });
         gone.collect()
     }
 
-    /// News of the host list. What has not begun to leave for a host that drains or is gone is withdrawn at
-    /// once: after its time the rules allow not even the first byte.
-    pub fn list(&mut self, now: Micros, kind: ListKind, hosts: &[Host], log: &mut Log) {
+    /// Applies an update of the host list. Commands for a draining or removed host are withdrawn at once if no byte of
+    /// them has been written, since the rules do not allow even the first byte after the update.
+    pub fn update_hosts(&mut self, now: Micros, kind: ListKind, hosts: &[Host], log: &mut Log) {
         if kind != ListKind::Delta {
             let named: Vec<&WorkerId> = hosts.iter().map(|h| &h.entry.worker).collect();
-            let left: Vec<_> = self.members.keys().filter(|m| !named.contains(m)).cloned().collect();
-            for host in left {
-                self.gone(now, &host, log);
+            let removed: Vec<_> = self.known.keys().filter(|m| !named.contains(m)).cloned().collect();
+            for host in removed {
+                self.remove_host(now, &host, log);
             }
         }
         for Host { entry, address } in hosts {
             let host = &entry.worker;
-            let known = self.members.entry(host.clone()).or_insert_with(|| Member {
+            let known = self.known.entry(host.clone()).or_insert_with(|| KnownHost {
                 address: *address,
                 entry: entry.clone(),
                 conns: Vec::new(),
@@ -198,53 +201,55 @@
             let moved = known.address != *address;
             known.address = *address;
             if moved || entry.condition == Condition::Gone {
-                self.gone_conns(now, host, |_| true, log);
+                self.end_conns(now, host, |_| true, log);
             } else if entry.ready_at > 0 {
-                // The same host with a new process: whatever was begun before that is with the dead one.
-                self.gone_conns(now, host, |c| c.begun < entry.ready_at, log);
+                // The host's process was restarted: connections from before its start belong to the old process.
+                self.end_conns(now, host, |c| c.started < entry.ready_at, log);
             }
             match entry.condition {
                 Condition::Up => {}
                 Condition::Draining => self.withdraw(host),
-                Condition::Gone => drop(self.members.remove(host)),
+                Condition::Gone => drop(self.known.remove(host)),
             }
         }
     }
 
-    fn gone(&mut self, now: Micros, host: &WorkerId, log: &mut Log) {
-        self.gone_conns(now, host, |_| true, log);
-        self.members.remove(host);
+    /// Ends all connections to a host and removes it.
+    fn remove_host(&mut self, now: Micros, host: &WorkerId, log: &mut Log) {
+        self.end_conns(now, host, |_| true, log);
+        self.known.remove(host);
     }
 
-    fn gone_conns(&mut self, now: Micros, host: &WorkerId, which: impl Fn(&HostConn) -> bool, log: &mut Log) {
-        let ids = self.members.get(host).map(|m| m.conns.clone()).unwrap_or_default();
+    /// Ends the connections to a host that `select` returns true for.
+    fn end_conns(&mut self, now: Micros, host: &WorkerId, select: impl Fn(&HostConn) -> bool, log: &mut Log) {
+        let ids = self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default();
         for id in ids {
-            if self.conns.get(&id).is_some_and(&which) {
-                self.end(now, id, Reason::HostGone, log);
+            if self.conns.get(&id).is_some_and(&select) {
+                self.end_conn(now, id, Reason::HostGone, log);
             }
         }
     }
 
-    /// Takes back all that has not begun to leave for the host.
+    /// Withdraws all new work for the host of which no byte has been written.
     fn withdraw(&mut self, host: &WorkerId) {
-        let ids = self.members.get(host).map(|m| m.conns.clone()).unwrap_or_default();
+        let ids = self.known.get(host).map(|m| m.conns.clone()).unwrap_or_default();
         for id in ids {
             let Some(c) = self.conns.get_mut(&id) else { continue };
-            let mut items: Vec<Item> = Vec::new();
-            if let Some((item, false)) = c.writing.take_if(|(i, begun)| !*begun && i.is_new()) {
+            let mut commands: Vec<Command> = Vec::new();
+            if let Some((command, false)) = c.writing.take_if(|(i, started)| !*started && i.is_new_work()) {
                 c.conn.outbox.consume(usize::MAX);
-                items.push(item);
+                commands.push(command);
             }
-            let (new, rest): (VecDeque<_>, VecDeque<_>) = c.queue.drain(..).partition(Item::is_new);
+            let (new, rest): (VecDeque<_>, VecDeque<_>) = c.queue.drain(..).partition(Command::is_new_work);
             c.queue = rest;
-            items.extend(new);
-            for item in items {
-                match item {
-                    Item::Call { attempt, .. } => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
-                    Item::Order { order, .. } => {
-                        self.notices.push_back(Notice::Order { order, outcome: Outcome::Full, copies: 0 })
+            commands.extend(new);
+            for command in commands {
+                match command {
+                    Command::Call { attempt, .. } => self.end_attempt(attempt, Outcome::ConnectFailed.into()),
+                    Command::Order { order, .. } => {
+                        self.events.push_back(PoolEvent::Order { order, outcome: Outcome::Full, copies: 0 })
                     }
-                    Item::Kill { .. } | Item::Plain(_) => {}
+                    Command::Kill { .. } | Command::Untracked(_) => {}
                 }
             }
         }
--- a/node/src/hosts/pool/answers.rs
+++ b/node/src/hosts/pool/answers.rs
@@ -1,50 +1,51 @@
-//! What hosts say: answers to calls and orders, and the ends of connections.
+//! Receiving: answers to calls and orders, and closed connections.
 
 use super::*;
 
-/// An answer above this size is large: few may be on their way at once.
-const LARGE: usize = 32 << 10;
+/// Size of an incomplete answer above which its connection is ended once all incomplete answers exceed their limit.
+const LARGE_ANSWER_BYTES: usize = 32 << 10;
 
-impl Hosts {
-    /// The socket has something to say, or may take more.
+impl HostPool {
+    /// Handles readiness of a connection's socket for reading or writing.
     pub fn ready(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id) else { return };
-        if !c.standing {
+        if !c.connected {
             match c.conn.connected() {
-                Ok(true) => (c.standing, c.wrote) = (true, now),
+                Ok(true) => (c.connected, c.sent_at) = (true, now),
                 Ok(false) => return,
-                // One that was taken and broke at once does not say that nobody listens.
+                // A connection that was accepted and reset at once does not show that nobody listens.
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => {
-                    return self.end(now, id, Reason::PeerReset, log)
+                    return self.end_conn(now, id, Reason::PeerReset, log)
                 }
-                Err(_) => return self.end(now, id, Reason::ConnectRefused, log),
+                Err(_) => return self.end_conn(now, id, Reason::ConnectRefused, log),
             }
         }
-        // What the host said or did counts before anything more is written: an answer makes its KILL needless, and
-        // an end has what is queued go elsewhere.
+        // Reads before it writes: an answer makes a queued KILL of its call unnecessary, and after the end of the
+        // connection the queued commands go elsewhere.
         match self.read(now, id, log) {
-            Ok(()) => self.pump(now, id, log),
-            Err(reason) => self.end(now, id, reason, log),
+            Ok(()) => self.write_queued(now, id, log),
+            Err(reason) => self.end_conn(now, id, reason, log),
         }
     }
 
+    /// Reads and processes all answers that have arrived; an error if the connection is to be ended.
     pub(super) fn read(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<(), Reason> {
         loop {
             let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
-            // A reset must not swallow the answers that came before it.
+            // Answers that arrived before a reset are processed first.
             let before = c.conn.inbox.len();
             let filled = c.conn.fill();
             if c.conn.inbox.len() > before {
-                c.heard = now;
-                c.asks += u32::from(c.asked.take().is_some());
-                if let Some(idle) = c.idled.take() {
-                    self.idling.learn(now, idle, false);
+                c.read_at = now;
+                c.answered_probes += u32::from(c.probed_at.take().is_some());
+                if let Some(idle) = c.idle_before.take() {
+                    self.idle_limit.record(now, idle, false);
                 }
             }
             loop {
                 let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
                 match lines::next_answer(&mut c.conn.inbox) {
-                    Ok(Some(answer)) => self.answered(now, id, answer),
+                    Ok(Some(answer)) => self.answer_received(now, id, answer),
                     Ok(None) => break,
                     Err(problem) => {
                         log.bad(now, format_args!("host {} sent {problem}", c.host.0));
@@ -54,10 +55,10 @@
             }
             let more = filled?;
             let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
-            c.partial = if c.conn.inbox.is_empty() { None } else { c.partial.or(Some(now)) };
-            if c.conn.inbox.len() > LARGE {
+            c.partial_since = if c.conn.inbox.is_empty() { None } else { c.partial_since.or(Some(now)) };
+            if c.conn.inbox.len() > LARGE_ANSWER_BYTES {
                 let held: usize = self.conns.values().map(|c| c.conn.inbox.len()).sum();
-                if held > self.bytes {
+                if held > self.max_bytes {
                     return Err(Reason::Protocol);
                 }
             }
@@ -71,23 +72,23 @@
         }
     }
 
-    fn answered(&mut self, now: Micros, id: ConnId, answer: lines::Answer) {
+    fn answer_received(&mut self, now: Micros, id: ConnId, answer: lines::Answer) {
         let Some(c) = self.conns.get_mut(&id) else { return };
-        (c.used, c.partial) = (now, None);
+        (c.used_at, c.partial_since) = (now, None);
         if let Some((order, _)) = c.orders.remove(&answer.id) {
-            c.asks = 0;
+            c.answered_probes = 0;
             let (outcome, copies) = (answer.outcome(), answer.copies());
-            return self.notices.push_back(Notice::Order { order, outcome, copies });
+            return self.events.push_back(PoolEvent::Order { order, outcome, copies });
         }
         let Some((attempt, since)) = c.calls.remove(answer.id.as_str()) else { return };
-        c.asks = 0;
-        // Its KILL has nothing left to give up.
-        c.queue.retain(|i| !matches!(i, Item::Kill { attempt: a, .. } if *a == attempt));
+        c.answered_probes = 0;
+        // A queued KILL of this call is obsolete.
+        c.queue.retain(|i| !matches!(i, Command::Kill { attempt: a, .. } if *a == attempt));
         self.attempts.remove(&attempt);
         let end = answer.attempt_end(self.transport.says_warm, self.transport.counts_alike);
         if end.outcome == Outcome::Done {
-            self.quiet.learn(now - since);
+            self.probe_delay.record(now - since);
         }
-        self.notices.push_back(Notice::Attempt { attempt, end, body: answer.body, fields: answer.fields });
+        self.events.push_back(PoolEvent::Attempt { attempt, end, body: answer.body, fields: answer.fields });
     }
 }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -35,14 +35,14 @@
 use crate::config::{self, Config};
 use crate::conn::{fresh_id, Conn, ConnId};
 use crate::control::{self, Control};
-use crate::descriptors::{Bounds, Held};
+use crate::descriptors::{Bounds, Usage};
 use crate::dnssd::{Browser, DnsSd};
 use crate::faults::{meet, Call as Faulty};
 use crate::front::invoke::{self, Invoke};
 use crate::front::platform::frames::Request;
 use crate::front::platform::{self, Platform};
 use crate::front::Reply;
-use crate::hosts::{self, Call, CallTimes, Hosts, Starts};
+use crate::hosts::{self, Call, CallTimes, HostPool, StartTimes};
 use crate::http::Response;
 use crate::ipc::more::Said;
 use crate::listener::{self, Listener};
@@ -182,8 +182,8 @@
     /// Ids of the pending requests, by which duplicates are rejected.
     ids: HashSet<Rc<str>>,
     mode: Mode,
-    hosts: Hosts,
-    host_starts: Starts,
+    hosts: HostPool,
+    host_starts: StartTimes,
     peers: Option<Peers>,
     membership: Option<Membership>,
     drafting: Option<Box<Drafting>>,
@@ -237,7 +237,7 @@
             .map_err(|e| format!("cannot communicate with the other process at this address: {e}"))?;
         let transport = config.deployment.transport.clone();
         let descriptors = config.descriptors;
-        let Bounds { clients, hosts: most } = descriptors.alone(Held::default());
+        let Bounds { clients, hosts: most } = descriptors.bounds(Usage::default());
         let share = config.memory / MEMORY_PARTS;
         let router = config.deployment.router(config.seed).map_err(|e| e.to_string())?;
         let mut known = Vec::new();
@@ -276,7 +276,7 @@
         let mut node = Self {
             client_listener: None,
             control_listener: None,
-            control: Control::new(handle.clone(), descriptors.callers()),
+            control: Control::new(handle.clone(), descriptors.operators()),
             upgrade,
             gradual: Gradual::new(config.memory),
             admission: AdmissionControl::new(config.admission.as_ref(), descriptors.limit(), share),
@@ -293,8 +293,8 @@
             pending: HashMap::new(),
             ids: HashSet::new(),
             mode,
-            hosts: Hosts::new(handle.clone(), transport, (most, share)),
-            host_starts: Starts::default(),
+            hosts: HostPool::new(handle.clone(), transport, (most, share)),
+            host_starts: StartTimes::default(),
             peers: None,
             membership: None,
             drafting: None,
@@ -514,7 +514,7 @@
         loop {
             if let Some(command) = self.commands.pop_front() {
                 self.execute(command);
-            } else if let Some(notice) = self.hosts.notices.pop_front() {
+            } else if let Some(notice) = self.hosts.events.pop_front() {
                 self.handle_host_notice(notice);
             } else if let Some(event) = self.upgrade.news.pop_front() {
                 let now = self.clock.now();
@@ -565,7 +565,7 @@
             }
             Command::Unload { host, function } => self.hosts.unload(now, &host, &function, &mut self.log),
             Command::Probe { host } => self.hosts.probe(now, &host, &mut self.log),
-            Command::Broadcast { data } => self.peers.iter().for_each(|peers| peers.tell(&data)),
+            Command::Broadcast { data } => self.peers.iter().for_each(|peers| peers.broadcast(&data)),
             Command::Answer { ticket, verdict } => self.deliver_verdict(now, ticket, verdict),
             Command::Log { text } => self.log.line(now, text),
         }
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -161,9 +161,9 @@
         let descriptors = self.config.descriptors;
         let limit = descriptors.limit();
         let limit = if self.upgrade.has_peer() { limit / 2 } else { limit };
-        let callers = descriptors.callers();
-        let part = (limit, descriptors.own() - callers, callers);
-        let held = (self.hosts.reserve(), self.hosts.held(), self.control.held());
+        let callers = descriptors.operators();
+        let part = (limit, descriptors.reserved() - callers, callers);
+        let held = (self.hosts.reserve(), self.hosts.conns(), self.control.held());
         self.admission.set_descriptor_limits(now, part, held).unwrap_or(bounds)
     }
 
@@ -186,7 +186,7 @@
     pub(super) fn bus_connecting(&mut self, now: Micros, conn: io::Result<Conn>) {
         let Mode::Platform(_, bus) = &mut self.mode else { return };
         let problem = conn.as_ref().err().map(|e| (is_exhaustion(e), e.to_string()));
-        bus.begun(now, conn.ok());
+        bus.connect_started(now, conn.ok());
         let Some((exhausted, problem)) = problem else { return };
         let evicted = exhausted && self.evict_client(now, true);
         let evicted = if evicted { "; closed a client's connection to make room" } else { "" };
