--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -19,7 +19,7 @@
 
 use crate::bus::{self, Event};
 use crate::descriptors::Ledger;
-use crate::front::invoke::results::Bounds;
+use crate::front::invoke::results::ResultLimits;
 use crate::membership::Setup;
 use crate::peers::Addresses;
 
@@ -98,7 +98,7 @@
     Platform { bus: SocketAddr, offset: u64, known: Vec<Event> },
     /// The invoke front, and hosts by DNS-SD. By class: how long a deferred call is tried, and the lanes of a
     /// copy where a call does not tell them.
-    Operator { resolver: SocketAddr, service: Name, bounds: Bounds, classes: Vec<(Micros, u32)> },
+    Operator { resolver: SocketAddr, service: Name, bounds: ResultLimits, classes: Vec<(Micros, u32)> },
 }
 
 #[derive(Deserialize)]
--- a/node/src/config/operator.rs
+++ b/node/src/config/operator.rs
@@ -11,7 +11,7 @@
 use super::{Config, Side};
 use crate::descriptors::Ledger;
 use crate::dnssd;
-use crate::front::invoke::results::Bounds;
+use crate::front::invoke::results::ResultLimits;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -226,10 +226,10 @@
     let side = Side::Operator {
         resolver: hosts.resolver,
         service: dnssd::parse_name(&hosts.service).map_err(|e| format!("hosts.service: {e}"))?,
-        bounds: Bounds {
-            most: file.results.most,
-            bytes: file.results.megabytes << 20,
-            keep: file.results.keep_ms * 1000,
+        bounds: ResultLimits {
+            max_results: file.results.most,
+            max_bytes: file.results.megabytes << 20,
+            retention: file.results.keep_ms * 1000,
         },
         classes: file.class.iter().map(|c| (deferred(c), c.lanes.max(1))).collect(),
     };
--- a/node/src/conn.rs
+++ b/node/src/conn.rs
@@ -1,4 +1,4 @@
-//! A TCP connection as the event loop sees it: a socket, a ring each way, and nothing of any protocol.
+//! A TCP connection in the event loop: a socket with a receive and a send buffer, independent of any protocol.
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind};
@@ -14,16 +14,16 @@
 use crate::ring::Ring;
 use crate::wake::{Handle, Wake};
 
-/// Names a connection for as long as it lives; never used again.
+/// Identifies a connection; never reused.
 pub type ConnId = u64;
 
-/// Whether the system has no descriptor or buffer left, for this process or for all.
+/// Whether the error means that the process or the system has run out of descriptors or buffers.
 pub fn is_exhaustion(e: &io::Error) -> bool {
-    // EMFILE, ENFILE, ENOBUFS, ENOMEM: they have no kinds of their own.
+    // EMFILE, ENFILE, ENOBUFS, ENOMEM have no `ErrorKind` of their own.
     matches!(e.raw_os_error(), Some(24 | 23 | 105 | 12))
 }
 
-/// An id that no other connection has or had.
+/// Returns an id that no other connection has or had.
 pub fn fresh_id() -> ConnId {
     thread_local!(static NEXT: Cell<ConnId> = const { Cell::new(0) });
     NEXT.with(|next| {
@@ -32,58 +32,57 @@
     })
 }
 
-/// What a connection's owner is woken by.
-pub type Waking = fn(ConnId) -> Wake;
+/// Makes the wake-up that tells a connection's owner that the socket is ready.
+pub type WakeFn = fn(ConnId) -> Wake;
 
 pub struct Conn {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
     pub inbox: Ring,
     pub outbox: Ring,
-    /// The other side will send no more.
+    /// The peer has ended its side of the connection.
     pub eof: bool,
 }
 
 impl Conn {
-    /// Registers the socket: its owner is woken by `ready` on every edge, and is to read and write as far
-    /// as it can.
+    /// Registers the socket edge-triggered: on each `wake`, the owner must read and write until the socket would block.
     pub fn new(
         handle: &Handle,
         id: ConnId,
         stream: TcpStream,
         (inbox, outbox): (usize, usize),
-        ready: Waking,
+        wake: WakeFn,
     ) -> io::Result<Self> {
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let token = handle.insert_source(source, move |_, _, wakes| {
-            wakes.push(ready(id));
+            wakes.push(wake(id));
             Ok(PostAction::Continue)
         });
         let token = token.map_err(|e| io::Error::other(e.error.to_string()))?;
         Ok(Self { stream, token, inbox: Ring::new(inbox), outbox: Ring::new(outbox), eof: false })
     }
 
-    /// Takes an accepted connection in.
+    /// Registers an accepted connection.
     pub fn accepted(
         handle: &Handle,
         id: ConnId,
         stream: TcpStream,
         bounds: (usize, usize),
-        ready: Waking,
+        wake: WakeFn,
     ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        Self::new(handle, id, stream, bounds, ready)
+        Self::new(handle, id, stream, bounds, wake)
     }
 
-    /// Begins a connection; the first edge tells how that went.
+    /// Starts a connection attempt; the first edge reports its result.
     pub fn connect(
         handle: &Handle,
         id: ConnId,
         address: SocketAddr,
         bounds: (usize, usize),
-        ready: Waking,
+        wake: WakeFn,
     ) -> io::Result<Self> {
         faults::meet(faults::Call::Connect)?;
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
@@ -95,10 +94,10 @@
             Err(e) if e.kind() == ErrorKind::WouldBlock || e.raw_os_error() == Some(115) => {}
             Err(e) => return Err(e),
         }
-        Self::new(handle, id, socket.into(), bounds, ready)
+        Self::new(handle, id, socket.into(), bounds, wake)
     }
 
-    /// Whether a begun connection stands by now; an error where it failed.
+    /// Whether a connection attempt has succeeded yet; an error if it failed.
     pub fn connected(&self) -> io::Result<bool> {
         if let Some(problem) = self.stream.take_error()? {
             return Err(problem);
@@ -110,8 +109,8 @@
         }
     }
 
-    /// Reads until nothing is left or the ring is full. True if the ring is full: more may be waiting, and
-    /// as edges come once, whoever empties the ring must call again.
+    /// Reads until the socket would block or the ring is full. True if the ring is full: more bytes may be waiting,
+    /// and since no further edge reports them, the caller must empty the ring and call again.
     pub fn fill(&mut self) -> Result<bool, Reason> {
         while !self.eof {
             if self.inbox.room() == 0 {
@@ -128,7 +127,7 @@
         Ok(false)
     }
 
-    /// Writes until the ring is empty or the socket takes no more. How many bytes went out.
+    /// Writes until the ring is empty or the socket would block. Returns the number of bytes written.
     pub fn flush(&mut self) -> Result<usize, Reason> {
         let mut written = 0;
         while !self.outbox.is_empty() {
@@ -142,12 +141,12 @@
         Ok(written)
     }
 
-    /// Ends this side: the other sees the end after all that was written, and may still send.
+    /// Shuts down the sending side: the peer reads everything that was written and then the end, and may still send.
     pub fn half_close(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Takes it out of the loop and closes it. What the other side has already been sent still reaches it.
+    /// Removes the socket from the loop and closes it. Bytes that were already sent still reach the peer.
     pub fn close(self, handle: &Handle) {
         handle.remove(self.token);
         self.half_close();
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -12,13 +12,13 @@
 use wheellink_rollout::Plan;
 
 use crate::conn::{Conn, ConnId};
-use crate::http::{self, Bad, Parsed, Request, Response};
+use crate::http::{self, Parsed, Request, Response};
 use crate::log::{Log, Reason};
 use crate::wake::{Handle, Wake};
 
 /// The longest change of agreed settings: some thousand entries, which are read within a few milliseconds.
 const LONGEST_BODY: usize = 256 << 10;
-const INBOX: usize = LONGEST_BODY + http::LONGEST_HEAD;
+const INBOX: usize = LONGEST_BODY + http::MAX_HEAD_BYTES;
 const OUTBOX: usize = 256 << 10;
 /// A call must be whole within this time.
 const PATIENCE: Micros = 5_000_000;
@@ -274,7 +274,7 @@
                 }
                 Ok(())
             }
-            Err(Bad(status, what)) => {
+            Err(http::Error(status, what)) => {
                 self.answer(now, id, Response::problem(status, what), log);
                 Ok(())
             }
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -1,4 +1,4 @@
-//! What stands before the engine: the platform's frames, and the invoke API for everybody else.
+//! The client-facing protocols: the platform's binary frames, and the HTTP invoke API of other deployments.
 
 pub mod invoke;
 pub mod platform;
@@ -7,68 +7,69 @@
 
 use wheellink::Micros;
 
-use crate::proxy::{self, Word};
+use crate::proxy::{self, Header};
 use crate::ring::Ring;
 
-/// The final answer of a request, in no front's words.
+/// The final answer to a request, independent of the client's protocol.
 pub enum Reply {
-    /// With the body that a script host gave.
+    /// The body that the script host returned.
     Served(Vec<u8>),
-    /// It never ran, or may run again: trying again is harmless, after this time where one is told.
+    /// The request never ran, or may safely run again: the client may retry after this time (0: none is given).
     Refused(Micros),
-    /// It may have run.
+    /// The attempt failed; the request may have run.
     Failed,
-    /// Its time was up; it may have run.
+    /// The client's timeout passed; the request may have run.
     TimedOut,
-    /// Admission turned it away, unseen by the module.
-    TurnedAway(Away),
+    /// Admission control rejected the request before the engine saw it.
+    TurnedAway(Rejection),
 }
 
-/// How admission turned somebody away.
+/// Why admission control rejected a request or a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Away {
-    /// The reason's word.
-    pub word: &'static str,
-    /// It is the client's or its tenant's own doing, not that the service is full.
-    pub own_doing: bool,
-    /// When to come back.
-    pub wait: Micros,
-    /// So many a second, and at once, where it is a rate.
+pub struct Rejection {
+    /// Name of the exceeded limit, as used in the `RateLimit` headers.
+    pub reason: &'static str,
+    /// True if the client or its tenant exceeded its own limit, false if the service is full.
+    pub client_fault: bool,
+    /// Time after which the client may retry.
+    pub retry_after: Micros,
+    /// Events per second and burst size, if the limit is a rate.
     pub rate: Option<(u32, u32)>,
 }
 
-/// A connection that was accepted.
-pub struct Guest {
+/// A client connection that was just accepted.
+pub struct AcceptedClient {
     pub stream: TcpStream,
     pub peer: SocketAddr,
-    /// A known client: others make room first.
+    /// Whether admission control knows the client: unknown clients are evicted first.
     pub known: bool,
-    /// A trusted proxy: its word on its client comes first.
+    /// Whether the peer is a trusted proxy, which sends a PROXY header before anything else.
     pub proxied: bool,
 }
 
-/// Whether a connection's client is known, or who it is not yet.
+/// What is still to be learnt about the client before anything else is read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Through {
-    /// It came by itself, or its proxy's word was taken.
-    Nobody,
-    /// Its proxy's word is awaited.
-    Proxy,
-    /// The word is there, and whether its client may come in is not said yet.
-    Held,
+enum ProxyState {
+    /// Nothing: the client connected directly, or was admitted after its proxy's header.
+    Settled,
+    /// The proxy's header has not arrived yet.
+    AwaitHeader,
+    /// The header has arrived, and admission control has not decided on the client yet.
+    AwaitAdmission,
 }
 
-impl Through {
-    /// Takes a proxy's word where one is awaited: whose the connection is, once it is whole. It is held from then on.
-    fn hear(&mut self, inbox: &mut Ring) -> Result<Option<Option<SocketAddr>>, &'static str> {
-        if *self != Through::Proxy {
+impl ProxyState {
+    /// Reads the proxy's header if one is awaited. Returns the client's address, if the header names one, as soon as
+    /// the header is complete; the connection then awaits admission.
+    fn read_header(&mut self, inbox: &mut Ring) -> Result<Option<Option<SocketAddr>>, &'static str> {
+        if *self != ProxyState::AwaitHeader {
             return Ok(None);
         }
-        let Some(word) = proxy::next(inbox)? else { return Ok(None) };
-        *self = Through::Held;
-        Ok(Some(match word {
-            Word::Client(client) => Some(client),
-            Word::Own => None,
+        let Some(header) = proxy::next_header(inbox)? else { return Ok(None) };
+        *self = ProxyState::AwaitAdmission;
+        Ok(Some(match header {
+            Header::Client(client) => Some(client),
+            Header::NoClient => None,
         }))
     }
 }
--- a/node/src/front/invoke.rs
+++ b/node/src/front/invoke.rs
@@ -1,7 +1,8 @@
-//! The invoke front: HTTP/1.1 calls, waited for or deferred. Decides nothing.
+//! The invoke front: an HTTP/1.1 API for synchronous and deferred calls. Routing is decided elsewhere.
 //!
-//! `POST /v1/functions/NAME/calls` with `Wheellink-Class` calls a function. It waits for the answer, or with
-//! `Prefer: respond-async` gets 202 and a Location, to be asked with GET and given up with DELETE.
+//! `POST /v1/functions/NAME/calls` with a `Wheellink-Class` header calls a function. The response is the answer of the
+//! call or, with `Prefer: respond-async`, 202 with a Location at which GET fetches the result and DELETE cancels the
+//! call or discards its result.
 
 pub mod results;
 
@@ -12,97 +13,101 @@
 use wheellink_turns::Turn;
 
 use crate::conn::{Conn, ConnId};
-use crate::front::{Away, Guest, Reply, Through};
+use crate::front::{AcceptedClient, ProxyState, Rejection, Reply};
 use crate::hosts::lines::is_word;
-use crate::http::{self, Bad, Parsed, Request, Response};
+use crate::http::{self, Parsed, Request, Response};
 use crate::log::{Log, Reason};
 use crate::wake::{Handle, Wake};
-use results::{Bounds, Job, Results};
-
-/// Longest body of a call.
-const LONGEST_BODY: usize = 16 << 10;
-const INBOX: usize = 2 * LONGEST_BODY + 2 * http::LONGEST_HEAD;
-const OUTBOX: usize = 288 << 10;
-/// A client that takes nothing for so long while an answer waits has stopped reading.
-const STALLED: Micros = 10_000_000;
-/// How long a client that is being closed is given to see that.
-const LINGER: Micros = 1_000_000;
-/// Within a request a client that sends nothing for so long has gone silent.
-const SILENT: Micros = 3_000_000;
-/// ... and from its first byte the request must be whole by then, however it comes.
-const SLOW_REQUEST: Micros = 10_000_000;
-/// One that has sent nothing, or half of a request, for so long may go when others need its place.
-const SPEECHLESS: Micros = 200_000;
-/// After this, idle connections of clients that are sent away are closed.
-const FAREWELL: Micros = 1_000_000;
-/// Reads of one connection at one go: who sends at full speed must not keep the loop from the others.
-const AT_ONCE: usize = 8;
-/// Advice to clients that ask again for a deferred result, or after a bound of this front, in seconds.
-const ASK_AGAIN: &str = "1";
-const RESULTS: &str = "/v1/results/";
-
-/// Where an answer goes.
+use results::{Job, ResultLimits, Results};
+
+/// Maximum length of a call's body.
+const MAX_BODY_BYTES: usize = 16 << 10;
+const INBOX_BYTES: usize = 2 * MAX_BODY_BYTES + 2 * http::MAX_HEAD_BYTES;
+const OUTBOX_BYTES: usize = 288 << 10;
+/// A client that reads nothing for this long while an answer waits is disconnected.
+const STALL_US: Micros = 10_000_000;
+/// How long a connection stays half-closed after its last answer, so that the client can read it.
+const LINGER_US: Micros = 1_000_000;
+/// Maximum time between two reads of a request.
+const REQUEST_GAP_US: Micros = 3_000_000;
+/// Maximum time from the first byte of a request to its last.
+const REQUEST_TIMEOUT_US: Micros = 10_000_000;
+/// A connection that has sent nothing, or stopped within a request, for this long may be evicted.
+const IDLE_US: Micros = 200_000;
+/// How long idle connections stay open while clients are being drained.
+const DRAIN_GRACE_US: Micros = 1_000_000;
+/// Maximum reads of one connection in one turn of the event loop: a client that sends at full speed must not starve
+/// the others.
+const MAX_READS_PER_TURN: usize = 8;
+/// `Retry-After` for clients that poll for a deferred result or reach a limit of this front.
+const POLL_AFTER_SECS: &str = "1";
+const RESULTS_PATH: &str = "/v1/results/";
+
+/// Where the answer to a call is delivered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Origin {
     /// To the client that waits on this connection.
     Waiting(ConnId),
-    /// Among the results.
+    /// To the stored results, under this name.
     Deferred(String),
 }
 
-/// A call as a client words it.
+/// A call as read from a request.
 #[derive(Debug, Default, PartialEq)]
 pub struct Call {
     pub class: usize,
     pub tenant: Option<usize>,
     pub function: String,
-    /// How long its client is ready to wait; the class's time where it does not say.
+    /// How long the client waits for the answer; `None` for the timeout of the class.
     pub timeout: Option<Micros>,
     pub repeat: bool,
     pub key: Option<String>,
     pub lanes: Option<u32>,
-    /// Its turn of a conversation: conversation, new blocks, hashes of its prefix.
+    /// The turn of a conversation that the call carries: conversation, number of new blocks, hashes of the prefix.
     pub turn: Option<(u64, u16, Vec<u64>)>,
     pub body: Vec<u8>,
 }
 
-/// What the front hands to the node.
+/// Events for the node.
 pub enum Notice {
     Call {
         conn: ConnId,
         origin: Origin,
         call: Box<Call>,
     },
-    Left {
+    /// The client of this call no longer waits for its answer.
+    ClientLeft {
         ticket: Ticket,
     },
-    /// A trusted proxy has said whose the connection is: [`Invoke::admit`] must follow.
-    Proxied {
+    /// A trusted proxy has named the client of a connection. The node must call [`Invoke::admit`].
+    ClientIdentified {
         conn: ConnId,
         client: Option<SocketAddr>,
     },
-    /// A call of this tenant is on its way with so long a body: [`Invoke::go_ahead`] must follow.
-    Head {
+    /// The head of a call of this tenant with a body of this size has arrived. The node must call
+    /// [`Invoke::decide_body`].
+    CallHead {
         conn: ConnId,
         tenant: Option<usize>,
         size: usize,
     },
     /// A connection has ended.
-    Gone {
+    Closed {
         conn: ConnId,
     },
 }
 
 enum State {
-    /// Between requests, or within one that is not whole.
+    /// Between requests, or within an incomplete one.
     Reading,
-    /// The head of a call is whole, and whether its body is to be read is not said yet.
-    Asking,
-    /// A call is out; its answer comes here.
+    /// The head of a call is complete, and the node has not decided yet whether its body is read.
+    HeadRead,
+    /// A call is running; its answer is sent on this connection.
     Waiting { ticket: Option<Ticket>, keep_alive: bool },
-    /// The last answer is on its way out.
+    /// The last answer is being sent; then the connection closes for this reason.
     Closing(Reason),
-    /// It has left, and the client is given time to see it: a reset for what it still sends would overtake it.
+    /// The last answer was sent, and the connection is half-closed since then. What the client still sends is read and
+    /// discarded, because a reset for unread bytes could reach the client before the answer does.
     Lingering(Reason, Micros),
 }
 
@@ -110,21 +115,24 @@
     conn: Conn,
     peer: SocketAddr,
     known: bool,
-    through: Through,
+    proxy: ProxyState,
     state: State,
-    /// Whether the body of the request that is being read was asked about.
+    /// Whether the node was asked about the body of the request that is being read.
     checked: bool,
-    told_to_continue: bool,
-    /// The last time that something was finished; the first byte of a request that is not whole.
-    active: Micros,
-    begun: Option<Micros>,
-    /// When bytes last came.
-    moved: Micros,
-    taken: u64,
+    /// Whether `100 Continue` was sent for that request.
+    sent_continue: bool,
+    /// When a request was last completed, or bytes were last sent.
+    active_at: Micros,
+    /// When the request that is still incomplete began.
+    partial: Option<Micros>,
+    /// When bytes last arrived.
+    read_at: Micros,
+    /// Requests received.
+    requests: u64,
 }
 
 impl HttpConn {
-    /// Ends this side once the last answer has left.
+    /// Half-closes the connection once the last answer is sent.
     fn linger_if_done(&mut self, now: Micros) {
         if let (State::Closing(reason), true) = (&self.state, self.conn.outbox.is_empty()) {
             self.state = State::Lingering(*reason, now);
@@ -133,11 +141,12 @@
     }
 }
 
-/// The answer to who is turned away: 429 for their own doing, 503 where the service is full. Fields as of
-/// draft-ietf-httpapi-ratelimit-headers: the policy in force, what is left of it, and in how many seconds there is more.
-fn turned_away(away: Away) -> Response {
-    let seconds = ((away.wait + 999_999) / 1_000_000).max(1);
-    let (status, detail) = if away.own_doing {
+/// The response to a rejected client: 429 if it or its tenant exceeded its own limit, 503 if the service is full. The
+/// headers follow draft-ietf-httpapi-ratelimit-headers: the policy, its remaining quota, and the seconds until it
+/// refills.
+fn rejection_response(away: Rejection) -> Response {
+    let seconds = ((away.retry_after + 999_999) / 1_000_000).max(1);
+    let (status, detail) = if away.client_fault {
         (429, "this client or tenant asks for more than it may; trying again is harmless")
     } else {
         (503, "there is no room for the call; trying again is harmless")
@@ -145,120 +154,122 @@
     let response = Response::problem(status, detail).with("Retry-After", seconds.to_string());
     match away.rate {
         Some((per_second, _)) => response
-            .with("RateLimit-Policy", format!("\"{}\";q={per_second};w=1", away.word))
-            .with("RateLimit", format!("\"{}\";r=0;t={seconds}", away.word)),
+            .with("RateLimit-Policy", format!("\"{}\";q={per_second};w=1", away.reason))
+            .with("RateLimit", format!("\"{}\";r=0;t={seconds}", away.reason)),
         None => response,
     }
 }
 
+/// The connections of HTTP clients, and the results of deferred calls.
 pub struct Invoke {
     handle: Handle,
     conns: HashMap<ConnId, HttpConn>,
-    most: usize,
+    max_conns: usize,
     conn_idle: Micros,
     results: Results,
-    /// Bytes that wait for clients, all together.
-    bytes: usize,
-    /// Connections that were left with more to read.
-    again: Vec<ConnId>,
-    /// Of classes and tenants; calls go by their places.
+    /// Maximum unsent bytes of all connections together.
+    max_unsent: usize,
+    /// Connections that may have more to read.
+    unread: Vec<ConnId>,
+    /// Names of the classes and of the tenants; calls hold their indices.
     names: (Vec<String>, Vec<String>),
-    /// Since when each answer is its connection's last.
-    parting: Option<Micros>,
-    /// Whether hosts are known, for those that ask whether to send calls here.
+    /// Since when clients are drained: each answer closes its connection.
+    draining: Option<Micros>,
+    /// Whether script hosts are known; reported by `/healthz`.
     pub ready: bool,
-    /// Whether long bodies are asked about before they are read.
-    pub asks: bool,
-    /// Whether turns that calls carry are read.
-    pub turns: bool,
+    /// Whether the node is asked before the body of a call is read.
+    pub checks_bodies: bool,
+    /// Whether `Wheellink-Turn` headers are read.
+    pub reads_turns: bool,
     pub notices: Vec<Notice>,
 }
 
 impl Invoke {
     pub fn new(
         handle: Handle,
-        (most, bytes): (usize, usize),
+        (max_conns, max_unsent): (usize, usize),
         conn_idle: Micros,
-        bounds: Bounds,
+        limits: ResultLimits,
         names: (Vec<String>, Vec<String>),
     ) -> Self {
         Self {
             handle,
             conns: HashMap::new(),
-            most,
+            max_conns,
             conn_idle,
-            results: Results::new(bounds),
-            bytes,
-            again: Vec::new(),
+            results: Results::new(limits),
+            max_unsent,
+            unread: Vec::new(),
             names,
-            parting: None,
+            draining: None,
             ready: false,
-            asks: false,
-            turns: false,
+            checks_bodies: false,
+            reads_turns: false,
             notices: Vec::new(),
         }
     }
 
-    pub fn is_quiet(&self) -> bool {
+    /// Whether all calls that clients wait for are answered and all answers are sent.
+    pub fn is_idle(&self) -> bool {
         self.conns.values().all(|c| c.conn.outbox.is_empty() && !matches!(c.state, State::Waiting { .. }))
     }
 
-    /// From now on each answer is its connection's last, or no longer so.
-    pub fn part(&mut self, now: Micros, parts: bool) {
-        self.parting = parts.then(|| self.parting.unwrap_or(now));
+    /// Starts or stops draining clients.
+    pub fn set_draining(&mut self, now: Micros, draining: bool) {
+        self.draining = draining.then(|| self.draining.unwrap_or(now));
     }
 
-    /// Takes other settings up; calls that are open keep theirs.
-    pub fn retune(&mut self, conn_idle: Micros, bounds: Bounds, names: (Vec<String>, Vec<String>)) {
+    /// Applies changed settings to new calls; running calls keep the old ones.
+    pub fn update(&mut self, conn_idle: Micros, limits: ResultLimits, names: (Vec<String>, Vec<String>)) {
         (self.conn_idle, self.names) = (conn_idle, names);
-        self.results.bound(bounds);
+        self.results.set_limits(limits);
     }
 
-    /// Holds to other bounds from now on, in connections and bytes.
-    pub fn bound(&mut self, (most, bytes): (usize, usize)) {
-        (self.most, self.bytes) = (most, bytes);
+    /// Changes the limits on connections and unsent bytes.
+    pub fn set_limits(&mut self, (max_conns, max_unsent): (usize, usize)) {
+        (self.max_conns, self.max_unsent) = (max_conns, max_unsent);
     }
 
-    /// Connections that are held.
-    pub fn held(&self) -> usize {
+    /// Number of connections.
+    pub fn connections(&self) -> usize {
         self.conns.len()
     }
 
-    /// Takes a connection in; `None` where that cannot be.
-    pub fn accept(&mut self, now: Micros, guest: Guest, log: &mut Log) -> Option<ConnId> {
-        let Guest { stream, peer, known, proxied } = guest;
+    /// Registers an accepted connection; `None` if that fails.
+    pub fn accept(&mut self, now: Micros, client: AcceptedClient, log: &mut Log) -> Option<ConnId> {
+        let AcceptedClient { stream, peer, known, proxied } = client;
         let id = crate::conn::fresh_id();
-        match Conn::accepted(&self.handle, id, stream, (INBOX, OUTBOX), Wake::Client) {
+        match Conn::accepted(&self.handle, id, stream, (INBOX_BYTES, OUTBOX_BYTES), Wake::Client) {
             Ok(conn) => {
                 let state = State::Reading;
-                let (told_to_continue, begun, taken) = (false, None, 0);
-                let through = if proxied { Through::Proxy } else { Through::Nobody };
-                let fresh = HttpConn {
+                let (sent_continue, partial, requests) = (false, None, 0);
+                let proxy = if proxied { ProxyState::AwaitHeader } else { ProxyState::Settled };
+                let conn = HttpConn {
                     conn,
                     peer,
                     known,
-                    through,
+                    proxy,
                     state,
                     checked: false,
-                    told_to_continue,
-                    active: now,
-                    begun,
-                    moved: now,
-                    taken,
+                    sent_continue,
+                    active_at: now,
+                    partial,
+                    read_at: now,
+                    requests,
                 };
-                self.conns.insert(id, fresh);
-                // Most have their request with them, and then are no longer among the speechless.
-                self.ready(now, id, log);
+                self.conns.insert(id, conn);
+                // Most clients have sent their request already; reading it now keeps the connection from being evicted.
+                self.on_ready(now, id, log);
                 Some(id)
             }
             Err(e) => {
-                log.line(now, format_args!("http client {peer} cannot be taken in: {e}"));
+                log.line(now, format_args!("cannot register the connection of http client {peer}: {e}"));
                 None
             }
         }
     }
 
-    /// The client of a proxied connection may come in, or not.
+    /// Admits the client of a proxied connection, or ends the connection if `known` is `None`.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -271,118 +282,118 @@
         c.peer = client.unwrap_or(c.peer);
         match known {
             Some(known) => {
-                (c.known, c.through) = (known, Through::Nobody);
-                self.ready(now, id, log);
+                (c.known, c.proxy) = (known, ProxyState::Settled);
+                self.on_ready(now, id, log);
             }
             None => self.end(now, id, Reason::TurnedAway, log),
         }
     }
 
-    /// The body of a call may be read, or its client is turned away without that.
-    pub fn go_ahead(&mut self, now: Micros, id: ConnId, away: Option<Away>, log: &mut Log) {
-        let Some(c) = self.conns.get_mut(&id).filter(|c| matches!(c.state, State::Asking)) else { return };
+    /// Has the body of a call read, or rejects the call without reading it.
+    pub fn decide_body(&mut self, now: Micros, id: ConnId, away: Option<Rejection>, log: &mut Log) {
+        let Some(c) = self.conns.get_mut(&id).filter(|c| matches!(c.state, State::HeadRead)) else { return };
         c.state = State::Reading;
         match away {
-            None => self.ready(now, id, log),
+            None => self.on_ready(now, id, log),
             Some(away) => {
                 c.state = State::Closing(Reason::TurnedAway);
-                self.write(now, id, &turned_away(away).encode(false, false), log);
+                self.write(now, id, &rejection_response(away).encode(false, false), log);
             }
         }
     }
 
-    /// Whether a new connection can be taken in, if need be in another's place. Else it waits to be accepted.
+    /// Whether a new connection can be accepted, evicting another if necessary. If not, it stays in the listener's
+    /// queue.
     pub fn has_room(&mut self, now: Micros, log: &mut Log) -> bool {
-        self.conns.len() < self.most || self.evict(now, false, log)
+        self.conns.len() < self.max_conns || self.evict(now, false, log)
     }
 
-    /// Makes room for somebody else, if that can be; known clients are the last to go. For a known one anybody goes
-    /// who is not, and is owed nothing, however lately it came.
+    /// Evicts a connection, if one can be evicted; known clients are evicted last. For a known client, any connection
+    /// of an unknown client between requests or within one can be evicted, however new it is.
     pub fn make_room(&mut self, now: Micros, known: bool, log: &mut Log) -> bool {
         self.evict(now, known, log)
     }
 
-    /// A connection's client is known from now on, or no longer.
-    pub fn know(&mut self, id: ConnId, known: bool) {
+    /// Sets whether the client of a connection is known.
+    pub fn set_known(&mut self, id: ConnId, known: bool) {
         if let Some(c) = self.conns.get_mut(&id) {
             c.known = known;
         }
     }
 
-    /// Ends a connection that is owed nothing; one that is owed an answer gets it first.
-    pub fn dismiss(&mut self, now: Micros, id: ConnId, log: &mut Log) {
+    /// Closes a connection, once the running call is answered.
+    pub fn close_after_answers(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id) else { return };
-        if matches!(c.state, State::Reading | State::Asking) && c.conn.outbox.is_empty() {
+        if matches!(c.state, State::Reading | State::HeadRead) && c.conn.outbox.is_empty() {
             self.end(now, id, Reason::TurnedAway, log);
         } else if let State::Waiting { keep_alive, .. } = &mut c.state {
             *keep_alive = false;
         }
     }
 
-    /// Makes room by closing a connection that is owed nothing: first those that never said
-    /// anything, then those that have had time to see their end, then those that stopped within a request, then
-    /// those that have been idle longest.
+    /// Evicts a connection without a running call. The order: connections on which nothing ever arrived, those that
+    /// have lingered, those that stopped within a request, then the longest idle.
     fn evict(&mut self, now: Micros, for_known: bool, log: &mut Log) -> bool {
         let rank = |c: &HttpConn| match &c.state {
-            State::Lingering(_, since) => (now - since >= SPEECHLESS).then_some((1, *since)),
-            State::Reading if for_known && !c.known => Some((3, c.active)),
-            State::Reading if c.begun.is_some() => (now - c.moved >= SPEECHLESS).then_some((2, c.moved)),
-            State::Reading if c.taken == 0 => (now - c.active >= SPEECHLESS).then_some((0, c.active)),
-            State::Reading => Some((3, c.active)),
-            State::Asking | State::Waiting { .. } | State::Closing(_) => None,
+            State::Lingering(_, since) => (now - since >= IDLE_US).then_some((1, *since)),
+            State::Reading if for_known && !c.known => Some((3, c.active_at)),
+            State::Reading if c.partial.is_some() => (now - c.read_at >= IDLE_US).then_some((2, c.read_at)),
+            State::Reading if c.requests == 0 => (now - c.active_at >= IDLE_US).then_some((0, c.active_at)),
+            State::Reading => Some((3, c.active_at)),
+            State::HeadRead | State::Waiting { .. } | State::Closing(_) => None,
         };
-        // Known clients are the last to go; without admission nobody is one.
+        // Known clients are evicted last; without admission control no client is known.
         let ranked = self.conns.iter().filter_map(|(id, c)| Some((c.known, rank(c)?, *id)));
         let oldest = ranked.min().map(|(.., id)| id);
         oldest.inspect(|id| self.end(now, *id, Reason::Evicted, log)).is_some()
     }
 
-    /// The socket has something to say, or may take more.
-    pub fn ready(&mut self, now: Micros, id: ConnId, log: &mut Log) {
+    /// Handles a socket that is readable or writable.
+    pub fn on_ready(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         if let Err(reason) = self.serve(now, id, log) {
             self.end(now, id, reason, log);
         }
     }
 
-    /// Whether connections were left with more to read.
-    pub fn has_more(&self) -> bool {
-        !self.again.is_empty()
+    /// Whether connections may have more to read.
+    pub fn has_pending_reads(&self) -> bool {
+        !self.unread.is_empty()
     }
 
-    /// Reads on where more was left.
-    pub fn go_on(&mut self, now: Micros, log: &mut Log) {
-        for id in std::mem::take(&mut self.again) {
-            self.ready(now, id, log);
+    /// Continues reading those connections.
+    pub fn resume_reads(&mut self, now: Micros, log: &mut Log) {
+        for id in std::mem::take(&mut self.unread) {
+            self.on_ready(now, id, log);
         }
     }
 
     fn serve(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<(), Reason> {
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_READS_PER_TURN {
             let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
             if c.conn.flush()? > 0 {
-                c.active = now;
+                c.active_at = now;
             }
             c.linger_if_done(now);
             let before = c.conn.inbox.len();
             let more = c.conn.fill()?;
             if c.conn.inbox.len() > before {
-                c.moved = now;
+                c.read_at = now;
             }
-            match c.through.hear(&mut c.conn.inbox) {
-                Ok(Some(client)) => self.notices.push(Notice::Proxied { conn: id, client }),
+            match c.proxy.read_header(&mut c.conn.inbox) {
+                Ok(Some(client)) => self.notices.push(Notice::ClientIdentified { conn: id, client }),
                 Ok(None) => {}
                 Err(problem) => {
                     log.bad(now, format_args!("proxy {} sent {problem}", c.peer));
                     return Err(Reason::Protocol);
                 }
             }
-            if c.through != Through::Nobody && !c.conn.eof {
+            if c.proxy != ProxyState::Settled && !c.conn.eof {
                 return Ok(());
             }
-            // Whoever waited for the answer to a call is gone, or has nothing more to ask.
+            // A client that has ended its side waits for no answer and sends no further request.
             match (c.conn.eof, &c.state) {
                 (true, State::Lingering(reason, _)) => return Err(*reason),
-                (true, State::Reading | State::Asking | State::Waiting { .. }) => {
+                (true, State::Reading | State::HeadRead | State::Waiting { .. }) => {
                     return Err(Reason::PeerClosed)
                 }
                 (_, State::Closing(_) | State::Lingering(..)) => c.conn.inbox.consume(usize::MAX),
@@ -394,54 +405,55 @@
                 }
                 return Ok(());
             }
-            // The next request is read once the one before it is answered and has left. Who sends more than is kept
-            // meanwhile sends it again after the answer, which is then the connection's last: its end must be seen.
-            let overran = c.conn.inbox.room() == 0 && matches!(c.state, State::Waiting { .. });
-            if let (true, State::Waiting { keep_alive, .. }) = (overran, &mut c.state) {
+            // The next request is read once the answer to the one before it is sent. If more arrives meanwhile than
+            // fits the buffer, it is discarded and the answer closes the connection, so the client must send it again.
+            // The buffer is emptied because the end of the connection must still be noticed.
+            let overflowed = c.conn.inbox.room() == 0 && matches!(c.state, State::Waiting { .. });
+            if let (true, State::Waiting { keep_alive, .. }) = (overflowed, &mut c.state) {
                 *keep_alive = false;
                 c.conn.inbox.consume(usize::MAX);
             }
-            let mut took = overran;
-            while self.take(now, id, log)? {
-                took = true;
+            let mut progressed = overflowed;
+            while self.take_request(now, id, log)? {
+                progressed = true;
             }
-            if !more || !took {
+            if !more || !progressed {
                 return Ok(());
             }
         }
-        self.again.push(id);
+        self.unread.push(id);
         Ok(())
     }
 
-    /// Takes one request; false when none is whole, or the last one is not answered yet.
-    fn take(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<bool, Reason> {
+    /// Takes one request; false if none is complete or the last one is not answered yet.
+    fn take_request(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<bool, Reason> {
         let Some(c) = self.conns.get_mut(&id) else { return Ok(false) };
         if !matches!(c.state, State::Reading) || !c.conn.outbox.is_empty() {
             return Ok(false);
         }
-        match http::next_request(&mut c.conn.inbox, LONGEST_BODY) {
+        match http::next_request(&mut c.conn.inbox, MAX_BODY_BYTES) {
             Ok(Parsed::Partial { expects_continue, head }) => {
-                c.begun = if c.conn.inbox.is_empty() { None } else { c.begun.or(Some(now)) };
-                if let Some((head, size)) = head.map(|h| *h).filter(|_| self.asks && !c.checked) {
-                    (c.checked, c.state) = (true, State::Asking);
+                c.partial = if c.conn.inbox.is_empty() { None } else { c.partial.or(Some(now)) };
+                if let Some((head, size)) = head.map(|h| *h).filter(|_| self.checks_bodies && !c.checked) {
+                    (c.checked, c.state) = (true, State::HeadRead);
                     let named = head.header("wheellink-tenant");
                     let tenant = named.and_then(|t| self.names.1.iter().position(|n| n == t));
-                    self.notices.push(Notice::Head { conn: id, tenant, size });
+                    self.notices.push(Notice::CallHead { conn: id, tenant, size });
                     return Ok(false);
                 }
-                if expects_continue && !std::mem::replace(&mut c.told_to_continue, true) {
+                if expects_continue && !std::mem::replace(&mut c.sent_continue, true) {
                     c.conn.outbox.push(http::CONTINUE);
                     c.conn.flush()?;
                 }
                 Ok(false)
             }
             Ok(Parsed::Whole(request)) => {
-                (c.begun, c.told_to_continue, c.checked, c.active) = (None, false, false, now);
-                c.taken += 1;
+                (c.partial, c.sent_continue, c.checked, c.active_at) = (None, false, false, now);
+                c.requests += 1;
                 self.route(now, id, request, log);
                 Ok(true)
             }
-            Err(Bad(status, what)) => {
+            Err(http::Error(status, what)) => {
                 c.state = State::Closing(Reason::Protocol);
                 let peer = c.peer;
                 log.bad(now, format_args!("http client {peer} sent a bad request: {what}"));
@@ -453,13 +465,13 @@
     }
 
     fn route(&mut self, now: Micros, id: ConnId, request: Request, log: &mut Log) {
-        let keep_alive = request.keep_alive && self.parting.is_none();
+        let keep_alive = request.keep_alive && self.draining.is_none();
         let head_only = request.method == "HEAD";
         let path = request.path.split('?').next().unwrap_or_default().to_string();
         let function = path.strip_prefix("/v1/functions/").and_then(|p| p.strip_suffix("/calls"));
-        let result = path.strip_prefix(RESULTS);
+        let result = path.strip_prefix(RESULTS_PATH);
         let answer = match (request.method.as_str(), function, result, path.as_str()) {
-            ("POST", Some(function), ..) => match self.call(function, request) {
+            ("POST", Some(function), ..) => match self.parse_call(function, request) {
                 Ok((call, true)) => self.defer(id, call),
                 Ok((call, false)) => {
                     if let Some(c) = self.conns.get_mut(&id) {
@@ -472,22 +484,22 @@
                 Err(problem) => problem,
             },
             ("GET" | "HEAD", _, Some(name), _) => match self.results.get(name) {
-                Some(Job::Open(_)) => Response::new(202).with("Retry-After", ASK_AGAIN),
+                Some(Job::Open(_)) => Response::new(202).with("Retry-After", POLL_AFTER_SECS),
                 Some(Job::Finished { response, .. }) => response.clone(),
                 None => Response::problem(404, "no such result, or it was not collected in time"),
             },
             ("DELETE", _, Some(name), _) => match self.results.remove(name) {
                 Some(Job::Open(ticket)) => {
-                    self.notices.extend(ticket.map(|ticket| Notice::Left { ticket }));
+                    self.notices.extend(ticket.map(|ticket| Notice::ClientLeft { ticket }));
                     Response::new(204)
                 }
                 Some(Job::Finished { .. }) => Response::new(204),
                 None => Response::problem(404, "no such result, or it was not collected in time"),
             },
-            ("GET" | "HEAD", .., "/healthz") if self.ready && self.parting.is_none() => Response::new(200),
+            ("GET" | "HEAD", .., "/healthz") if self.ready && self.draining.is_none() => Response::new(200),
             ("GET" | "HEAD", .., "/healthz") => {
                 Response::problem(503, "no script host is known, or clients are sent away")
-                    .with("Retry-After", ASK_AGAIN)
+                    .with("Retry-After", POLL_AFTER_SECS)
             }
             (_, Some(_), ..) => Response::problem(405, "calls are made with POST").with("Allow", "POST"),
             (_, _, Some(_), _) => {
@@ -499,15 +511,15 @@
         self.respond(now, id, answer, keep_alive, head_only, log);
     }
 
-    /// Reads a call, and whether it is to be deferred.
-    fn call(&self, function: &str, request: Request) -> Result<(Call, bool), Response> {
+    /// Parses a call, and whether it is deferred.
+    fn parse_call(&self, function: &str, request: Request) -> Result<(Call, bool), Response> {
         let bad = |detail: &str| Response::problem(400, detail);
         if !is_word(function) {
             return Err(bad("no name of a function"));
         }
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let class = request.header("wheellink-class").and_then(|c| place(&self.names.0, c));
-        let tenant = request.header("wheellink-tenant").map(|t| place(&self.names.1, t));
+        let index = |names: &[String], name: &str| names.iter().position(|n| n == name);
+        let class = request.header("wheellink-class").and_then(|c| index(&self.names.0, c));
+        let tenant = request.header("wheellink-tenant").map(|t| index(&self.names.1, t));
         if tenant == Some(None) {
             return Err(bad("Wheellink-Tenant must name a tenant, where it stands"));
         }
@@ -534,13 +546,13 @@
             }
             call.key = Some(key.to_string());
         }
-        if let Some(text) = request.header("wheellink-turn").filter(|_| self.turns) {
+        if let Some(text) = request.header("wheellink-turn").filter(|_| self.reads_turns) {
             let turn = Turn::parse(text).map_err(|e| bad(&format!("Wheellink-Turn: {e}")))?;
             call.turn = Some(turn);
         }
         let preferences = request.preferences();
         let deferred = preferences.iter().any(|(name, _)| name == "respond-async");
-        // Without respond-async, `wait` is how long the client is ready to wait for the answer itself.
+        // Without respond-async, `wait` limits how long the client waits for the answer.
         let wait =
             preferences.iter().find(|(name, _)| name == "wait").and_then(|(_, v)| v.parse::<u32>().ok());
         if let (false, Some(seconds)) = (deferred, wait.filter(|s| *s > 0)) {
@@ -554,18 +566,18 @@
     fn defer(&mut self, conn: ConnId, call: Call) -> Response {
         let Some(name) = self.results.open() else {
             return Response::problem(429, "too many results wait to be collected")
-                .with("Retry-After", ASK_AGAIN);
+                .with("Retry-After", POLL_AFTER_SECS);
         };
-        let location = format!("{RESULTS}{name}");
+        let location = format!("{RESULTS_PATH}{name}");
         self.notices.push(Notice::Call { conn, origin: Origin::Deferred(name), call: Box::new(call) });
         Response::new(202)
             .with("Location", location)
             .with("Preference-Applied", "respond-async")
-            .with("Retry-After", ASK_AGAIN)
+            .with("Retry-After", POLL_AFTER_SECS)
     }
 
-    /// The node has taken the call under this ticket. False if its client has left since.
-    pub fn taken(&mut self, origin: &Origin, ticket: Ticket) -> bool {
+    /// Records the ticket under which the node has taken the call. False if the client no longer waits.
+    pub fn set_ticket(&mut self, origin: &Origin, ticket: Ticket) -> bool {
         match origin {
             Origin::Waiting(id) => match self.conns.get_mut(id).map(|c| &mut c.state) {
                 Some(State::Waiting { ticket: slot, .. }) => {
@@ -575,25 +587,26 @@
                 _ => false,
             },
             Origin::Deferred(name) => {
-                self.results.taken(name, ticket);
+                self.results.set_ticket(name, ticket);
                 self.results.get(name).is_some()
             }
         }
     }
 
-    /// The final answer of a call.
+    /// Delivers the final answer to a call.
     pub fn reply(&mut self, now: Micros, origin: &Origin, reply: Reply, log: &mut Log) {
-        self.give(now, origin, Self::response(reply), log);
+        self.deliver(now, origin, Self::response(reply), log);
     }
 
-    /// ... of a turn, with the blocks of its prefix that its host found, where it was served.
-    pub fn reply_found(&mut self, now: Micros, origin: &Origin, reply: Reply, found: u32, log: &mut Log) {
+    /// Delivers the final answer to a turn of a conversation; if it was served, with the number of blocks of its prefix
+    /// that the host found.
+    pub fn reply_turn(&mut self, now: Micros, origin: &Origin, reply: Reply, found: u32, log: &mut Log) {
         let served = matches!(reply, Reply::Served(_));
         let mut response = Self::response(reply);
         if served {
             response = response.with("Wheellink-Found", found.to_string());
         }
-        self.give(now, origin, response, log);
+        self.deliver(now, origin, response, log);
     }
 
     fn response(reply: Reply) -> Response {
@@ -604,27 +617,27 @@
                 Response::problem(503, "there is no room for the call; trying again is harmless")
                     .with("Retry-After", seconds.max(1).to_string())
             }
-            Reply::TurnedAway(away) => turned_away(away),
+            Reply::TurnedAway(away) => rejection_response(away),
             Reply::Failed => Response::problem(502, "the call failed and may have run"),
             Reply::TimedOut => Response::problem(504, "the call was not answered in time and may have run"),
         }
     }
 
-    fn give(&mut self, now: Micros, origin: &Origin, response: Response, log: &mut Log) {
+    fn deliver(&mut self, now: Micros, origin: &Origin, response: Response, log: &mut Log) {
         match origin {
             Origin::Waiting(id) => {
                 let Some(c) = self.conns.get_mut(id) else { return };
                 if let State::Waiting { keep_alive, .. } = c.state {
                     c.state = State::Reading;
-                    self.respond(now, *id, response, keep_alive && self.parting.is_none(), false, log);
-                    // The client may have sent its next request meanwhile: no further edge tells of that.
-                    self.ready(now, *id, log);
+                    self.respond(now, *id, response, keep_alive && self.draining.is_none(), false, log);
+                    // The client may have sent its next request already, and no further edge reports it.
+                    self.on_ready(now, *id, log);
                 }
             }
             Origin::Deferred(name) => {
-                let gone = self.results.finish(now, name, response);
-                if gone > 0 {
-                    log.line(now, format_args!("{gone} results that nobody collected made room for others"));
+                let evicted = self.results.finish(now, name, response);
+                if evicted > 0 {
+                    log.line(now, format_args!("{evicted} uncollected results evicted for newer ones"));
                 }
             }
         }
@@ -653,40 +666,40 @@
         match c.conn.flush() {
             Err(reason) => self.end(now, id, reason, log),
             Ok(_) => {
-                c.active = now;
+                c.active_at = now;
                 c.linger_if_done(now);
             }
         }
-        // Clients that do not read share what memory there is.
+        // Clients that do not read share a memory limit. The connection whose write exceeds it is closed.
         let backed_up = self.conns.get(&id).is_some_and(|c| !c.conn.outbox.is_empty());
-        if backed_up && self.conns.values().map(|c| c.conn.outbox.len()).sum::<usize>() > self.bytes {
+        if backed_up && self.conns.values().map(|c| c.conn.outbox.len()).sum::<usize>() > self.max_unsent {
             self.end(now, id, Reason::SlowReader, log);
         }
     }
 
-    /// Ends a connection. Who waited on it for a call has left; a deferred call lives on.
+    /// Ends a connection. A call that it waited for is cancelled; deferred calls continue.
     fn end(&mut self, now: Micros, id: ConnId, reason: Reason, log: &mut Log) {
         let Some(c) = self.conns.remove(&id) else { return };
-        log.ended(now, format_args!("http {}", c.peer), reason, format_args!("calls={}", c.taken));
+        log.ended(now, format_args!("http {}", c.peer), reason, format_args!("calls={}", c.requests));
         if let State::Waiting { ticket: Some(ticket), .. } = c.state {
-            self.notices.push(Notice::Left { ticket });
+            self.notices.push(Notice::ClientLeft { ticket });
         }
         c.conn.close(&self.handle);
-        self.notices.push(Notice::Gone { conn: id });
+        self.notices.push(Notice::Closed { conn: id });
     }
 
-    /// Gives up old results, and closes connections that are idle or too slow.
+    /// Removes expired results, and closes connections that are idle or too slow.
     pub fn tick(&mut self, now: Micros, log: &mut Log) {
         self.results.tick(now);
-        // Clients that are sent away have a second to hear so with an answer.
-        let (idle, reason) = match self.parting {
-            Some(since) if now - since >= FAREWELL => (FAREWELL / 4, Reason::Drained),
+        // While draining, clients have a grace period in which an answer can close their connection.
+        let (idle, reason) = match self.draining {
+            Some(since) if now - since >= DRAIN_GRACE_US => (DRAIN_GRACE_US / 4, Reason::Drained),
             _ => (self.conn_idle, Reason::Idle),
         };
         let over = |c: &HttpConn| match &c.state {
-            _ if !c.conn.outbox.is_empty() => (now - c.active >= STALLED).then_some(Reason::SlowReader),
-            State::Lingering(reason, since) if now - since >= LINGER => Some(*reason),
-            State::Reading if c.begun.is_none() && now - c.active >= idle => Some(reason),
+            _ if !c.conn.outbox.is_empty() => (now - c.active_at >= STALL_US).then_some(Reason::SlowReader),
+            State::Lingering(reason, since) if now - since >= LINGER_US => Some(*reason),
+            State::Reading if c.partial.is_none() && now - c.active_at >= idle => Some(reason),
             _ => None,
         };
         let mut over: Vec<_> = self.conns.iter().filter_map(|(id, c)| Some((*id, over(c)?))).collect();
@@ -695,8 +708,8 @@
             self.end(now, id, reason, log);
         }
         let slow = |c: &HttpConn| {
-            let stuck = |b| now - b >= SLOW_REQUEST || now - c.moved >= SILENT;
-            matches!(c.state, State::Reading) && c.begun.is_some_and(stuck)
+            let stuck = |b| now - b >= REQUEST_TIMEOUT_US || now - c.read_at >= REQUEST_GAP_US;
+            matches!(c.state, State::Reading) && c.partial.is_some_and(stuck)
         };
         let mut slow: Vec<_> = self.conns.iter().filter(|(_, c)| slow(c)).map(|(id, _)| *id).collect();
         slow.sort();
@@ -706,6 +719,7 @@
         }
     }
 
+    /// Closes all connections.
     pub fn shut_down(&mut self, now: Micros, log: &mut Log) {
         let mut ids: Vec<_> = self.conns.keys().copied().collect();
         ids.sort();
--- a/node/src/front/invoke/results.rs
+++ b/node/src/front/invoke/results.rs
@@ -1,4 +1,4 @@
-//! Deferred calls and their results, which wait to be collected: bounded in number, size and time. Pure.
+//! Deferred calls and their results until the client collects them, limited in number, size and time. No I/O.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::{BuildHasher, RandomState};
@@ -7,67 +7,69 @@
 
 use crate::http::Response;
 
-/// What is known of a deferred call.
+/// The state of a deferred call.
 #[derive(Debug)]
 pub enum Job {
+    /// The call is running, under this ticket once the node has taken it.
     Open(Option<Ticket>),
+    /// The result is kept until then.
     Finished { response: Response, until: Micros },
 }
 
-/// Bounds of what is kept.
+/// Limits of the stored calls and results.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
-    /// Deferred calls that are open or wait to be collected.
-    pub most: usize,
-    /// Bytes of results, all together.
-    pub bytes: usize,
-    /// How long a result waits.
-    pub keep: Micros,
+pub struct ResultLimits {
+    /// Maximum number of deferred calls that are running or whose results wait to be collected.
+    pub max_results: usize,
+    /// Maximum size of all results together.
+    pub max_bytes: usize,
+    /// How long an uncollected result is kept.
+    pub retention: Micros,
 }
 
 pub struct Results {
-    bounds: Bounds,
+    limits: ResultLimits,
     jobs: HashMap<String, Job>,
-    /// Finished jobs in the order in which they are given up.
-    ends: BTreeSet<(Micros, String)>,
+    /// Finished jobs, ordered by when they expire.
+    expiries: BTreeSet<(Micros, String)>,
     bytes: usize,
-    names: RandomState,
-    next: u64,
+    hasher: RandomState,
+    seq: u64,
 }
 
 impl Results {
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(limits: ResultLimits) -> Self {
         Self {
-            bounds,
+            limits,
             jobs: HashMap::new(),
-            ends: BTreeSet::new(),
+            expiries: BTreeSet::new(),
             bytes: 0,
-            names: RandomState::new(),
-            next: 0,
+            hasher: RandomState::new(),
+            seq: 0,
         }
     }
 
-    /// Holds to other bounds from now on; what is kept beyond them goes as its time comes.
-    pub fn bound(&mut self, bounds: Bounds) {
-        self.bounds = bounds;
+    /// Changes the limits. Results already stored beyond them are kept until they expire.
+    pub fn set_limits(&mut self, limits: ResultLimits) {
+        self.limits = limits;
     }
 
-    /// Takes a deferred call in; `None` where as many are open or waiting as may be.
+    /// Opens a deferred call and returns its name; `None` if the limit is reached.
     pub fn open(&mut self) -> Option<String> {
-        if self.jobs.len() >= self.bounds.most {
+        if self.jobs.len() >= self.limits.max_results {
             return None;
         }
-        // Whoever knows the name may collect or cancel: keyed by the process's random state, so that none
-        // can be guessed from another.
-        self.next += 1;
+        // Whoever knows the name may collect or cancel the call. The random keys of this process's hasher ensure that
+        // no name can be derived from another.
+        self.seq += 1;
         let name =
-            format!("{:016x}{:016x}", self.names.hash_one(self.next), self.names.hash_one((self.next, 1)));
+            format!("{:016x}{:016x}", self.hasher.hash_one(self.seq), self.hasher.hash_one((self.seq, 1)));
         self.jobs.insert(name.clone(), Job::Open(None));
         Some(name)
     }
 
-    /// The engine has taken the call.
-    pub fn taken(&mut self, name: &str, ticket: Ticket) {
+    /// Records the ticket under which the node has taken the call.
+    pub fn set_ticket(&mut self, name: &str, ticket: Ticket) {
         if let Some(Job::Open(slot)) = self.jobs.get_mut(name) {
             *slot = Some(ticket);
         }
@@ -77,39 +79,39 @@
         self.jobs.get(name)
     }
 
-    /// The call has its answer, which now waits. How many older results had to go for it.
+    /// Stores the answer to a call. Returns how many older results were evicted to make room for it.
     pub fn finish(&mut self, now: Micros, name: &str, response: Response) -> usize {
-        let until = now + self.bounds.keep;
+        let until = now + self.limits.retention;
         match self.jobs.get_mut(name) {
             Some(job @ Job::Open(_)) => {
                 self.bytes += response.body.len();
                 *job = Job::Finished { response, until };
-                self.ends.insert((until, name.to_string()));
+                self.expiries.insert((until, name.to_string()));
             }
             _ => return 0,
         }
-        let mut gone = 0;
-        while self.bytes > self.bounds.bytes && self.ends.len() > 1 {
-            let oldest = self.ends.first().map(|(_, name)| name.clone());
+        let mut evicted = 0;
+        while self.bytes > self.limits.max_bytes && self.expiries.len() > 1 {
+            let oldest = self.expiries.first().map(|(_, name)| name.clone());
             oldest.map(|name| self.remove(&name));
-            gone += 1;
+            evicted += 1;
         }
-        gone
+        evicted
     }
 
-    /// Forgets a call: it has been cancelled, or its result is not wanted any more.
+    /// Removes a call that was cancelled, or a result that is no longer wanted.
     pub fn remove(&mut self, name: &str) -> Option<Job> {
         let job = self.jobs.remove(name)?;
         if let Job::Finished { response, until } = &job {
             self.bytes -= response.body.len();
-            self.ends.remove(&(*until, name.to_string()));
+            self.expiries.remove(&(*until, name.to_string()));
         }
         Some(job)
     }
 
-    /// Gives up results that nobody has collected in time.
+    /// Removes expired results.
     pub fn tick(&mut self, now: Micros) {
-        while let Some((until, name)) = self.ends.first().cloned() {
+        while let Some((until, name)) = self.expiries.first().cloned() {
             if until > now {
                 return;
             }
--- a/node/src/front/invoke/results/tests.rs
+++ b/node/src/front/invoke/results/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn results() -> Results {
-    Results::new(Bounds { most: 3, bytes: 10, keep: 100 })
+    Results::new(ResultLimits { max_results: 3, max_bytes: 10, retention: 100 })
 }
 
 fn body(n: usize) -> Response {
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn results_are_bounded_in_number_and_time() {
+fn results_are_limited_in_number_and_expire() {
     let mut r = results();
     let names: Vec<_> = (0..3).map(|_| r.open().unwrap()).collect();
     assert_eq!(r.open(), None);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_oldest_results_make_room_for_new_ones() {
+fn the_oldest_results_are_evicted_first() {
     let mut r = results();
     let names: Vec<_> = (0..3).map(|_| r.open().unwrap()).collect();
     assert_eq!(r.finish(0, &names[0], body(6)), 0);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_result_comes_once_and_not_after_a_cancel() {
+fn a_cancelled_call_stores_no_result() {
     let mut r = results();
     let name = r.open().unwrap();
     r.remove(&name);
--- a/node/src/front/platform.rs
+++ b/node/src/front/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's front: binary frames from clients, answers back to them. Decides nothing.
+//! The platform's client protocol: reads requests in binary frames and writes the answers. Routing is decided
+//! elsewhere.
 
 pub mod frames;
 
@@ -8,80 +9,88 @@
 use wheellink::{Micros, Ticket};
 
 use crate::conn::{Conn, ConnId};
-use crate::front::{Guest, Reply, Through};
+use crate::front::{AcceptedClient, ProxyState, Reply};
 use crate::log::{Log, Reason};
 use crate::wake::{Handle, Wake};
-use frames::{Code, Frame, Head, Request};
-
-/// Requests that one connection may have open.
-const OPEN: usize = 32;
-/// What a connection may hold unsent before no request is taken from it, and at most: as many long answers as it may
-/// have requests open. The memory of all together is bounded apart from that. It is read from all the same: a client
-/// that stops waiting or closes must be heard while it does not read.
-const BACKED_UP: usize = 64 << 10;
-const OUTBOX: usize = 8 << 20;
-const INBOX: usize = 32 << 10;
-/// Bytes of requests that wait on one connection until its client has read its answers; more are refused.
-const PARKED: usize = 32 << 10;
-/// ... for so long at most, and for this part of their client's time: a refusal in time lets it go elsewhere.
-const PARKED_FOR: Micros = 200_000;
-const PARKED_PART: i64 = 4;
-/// Streams used out of order that a connection may have: beyond that its numbering is no numbering.
-const SCATTERED: usize = 1024;
-/// A client that takes nothing for so long while answers wait has stopped reading.
-const STALLED: Micros = 10_000_000;
-
-/// How long a client that is being closed is given to see that: what it still sends is passed over
-/// meanwhile, as a reset for unread bytes could overtake the error.
-const LINGER: Micros = 2_000_000;
-/// Within a frame a client that sends nothing for so long has gone silent. Pieces may be of any size, and as
-/// long as they come the client is at it.
-const SILENT: Micros = 2_000_000;
-/// From its beginning a client's first whole frame must have come by then: some need two seconds to write it,
-/// and those that only seem to, by pieces without an end, hold places that others need.
-const NEWCOMER: Micros = 2_700_000;
-/// ... and any later frame by then from its first byte.
-const HALTING: Micros = 10_000_000;
-/// One that has sent nothing for so long within a frame goes when others need its place; the longest silent
-/// goes first, so that one which still writes is outlasted by those that do not.
-const PAUSING: Micros = 100_000;
-/// ... and one that has not begun a frame by then, if there is nobody else.
-const HESITATING: Micros = 20_000;
-/// A client that said nothing for so long after it came is one that may go when others need its place.
-const SPEECHLESS: Micros = 200_000;
-/// After this, connections of clients that were asked to leave are closed as they come to rest.
-const FAREWELL: Micros = 1_000_000;
-/// Reads of one connection at one go: who sends at full speed must not keep the loop from the others.
-const AT_ONCE: usize = 8;
-
-/// Where an answer goes.
+use frames::{Code, Frame, Header, Request};
+
+/// Maximum number of open requests on a connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Unsent bytes above which requests from a connection are queued instead of handed on. The connection is still read,
+/// so that the front notices a cancelled request or a closed connection while the client does not read its answers.
+const BACKPRESSURE_BYTES: usize = 64 << 10;
+/// Maximum unsent bytes of a connection: as many long answers as it may have open requests. The total over all
+/// connections is limited separately.
+const OUTBOX_BYTES: usize = 8 << 20;
+/// Maximum received bytes that a connection buffers.
+const INBOX_BYTES: usize = 32 << 10;
+/// Maximum size of the requests that one connection queues until its client has read its answers; more are refused.
+const MAX_QUEUED_BYTES: usize = 32 << 10;
+/// Maximum time in that queue: this, or the request's timeout divided by the divisor below, if that is shorter. An
+/// early refusal leaves the client time to send the request elsewhere.
+const MAX_QUEUED_US: Micros = 200_000;
+/// Divisor of the request's timeout; see `MAX_QUEUED_US`.
+const QUEUED_TIMEOUT_DIVISOR: i64 = 4;
+/// Maximum number of streams that a connection may use out of order; further ones are rejected.
+const MAX_STREAMS_AHEAD: usize = 1024;
+/// A client that reads nothing for this long while answers wait is disconnected.
+const STALL_US: Micros = 10_000_000;
+
+/// How long a connection stays half-closed after a protocol error. Until then what the client sends is read and
+/// discarded, because a reset for unread bytes could reach the client before the error does.
+const LINGER_US: Micros = 2_000_000;
+/// Maximum time between two reads of a frame, and from the start of a connection to its first bytes. A read may
+/// deliver any number of bytes.
+const FRAME_GAP_US: Micros = 2_000_000;
+/// Maximum time from the start of a connection to its first complete frame. Some clients need two seconds to write
+/// it; clients that send bytes without ever completing a frame would hold connections that others need.
+const FIRST_FRAME_US: Micros = 2_700_000;
+/// Maximum time from the first byte of any later frame to its last.
+const FRAME_US: Micros = 10_000_000;
+/// A connection that has received nothing for this long within a frame may be evicted early. The one that has been
+/// silent longest is evicted first, so that clients which are still writing keep their connections.
+const PARTIAL_IDLE_US: Micros = 100_000;
+/// A connection that has not begun a frame after this time may be evicted if there is no better candidate.
+const NEW_IDLE_US: Micros = 20_000;
+/// A connection on which nothing has arrived for this long since it opened, or that has lingered for this long, is
+/// evicted first.
+const IDLE_US: Micros = 200_000;
+/// How long clients that were asked to leave may keep idle connections.
+const DRAIN_GRACE_US: Micros = 1_000_000;
+/// Maximum reads of one connection in one turn of the event loop: a client that sends at full speed must not starve
+/// the others.
+const MAX_READS_PER_TURN: usize = 8;
+
+/// The connection and stream on which a request is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Origin {
     pub conn: ConnId,
     pub stream: u32,
 }
 
-/// What the front hands to the node.
+/// Events for the node.
 pub enum Notice {
     Request {
         origin: Origin,
         request: Box<Request>,
     },
-    Left {
+    /// The client of this request no longer waits for its answer.
+    ClientLeft {
         ticket: Ticket,
     },
-    /// The client of these requests ended its side of the connection at `since`: it has gone, or waits for answers.
+    /// The client of these requests ended its side of the connection at `since`: it has either
+    /// gone or still waits for the answers.
     HalfClosed {
         tickets: Vec<Ticket>,
         since: Micros,
     },
-    /// A trusted proxy has said whose the connection is: [`Platform::admit`] must follow.
-    Proxied {
+    /// A trusted proxy has named the client of a connection. The node must call [`Platform::admit`].
+    ClientIdentified {
         conn: ConnId,
         client: Option<SocketAddr>,
     },
     /// A connection has ended.
-    Gone {
+    Closed {
         conn: ConnId,
     },
 }
@@ -90,32 +99,36 @@
     conn: Conn,
     peer: SocketAddr,
     known: bool,
-    through: Through,
-    /// Open streams; a stream has no ticket while its request is being taken.
+    proxy: ProxyState,
+    /// Open streams. A stream has no ticket until the node has taken its request.
     open: BTreeMap<u32, Option<Ticket>>,
     /// Requests that wait until their client has read its answers, oldest first. Their streams are open.
-    parked: VecDeque<Parked>,
-    used: Streams,
-    /// When its client ended its side of the connection.
-    half_closed: Option<Micros>,
-    /// Bytes of a frame too long to be taken that are still to be passed over.
-    skip: usize,
-    /// Framing is lost: what comes is passed over, and it closes once all is answered.
+    queue: VecDeque<QueuedRequest>,
+    streams: Streams,
+    /// When the client ended its side of the connection.
+    half_closed_at: Option<Micros>,
+    /// Bytes still to be discarded of a frame that is too long.
+    skip_bytes: usize,
+    /// Received bytes are discarded, and the connection closes once all requests are answered. Set when framing is lost
+    /// or the client is turned away.
     broken: bool,
-    /// Its client has been asked to open nothing new on it.
-    leaves: bool,
-    /// Its side of the connection was ended then, and the client is given time to see that.
-    lingers: Option<Micros>,
-    begun: Micros,
-    /// It has sent a whole frame that could be read.
-    asked: bool,
-    /// A frame has begun then and is not whole.
+    /// The client has been asked to open no new request.
+    asked_to_leave: bool,
+    /// When this side ended the connection after a protocol error; it stays half-closed for `LINGER_US`.
+    lingering_since: Option<Micros>,
+    opened_at: Micros,
+    /// A valid request or readiness query has arrived.
+    used: bool,
+    /// When the frame that is still incomplete began.
     partial: Option<Micros>,
-    /// How often bytes of it have come, and when they last did.
-    pieces: u32,
-    moved: Micros,
-    active: Micros,
-    taken: u64,
+    /// Number of reads that delivered bytes of it.
+    reads: u32,
+    /// When bytes last arrived.
+    read_at: Micros,
+    /// When a frame was last taken, or bytes were last sent.
+    active_at: Micros,
+    /// Requests received.
+    requests: u64,
 }
 
 impl ClientConn {
@@ -125,109 +138,112 @@
 }
 
 /// A request that waits until its client has read its answers.
-struct Parked {
+struct QueuedRequest {
     stream: u32,
     request: Box<Request>,
-    /// Bytes of its frame.
+    /// Length of the frame's payload.
     size: usize,
+    /// When the request was queued.
     since: Micros,
-    /// When it is refused.
+    /// When the request is refused if it still waits.
     until: Micros,
 }
 
 /// Stream numbers that a connection has used.
 #[derive(Default)]
 struct Streams {
-    /// All up to this one.
-    below: u32,
+    /// All numbers up to this one are used.
+    up_to: u32,
+    /// Used numbers above that.
     above: BTreeSet<u32>,
 }
 
 impl Streams {
-    /// Whether the number is new.
-    fn take(&mut self, stream: u32) -> bool {
-        if stream <= self.below || self.above.len() >= SCATTERED || !self.above.insert(stream) {
+    /// Marks the number as used. Returns false if it was used already or too many are used out of order.
+    fn insert(&mut self, stream: u32) -> bool {
+        if stream <= self.up_to || self.above.len() >= MAX_STREAMS_AHEAD || !self.above.insert(stream) {
             return false;
         }
-        while self.above.remove(&(self.below + 1)) {
-            self.below += 1;
+        while self.above.remove(&(self.up_to + 1)) {
+            self.up_to += 1;
         }
         true
     }
 }
 
+/// The connections of the platform's clients.
 pub struct Platform {
     handle: Handle,
     conns: HashMap<ConnId, ClientConn>,
-    most: usize,
-    /// Idle connections are closed after this.
+    max_conns: usize,
+    /// Idle connections are closed after this time.
     pub conn_idle: Micros,
-    /// Bytes that wait for clients, all together.
-    bytes: usize,
-    /// Connections that were left with more to read.
-    again: Vec<ConnId>,
-    /// What clients are told who ask.
+    /// Maximum unsent bytes of all connections together.
+    max_unsent: usize,
+    /// Connections that may have more to read.
+    unread: Vec<ConnId>,
+    /// The answer to readiness queries.
     pub ready: bool,
-    /// Since when clients have been asked to open nothing new.
-    parting: Option<Micros>,
+    /// Since when clients are asked to open no new request.
+    draining: Option<Micros>,
     pub notices: Vec<Notice>,
 }
 
 impl Platform {
-    pub fn new(handle: Handle, (most, bytes): (usize, usize), conn_idle: Micros) -> Self {
-        let (conns, again, notices) = (HashMap::new(), Vec::new(), Vec::new());
-        Self { handle, conns, most, conn_idle, bytes, again, ready: true, parting: None, notices }
+    pub fn new(handle: Handle, (max_conns, max_unsent): (usize, usize), conn_idle: Micros) -> Self {
+        let (conns, unread, notices) = (HashMap::new(), Vec::new(), Vec::new());
+        Self { handle, conns, max_conns, conn_idle, max_unsent, unread, ready: true, draining: None, notices }
     }
 
-    /// Whether nothing is owed to anybody: all answers have left, and no frame is still coming. One that stops
-    /// coming ends its connection, so that nobody is waited for without end.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether all requests are answered, all answers are sent, and no frame is incomplete. A frame that does not
+    /// continue ends its connection, so this becomes true eventually.
+    pub fn is_idle(&self) -> bool {
         self.conns.values().all(|c| c.is_idle())
     }
 
-    /// Takes a connection in; `None` where that cannot be.
-    pub fn accept(&mut self, now: Micros, guest: Guest, log: &mut Log) -> Option<ConnId> {
-        let Guest { stream, peer, known, proxied } = guest;
+    /// Registers an accepted connection; `None` if that fails.
+    pub fn accept(&mut self, now: Micros, client: AcceptedClient, log: &mut Log) -> Option<ConnId> {
+        let AcceptedClient { stream, peer, known, proxied } = client;
         let id = crate::conn::fresh_id();
-        match Conn::accepted(&self.handle, id, stream, (INBOX, OUTBOX), Wake::Client) {
+        match Conn::accepted(&self.handle, id, stream, (INBOX_BYTES, OUTBOX_BYTES), Wake::Client) {
             Ok(conn) => {
-                let fresh = ClientConn {
+                let conn = ClientConn {
                     conn,
                     peer,
                     known,
-                    through: if proxied { Through::Proxy } else { Through::Nobody },
+                    proxy: if proxied { ProxyState::AwaitHeader } else { ProxyState::Settled },
                     open: BTreeMap::new(),
-                    parked: VecDeque::new(),
-                    used: Streams::default(),
-                    half_closed: None,
-                    skip: 0,
+                    queue: VecDeque::new(),
+                    streams: Streams::default(),
+                    half_closed_at: None,
+                    skip_bytes: 0,
                     broken: false,
-                    leaves: self.parting.is_some(),
-                    lingers: None,
-                    begun: now,
-                    asked: false,
+                    asked_to_leave: self.draining.is_some(),
+                    lingering_since: None,
+                    opened_at: now,
+                    used: false,
                     partial: None,
-                    pieces: 0,
-                    moved: now,
-                    active: now,
-                    taken: 0,
+                    reads: 0,
+                    read_at: now,
+                    active_at: now,
+                    requests: 0,
                 };
-                self.conns.insert(id, fresh);
-                if self.parting.is_some() {
-                    self.write(now, id, &frames::no_more(), log);
+                self.conns.insert(id, conn);
+                if self.draining.is_some() {
+                    self.write(now, id, &frames::drain_notice(), log);
                 }
-                // Most have their request with them, and then are no longer among the speechless.
-                self.ready(now, id, log);
+                // Most clients have sent their request already; reading it now keeps the connection from being evicted.
+                self.on_ready(now, id, log);
                 Some(id)
             }
             Err(e) => {
-                log.line(now, format_args!("client {peer} cannot be taken in: {e}"));
+                log.line(now, format_args!("cannot register the connection of client {peer}: {e}"));
                 None
             }
         }
     }
 
-    /// The client of a proxied connection may come in, or not.
+    /// Admits the client of a proxied connection, or ends the connection if `known` is `None`.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -240,34 +256,34 @@
         c.peer = client.unwrap_or(c.peer);
         match known {
             Some(known) => {
-                (c.known, c.through) = (known, Through::Nobody);
-                self.ready(now, id, log);
+                (c.known, c.proxy) = (known, ProxyState::Settled);
+                self.on_ready(now, id, log);
             }
             None => self.end(now, id, Reason::TurnedAway, log),
         }
     }
 
-    /// Whether a new connection can be taken in, if need be in another's place. Else it waits to be accepted:
-    /// whoever is served next makes room.
+    /// Whether a new connection can be accepted, evicting another if necessary. If not, it stays in the listener's
+    /// queue until a connection is answered.
     pub fn has_room(&mut self, now: Micros, log: &mut Log) -> bool {
-        self.conns.len() < self.most || self.evict(now, false, log)
+        self.conns.len() < self.max_conns || self.evict(now, false, log)
     }
 
-    /// Makes room for somebody else, if that can be; known clients are the last to go. For a known one anybody goes
-    /// who is not, and is owed nothing, however lately it came.
+    /// Evicts a connection, if one can be evicted; known clients are evicted last. For a known client, any connection
+    /// of an unknown client without open requests can be evicted, however new it is.
     pub fn make_room(&mut self, now: Micros, known: bool, log: &mut Log) -> bool {
         self.evict(now, known, log)
     }
 
-    /// A connection's client is known from now on, or no longer.
-    pub fn know(&mut self, id: ConnId, known: bool) {
+    /// Sets whether the client of a connection is known.
+    pub fn set_known(&mut self, id: ConnId, known: bool) {
         if let Some(c) = self.conns.get_mut(&id) {
             c.known = known;
         }
     }
 
-    /// Ends a connection that is owed nothing; one that is owed an answer gets it first.
-    pub fn dismiss(&mut self, now: Micros, id: ConnId, log: &mut Log) {
+    /// Closes a connection, once its open requests are answered.
+    pub fn close_after_answers(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id) else { return };
         if c.open.is_empty() && c.conn.outbox.is_empty() {
             self.end(now, id, Reason::TurnedAway, log);
@@ -276,47 +292,47 @@
         }
     }
 
-    /// Makes room by closing a connection without an open request: first those that never said anything, then
-    /// those that have had time to see their end, then those that stopped within a frame, then those that have
-    /// been idle longest. Thousands that never finish a request must not crowd out clients that asked once and
-    /// keep their connection, nor those that are still writing.
+    /// Evicts a connection without open requests. The order: connections on which nothing ever arrived, those that have
+    /// lingered, those that stopped within a frame, then the longest idle. Thousands of connections that never complete
+    /// a request must not displace clients that have sent one and keep their connection, nor those still writing.
     fn evict(&mut self, now: Micros, for_known: bool, log: &mut Log) -> bool {
-        let rank = |c: &ClientConn| match now - c.moved {
-            _ if c.lingers.is_some_and(|since| now - since >= SPEECHLESS) => Some((1, c.begun)),
+        let rank = |c: &ClientConn| match now - c.read_at {
+            _ if c.lingering_since.is_some_and(|since| now - since >= IDLE_US) => Some((1, c.opened_at)),
             _ if !c.open.is_empty() || c.broken || !c.conn.outbox.is_empty() => None,
-            // Who has come back to a frame is writing it; most that never finish one have left off for good.
-            quiet if c.partial.is_some() && c.pieces > 1 && quiet < SILENT / 2 => Some((6, c.moved)),
-            quiet if c.partial.is_some() => Some((if quiet >= PAUSING { 2 } else { 5 }, c.moved)),
-            _ if c.asked => Some((3, c.active)),
-            quiet if quiet >= SPEECHLESS => Some((0, c.begun)),
-            quiet if quiet >= HESITATING => Some((4, c.begun)),
-            _ => (for_known && !c.known).then_some((7, c.begun)),
+            // A client that has continued a frame is still writing it; most that never complete one have stopped for
+            // good.
+            quiet if c.partial.is_some() && c.reads > 1 && quiet < FRAME_GAP_US / 2 => Some((6, c.read_at)),
+            quiet if c.partial.is_some() => Some((if quiet >= PARTIAL_IDLE_US { 2 } else { 5 }, c.read_at)),
+            _ if c.used => Some((3, c.active_at)),
+            quiet if quiet >= IDLE_US => Some((0, c.opened_at)),
+            quiet if quiet >= NEW_IDLE_US => Some((4, c.opened_at)),
+            _ => (for_known && !c.known).then_some((7, c.opened_at)),
         };
-        // Known clients are the last to go; without admission nobody is one.
+        // Known clients are evicted last; without admission control no client is known.
         let ranked = self.conns.iter().filter_map(|(id, c)| Some((c.known, rank(c)?, *id)));
         let oldest = ranked.min().map(|(.., id)| id);
         oldest.inspect(|id| self.end(now, *id, Reason::Evicted, log)).is_some()
     }
 
-    /// Asks clients to open nothing new, or takes that back for those that come from now on.
-    pub fn part(&mut self, now: Micros, parts: bool, log: &mut Log) {
-        let asked = self.parting.is_some();
-        self.parting = parts.then(|| self.parting.unwrap_or(now));
-        for id in if parts && !asked { self.ids() } else { Vec::new() } {
+    /// Starts or stops draining: asks clients to open no new request, or no longer asks those that connect from now on.
+    pub fn set_draining(&mut self, now: Micros, draining: bool, log: &mut Log) {
+        let asked = self.draining.is_some();
+        self.draining = draining.then(|| self.draining.unwrap_or(now));
+        for id in if draining && !asked { self.ids() } else { Vec::new() } {
             if let Some(c) = self.conns.get_mut(&id) {
-                c.leaves = true;
-                self.write(now, id, &frames::no_more(), log);
+                c.asked_to_leave = true;
+                self.write(now, id, &frames::drain_notice(), log);
             }
         }
     }
 
-    /// Holds to other bounds from now on, in connections and bytes.
-    pub fn bound(&mut self, (most, bytes): (usize, usize)) {
-        (self.most, self.bytes) = (most, bytes);
+    /// Changes the limits on connections and unsent bytes.
+    pub fn set_limits(&mut self, (max_conns, max_unsent): (usize, usize)) {
+        (self.max_conns, self.max_unsent) = (max_conns, max_unsent);
     }
 
-    /// Connections that are held.
-    pub fn held(&self) -> usize {
+    /// Number of connections.
+    pub fn connections(&self) -> usize {
         self.conns.len()
     }
 
@@ -326,149 +342,150 @@
         ids
     }
 
-    /// The socket has something to say, or may take more.
-    pub fn ready(&mut self, now: Micros, id: ConnId, log: &mut Log) {
+    /// Handles a socket that is readable or writable.
+    pub fn on_ready(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         if let Err(reason) = self.serve(now, id, log) {
             self.end(now, id, reason, log);
         }
     }
 
-    /// Connections that were left with more to read. Whether there are any.
-    pub fn has_more(&self) -> bool {
-        !self.again.is_empty()
+    /// Whether connections may have more to read.
+    pub fn has_pending_reads(&self) -> bool {
+        !self.unread.is_empty()
     }
 
-    /// Reads on where more was left.
-    pub fn go_on(&mut self, now: Micros, log: &mut Log) {
-        for id in std::mem::take(&mut self.again) {
-            self.ready(now, id, log);
+    /// Continues reading those connections.
+    pub fn resume_reads(&mut self, now: Micros, log: &mut Log) {
+        for id in std::mem::take(&mut self.unread) {
+            self.on_ready(now, id, log);
         }
     }
 
     fn serve(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<(), Reason> {
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_READS_PER_TURN {
             let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
             if c.conn.flush()? > 0 {
-                c.active = now;
+                c.active_at = now;
             }
-            // A later flush comes back here.
-            self.release_parked(now, id, log);
+            // Answers that are still unsent are flushed by a later call, which releases the queue.
+            self.release_queued(now, id, log);
             let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
             let before = c.conn.inbox.len();
             let filled = c.conn.fill();
             if c.conn.inbox.len() > before {
-                (c.moved, c.pieces) = (now, c.pieces.saturating_add(1));
+                (c.read_at, c.reads) = (now, c.reads.saturating_add(1));
             }
             self.note_half_close(now, id);
-            if !self.is_through(now, id, log)? {
+            if !self.is_admitted(now, id, log)? {
                 filled?;
                 return Ok(());
             }
-            while self.take(now, id, log)? {}
+            while self.take_frame(now, id, log)? {}
             let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
             c.partial = if c.conn.inbox.is_empty() { None } else { c.partial.or(Some(now)) };
             if c.partial.is_none() {
-                c.pieces = 0;
+                c.reads = 0;
             }
             if !filled? {
                 return self.end_if_done(now, id);
             }
         }
-        self.again.push(id);
+        self.unread.push(id);
         self.end_if_done(now, id)
     }
 
-    /// Tells once of a client that has ended its side of the connection. What is read after this is told of as it is
-    /// taken; see [`Platform::half_closed`].
+    /// Reports once that a client has ended its side of the connection. For requests that are taken after this, the
+    /// node asks [`Platform::half_closed`].
     fn note_half_close(&mut self, now: Micros, id: ConnId) {
-        let Some(c) = self.conns.get_mut(&id).filter(|c| c.conn.eof && c.half_closed.is_none()) else {
+        let Some(c) = self.conns.get_mut(&id).filter(|c| c.conn.eof && c.half_closed_at.is_none()) else {
             return;
         };
-        c.half_closed = Some(now);
+        c.half_closed_at = Some(now);
         let tickets: Vec<Ticket> = c.open.values().flatten().copied().collect();
         if !tickets.is_empty() {
             self.notices.push(Notice::HalfClosed { tickets, since: now });
         }
     }
 
-    /// When the client of this connection ended its side of it, if it has.
+    /// When the client of a connection ended its side of it, if it has.
     pub fn half_closed(&self, id: ConnId) -> Option<Micros> {
-        self.conns.get(&id).and_then(|c| c.half_closed)
+        self.conns.get(&id).and_then(|c| c.half_closed_at)
     }
 
-    /// Whether the client behind a proxy is known and was let in: until then nothing of it is read.
-    fn is_through(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<bool, Reason> {
+    /// Whether the client is admitted. Until then no frame is read from a proxied connection.
+    fn is_admitted(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<bool, Reason> {
         let Some(c) = self.conns.get_mut(&id) else { return Ok(false) };
-        match c.through.hear(&mut c.conn.inbox) {
-            Ok(Some(client)) => self.notices.push(Notice::Proxied { conn: id, client }),
-            Ok(None) if c.through == Through::Proxy && c.conn.eof => return Err(Reason::PeerClosed),
+        match c.proxy.read_header(&mut c.conn.inbox) {
+            Ok(Some(client)) => self.notices.push(Notice::ClientIdentified { conn: id, client }),
+            Ok(None) if c.proxy == ProxyState::AwaitHeader && c.conn.eof => return Err(Reason::PeerClosed),
             Ok(None) => {}
             Err(problem) => {
                 log.bad(now, format_args!("proxy {} sent {problem}", c.peer));
                 return Err(Reason::Protocol);
             }
         }
-        Ok(self.conns.get(&id).is_some_and(|c| c.through == Through::Nobody))
+        Ok(self.conns.get(&id).is_some_and(|c| c.proxy == ProxyState::Settled))
     }
 
-    /// A client that has ended its side may still wait for answers; it is closed when it has them. One whose
-    /// framing was lost must see its answers before a reset can overtake them.
+    /// Ends a connection whose client has ended its side, once it has its answers. A connection with lost framing
+    /// first lingers, so that a reset cannot overtake the answers.
     fn end_if_done(&mut self, now: Micros, id: ConnId) -> Result<(), Reason> {
         let Some(c) = self.conns.get_mut(&id) else { return Ok(()) };
         if !c.open.is_empty() || !c.conn.outbox.is_empty() {
             return Ok(());
         }
-        match (c.broken, c.conn.eof, c.lingers) {
+        match (c.broken, c.conn.eof, c.lingering_since) {
             (true, false, None) => {
-                c.lingers = Some(now);
+                c.lingering_since = Some(now);
                 c.conn.half_close();
                 Ok(())
             }
-            (true, false, Some(since)) if now - since < LINGER => Ok(()),
+            (true, false, Some(since)) if now - since < LINGER_US => Ok(()),
             (true, ..) => Err(Reason::Protocol),
             (false, true, _) => Err(Reason::PeerClosed),
             (false, false, _) => Ok(()),
         }
     }
 
-    /// Takes one frame; false when none is whole.
-    fn take(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<bool, Reason> {
+    /// Takes one frame; false if none is complete.
+    fn take_frame(&mut self, now: Micros, id: ConnId, log: &mut Log) -> Result<bool, Reason> {
         let Some(c) = self.conns.get_mut(&id) else { return Ok(false) };
         if c.broken {
             c.conn.inbox.consume(usize::MAX);
             return Ok(false);
         }
-        if c.skip > 0 {
-            let n = c.skip.min(c.conn.inbox.len());
+        if c.skip_bytes > 0 {
+            let n = c.skip_bytes.min(c.conn.inbox.len());
             c.conn.inbox.consume(n);
-            c.skip -= n;
+            c.skip_bytes -= n;
             return Ok(n > 0);
         }
-        let head = match frames::head(&c.conn.inbox) {
-            Ok(Some(head)) => head,
+        let header = match frames::header(&c.conn.inbox) {
+            Ok(Some(header)) => header,
             Ok(None) => return Ok(false),
             Err(problem) => {
-                self.give_up(now, id, &problem, log);
+                self.fail_connection(now, id, &problem, log);
                 return Ok(false);
             }
         };
-        if head.length > frames::LONGEST_TAKEN {
-            // Longer than any request may be: answered at once, and passed over as it comes.
-            c.conn.inbox.consume(frames::HEAD);
-            c.skip = head.length - (frames::HEAD - 4);
-            let new = head.kind == 1 && head.stream > 0 && c.used.take(head.stream);
-            let stream = if new { head.stream } else { 0 };
+        if header.length > frames::MAX_FRAME_BYTES {
+            // Longer than any valid request: answered at once, and discarded as it arrives.
+            c.conn.inbox.consume(frames::HEADER_BYTES);
+            c.skip_bytes = header.length - (frames::HEADER_BYTES - 4);
+            let new = header.kind == 1 && header.stream > 0 && c.streams.insert(header.stream);
+            let stream = if new { header.stream } else { 0 };
             self.error(now, Origin { conn: id, stream }, "a body of over 16 KiB", log);
             return Ok(true);
         }
-        let Some(payload) = frames::payload(&mut c.conn.inbox, &head) else { return Ok(false) };
-        c.active = now;
-        self.frame(now, id, head, &payload, log);
+        let Some(payload) = frames::payload(&mut c.conn.inbox, &header) else { return Ok(false) };
+        c.active_at = now;
+        self.handle_frame(now, id, header, &payload, log);
         Ok(true)
     }
 
-    /// Nothing more is read from the client. It is told why, and closed once all is answered.
-    fn give_up(&mut self, now: Micros, id: ConnId, problem: &str, log: &mut Log) {
+    /// Reports a protocol error to the client. From then on its bytes are discarded, and the connection closes once all
+    /// requests are answered.
+    fn fail_connection(&mut self, now: Micros, id: ConnId, problem: &str, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id) else { return };
         c.broken = true;
         c.conn.inbox.consume(usize::MAX);
@@ -476,47 +493,48 @@
         self.error(now, Origin { conn: id, stream: 0 }, problem, log);
     }
 
-    fn frame(&mut self, now: Micros, id: ConnId, head: Head, payload: &[u8], log: &mut Log) {
+    fn handle_frame(&mut self, now: Micros, id: ConnId, header: Header, payload: &[u8], log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id) else { return };
         c.partial = None;
-        let nowhere = Origin { conn: id, stream: 0 };
-        let origin = Origin { conn: id, stream: head.stream };
-        match frames::frame(&head, payload) {
+        let connection = Origin { conn: id, stream: 0 };
+        let origin = Origin { conn: id, stream: header.stream };
+        match frames::frame(&header, payload) {
             Ok(Frame::Request(request)) => {
-                if head.stream == 0 || !c.used.take(head.stream) {
-                    return self.error(now, nowhere, "a stream that is not new", log);
+                if header.stream == 0 || !c.streams.insert(header.stream) {
+                    return self.error(now, connection, "a stream that is not new", log);
                 }
                 match request {
                     Err(problem) => self.error(now, origin, &problem, log),
-                    // It never ran, and there may be room soon: the one error that is a refusal.
-                    Ok(_) if c.open.len() >= OPEN => {
+                    // The request never ran and may be sent again soon, so this error alone is a refusal.
+                    Ok(_) if c.open.len() >= MAX_OPEN_REQUESTS => {
                         self.answer(now, origin, Code::Refused, &[], b"over 32 requests are open", log)
                     }
                     Ok(request) => {
-                        c.asked = true;
-                        c.taken += 1;
-                        c.open.insert(head.stream, None);
-                        self.take_request(now, origin, request, payload.len(), log);
+                        c.used = true;
+                        c.requests += 1;
+                        c.open.insert(header.stream, None);
+                        self.accept_request(now, origin, request, payload.len(), log);
                     }
                 }
             }
-            Ok(Frame::Left) => {
-                c.parked.retain(|parked| parked.stream != head.stream);
-                if let Some(Some(ticket)) = c.open.remove(&head.stream) {
-                    self.notices.push(Notice::Left { ticket });
+            Ok(Frame::Cancel) => {
+                c.queue.retain(|q| q.stream != header.stream);
+                if let Some(Some(ticket)) = c.open.remove(&header.stream) {
+                    self.notices.push(Notice::ClientLeft { ticket });
                 }
             }
-            Ok(Frame::IsReady) => {
-                c.asked = true;
+            Ok(Frame::ReadinessQuery) => {
+                c.used = true;
                 let code = if self.ready { Code::Served } else { Code::Refused };
-                self.write(now, id, &frames::readiness(head.stream, code), log);
+                self.write(now, id, &frames::readiness(header.stream, code), log);
             }
-            Err(problem) => self.error(now, nowhere, &problem, log),
+            Err(problem) => self.error(now, connection, &problem, log),
         }
     }
 
-    /// Hands a request on; or parks it where its client does not read its answers, as long as there is room.
-    fn take_request(
+    /// Hands a request to the node, queues it while its client does not read its answers, or refuses it if the queue is
+    /// full.
+    fn accept_request(
         &mut self,
         now: Micros,
         origin: Origin,
@@ -525,66 +543,68 @@
         log: &mut Log,
     ) {
         let Some(c) = self.conns.get_mut(&origin.conn) else { return };
-        if c.conn.outbox.len() <= BACKED_UP && c.parked.is_empty() {
+        if c.conn.outbox.len() <= BACKPRESSURE_BYTES && c.queue.is_empty() {
             return self.notices.push(Notice::Request { origin, request });
         }
-        if c.parked.iter().map(|p| p.size).sum::<usize>() + size > PARKED {
-            return self.refuse_parked(now, origin, log);
+        if c.queue.iter().map(|p| p.size).sum::<usize>() + size > MAX_QUEUED_BYTES {
+            return self.refuse_queued(now, origin, log);
         }
-        let until = now + PARKED_FOR.min(request.timeout * 1000 / PARKED_PART);
-        c.parked.push_back(Parked { stream: origin.stream, request, size, since: now, until });
+        let until = now + MAX_QUEUED_US.min(request.timeout_ms * 1000 / QUEUED_TIMEOUT_DIVISOR);
+        c.queue.push_back(QueuedRequest { stream: origin.stream, request, size, since: now, until });
     }
 
-    /// Hands parked requests on as soon as their client has read its answers, and refuses those that waited for too
-    /// long.
-    fn release_parked(&mut self, now: Micros, id: ConnId, log: &mut Log) {
+    /// Hands queued requests to the node as soon as their client has read its answers, and refuses those that have
+    /// waited too long.
+    fn release_queued(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         while let Some(c) = self.conns.get_mut(&id) {
-            let reads = c.conn.outbox.len() <= BACKED_UP;
-            let Some(at) = c.parked.iter().position(|p| reads || p.until <= now) else { return };
-            let Some(Parked { stream, mut request, since, until, .. }) = c.parked.remove(at) else { return };
+            let reads = c.conn.outbox.len() <= BACKPRESSURE_BYTES;
+            let Some(at) = c.queue.iter().position(|p| reads || p.until <= now) else { return };
+            let Some(QueuedRequest { stream, mut request, since, until, .. }) = c.queue.remove(at) else {
+                return;
+            };
             let origin = Origin { conn: id, stream };
             if until <= now {
-                self.refuse_parked(now, origin, log);
+                self.refuse_queued(now, origin, log);
             } else {
-                request.timeout -= (now - since) / 1000;
+                request.timeout_ms -= (now - since) / 1000;
                 self.notices.push(Notice::Request { origin, request });
             }
         }
     }
 
-    /// It never ran, and its client may send it where its answers are read.
-    fn refuse_parked(&mut self, now: Micros, origin: Origin, log: &mut Log) {
+    /// Refuses a request that never ran; the client may send it on a connection that it reads.
+    fn refuse_queued(&mut self, now: Micros, origin: Origin, log: &mut Log) {
         self.answer(now, origin, Code::Refused, &[], b"earlier answers are not read", log);
     }
 
-    /// Whether somebody still waits for the answer.
-    pub fn waits(&self, origin: Origin) -> bool {
+    /// Whether the client still waits for the answer.
+    pub fn is_open(&self, origin: Origin) -> bool {
         self.conns.get(&origin.conn).is_some_and(|c| c.open.contains_key(&origin.stream))
     }
 
-    /// The node has taken the request under this ticket. False if its client has left since.
-    pub fn taken(&mut self, origin: Origin, ticket: Ticket) -> bool {
+    /// Records the ticket under which the node has taken the request. False if the client no longer waits.
+    pub fn set_ticket(&mut self, origin: Origin, ticket: Ticket) -> bool {
         let slot = self.conns.get_mut(&origin.conn).and_then(|c| c.open.get_mut(&origin.stream));
         slot.map(|slot| *slot = Some(ticket)).is_some()
     }
 
-    /// An error of the client's: an answer on its stream, or on stream 0, and nothing else is touched.
+    /// Answers an error of the client on the request's stream, or on stream 0. Other streams are not affected.
     pub fn error(&mut self, now: Micros, origin: Origin, problem: &str, log: &mut Log) {
         self.answer(now, origin, Code::Failed, &[], problem.as_bytes(), log);
     }
 
-    /// The final answer to a request.
+    /// Sends the final answer to a request.
     pub fn reply(&mut self, now: Micros, origin: Origin, reply: Reply, log: &mut Log) {
         match reply {
             Reply::Served(body) => self.answer(now, origin, Code::Served, &[], &body, log),
             Reply::Refused(wait) => {
-                // In milliseconds, as the operators' later page says. Not every deployment's clients heed it.
+                // In milliseconds. Some clients ignore this field.
                 let wait = (wait / 1000).to_string();
                 let fields = [("holdoff", wait.as_str())];
                 let fields = if wait == "0" { &[] } else { &fields[..] };
                 self.answer(now, origin, Code::Refused, fields, &[], log)
             }
-            Reply::TurnedAway(away) => self.reply(now, origin, Reply::Refused(away.wait), log),
+            Reply::TurnedAway(away) => self.reply(now, origin, Reply::Refused(away.retry_after), log),
             Reply::Failed | Reply::TimedOut => self.answer(now, origin, Code::Failed, &[], &[], log),
         }
     }
@@ -612,13 +632,13 @@
         }
         if empty {
             match c.conn.flush() {
-                Ok(_) => c.active = now,
+                Ok(_) => c.active_at = now,
                 Err(reason) => return self.end(now, id, reason, log),
             }
         }
-        // Clients that do not read share what memory there is: who waits with most of it goes.
-        let backed_up = self.conns.get(&id).is_some_and(|c| c.conn.outbox.len() > BACKED_UP);
-        if backed_up && self.conns.values().map(|c| c.conn.outbox.len()).sum::<usize>() > self.bytes {
+        // Clients that do not read share a memory limit. The backed-up connection whose write exceeds it is closed.
+        let backed_up = self.conns.get(&id).is_some_and(|c| c.conn.outbox.len() > BACKPRESSURE_BYTES);
+        if backed_up && self.conns.values().map(|c| c.conn.outbox.len()).sum::<usize>() > self.max_unsent {
             self.end(now, id, Reason::SlowReader, log);
         }
     }
@@ -629,35 +649,37 @@
             now,
             format_args!("client {}", c.peer),
             reason,
-            format_args!("requests={} open={}", c.taken, c.open.len()),
+            format_args!("requests={} open={}", c.requests, c.open.len()),
         );
-        self.notices.extend(c.open.into_values().flatten().map(|ticket| Notice::Left { ticket }));
-        self.notices.push(Notice::Gone { conn: id });
+        self.notices.extend(c.open.into_values().flatten().map(|ticket| Notice::ClientLeft { ticket }));
+        self.notices.push(Notice::Closed { conn: id });
         c.conn.close(&self.handle);
     }
 
-    /// Closes connections that are idle, done, or not read from.
+    /// Releases or refuses queued requests, and closes connections that are idle, done, too slow or not read from.
     pub fn tick(&mut self, now: Micros, log: &mut Log) {
         for id in self.ids() {
-            self.release_parked(now, id, log);
+            self.release_queued(now, id, log);
             let Some(c) = self.conns.get(&id) else { continue };
-            let quiet = now - c.active;
+            let quiet = now - c.active_at;
             let late = match c.partial {
                 _ if c.broken || !c.conn.outbox.is_empty() => false,
-                _ if !c.asked && c.open.is_empty() => now - c.begun >= NEWCOMER || now - c.moved >= SILENT,
-                Some(since) => now - since >= HALTING || now - c.moved >= SILENT,
+                _ if !c.used && c.open.is_empty() => {
+                    now - c.opened_at >= FIRST_FRAME_US || now - c.read_at >= FRAME_GAP_US
+                }
+                Some(since) => now - since >= FRAME_US || now - c.read_at >= FRAME_GAP_US,
                 None => false,
             };
-            if late && c.conn.inbox.is_empty() && c.skip == 0 && c.taken == 0 {
+            if late && c.conn.inbox.is_empty() && c.skip_bytes == 0 && c.requests == 0 {
                 self.end(now, id, Reason::Silent, log);
             } else if late {
-                self.give_up(now, id, "a frame that does not end", log);
+                self.fail_connection(now, id, "a frame that does not end", log);
                 if let Err(reason) = self.end_if_done(now, id) {
                     self.end(now, id, reason, log);
                 }
-            } else if !c.conn.outbox.is_empty() && quiet >= STALLED {
+            } else if !c.conn.outbox.is_empty() && quiet >= STALL_US {
                 self.end(now, id, Reason::SlowReader, log);
-            } else if c.leaves && c.is_idle() && c.asked && quiet >= self.parted(now) {
+            } else if c.asked_to_leave && c.is_idle() && c.used && quiet >= self.drain_idle_timeout(now) {
                 self.end(now, id, Reason::Drained, log);
             } else if c.is_idle() && quiet >= self.conn_idle {
                 self.end(now, id, Reason::Idle, log);
@@ -667,16 +689,17 @@
         }
     }
 
-    /// How long a client that has been asked to leave may still be quiet: what it sent before it heard of that
-    /// must not meet a closed connection, and in the end it must be gone, whether it heeds that or not.
-    fn parted(&self, now: Micros) -> Micros {
-        match self.parting {
-            Some(since) if now - since < FAREWELL => Micros::MAX,
-            Some(since) if now - since >= 2 * FAREWELL => 0,
-            _ => FAREWELL / 4,
+    /// How long a connection may be idle after its client was asked to leave. During the grace period it stays open, as
+    /// requests may be on their way; after twice that period it is closed as soon as it is idle.
+    fn drain_idle_timeout(&self, now: Micros) -> Micros {
+        match self.draining {
+            Some(since) if now - since < DRAIN_GRACE_US => Micros::MAX,
+            Some(since) if now - since >= 2 * DRAIN_GRACE_US => 0,
+            _ => DRAIN_GRACE_US / 4,
         }
     }
 
+    /// Closes all connections.
     pub fn shut_down(&mut self, now: Micros, log: &mut Log) {
         for id in self.ids() {
             self.end(now, id, Reason::Shutdown, log);
--- a/node/src/front/platform/frames.rs
+++ b/node/src/front/platform/frames.rs
@@ -1,52 +1,54 @@
-//! The codec of the platform's frames. Pure: bytes in, values out. Numbers are little-endian.
+//! The codec of the platform's frames. No I/O: bytes in, values out. Numbers are little-endian.
 
 use crate::hosts::lines::is_word;
 use crate::ring::Ring;
 
-/// Bytes of the length, the type and the stream.
-pub const HEAD: usize = 9;
-/// What a length may be.
-const LENGTHS: std::ops::RangeInclusive<usize> = 5..=262_144;
-/// Longest body of a request.
-const LONGEST_BODY: usize = 16 << 10;
-/// Longest frame that is taken in: a body and its fields.
-pub const LONGEST_TAKEN: usize = LONGEST_BODY + (8 << 10);
+/// Length of a frame header: frame length, type and stream.
+pub const HEADER_BYTES: usize = 9;
+/// Valid values of the length field, which counts the bytes after itself.
+const LENGTH_RANGE: std::ops::RangeInclusive<usize> = 5..=262_144;
+/// Maximum length of a request body.
+const MAX_BODY_BYTES: usize = 16 << 10;
+/// Maximum length of a frame that is buffered: a request body and its fields.
+pub const MAX_FRAME_BYTES: usize = MAX_BODY_BYTES + (8 << 10);
 
-/// The beginning of a frame.
+/// The header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Head {
+pub struct Header {
     pub length: usize,
     pub kind: u8,
     pub stream: u32,
 }
 
-/// What a client sends.
+/// A frame from a client.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    /// A request; what is wrong with it concerns its stream alone.
+    /// A request. An error in it affects only its stream.
     Request(Result<Box<Request>, String>),
-    Left,
-    IsReady,
+    /// The client no longer waits for the answer on this stream.
+    Cancel,
+    /// The client asks whether the activator takes requests.
+    ReadinessQuery,
 }
 
-/// A request as a client words it.
+/// The fields and the body of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
     pub id: String,
     pub class: String,
     pub tenant: Option<String>,
     pub function: String,
-    /// In milliseconds.
-    pub timeout: i64,
+    /// How long the client waits for the answer.
+    pub timeout_ms: i64,
     pub repeat: bool,
     pub key: Option<String>,
     pub lanes: u32,
-    /// Work expected, in microseconds; 0 where it is not told.
+    /// Expected run time in microseconds; 0 if the client gives none.
     pub hint: i64,
     pub body: Vec<u8>,
 }
 
-/// Codes of answers.
+/// Result codes of answers, with their values on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     Served = 79,
@@ -54,13 +56,14 @@
     Failed = 69,
 }
 
-/// Reads the beginning of the next frame; `None` while it is not whole.
-pub fn head(ring: &Ring) -> Result<Option<Head>, String> {
+/// Reads the header of the next frame; `None` while it is incomplete. An invalid length is an error as soon as the
+/// length field has arrived.
+pub fn header(ring: &Ring) -> Result<Option<Header>, String> {
     let length = ring.copy(0, 4).map(|b| u32::from_le_bytes(b.try_into().unwrap()) as usize);
     match length {
-        Some(length) if !LENGTHS.contains(&length) => Err(format!("a frame of {length} bytes")),
+        Some(length) if !LENGTH_RANGE.contains(&length) => Err(format!("a frame of {length} bytes")),
         None => Ok(None),
-        Some(length) => Ok(ring.copy(4, 5).map(|b| Head {
+        Some(length) => Ok(ring.copy(4, 5).map(|b| Header {
             length,
             kind: b[0],
             stream: u32::from_le_bytes(b[1..].try_into().unwrap()),
@@ -68,19 +71,19 @@
     }
 }
 
-/// Takes the frame off the ring; `None` while it is not whole.
-pub fn payload(ring: &mut Ring, head: &Head) -> Option<Vec<u8>> {
-    let payload = ring.copy(HEAD, head.length + 4 - HEAD)?;
-    ring.consume(head.length + 4);
+/// Takes the frame off the ring and returns its payload; `None` while it is incomplete.
+pub fn payload(ring: &mut Ring, header: &Header) -> Option<Vec<u8>> {
+    let payload = ring.copy(HEADER_BYTES, header.length + 4 - HEADER_BYTES)?;
+    ring.consume(header.length + 4);
     Some(payload)
 }
 
-/// Reads a whole frame. An error concerns no request.
-pub fn frame(head: &Head, payload: &[u8]) -> Result<Frame, String> {
-    match head.kind {
+/// Decodes a complete frame. The error is one that belongs to no request.
+pub fn frame(header: &Header, payload: &[u8]) -> Result<Frame, String> {
+    match header.kind {
         1 => Ok(Frame::Request(request(payload).map(Box::new))),
-        3 => Ok(Frame::Left),
-        4 => Ok(Frame::IsReady),
+        3 => Ok(Frame::Cancel),
+        4 => Ok(Frame::ReadinessQuery),
         other => Err(format!("a frame of type {other}")),
     }
 }
@@ -88,29 +91,29 @@
 fn request(payload: &[u8]) -> Result<Request, String> {
     let mut rest = payload;
     let fields = fields(&mut rest).ok_or("its fields cannot be read")?;
-    if rest.len() > LONGEST_BODY {
+    if rest.len() > MAX_BODY_BYTES {
         return Err("a body of over 16 KiB".into());
     }
-    let mut request = Request { lanes: 1, timeout: -1, body: rest.to_vec(), ..Request::default() };
-    let mut figures = true;
+    let mut request = Request { lanes: 1, timeout_ms: -1, body: rest.to_vec(), ..Request::default() };
+    let mut numeric_ok = true;
     for (name, value) in fields {
         match name {
             "req" => request.id = value.into(),
             "kind" => request.class = value.into(),
             "owner" => request.tenant = Some(value.into()),
             "subject" => request.function = value.into(),
-            "timeout" => request.timeout = value.parse().unwrap_or(-1),
+            "timeout" => request.timeout_ms = value.parse().unwrap_or(-1),
             "resent" => request.repeat = value == "1",
             "opkey" => request.key = Some(value.into()),
             "props" => match lanes(value) {
                 Some(lanes) => request.lanes = lanes,
-                None => figures = false,
+                None => numeric_ok = false,
             },
-            "ms" => match figure(value) {
+            "ms" => match number(value) {
                 Some(ms) => request.hint = (ms * 1000.0) as i64,
-                None => figures = false,
+                None => numeric_ok = false,
             },
-            // What is not known is skipped.
+            // Unknown fields are ignored.
             _ => {}
         }
     }
@@ -118,10 +121,10 @@
     let wrong = [
         (!hex(&request.id), "req is not 16 hex digits"),
         (!hex(&request.function), "subject is not 16 hex digits"),
-        (!(0..=86_400_000).contains(&request.timeout), "timeout is no time in milliseconds"),
+        (!(0..=86_400_000).contains(&request.timeout_ms), "timeout is no time in milliseconds"),
         (!is_word(&request.class), "kind is no class"),
         (request.key.as_ref().is_some_and(|k| !is_word(k)), "opkey is no key"),
-        (!figures, "a figure is out of range or not a number"),
+        (!numeric_ok, "a figure is out of range or not a number"),
     ];
     match wrong.iter().find(|(wrong, _)| *wrong) {
         Some((_, what)) => Err(what.to_string()),
@@ -129,17 +132,17 @@
     }
 }
 
-/// A figure of a request, where it is one.
-fn figure(text: &str) -> Option<f64> {
+/// Parses a numeric field; `None` if it is no number or out of range.
+fn number(text: &str) -> Option<f64> {
     text.parse::<f64>().ok().filter(|n| (0.0..=1e9).contains(n))
 }
 
-/// The lanes in the further figures of a request; 1 where they are not told, `None` where one is no figure.
+/// Reads `lanes` from the `props` field; 1 if it is absent, `None` if any property is no valid number.
 fn lanes(props: &str) -> Option<u32> {
     let mut lanes = 1.0;
     for pair in props.split(';').filter(|p| !p.is_empty()) {
         let (name, n) = pair.split_once(':')?;
-        let n = figure(n)?;
+        let n = number(n)?;
         if name == "lanes" {
             lanes = Some(n).filter(|n| (1.0..=1e6).contains(n))?;
         }
@@ -184,18 +187,18 @@
     bytes
 }
 
-/// The answer to a request; on stream 0, an error that belongs to none.
+/// Encodes the answer to a request or, on stream 0, an error that belongs to no request.
 pub fn answer(stream: u32, code: Code, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     encode(2, stream, Some((code, fields)), body)
 }
 
-/// The answer to 'are you ready?'.
+/// Encodes the answer to a readiness query.
 pub fn readiness(stream: u32, code: Code) -> Vec<u8> {
     encode(5, stream, Some((code, &[])), &[])
 }
 
-/// 'No new request on this connection.'
-pub fn no_more() -> Vec<u8> {
+/// Encodes the notice that asks the client to open no new request on this connection.
+pub fn drain_notice() -> Vec<u8> {
     encode(6, 0, None, &[])
 }
 
--- a/node/src/http/tests.rs
+++ b/node/src/http/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 use rstest::rstest;
 
-const LONGEST: usize = 32;
+const MAX_BODY_BYTES: usize = 32;
 
-fn parse(bytes: &[u8]) -> Result<Parsed, Bad> {
+fn parse(bytes: &[u8]) -> Result<Parsed, Error> {
     let mut ring = Ring::new(64 << 10);
     assert!(ring.push(bytes));
-    next_request(&mut ring, LONGEST)
+    next_request(&mut ring, MAX_BODY_BYTES)
 }
 
 #[rstest]
@@ -29,14 +29,14 @@
 #[case::bad_chunk(b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400)]
 #[case::chunk_overruns(b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", 400)]
 #[case::gzip(b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip\r\n\r\n", 501)]
-#[case::version(b"GET / HTTP/2.0\r\nHost: a\r\n\r\n", 505)]
-fn what_cannot_be_taken_is_told_by_its_status(#[case] bytes: &[u8], #[case] status: u16) {
+#[case::http_2(b"GET / HTTP/2.0\r\nHost: a\r\n\r\n", 505)]
+fn invalid_requests_are_errors_with_their_status(#[case] bytes: &[u8], #[case] status: u16) {
     assert_eq!(parse(bytes).unwrap_err().0, status);
 }
 
 #[test]
-fn a_header_without_end_is_cut_off() {
-    let long = format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}", "y".repeat(LONGEST_HEAD));
+fn an_endless_header_is_an_error() {
+    let long = format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}", "y".repeat(MAX_HEAD_BYTES));
     assert_eq!(parse(long.as_bytes()).unwrap_err().0, 431);
 }
 
@@ -52,13 +52,13 @@
     b"abc",
     false
 )]
-#[case::old(b"POST /x HTTP/1.0\r\nContent-Length: 3\r\n\r\nabc", b"abc", false)]
+#[case::http_1_0(b"POST /x HTTP/1.0\r\nContent-Length: 3\r\n\r\nabc", b"abc", false)]
 #[case::old_kept(b"POST /x HTTP/1.0\r\nConnection: keep-alive\r\nContent-Length: 3\r\n\r\nabc", b"abc", true)]
-fn a_request_is_taken_at_any_split(#[case] bytes: &[u8], #[case] body: &[u8], #[case] keep_alive: bool) {
+fn a_request_is_parsed_byte_by_byte(#[case] bytes: &[u8], #[case] body: &[u8], #[case] keep_alive: bool) {
     let mut ring = Ring::new(64 << 10);
     for (i, byte) in bytes.iter().enumerate() {
         assert!(ring.push(&[*byte]));
-        match next_request(&mut ring, LONGEST).unwrap() {
+        match next_request(&mut ring, MAX_BODY_BYTES).unwrap() {
             Parsed::Partial { .. } => assert!(i + 1 < bytes.len()),
             Parsed::Whole(r) => {
                 assert_eq!((i + 1, r.path.as_str(), r.keep_alive), (bytes.len(), "/x", keep_alive));
@@ -70,20 +70,20 @@
 }
 
 #[test]
-fn preferences_and_expectations_are_read() {
-    let head = b"POST / HTTP/1.1\r\nHost: a\r\nPrefer: Respond-Async; x, wait=\"2\"\r\nPrefer: c\r\n\
+fn prefer_and_expect_headers_are_read() {
+    let request = b"POST / HTTP/1.1\r\nHost: a\r\nPrefer: Respond-Async; x, wait=\"2\"\r\nPrefer: c\r\n\
         Expect: 100-Continue\r\nContent-Length: 1\r\n\r\n";
-    let Ok(Parsed::Partial { expects_continue: true, head: Some(told) }) = parse(head) else {
-        panic!("{:?}", parse(head))
+    let Ok(Parsed::Partial { expects_continue: true, head: Some(head) }) = parse(request) else {
+        panic!("{:?}", parse(request))
     };
-    assert_eq!(told.0.method, "POST");
-    let Ok(Parsed::Whole(r)) = parse(&[&head[..], b"z"].concat()) else { panic!("not whole") };
-    let of = |n: &str, v: &str| (n.to_string(), v.to_string());
-    assert_eq!(r.preferences(), [of("respond-async", ""), of("wait", "2"), of("c", "")]);
+    assert_eq!(head.0.method, "POST");
+    let Ok(Parsed::Whole(r)) = parse(&[&request[..], b"z"].concat()) else { panic!("incomplete") };
+    let pair = |n: &str, v: &str| (n.to_string(), v.to_string());
+    assert_eq!(r.preferences(), [pair("respond-async", ""), pair("wait", "2"), pair("c", "")]);
 }
 
 #[test]
-fn an_answer_tells_its_length_unless_it_has_no_content() {
+fn only_responses_with_content_have_a_content_length() {
     let text = String::from_utf8(Response::problem(503, "x").encode(false, false)).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     assert!(head.starts_with("HTTP/1.1 503 Service Unavailable\r\nDate: "));
--- a/node/src/listener.rs
+++ b/node/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket in the loop, which can be shut for a while without losing what is queued on it.
+//! A listening socket in the event loop. Accepting can be paused; meanwhile the system queues new connections.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,45 +13,44 @@
 use crate::faults;
 use crate::wake::{Handle, Wake};
 
-/// Connections that the system may hold until they are accepted: thousands may come at once, and one that is
-/// not queued is begun anew by its client only after a second.
+/// Connections that the system queues until they are accepted. Thousands may arrive at once, and a client whose
+/// connection is not queued tries again only after a second.
 const BACKLOG: i32 = 4096;
 
-/// Listens on an address, and on no other.
+/// Binds a socket to the address and listens on it.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    // Connections of a process that has ended do not keep the address.
+    // Otherwise connections of a process that has ended would keep the address in use.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
-/// See the module's page.
+/// A registered listening socket.
 pub struct Listener {
     handle: Handle,
     socket: Rc<TcpListener>,
     token: RegistrationToken,
-    /// Shut until then; for good where that is never.
-    shut: Option<Micros>,
+    /// When accepting resumes, if it is paused; `Micros::MAX` if it stays paused until [`Listener::resume`].
+    paused_until: Option<Micros>,
 }
 
 impl Listener {
-    /// Registers the socket: `knock` is said as long as connections wait. Level-triggered, so that what was
-    /// not accepted comes up again.
-    pub fn open(handle: &Handle, listener: TcpListener, knock: Wake) -> io::Result<Self> {
+    /// Registers the socket. It is level-triggered: `wake` is repeated as long as connections wait to be accepted.
+    pub fn open(handle: &Handle, listener: TcpListener, wake: Wake) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let socket = Rc::new(listener);
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
         let token = handle.insert_source(source, move |_, _, wakes| {
-            wakes.push(knock);
+            wakes.push(wake);
             Ok(PostAction::Continue)
         });
         let token = token.map_err(|e| io::Error::other(e.error.to_string()))?;
-        Ok(Self { handle: handle.clone(), socket, token, shut: None })
+        Ok(Self { handle: handle.clone(), socket, token, paused_until: None })
     }
 
-    /// Another handle of the same socket, for another process.
+    /// Duplicates the socket's descriptor, for another process.
     pub fn share(&self) -> io::Result<OwnedFd> {
         self.socket.as_fd().try_clone_to_owned()
     }
@@ -60,8 +59,8 @@
         self.socket.local_addr().ok()
     }
 
-    /// The next connection; `None` when none waits.
-    pub fn next(&self) -> io::Result<Option<(TcpStream, SocketAddr)>> {
+    /// Accepts the next connection; `None` if none is waiting.
+    pub fn accept(&self) -> io::Result<Option<(TcpStream, SocketAddr)>> {
         loop {
             match faults::meet(faults::Call::Accept).and_then(|()| self.socket.accept()) {
                 Ok(taken) => return Ok(Some(taken)),
@@ -74,35 +73,35 @@
         }
     }
 
-    /// Accepts nothing until then. What comes is queued by the system meanwhile.
-    pub fn shut(&mut self, until: Micros) {
-        if self.shut.is_none() {
-            // It fails for a source that is not there, which this one is.
+    /// Stops accepting until then; meanwhile the system queues new connections.
+    pub fn pause(&mut self, until: Micros) {
+        if self.paused_until.is_none() {
+            // This fails only for a source that is not registered, and this one is.
             let _ = self.handle.disable(&self.token);
         }
-        self.shut = Some(until);
+        self.paused_until = Some(until);
     }
 
-    /// Whether nothing is accepted now.
-    pub fn is_shut(&self) -> bool {
-        self.shut.is_some()
+    /// Whether accepting is paused.
+    pub fn is_paused(&self) -> bool {
+        self.paused_until.is_some()
     }
 
-    /// Accepts again.
-    pub fn reopen(&mut self) {
-        if self.shut.take().is_some() {
+    /// Resumes accepting.
+    pub fn resume(&mut self) {
+        if self.paused_until.take().is_some() {
             let _ = self.handle.enable(&self.token);
         }
     }
 
-    /// When it is to be opened again, if it is shut for a while.
+    /// When [`Listener::tick`] is due; `Micros::MAX` if accepting is not paused.
     pub fn next_tick(&self) -> Micros {
-        self.shut.unwrap_or(Micros::MAX)
+        self.paused_until.unwrap_or(Micros::MAX)
     }
 
     pub fn tick(&mut self, now: Micros) {
-        if self.shut.is_some_and(|until| until <= now) {
-            self.reopen();
+        if self.paused_until.is_some_and(|until| until <= now) {
+            self.resume();
         }
     }
 }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -307,7 +307,7 @@
         };
         let asks = node.admission.is_on();
         if let Side::Operator { front, .. } = &mut node.side {
-            front.asks = asks;
+            front.checks_bodies = asks;
         }
         node.resize();
         node.attend_turns(begun);
@@ -335,8 +335,8 @@
 
     fn clients(&self) -> usize {
         match &self.side {
-            Side::Platform(front, _) => front.held(),
-            Side::Operator { front, .. } => front.held(),
+            Side::Platform(front, _) => front.connections(),
+            Side::Operator { front, .. } => front.connections(),
         }
     }
 
@@ -374,8 +374,8 @@
     /// Whether a client was left with more to read, so that others had their turn.
     fn has_more(&self) -> bool {
         match &self.side {
-            Side::Platform(front, _) => front.has_more(),
-            Side::Operator { front, .. } => front.has_more(),
+            Side::Platform(front, _) => front.has_pending_reads(),
+            Side::Operator { front, .. } => front.has_pending_reads(),
         }
     }
 
@@ -429,8 +429,8 @@
         let now = self.clock.now();
         if self.has_more() {
             match &mut self.side {
-                Side::Platform(front, _) => front.go_on(now, &mut self.log),
-                Side::Operator { front, .. } => front.go_on(now, &mut self.log),
+                Side::Platform(front, _) => front.resume_reads(now, &mut self.log),
+                Side::Operator { front, .. } => front.resume_reads(now, &mut self.log),
             }
             self.settle();
         }
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -13,7 +13,7 @@
 use super::*;
 use crate::conn::is_exhaustion;
 use crate::control::AdmissionCall;
-use crate::front::{Away, Guest};
+use crate::front::{AcceptedClient, Rejection};
 
 /// Newcomers that are closed at one go where there is no descriptor for them.
 const CLOSED_AT_ONCE: usize = 256;
@@ -195,7 +195,7 @@
             return;
         }
         let Some(gate) = &mut self.admission.gate else {
-            self.take_in(now, Guest { stream, peer, known: false, proxied: false });
+            self.take_in(now, AcceptedClient { stream, peer, known: false, proxied: false });
             return;
         };
         // Whose it is a trusted proxy tells first; until then it is the proxy's, and as good as known.
@@ -211,7 +211,7 @@
             }
             return;
         }
-        match self.take_in(now, Guest { stream, peer, known, proxied }) {
+        match self.take_in(now, AcceptedClient { stream, peer, known, proxied }) {
             // A proxied one counts for its client only, once that is known.
             Some(id) => self.admission.enter(id, Client { from, known, counted: !proxied }),
             None => {
@@ -223,7 +223,7 @@
         }
     }
 
-    fn take_in(&mut self, now: Micros, guest: Guest) -> Option<ConnId> {
+    fn take_in(&mut self, now: Micros, guest: AcceptedClient) -> Option<ConnId> {
         match &mut self.side {
             Side::Platform(front, _) => front.accept(now, guest, &mut self.log),
             Side::Operator { front, .. } => front.accept(now, guest, &mut self.log),
@@ -255,14 +255,14 @@
         let mut gone = Vec::new();
         match &mut self.side {
             Side::Platform(front, _) => front.notices.retain(|notice| match notice {
-                platform::Notice::Gone { conn } => {
+                platform::Notice::Closed { conn } => {
                     gone.push(*conn);
                     false
                 }
                 _ => true,
             }),
             Side::Operator { front, .. } => front.notices.retain(|notice| match notice {
-                invoke::Notice::Gone { conn } => {
+                invoke::Notice::Closed { conn } => {
                     gone.push(*conn);
                     false
                 }
@@ -282,10 +282,10 @@
         for _ in 0..ACCEPT_AT_ONCE {
             let now = self.clock.now();
             self.resize();
-            let Some(listener) = self.client_listener.as_mut().filter(|listener| !listener.is_shut()) else {
+            let Some(listener) = self.client_listener.as_mut().filter(|l| !l.is_paused()) else {
                 break;
             };
-            match listener.next() {
+            match listener.accept() {
                 Ok(None) => break,
                 Ok(Some((stream, peer))) => self.receive(now, stream, peer),
                 Err(e) if is_exhaustion(&e) => {
@@ -293,7 +293,7 @@
                     break;
                 }
                 Err(e) => {
-                    listener.shut(now + NO_DESCRIPTOR);
+                    listener.pause(now + NO_DESCRIPTOR);
                     self.log.line(now, format_args!("no connection can be accepted: {e}"));
                     break;
                 }
@@ -310,7 +310,7 @@
         drop(self.admission.spare.take());
         let mut closed = 0;
         while closed < CLOSED_AT_ONCE {
-            match listener.next() {
+            match listener.accept() {
                 Ok(Some(_)) => closed += 1,
                 _ => break,
             }
@@ -320,7 +320,7 @@
         self.log.line(now, format_args!("out of descriptors ({why}): {closed} newcomers closed"));
         // With the spare one gone to somebody else there is nothing to accept with: no spinning meanwhile.
         if closed == 0 || self.admission.spare.is_none() {
-            listener.shut(now + NO_DESCRIPTOR);
+            listener.pause(now + NO_DESCRIPTOR);
         }
         self.resize();
     }
@@ -384,8 +384,8 @@
             }
         }
         match &mut self.side {
-            Side::Platform(front, _) => front.know(conn, known),
-            Side::Operator { front, .. } => front.know(conn, known),
+            Side::Platform(front, _) => front.set_known(conn, known),
+            Side::Operator { front, .. } => front.set_known(conn, known),
         }
     }
 
@@ -407,11 +407,11 @@
         Some(RequestInfo { from: client.from, tenant, share, worth, size: size as u64 })
     }
 
-    fn away(&self, (why, wait): (Why, Micros)) -> Away {
+    fn away(&self, (why, wait): (Why, Micros)) -> Rejection {
         let rate = self.admission.gate.as_ref().and_then(|g| g.rules().address.request_rate);
         let rate = rate.filter(|_| why == Why::RequestRate).map(|r| (r.per_second as u32, r.burst as u32));
-        let own_doing = why.is_client_fault() || why == Why::Tenant;
-        Away { word: why.as_str(), own_doing, wait, rate }
+        let client_fault = why.is_client_fault() || why == Why::Tenant;
+        Rejection { reason: why.as_str(), client_fault, retry_after: wait, rate }
     }
 
     /// Whether a request may go on to the module, and what is to be given back when it is over.
@@ -460,7 +460,7 @@
             gate.count_refusal(now, asking.from, why);
         }
         if let Side::Operator { front, .. } = &mut self.side {
-            front.go_ahead(now, conn, away, &mut self.log);
+            front.decide_body(now, conn, away, &mut self.log);
         }
     }
 
@@ -517,8 +517,8 @@
             ids.sort();
             for id in ids {
                 match &mut self.side {
-                    Side::Platform(front, _) => front.dismiss(now, id, &mut self.log),
-                    Side::Operator { front, .. } => front.dismiss(now, id, &mut self.log),
+                    Side::Platform(front, _) => front.close_after_answers(now, id, &mut self.log),
+                    Side::Operator { front, .. } => front.close_after_answers(now, id, &mut self.log),
                 }
             }
         }
--- a/node/src/node/life.rs
+++ b/node/src/node/life.rs
@@ -36,8 +36,8 @@
         self.hosts.bound((bounds.hosts, share));
         let clients = bounds.clients;
         match &mut self.side {
-            Side::Platform(front, _) => front.bound((clients, share)),
-            Side::Operator { front, .. } => front.bound((clients, share)),
+            Side::Platform(front, _) => front.set_limits((clients, share)),
+            Side::Operator { front, .. } => front.set_limits((clients, share)),
         }
         if !self.upgrade.has_peer() {
             self.reclaim(now, clients);
@@ -82,7 +82,7 @@
                 // Who is queued is taken by the new process, from the same socket.
                 self.log.line(now, "the new process takes clients");
                 self.succeeded = true;
-                self.client_listener.iter_mut().for_each(|listener| listener.shut(Micros::MAX));
+                self.client_listener.iter_mut().for_each(|listener| listener.pause(Micros::MAX));
                 // It is another life of this one's name, and two would accuse each other's friends.
                 self.membership.take().into_iter().for_each(Membership::close);
                 self.part(now);
@@ -115,7 +115,7 @@
                 self.resize();
                 if std::mem::take(&mut self.succeeded) {
                     // The new one has failed: this one serves on.
-                    self.client_listener.iter_mut().for_each(Listener::reopen);
+                    self.client_listener.iter_mut().for_each(Listener::resume);
                     self.part(now);
                     self.attend_members();
                     // What was promised under this name since then was another life's.
@@ -206,7 +206,7 @@
             let now = self.clock.now();
             self.resize();
             // It may have been shut since it was found ready.
-            let Some(listener) = self.client_listener.as_mut().filter(|listener| !listener.is_shut()) else {
+            let Some(listener) = self.client_listener.as_mut().filter(|l| !l.is_paused()) else {
                 break;
             };
             let room = match &mut self.side {
@@ -214,15 +214,15 @@
                 Side::Operator { front, .. } => front.has_room(now, &mut self.log),
             };
             if !room {
-                listener.shut(now + NO_ROOM);
+                listener.pause(now + NO_ROOM);
                 break;
             }
-            match listener.next() {
+            match listener.accept() {
                 Ok(None) => break,
                 Ok(Some((stream, peer))) => self.receive(now, stream, peer),
                 Err(e) => {
                     // The listener stays ready, and trying again at once would keep the loop busy for nothing.
-                    listener.shut(now + NO_DESCRIPTOR);
+                    listener.pause(now + NO_DESCRIPTOR);
                     self.log.line(now, format_args!("no connection can be accepted: {e}"));
                     break;
                 }
@@ -238,9 +238,9 @@
         match &mut self.side {
             Side::Platform(front, _) => {
                 front.ready = ready;
-                front.part(now, parts, &mut self.log)
+                front.set_draining(now, parts, &mut self.log)
             }
-            Side::Operator { front, .. } => front.part(now, parts),
+            Side::Operator { front, .. } => front.set_draining(now, parts),
         }
     }
 
@@ -289,7 +289,7 @@
             ) => {
                 let failed = |e| format!("no socket for queries to {resolver}: {e}");
                 hosts.moved(*resolver).map_err(failed)?;
-                front.retune(idle, *bounds, (d.classes.clone(), d.tenants.clone()));
+                front.update(idle, *bounds, (d.classes.clone(), d.tenants.clone()));
                 if let config::Side::Operator { classes: new, .. } = &config.side {
                     classes.clone_from(new);
                 }
@@ -314,7 +314,7 @@
         self.admission.retune(self.config.admission.as_ref());
         let asks = self.admission.is_on();
         if let Side::Operator { front, .. } = &mut self.side {
-            front.asks = asks;
+            front.checks_bodies = asks;
         }
         self.agreed_settings = None;
         let settings = self.binding();
@@ -337,8 +337,8 @@
         }
         let now = self.clock.now();
         let quiet = match &self.side {
-            Side::Platform(front, _) => front.is_quiet(),
-            Side::Operator { front, .. } => front.is_quiet(),
+            Side::Platform(front, _) => front.is_idle(),
+            Side::Operator { front, .. } => front.is_idle(),
         };
         // A process that had no processor for a while has more to read than the loop takes at one go.
         let over = self.stopping.is_some_and(|since| now - since >= STILL_COMING);
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -8,11 +8,11 @@
         for _ in 0..ACCEPT_AT_ONCE {
             let now = self.clock.now();
             let Some(listener) = &mut self.control_listener else { break };
-            match listener.next() {
+            match listener.accept() {
                 Ok(None) => break,
                 Ok(Some((stream, peer))) => self.control.accept(now, stream, peer, &mut self.log),
                 Err(e) => {
-                    listener.shut(now + NO_DESCRIPTOR);
+                    listener.pause(now + NO_DESCRIPTOR);
                     self.log.line(now, format_args!("no caller can be accepted: {e}"));
                     break;
                 }
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -9,8 +9,8 @@
     pub(super) fn client_ready(&mut self, id: ConnId) {
         let now = self.clock.now();
         match &mut self.side {
-            Side::Platform(front, _) => front.ready(now, id, &mut self.log),
-            Side::Operator { front, .. } => front.ready(now, id, &mut self.log),
+            Side::Platform(front, _) => front.on_ready(now, id, &mut self.log),
+            Side::Operator { front, .. } => front.on_ready(now, id, &mut self.log),
         }
         self.settle();
     }
@@ -26,12 +26,12 @@
                         platform::Notice::Request { origin, request } => {
                             self.platform_request(origin, *request)
                         }
-                        platform::Notice::Left { ticket } => self.client_left(ticket),
+                        platform::Notice::ClientLeft { ticket } => self.client_left(ticket),
                         platform::Notice::HalfClosed { tickets, since } => {
                             self.client_half_closed(&tickets, since)
                         }
-                        platform::Notice::Gone { conn } => self.client_gone(conn),
-                        platform::Notice::Proxied { conn, client } => {
+                        platform::Notice::Closed { conn } => self.client_gone(conn),
+                        platform::Notice::ClientIdentified { conn, client } => {
                             let now = self.clock.now();
                             self.proxied(now, conn, client)
                         }
@@ -45,13 +45,13 @@
                 for notice in notices {
                     match notice {
                         invoke::Notice::Call { conn, origin, call } => self.invoke_call(conn, origin, *call),
-                        invoke::Notice::Left { ticket } => self.client_left(ticket),
-                        invoke::Notice::Gone { conn } => self.client_gone(conn),
-                        invoke::Notice::Proxied { conn, client } => {
+                        invoke::Notice::ClientLeft { ticket } => self.client_left(ticket),
+                        invoke::Notice::Closed { conn } => self.client_gone(conn),
+                        invoke::Notice::ClientIdentified { conn, client } => {
                             let now = self.clock.now();
                             self.proxied(now, conn, client)
                         }
-                        invoke::Notice::Head { conn, tenant, size } => {
+                        invoke::Notice::CallHead { conn, tenant, size } => {
                             let now = self.clock.now();
                             self.head(now, conn, tenant, size)
                         }
@@ -66,7 +66,7 @@
         let now = self.clock.now();
         let Side::Platform(front, _) = &mut self.side else { return };
         // Taken back in the same breath: nothing need hear of it.
-        if !front.waits(origin) {
+        if !front.is_open(origin) {
             return;
         }
         let class = self.config.deployment.class(&request.class);
@@ -94,7 +94,7 @@
             class_name: request.class,
             tenant,
             function: request.function,
-            timeout: self.time_left(now, (request.timeout * 1000).min(longest)),
+            timeout: self.time_left(now, (request.timeout_ms * 1000).min(longest)),
             lanes: request.lanes,
             repeat: request.repeat,
             hint: request.hint,
@@ -238,8 +238,8 @@
     /// The request goes by this ticket from now on.
     pub(super) fn admit(&mut self, ticket: Ticket, pending: Pending) {
         let waits = match (&mut self.side, &pending.origin) {
-            (Side::Platform(front, _), Origin::Platform(origin)) => front.taken(*origin, ticket),
-            (Side::Operator { front, .. }, Origin::Invoke(origin)) => front.taken(origin, ticket),
+            (Side::Platform(front, _), Origin::Platform(origin)) => front.set_ticket(*origin, ticket),
+            (Side::Operator { front, .. }, Origin::Invoke(origin)) => front.set_ticket(origin, ticket),
             _ => false,
         };
         self.pending.insert(ticket, pending);
@@ -293,7 +293,7 @@
         self.log_answer(now, &pending, &reply);
         match (&mut self.side, &pending.origin, found) {
             (Side::Operator { front, .. }, Origin::Invoke(origin), Some(found)) => {
-                front.reply_found(now, origin, reply, found, &mut self.log)
+                front.reply_turn(now, origin, reply, found, &mut self.log)
             }
             (_, Origin::Peer(seq), _) => {
                 let said = pending.passed.take().map(|p| p.said).unwrap_or_default();
--- a/node/src/node/rollout/candidate.rs
+++ b/node/src/node/rollout/candidate.rs
@@ -142,7 +142,7 @@
         let (reply, body) = match reply {
             Reply::Served(body) => (ipc::Reply::Served, body),
             Reply::Refused(wait) => (ipc::Reply::Refused(wait), Vec::new()),
-            Reply::TurnedAway(away) => (ipc::Reply::Refused(away.wait), Vec::new()),
+            Reply::TurnedAway(away) => (ipc::Reply::Refused(away.retry_after), Vec::new()),
             Reply::Failed => (ipc::Reply::Failed, Vec::new()),
             Reply::TimedOut => (ipc::Reply::TimedOut, Vec::new()),
         };
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -355,7 +355,7 @@
 
     fn hear_turns(&mut self, hears: bool) {
         if let Side::Operator { front, .. } = &mut self.side {
-            front.turns = hears;
+            front.reads_turns = hears;
         }
     }
 
--- a/node/src/ring.rs
+++ b/node/src/ring.rs
@@ -1,23 +1,23 @@
-//! One bounded ring buffer for each direction of a connection.
+//! The bounded ring buffer of each direction of a connection.
 
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut, Read, Write};
 
-/// Bytes on their way, first in, first out. Storage grows by need up to a bound and never beyond it.
+/// A first-in, first-out byte buffer. Its storage grows on demand, up to `max_len` bytes.
 pub struct Ring {
     buf: Box<[u8]>,
     head: usize,
     len: usize,
-    bound: usize,
+    max_len: usize,
 }
 
-/// Storage of a ring that has been used at all.
-const FIRST: usize = 4096;
-/// Storage that an empty ring keeps at most.
-const KEPT: usize = 16 << 10;
+/// Storage that the first use of a ring allocates.
+const MIN_CAPACITY_BYTES: usize = 4096;
+/// Maximum storage that a ring keeps when it becomes empty.
+const MAX_EMPTY_CAPACITY_BYTES: usize = 16 << 10;
 
 impl Ring {
-    pub fn new(bound: usize) -> Self {
-        Self { buf: Box::default(), head: 0, len: 0, bound }
+    pub fn new(max_len: usize) -> Self {
+        Self { buf: Box::default(), head: 0, len: 0, max_len }
     }
 
     pub fn len(&self) -> usize {
@@ -28,12 +28,12 @@
         self.len == 0
     }
 
-    /// How many more bytes it can take.
+    /// Number of bytes that can still be appended.
     pub fn room(&self) -> usize {
-        self.bound - self.len
+        self.max_len - self.len
     }
 
-    /// Appends all of it, or nothing where there is no room.
+    /// Appends all bytes; if they do not fit, appends none and returns false.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         if bytes.len() > self.room() {
             return false;
@@ -47,18 +47,18 @@
         true
     }
 
-    /// Drops bytes from the front.
+    /// Removes up to `n` bytes from the front.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
         self.head = if self.len == 0 { 0 } else { (self.head + n) % self.buf.len() };
-        // What one long message took is not kept for as long as the connection lives.
-        if self.len == 0 && self.buf.len() > KEPT {
+        // Otherwise one long message would hold its storage until the connection closes.
+        if self.len == 0 && self.buf.len() > MAX_EMPTY_CAPACITY_BYTES {
             self.buf = Box::default();
         }
     }
 
-    /// A copy of `n` bytes that begin `at` bytes behind the front; `None` while they are not all there.
+    /// Copies `n` bytes from offset `at`; `None` if the ring holds fewer.
     pub fn copy(&self, at: usize, n: usize) -> Option<Vec<u8>> {
         if at + n > self.len {
             return None;
@@ -71,7 +71,7 @@
         Some(out)
     }
 
-    /// Where the first line end (CR LF) begins, if one is there.
+    /// Offset of the first line end (CR LF), if there is one.
     pub fn find_line_end(&self) -> Option<usize> {
         let (a, b) = self.filled();
         let (mut last, mut at) = (0, 0);
@@ -84,16 +84,16 @@
         None
     }
 
-    /// One read into the free space. `Ok(0)` is the end of the stream, as there must be room.
+    /// Reads once into the free space. The caller ensures that there is some, so `Ok(0)` is the end of the stream.
     pub fn read_from(&mut self, source: &mut impl Read) -> io::Result<usize> {
-        self.reserve(FIRST.min(self.room()));
+        self.reserve(MIN_CAPACITY_BYTES.min(self.room()));
         let (a, b) = self.free();
         let n = source.read_vectored(&mut [IoSliceMut::new(a), IoSliceMut::new(b)])?;
         self.len += n;
         Ok(n)
     }
 
-    /// One write from the front; what was written is gone from the ring.
+    /// Writes once from the front and removes the bytes that were written.
     pub fn write_to(&mut self, sink: &mut impl Write) -> io::Result<usize> {
         let (a, b) = self.filled();
         let n = sink.write_vectored(&[IoSlice::new(a), IoSlice::new(b)])?;
@@ -128,7 +128,7 @@
         if wanted <= self.buf.len() {
             return;
         }
-        let size = wanted.next_power_of_two().max(FIRST).min(self.bound);
+        let size = wanted.next_power_of_two().max(MIN_CAPACITY_BYTES).min(self.max_len);
         let mut buf = vec![0; size].into_boxed_slice();
         let (a, b) = self.filled();
         buf[..a.len()].copy_from_slice(a);
--- a/node/src/ring/tests.rs
+++ b/node/src/ring/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn bytes_come_out_as_they_went_in_over_every_wrap() {
+fn bytes_keep_their_order_across_wraps() {
     let mut ring = Ring::new(5000);
     let (mut put, mut got) = (0u32, 0u32);
     for step in 0..4000usize {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_full_ring_takes_nothing_and_stays_whole() {
+fn a_full_ring_rejects_bytes_and_keeps_its_content() {
     let mut ring = Ring::new(8);
     assert!(ring.push(b"abcdef") && !ring.push(b"ghi") && ring.push(b"gh"));
     assert_eq!((ring.room(), ring.copy(0, 8).unwrap().as_slice()), (0, &b"abcdefgh"[..]));
--- a/node/tests/codecs.rs
+++ b/node/tests/codecs.rs
@@ -22,7 +22,7 @@
     pub(crate) use crate::lines;
 }
 
-use frames::{Frame, Head};
+use frames::{Frame, Header};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use ring::Ring;
@@ -37,15 +37,15 @@
 }
 
 /// Reads frames until one is not whole or the framing is lost.
-fn read_all(bytes: &[u8]) -> Vec<(Head, Result<Frame, String>)> {
+fn read_all(bytes: &[u8]) -> Vec<(Header, Result<Frame, String>)> {
     let mut ring = Ring::new(bytes.len().max(1));
     assert!(ring.push(bytes));
     let mut all = Vec::new();
-    while let Ok(Some(head)) = frames::head(&ring) {
+    while let Ok(Some(header)) = frames::header(&ring) {
         let before = ring.len();
-        let Some(payload) = frames::payload(&mut ring, &head) else { break };
-        assert_eq!(before - ring.len(), head.length + 4);
-        all.push((head, frames::frame(&head, &payload)));
+        let Some(payload) = frames::payload(&mut ring, &header) else { break };
+        assert_eq!(before - ring.len(), header.length + 4);
+        all.push((header, frames::frame(&header, &payload)));
     }
     all
 }
@@ -58,11 +58,11 @@
         read_all(&bytes);
     }
 
-    /// A payload of any bytes behind a head that fits.
+    /// A payload of any bytes behind a header that fits.
     #[test]
     fn any_payload_is_read_or_turned_down(kind in 0..9u8, payload in prop::collection::vec(any::<u8>(), 0..400)) {
-        let head = Head { length: payload.len() + 5, kind, stream: 1 };
-        let read = frames::frame(&head, &payload);
+        let header = Header { length: payload.len() + 5, kind, stream: 1 };
+        let read = frames::frame(&header, &payload);
         prop_assert_eq!(read.is_err(), !matches!(kind, 1 | 3 | 4));
     }
 
@@ -79,15 +79,15 @@
         }
         let fields_end = payload.len();
         payload.extend(&body);
-        let head = Head { length: payload.len() + 5, kind: 1, stream: 1 };
-        match frames::frame(&head, &payload) {
+        let header = Header { length: payload.len() + 5, kind: 1, stream: 1 };
+        match frames::frame(&header, &payload) {
             Ok(Frame::Request(Ok(request))) => prop_assert_eq!(request.body, body),
             other => prop_assert!(false, "{:?}", other),
         }
         // Cut within its fields it is no request.
         let cut = &payload[..cut.min(fields_end - 1)];
-        let head = Head { length: cut.len() + 5, kind: 1, stream: 1 };
-        prop_assert!(matches!(frames::frame(&head, cut), Ok(Frame::Request(Err(_)))));
+        let header = Header { length: cut.len() + 5, kind: 1, stream: 1 };
+        prop_assert!(matches!(frames::frame(&header, cut), Ok(Frame::Request(Err(_)))));
     }
 
     /// Answers of hosts: what is read is taken off the ring, and nothing else is.
@@ -129,7 +129,7 @@
         let mut ring = Ring::new(bytes.len().max(1));
         prop_assert!(ring.push(&bytes));
         let before = ring.len();
-        if !matches!(proxy::next(&mut ring), Ok(Some(_))) {
+        if !matches!(proxy::next_header(&mut ring), Ok(Some(_))) {
             prop_assert_eq!(ring.len(), before);
         }
     }
