--- a/node/tests/accord.rs
+++ b/node/tests/accord.rs
@@ -27,7 +27,7 @@
 "#;
 
 fn fleet() -> Fleet {
-    let fleet = Fleet::met_with(3, ACCORD);
+    let fleet = Fleet::start_with(3, ACCORD);
     acts_on(&fleet, &[0, 1, 2], "one");
     fleet
 }
@@ -189,7 +189,7 @@
 fn a_host_that_is_out_as_agreed_is_out_everywhere_and_by_hand_besides() {
     let id = "h0._script-host._tcp.hosts.test.";
     // What a document may ever have out stands in the floor: one that is cut off must keep to it too.
-    let fleet = Fleet::met_with(3, &format!("{ACCORD}\"out/{id}\" = true\n"));
+    let fleet = Fleet::start_with(3, &format!("{ACCORD}\"out/{id}\" = true\n"));
     acts_on(&fleet, &[0, 1, 2], "one");
     (0..3).for_each(|at| wait_for("hosts", || serves(&fleet, at) == 200));
     let (status, said) = change(&fleet, 0, r#"{"out/another":true}"#);
@@ -242,7 +242,7 @@
 fn caps_of_the_fleet_are_kept_by_each_ones_share() {
     let file = "functions_out = \"functions\"\n";
     let more = ACCORD.replace(file, "") + "\"tenant/kouterzorg/quota_milli\" = 0\n\"limit/open\" = 0\n";
-    let fleet = Fleet::met_with(3, &more);
+    let fleet = Fleet::start_with(3, &more);
     acts_on(&fleet, &[0, 1, 2], "one");
     let call = call("f", "check-score", &["Wheellink-Tenant: kouterzorg"], "x");
     let served = |n: usize| {
@@ -265,7 +265,7 @@
 fn what_is_agreed_of_drafts_runs_over_the_files_own_and_on_the_floor_the_file_alone() {
     let drafts =
         "[drafts]\nstart = \"1:2\"\ntable = { \"check-score/0\" = \"1:1\", \"check-score/1\" = \"1:3\" }\n";
-    let fleet = Fleet::met_with(3, &format!("{drafts}{ACCORD}"));
+    let fleet = Fleet::start_with(3, &format!("{drafts}{ACCORD}"));
     acts_on(&fleet, &[0, 1, 2], "one");
     let table = |at: usize| fleet.each[at].as_ref().unwrap().ask("GET", "/drafts", "").1["table"].clone();
     let file = serde_json::json!({"check-score/0": "1:1", "check-score/1": "1:3"});
@@ -281,7 +281,7 @@
 /// Five of which each may vote, and the first three do.
 fn five() -> Fleet {
     let spares = "lease_ms = 1500\nmay_vote = [\"m0\", \"m1\", \"m2\", \"m3\"]";
-    let fleet = Fleet::met_with(5, &ACCORD.replace("lease_ms = 1500", spares));
+    let fleet = Fleet::start_with(5, &ACCORD.replace("lease_ms = 1500", spares));
     acts_on(&fleet, &[0, 1, 2, 3, 4], "one");
     fleet
 }
@@ -426,7 +426,7 @@
     let entries: Vec<String> = (0..ENTRIES).map(|i| format!("\"a{i:06}\"")).collect();
     let document = format!("[accord.document]\nlist.functions = [{}]\n", entries.join(", "));
     let more = ACCORD.replace("[accord.document]\n", &document);
-    let mut fleet = Fleet::met_with(3, &more);
+    let mut fleet = Fleet::start_with(3, &more);
     acts_on(&fleet, &[0, 1, 2], "one");
     for at in 0..3 {
         wait_for("hosts", || serves(&fleet, at) == 200);
--- a/node/tests/common/links.rs
+++ b/node/tests/common/links.rs
@@ -8,7 +8,7 @@
 use super::*;
 
 /// Probes are sent this often: long enough that a busy machine does not make a process look dead.
-pub const PERIOD: u64 = 100;
+pub const PERIOD_MS: u64 = 100;
 
 /// Loopback addresses that no other fleet has: a port there is taken by nobody between its choice and a process's start.
 fn own_addresses(n: usize) -> impl Iterator<Item = Ipv4Addr> {
@@ -30,12 +30,12 @@
 
 impl Fleet {
     /// So many that have met.
-    pub fn met(n: usize) -> Self {
-        Self::met_with(n, "")
+    pub fn start_all(n: usize) -> Self {
+        Self::start_with(n, "")
     }
 
     /// ... with this in their files besides.
-    pub fn met_with(n: usize, more: &str) -> Self {
+    pub fn start_with(n: usize, more: &str) -> Self {
         let held: Vec<_> = own_addresses(n).map(|own| UdpSocket::bind((own, 0)).unwrap()).collect();
         let at: Vec<SocketAddr> = held.iter().map(|s| s.local_addr().unwrap()).collect();
         drop(held);
@@ -50,12 +50,12 @@
     }
 
     pub fn file(&self, i: usize) -> String {
-        let setup = format!("[members]\nname = \"m{i}\"\nlisten = \"{}\"\nperiod_ms = {PERIOD}", self.at[i]);
+        let own = format!("[members]\nname = \"m{i}\"\nlisten = \"{}\"\nperiod_ms = {PERIOD_MS}", self.at[i]);
         let other =
             |j: usize| format!("[[members.other]]\nname = \"m{j}\"\naddress = \"{}\"", self.mesh.near(i, j));
         let others: Vec<_> = (0..self.at.len()).filter(|j| *j != i).map(other).collect();
         let file = operator_file(self.resolver.address);
-        format!("{file}\n{setup}\n{}\n{}\n", others.join("\n"), self.more)
+        format!("{file}\n{own}\n{}\n{}\n", others.join("\n"), self.more)
     }
 
     pub fn start(&mut self, i: usize) {
--- a/node/tests/common/gated.rs
+++ b/node/tests/common/manual_host.rs
@@ -19,15 +19,15 @@
 pub const FAILED: u8 = 69;
 
 /// Longest that a client may wait here: twice the class's time, less what a busy machine may take to answer.
-pub const PATIENCE_MS: u32 = 8_000;
-/// An answer that comes within this was not brought by the end of [`PATIENCE_MS`].
+pub const CLIENT_TIMEOUT_MS: u32 = 8_000;
+/// An answer that comes within this was not brought by the end of [`CLIENT_TIMEOUT_MS`].
 pub const EARLY: Duration = Duration::from_secs(6);
 
 /// Bytes that a client which does not read takes all the same.
-const SMALL_BUFFER: usize = 4 << 10;
+const SMALL_BUFFER_BYTES: usize = 4 << 10;
 
 /// Waits until it holds, which must be long before the clients' time is up.
-pub fn early(what: &str, holds: impl Fn() -> bool) {
+pub fn wait_early(what: &str, holds: impl Fn() -> bool) {
     let begun = Instant::now();
     wait_for(what, holds);
     assert!(begun.elapsed() < EARLY, "{what} came with the end of the client's time");
@@ -39,38 +39,38 @@
 }
 
 /// A command that came, with its body and the connection that it came on.
-struct Taken {
+struct Received {
     words: Vec<String>,
     body: Vec<u8>,
     out: TcpStream,
 }
 
 /// A host that answers what a test tells it to, when it tells it to.
-pub struct Gated {
+pub struct ManualHost {
     pub address: SocketAddr,
-    taken: Arc<Mutex<Vec<Taken>>>,
+    inbox: Arc<Mutex<Vec<Received>>>,
     /// Calls whose bodies begin like this are served as they come.
     ready: Arc<Mutex<Option<&'static str>>>,
 }
 
-impl Gated {
+impl ManualHost {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (taken, ready) = (Arc::<Mutex<Vec<Taken>>>::default(), Arc::<Mutex<Option<&str>>>::default());
-        let (all, served) = (taken.clone(), ready.clone());
+        let (inbox, ready) = (Arc::<Mutex<Vec<Received>>>::default(), Arc::<Mutex<Option<&str>>>::default());
+        let (all, served) = (inbox.clone(), ready.clone());
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let (all, served) = (all.clone(), served.clone());
                 spawn(move || attend(stream, &all, &served));
             }
         });
-        Self { address, taken, ready }
+        Self { address, inbox, ready }
     }
 
     /// Commands of this word that have come whole.
     pub fn count(&self, word: &str) -> usize {
-        self.taken.lock().unwrap().iter().filter(|t| t.words[0] == word).count()
+        self.inbox.lock().unwrap().iter().filter(|t| t.words[0] == word).count()
     }
 
     /// Waits until so many commands of this word have come.
@@ -80,15 +80,15 @@
 
     /// Bodies of all calls that came, in order.
     pub fn bodies(&self) -> Vec<String> {
-        let taken = self.taken.lock().unwrap();
-        let calls = taken.iter().filter(|t| t.words[0] == "FN");
+        let inbox = self.inbox.lock().unwrap();
+        let calls = inbox.iter().filter(|t| t.words[0] == "FN");
         calls.map(|t| String::from_utf8_lossy(&t.body).into_owned()).collect()
     }
 
     /// Answers the command of this word, counted from 0, with this word, these fields and this body.
-    pub fn say(&self, word: &str, nth: usize, answer: &str, fields: &str, body: &[u8]) {
-        let taken = self.taken.lock().unwrap();
-        let to = taken.iter().filter(|t| t.words[0] == word).nth(nth).expect("a command that came");
+    pub fn answer(&self, word: &str, nth: usize, answer: &str, fields: &str, body: &[u8]) {
+        let inbox = self.inbox.lock().unwrap();
+        let to = inbox.iter().filter(|t| t.words[0] == word).nth(nth).expect("a command that came");
         let line = format!("{} {answer} {fields} {}\r\n", to.words[1], body.len());
         (&to.out).write_all(&[line.as_bytes(), body, b"\r\n"].concat()).unwrap();
     }
@@ -99,37 +99,37 @@
     }
 
     /// The place of the call with this body among all calls, once it has come.
-    pub fn nth(&self, body: &str) -> usize {
+    pub fn find(&self, body: &str) -> usize {
         wait_for(&format!("the call {body}"), || self.bodies().iter().any(|b| b == body));
         self.bodies().iter().rposition(|b| b == body).expect("it has come")
     }
 
     /// Serves this call.
     pub fn serve(&self, nth: usize) {
-        self.say("FN", nth, "200", "tell=warm", b"done");
+        self.answer("FN", nth, "200", "tell=warm", b"done");
     }
 
     /// Has no copy for this call: an order to load follows, for whose end the call waits.
-    pub fn miss(&self, nth: usize) {
+    pub fn answer_miss(&self, nth: usize) {
         let orders = self.count("SPAWN");
-        self.say("FN", nth, "404", "-", b"");
+        self.answer("FN", nth, "404", "-", b"");
         self.wait("SPAWN", orders + 1);
     }
 
     /// Ends this order: a copy stands.
-    pub fn load(&self, nth: usize) {
-        self.say("SPAWN", nth, "200", "copies=1", b"");
+    pub fn finish_load(&self, nth: usize) {
+        self.answer("SPAWN", nth, "200", "copies=1", b"");
     }
 
     /// Ends the connection on which this call came.
-    pub fn hang_up(&self, nth: usize) {
-        let taken = self.taken.lock().unwrap();
-        let call = taken.iter().filter(|t| t.words[0] == "FN").nth(nth).expect("a call that came");
+    pub fn close_conn(&self, nth: usize) {
+        let inbox = self.inbox.lock().unwrap();
+        let call = inbox.iter().filter(|t| t.words[0] == "FN").nth(nth).expect("a call that came");
         call.out.shutdown(Shutdown::Both).unwrap();
     }
 }
 
-fn attend(stream: TcpStream, all: &Mutex<Vec<Taken>>, ready: &Mutex<Option<&'static str>>) {
+fn attend(stream: TcpStream, all: &Mutex<Vec<Received>>, ready: &Mutex<Option<&'static str>>) {
     let mut lines = BufReader::new(stream.try_clone().unwrap());
     loop {
         let mut line = String::new();
@@ -152,7 +152,7 @@
         }
         let beginning = ready.lock().unwrap().filter(|b| words[0] == "FN" && body.starts_with(b.as_bytes()));
         let answer = format!("{} 200 tell=warm 4\r\ndone\r\n", words[1]);
-        all.lock().unwrap().push(Taken { words, body, out: stream.try_clone().unwrap() });
+        all.lock().unwrap().push(Received { words, body, out: stream.try_clone().unwrap() });
         if beginning.is_some() {
             (&stream).write_all(answer.as_bytes()).unwrap_or(());
         }
@@ -160,7 +160,7 @@
 }
 
 /// Hosts at these addresses, as a configuration has them.
-pub fn members(hosts: &[SocketAddr]) -> Value {
+pub fn host_entries(hosts: &[SocketAddr]) -> Value {
     let member = |(i, address): (usize, &SocketAddr)| {
         json!({"id": format!("s-{i:08x}"), "host_port": address.to_string(), "locality": "z", "flavor": "k",
             "cell": 0, "phase": "active", "size": 1, "up_since_ms": 0})
@@ -169,9 +169,9 @@
 }
 
 /// A platform activator that knows hosts at these addresses, with these edits of its configuration.
-pub fn platform_before(hosts: &[SocketAddr], edits: &[(&str, Value)]) -> Platform {
+pub fn platform_with(hosts: &[SocketAddr], edits: &[(&str, Value)]) -> Platform {
     let bus = Bus::start();
-    let known = [("known/batch/0/topology/members", members(hosts))];
+    let known = [("known/batch/0/topology/members", host_entries(hosts))];
     let text = edited(&edited(&config(bus.address, &[]), &known), edits);
     let program = Program::start(&text, false);
     let (_, feed) = bus.greeted();
@@ -189,7 +189,7 @@
     /// One that takes little before it reads.
     pub fn with_small_buffer(program: &Program) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.set_recv_buffer_size(SMALL_BUFFER).unwrap();
+        socket.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
         socket.connect(&program.address.into()).unwrap();
         Self(socket.into())
     }
@@ -210,7 +210,7 @@
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
         let function = format!("{function:016x}");
-        whole_call_frame(stream, [&id, class, &id, &function], PATIENCE_MS, body)
+        whole_call_frame(stream, [&id, class, &id, &function], CLIENT_TIMEOUT_MS, body)
     }
 
     /// Stops waiting for the stream.
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! The shared helper: starts the program. What stands in for hosts, resolver, bus and clients is the lab's.
 #![allow(dead_code, unused_imports)]
 
-pub mod gated;
 pub mod links;
-pub mod puppet;
+pub mod manual_host;
+pub mod raw_host;
 pub mod rollout;
 pub mod stand_in;
 
--- a/node/tests/common/puppet.rs
+++ b/node/tests/common/raw_host.rs
@@ -22,7 +22,7 @@
 pub type Entry = (u32, SocketAddr, u8, u64);
 
 /// An event whose hosts say when they started.
-pub fn event_of(number: u64, whole: bool, entries: &[Entry]) -> Vec<u8> {
+pub fn timed_event(number: u64, whole: bool, entries: &[Entry]) -> Vec<u8> {
     let hosts: Vec<_> = entries.iter().map(|(id, address, state, _)| (*id, *address, *state)).collect();
     let mut bytes = event(number, whole, &hosts);
     const HEAD: usize = 4 + 8 + 1;
@@ -41,20 +41,20 @@
 }
 
 /// An event of these changes, with a draining host besides by which it is known to have been taken in.
-pub fn marked(number: u64, whole: bool, hosts: &[(u32, SocketAddr, u8)]) -> Vec<u8> {
+pub fn event_with_marker(number: u64, whole: bool, hosts: &[(u32, SocketAddr, u8)]) -> Vec<u8> {
     let nowhere: SocketAddr = ([127, 0, 0, 1], number as u16).into();
     event(number, whole, &[hosts, &[(FIRST_MARK + number as u32, nowhere, DRAINING)]].concat())
 }
 
-/// Waits until the program has taken in the event of this number, made by [`marked`].
-pub fn wait_taken_in(program: &Program, number: u64) {
+/// Waits until the program has taken in the event of this number, made by [`event_with_marker`].
+pub fn wait_applied(program: &Program, number: u64) {
     wait_for("the event", || program.maintain("exit", FIRST_MARK + number as u32) == 200);
 }
 
 /// Tells the program of these changes and waits until it has taken them in.
-pub fn tell(program: &Program, feed: &mut TcpStream, number: u64, hosts: &[(u32, SocketAddr, u8)]) {
-    feed.write_all(&marked(number, false, hosts)).unwrap();
-    wait_taken_in(program, number);
+pub fn apply_changes(program: &Program, feed: &mut TcpStream, number: u64, hosts: &[(u32, SocketAddr, u8)]) {
+    feed.write_all(&event_with_marker(number, false, hosts)).unwrap();
+    wait_applied(program, number);
 }
 
 /// A platform activator that knows these hosts from its start, with its configuration's text changed by `edit`.
@@ -63,7 +63,7 @@
     let program = Program::start(&edit(config_with(bus.address, members)), false);
     let (last, feed) = bus.greeted();
     assert_eq!(last, 1);
-    keep_up(&feed);
+    send_heartbeats(&feed);
     Platform { program, bus, feed }
 }
 
@@ -71,7 +71,7 @@
 const EMPTY_FRAME: [u8; 13] = [0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0];
 
 /// Has the bus say that there is nothing new, as it does each second, for as long as the connection stands.
-pub fn keep_up(feed: &TcpStream) {
+pub fn send_heartbeats(feed: &TcpStream) {
     let mut feed = feed.try_clone().unwrap();
     std::thread::spawn(move || {
         while feed.write_all(&EMPTY_FRAME).is_ok() {
@@ -92,20 +92,20 @@
 
 /// Hosts are given all the time in the world to come up, and are never asked whether they are there: what a test
 /// holds back stays as it is until the test goes on.
-pub fn patient(text: String) -> String {
+pub fn long_timeouts(text: String) -> String {
     let limits = [
         ("\"ConnectTimeoutUs\":250000", "\"ConnectTimeoutUs\":60000000"),
         ("\"Probes\":true", "\"Probes\":false"),
     ];
-    limits.into_iter().fold(text, |text, (usual, patient)| {
+    limits.into_iter().fold(text, |text, (usual, long_timeouts)| {
         assert!(text.contains(usual), "{usual}");
-        text.replace(usual, patient)
+        text.replace(usual, long_timeouts)
     })
 }
 
 /// A command as it came.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum Command {
     /// With the time that it says is left, in milliseconds.
     Call {
         id: String,
@@ -125,13 +125,13 @@
 }
 
 /// A host that accepts, reads and answers only when the test says so.
-pub struct Puppet {
+pub struct RawHost {
     pub address: SocketAddr,
     listener: TcpListener,
     fill: Vec<TcpStream>,
 }
 
-impl Puppet {
+impl RawHost {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -139,17 +139,17 @@
     }
 
     /// The next connection, whether it says anything or not.
-    pub fn accept(&self) -> Line {
+    pub fn accept(&self) -> HostConn {
         self.accept_within(LONG).expect("a connection")
     }
 
     /// ... if one comes within that time.
-    pub fn accept_within(&self, time: Duration) -> Option<Line> {
+    pub fn accept_within(&self, time: Duration) -> Option<HostConn> {
         self.listener.set_nonblocking(true).unwrap();
         let begun = Instant::now();
         loop {
             match self.listener.accept() {
-                Ok((stream, from)) if !self.is_own(from) => return Some(Line::new(stream)),
+                Ok((stream, from)) if !self.is_own(from) => return Some(HostConn::new(stream)),
                 Ok(_) => {}
                 Err(_) if begun.elapsed() > time => return None,
                 Err(_) => sleep(ms(2)),
@@ -162,25 +162,25 @@
     }
 
     /// From now on connections neither come up nor fail: the backlog is as short as can be, and full.
-    pub fn hold(&mut self) {
+    pub fn block_connects(&mut self) {
         SockRef::from(&self.listener).listen(0).unwrap();
         let more = (0..3).map_while(|_| TcpStream::connect_timeout(&self.address, ms(100)).ok());
         self.fill.extend(more);
     }
 
     /// Lets in all that wants to come up, until nothing more has come for longer than a lost SYN is repeated after.
-    pub fn let_in(&self) -> Vec<Line> {
+    pub fn accept_all(&self) -> Vec<HostConn> {
         SockRef::from(&self.listener).listen(128).unwrap();
         std::iter::from_fn(|| self.accept_within(ms(1_500))).collect()
     }
 }
 
-/// One connection to a [`Puppet`].
-pub struct Line {
+/// One connection to a [`RawHost`].
+pub struct HostConn {
     lines: BufReader<TcpStream>,
 }
 
-impl Line {
+impl HostConn {
     fn new(stream: TcpStream) -> Self {
         stream.set_nonblocking(false).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -189,7 +189,7 @@
     }
 
     /// The next command; `None` once the connection has ended, be it within a command.
-    pub fn next(&mut self) -> Option<Said> {
+    pub fn next(&mut self) -> Option<Command> {
         let mut line = String::new();
         match self.lines.read_line(&mut line) {
             Ok(n) if n > 0 && line.ends_with("\r\n") => {}
@@ -204,25 +204,25 @@
                 body.truncate(body.len() - 2);
                 let limit = words[2].split(',').find_map(|f| f.strip_prefix("limit=")?.parse().ok());
                 let body = String::from_utf8_lossy(&body).into();
-                Said::Call { id: words[1].into(), limit: limit.expect("a limit"), body }
+                Command::Call { id: words[1].into(), limit: limit.expect("a limit"), body }
             }
-            "KILL" => Said::Kill { id: words[1].into() },
-            "SPAWN" => Said::Order { tag: words[1].into() },
-            "HELO" => Said::Probe { tag: words[1].into() },
-            _ => Said::Other(line.trim_end().into()),
+            "KILL" => Command::Kill { id: words[1].into() },
+            "SPAWN" => Command::Order { tag: words[1].into() },
+            "HELO" => Command::Probe { tag: words[1].into() },
+            _ => Command::Other(line.trim_end().into()),
         })
     }
 
     /// The next call's id.
     pub fn call(&mut self) -> String {
         match self.next() {
-            Some(Said::Call { id, .. }) => id,
+            Some(Command::Call { id, .. }) => id,
             other => panic!("no call: {other:?}"),
         }
     }
 
     /// All that is still said until the connection ends.
-    pub fn rest(&mut self) -> Vec<Said> {
+    pub fn rest(&mut self) -> Vec<Command> {
         std::iter::from_fn(|| self.next()).collect()
     }
 
@@ -267,9 +267,9 @@
     table.lines().skip(1).filter_map(row).collect()
 }
 
-impl Puppet {
+impl RawHost {
     /// Whether somebody tries to connect who has not been let in.
-    pub fn is_knocked_at(&self) -> bool {
+    pub fn has_pending_connect(&self) -> bool {
         let own: Vec<u16> = self.fill.iter().map(|s| s.local_addr().unwrap().port()).collect();
         let knocks = |(from, to, state, _): &(u16, u16, String, u64)| {
             *to == self.address.port() && state == SYN_SENT && !own.contains(from)
@@ -285,7 +285,7 @@
     sockets().iter().find(is_other_end).map_or(0, |(.., unread)| *unread)
 }
 
-impl Line {
+impl HostConn {
     /// Bytes said that the other side has not read.
     pub fn unread(&self) -> u64 {
         unread(self.lines.get_ref())
--- a/node/tests/common/stand_in.rs
+++ b/node/tests/common/stand_in.rs
@@ -6,10 +6,10 @@
 use std::thread::spawn;
 
 /// What a host says to a call's line and body: further fields of the answer, each with a comma before it.
-pub type Says = dyn Fn(&str, &str) -> String + Send + Sync;
+pub type AnswerFields = dyn Fn(&str, &str) -> String + Send + Sync;
 
 /// Listens, and answers each call as `says` has it, from a thread for each connection. It takes orders and is alive.
-pub fn stand_in(says: Arc<Says>) -> SocketAddr {
+pub fn stand_in(says: Arc<AnswerFields>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     spawn(move || {
@@ -21,7 +21,7 @@
     address
 }
 
-fn attend(stream: TcpStream, says: &Says) {
+fn attend(stream: TcpStream, says: &AnswerFields) {
     let (mut lines, mut out) = (BufReader::new(stream.try_clone().unwrap()), stream);
     loop {
         let mut line = String::new();
--- a/node/tests/endings_client.rs
+++ b/node/tests/endings_client.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::gated::*;
+use common::manual_host::*;
 use common::*;
 use rstest::rstest;
 use serde_json::json;
@@ -12,7 +12,7 @@
 const MAIL: &str = "send-mail";
 
 /// A call by another client, which is served: all that the program had been told before it has been looked at.
-fn serve_another(p: &Platform, host: &Gated) {
+fn serve_another(p: &Platform, host: &ManualHost) {
     let before = host.count("FN");
     let mut other = Client::of(&p.program);
     other.ask(1, READ, 99, "another");
@@ -25,13 +25,13 @@
 // ------------------------------------------------------------------------------------------- half-close
 
 /// A call of this class, stream 1 with the body "x", that its host missed: it waits for the load that was ordered.
-fn call_that_waits_for_a_load(class: &str) -> (Gated, Platform, Client) {
-    let host = Gated::start();
-    let platform = platform_before(&[host.address], &[]);
+fn call_that_waits_for_a_load(class: &str) -> (ManualHost, Platform, Client) {
+    let host = ManualHost::start();
+    let platform = platform_with(&[host.address], &[]);
     let mut client = Client::of(&platform.program);
     client.ask(1, class, 1, "x");
     host.wait("FN", 1);
-    host.miss(0);
+    host.answer_miss(0);
     (host, platform, client)
 }
 
@@ -42,7 +42,7 @@
     let (host, p, mut client) = call_that_waits_for_a_load(class);
     client.half_close();
     assert_eq!(client.answer(), (1, REFUSED));
-    host.load(0);
+    host.finish_load(0);
     serve_another(&p, &host);
     assert_eq!(host.bodies(), ["x", "another"], "nothing was begun for a client that may have gone");
     assert!(client.is_ended());
@@ -51,7 +51,7 @@
 #[test]
 fn a_load_that_ends_before_the_half_close_has_its_call_served() {
     let (host, _platform, mut client) = call_that_waits_for_a_load(READ);
-    host.load(0);
+    host.finish_load(0);
     host.wait("FN", 2);
     client.half_close();
     host.serve(1);
@@ -64,19 +64,19 @@
 fn nothing_begins_for_a_client_that_closed_while_its_call_waited() {
     let (host, p, client) = call_that_waits_for_a_load(READ);
     drop(client);
-    early("the end of its connection", || p.program.logged("ended reason=") == 1);
-    host.load(0);
+    wait_early("the end of its connection", || p.program.logged("ended reason=") == 1);
+    host.finish_load(0);
     serve_another(&p, &host);
     assert_eq!(host.bodies(), ["x", "another"]);
 }
 
 /// Two calls of one connection: the one that waits is refused when the grace has passed, which the other's answer
 /// comes after.
-fn past_the_grace(host: &Gated, p: &Platform, class: &str) -> Client {
+fn past_the_grace(host: &ManualHost, p: &Platform, class: &str) -> Client {
     let mut client = Client::of(&p.program);
     client.ask(1, READ, 1, "waits");
     host.wait("FN", 1);
-    host.miss(0);
+    host.answer_miss(0);
     client.ask(2, class, 2, "out");
     host.wait("FN", 2);
     client.half_close();
@@ -86,8 +86,8 @@
 
 #[test]
 fn a_call_that_is_out_at_a_half_close_is_answered_after_the_grace() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     let mut client = past_the_grace(&host, &p, MAIL);
     host.serve(1);
     assert_eq!(client.answer(), (2, SERVED));
@@ -100,12 +100,12 @@
 #[case::missed("404", REFUSED)]
 #[case::error("500", REFUSED)]
 fn a_call_that_is_out_at_a_half_close_is_not_begun_again(#[case] word: &str, #[case] code: u8) {
-    let (host, other) = (Gated::start(), Gated::start());
-    let p = platform_before(&[host.address], &[]);
+    let (host, other) = (ManualHost::start(), ManualHost::start());
+    let p = platform_with(&[host.address], &[]);
     let mut client = past_the_grace(&host, &p, READ);
     let mut p = p;
     std::io::Write::write_all(&mut p.feed, &event(2, false, &[(7, other.address, 0)])).unwrap();
-    host.say("FN", 1, word, "-", b"");
+    host.answer("FN", 1, word, "-", b"");
     assert_eq!(client.answer(), (2, code));
     assert!(client.is_ended());
     assert_eq!((host.count("FN"), other.count("FN")), (2, 0));
@@ -113,20 +113,20 @@
 
 #[test]
 fn a_call_whose_connection_breaks_after_a_half_close_is_not_begun_again() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     let mut client = past_the_grace(&host, &p, MAIL);
-    host.hang_up(1);
+    host.close_conn(1);
     assert_eq!(client.answer(), (2, FAILED));
     assert_eq!(host.count("FN"), 2);
 }
 
-/// Some connections to hosts come up late: what has not begun to leave then is taken back.
+/// Some connections to hosts come up late: what has not begun to leave then is received back.
 #[test]
 fn a_call_that_waits_for_a_connection_is_taken_back_after_a_half_close() {
     let stuck = Stuck::start();
     let late = [("settings/Limits/ConnectTimeoutUs", json!(7_000_000))];
-    let p = platform_before(&[stuck.address], &late);
+    let p = platform_with(&[stuck.address], &late);
     let mut client = Client::of(&p.program);
     client.ask(1, MAIL, 1, "x");
     client.half_close();
@@ -138,8 +138,8 @@
 /// A request and the end of its client's side in one read: it is begun at once, and served.
 #[test]
 fn a_request_read_with_the_end_of_its_clients_side_is_served() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
     p.program.stop(true);
     client.ask(1, MAIL, 1, "x");
@@ -154,8 +154,8 @@
 /// ... and its second attempt does not begin, as its first ends after the grace.
 #[test]
 fn a_request_read_with_the_end_of_its_clients_side_has_one_attempt() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
     p.program.stop(true);
     client.ask(1, READ, 1, "x");
@@ -166,10 +166,10 @@
     let mut later = Client::of(&p.program);
     later.ask(1, READ, 2, "later");
     host.wait("FN", 2);
-    host.miss(1);
+    host.answer_miss(1);
     later.half_close();
     assert_eq!(later.answer(), (1, REFUSED));
-    host.say("FN", 0, "503", "-", b"");
+    host.answer("FN", 0, "503", "-", b"");
     assert_eq!(client.answer(), (1, REFUSED));
     assert_eq!(host.count("FN"), 2);
 }
@@ -177,12 +177,12 @@
 /// A call that a rollout passed to its candidate, which decides it.
 #[test]
 fn a_half_close_is_told_to_the_candidate_that_decides_the_call() {
-    let host = Gated::start();
-    let known = [("known/batch/0/topology/members", members(&[host.address]))];
+    let host = ManualHost::start();
+    let known = [("known/batch/0/topology/members", host_entries(&[host.address]))];
     let pair = common::rollout::pair_of(&[], &known, &[]).whole();
     let mut client = past_the_grace(&host, &pair.old, MAIL);
     assert_eq!(pair.count("passed"), 2);
-    host.load(0);
+    host.finish_load(0);
     serve_another(&pair.old, &host);
     assert_eq!(host.bodies(), ["waits", "out", "another"]);
     host.serve(1);
@@ -192,7 +192,7 @@
 // ----------------------------------------------------------------------------------- cancels and resets
 
 /// Waits until all that the client has sent was looked at: nothing but this comes.
-fn hear_readiness(client: &mut Client) {
+fn wait_readiness(client: &mut Client) {
     std::io::Write::write_all(&mut client.0, &client_frame(4, 9_999, &[0])).unwrap();
     let frame = read_frame(&mut client.0).unwrap();
     assert_eq!((frame.kind, frame.stream), (5, 9_999), "{frame:?}");
@@ -202,30 +202,30 @@
 fn a_cancel_takes_back_what_waits_for_a_connection() {
     let stuck = Stuck::start();
     let late = [("settings/Limits/ConnectTimeoutUs", json!(7_000_000))];
-    let p = platform_before(&[stuck.address], &late);
+    let p = platform_with(&[stuck.address], &late);
     let mut client = Client::of(&p.program);
     client.ask(1, MAIL, 1, "x");
     client.ask(2, MAIL, 1, "y");
     wait_for("the requests", || open_requests(&p) == 2);
     client.cancel(2);
     client.cancel(1);
-    hear_readiness(&mut client);
+    wait_readiness(&mut client);
     assert_eq!(open_requests(&p), 0);
     assert_eq!(stuck.heard(), 0);
 }
 
 #[test]
 fn a_request_read_with_its_cancel_is_not_begun() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
     p.program.stop(true);
-    client.ask(1, READ, 1, "taken back");
+    client.ask(1, READ, 1, "received back");
     client.cancel(1);
     client.ask(2, READ, 1, "wanted");
     p.program.stop(false);
     host.wait("FN", 1);
-    hear_readiness(&mut client);
+    wait_readiness(&mut client);
     assert_eq!(host.bodies(), ["wanted"]);
     host.serve(0);
     assert_eq!(client.answer(), (2, SERVED));
@@ -233,8 +233,8 @@
 
 #[test]
 fn a_request_read_with_a_reset_is_not_begun() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
     p.program.stop(true);
     client.ask(1, READ, 1, "x");
@@ -249,8 +249,8 @@
 fn a_reset_while_a_call_waits_for_a_load_ends_it() {
     let (host, p, client) = call_that_waits_for_a_load(READ);
     client.reset();
-    early("the end of what waited", || open_requests(&p) == 0);
-    host.load(0);
+    wait_early("the end of what waited", || open_requests(&p) == 0);
+    host.finish_load(0);
     serve_another(&p, &host);
     assert_eq!(host.bodies(), ["x", "another"]);
 }
@@ -262,8 +262,8 @@
     #[values(true, false)] host_first: bool,
     #[values(READ, MAIL)] class: &str,
 ) {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
     client.ask(1, class, 1, "x");
     host.wait("FN", 1);
@@ -272,14 +272,14 @@
         client.cancel(1);
     }
     match end {
-        "hangs up" => host.hang_up(0),
-        word => host.say("FN", 0, word, "-", b""),
+        "hangs up" => host.close_conn(0),
+        word => host.answer("FN", 0, word, "-", b""),
     }
     if host_first {
         client.cancel(1);
     }
     p.program.stop(false);
-    early("the end of the request", || open_requests(&p) == 0);
+    wait_early("the end of the request", || open_requests(&p) == 0);
     let begun = host.bodies().len();
     serve_another(&p, &host);
     let bodies = host.bodies();
@@ -299,8 +299,8 @@
 /// The loop finds the time over and the host's answer there at once: one of them is the answer.
 #[test]
 fn a_deadline_and_the_answer_in_one_turn_make_one_answer() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
     let frame = whole_call_frame(1, ["00000000000000aa", READ, "k", "00000000000000bb"], 300, b"x");
     std::io::Write::write_all(&mut client.0, &frame).unwrap();
@@ -311,16 +311,16 @@
     p.program.stop(false);
     let (stream, code) = client.answer();
     assert!(stream == 1 && [SERVED, FAILED].contains(&code), "{code}");
-    early("the end of the request", || open_requests(&p) == 0);
+    wait_early("the end of the request", || open_requests(&p) == 0);
     serve_another(&p, &host);
-    hear_readiness(&mut client);
+    wait_readiness(&mut client);
     assert_eq!(host.count("FN"), 2);
 }
 
 #[test]
 fn cancels_of_nothing_change_nothing() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
     client.cancel(7);
     client.ask(1, READ, 1, "x");
@@ -331,32 +331,32 @@
     client.ask(2, READ, 1, "y");
     client.cancel(2);
     client.cancel(2);
-    hear_readiness(&mut client);
-    early("the end of both", || open_requests(&p) == 0);
+    wait_readiness(&mut client);
+    wait_early("the end of both", || open_requests(&p) == 0);
     client.ask(3, READ, 1, "z");
-    host.serve(host.nth("z"));
+    host.serve(host.find("z"));
     assert_eq!(client.answer(), (3, SERVED));
 }
 
 // ----------------------------------------------------------------------- a client that reads no answers
 
 /// Answers that are not read, one each: more than the system's buffers take, so that the program holds the rest.
-const UNREAD: u32 = 30;
-const LONG_BODY: usize = 250_000;
+const UNREAD_ANSWERS: u32 = 30;
+const LONG_BYTES: usize = 250_000;
 
 /// A client that does not read, with long answers on their way to it; one call is out and one waits for a load.
-fn that_does_not_read(p: &Platform, host: &Gated) -> Client {
+fn client_that_does_not_read(p: &Platform, host: &ManualHost) -> Client {
     let mut client = Client::with_small_buffer(&p.program);
     client.ask(31, READ, 1, "waits");
     host.wait("FN", 1);
-    host.miss(0);
+    host.answer_miss(0);
     client.ask(32, READ, 2, "out");
-    host.nth("out");
-    for stream in 1..=UNREAD {
+    host.find("out");
+    for stream in 1..=UNREAD_ANSWERS {
         client.ask(stream, READ, 3, &format!("long {stream}"));
     }
-    for stream in 1..=UNREAD {
-        host.say("FN", host.nth(&format!("long {stream}")), "200", "tell=warm", &vec![b'x'; LONG_BODY]);
+    for stream in 1..=UNREAD_ANSWERS {
+        host.answer("FN", host.find(&format!("long {stream}")), "200", "tell=warm", &vec![b'x'; LONG_BYTES]);
     }
     wait_for("the answers of the host", || open_requests(p) == 2);
     client
@@ -364,38 +364,38 @@
 
 #[test]
 fn a_cancel_is_heeded_though_its_client_reads_no_answers() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
-    let mut client = that_does_not_read(&p, &host);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
+    let mut client = client_that_does_not_read(&p, &host);
     client.cancel(32);
     host.wait("KILL", 1);
     client.cancel(31);
-    early("the end of what waited", || open_requests(&p) == 0);
-    host.load(0);
+    wait_early("the end of what waited", || open_requests(&p) == 0);
+    host.finish_load(0);
     serve_another(&p, &host);
-    assert_eq!(host.count("FN"), 2 + UNREAD as usize + 1, "nothing was begun after the cancel");
+    assert_eq!(host.count("FN"), 2 + UNREAD_ANSWERS as usize + 1, "nothing was begun after the cancel");
     // All that was answered still comes, and nothing that was cancelled.
-    let mut streams: Vec<u32> = (0..UNREAD).map(|_| client.answer().0).collect();
+    let mut streams: Vec<u32> = (0..UNREAD_ANSWERS).map(|_| client.answer().0).collect();
     streams.sort();
-    assert_eq!(streams, (1..=UNREAD).collect::<Vec<_>>());
+    assert_eq!(streams, (1..=UNREAD_ANSWERS).collect::<Vec<_>>());
     client.half_close();
     assert!(client.is_ended());
 }
 
 #[test]
 fn a_half_close_is_heeded_though_its_client_reads_no_answers() {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
-    let mut client = that_does_not_read(&p, &host);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
+    let mut client = client_that_does_not_read(&p, &host);
     client.half_close();
-    early("the end of what waited", || open_requests(&p) == 1);
-    host.load(0);
+    wait_early("the end of what waited", || open_requests(&p) == 1);
+    host.finish_load(0);
     serve_another(&p, &host);
-    assert_eq!(host.count("FN"), 2 + UNREAD as usize + 1, "nothing was begun after the grace");
-    host.serve(host.nth("out"));
-    let mut answers: Vec<(u32, u8)> = (0..UNREAD + 2).map(|_| client.answer()).collect();
+    assert_eq!(host.count("FN"), 2 + UNREAD_ANSWERS as usize + 1, "nothing was begun after the grace");
+    host.serve(host.find("out"));
+    let mut answers: Vec<(u32, u8)> = (0..UNREAD_ANSWERS + 2).map(|_| client.answer()).collect();
     answers.sort();
-    let long = (1..=UNREAD).map(|stream| (stream, SERVED));
+    let long = (1..=UNREAD_ANSWERS).map(|stream| (stream, SERVED));
     assert_eq!(answers, long.chain([(31, REFUSED), (32, SERVED)]).collect::<Vec<_>>());
     assert!(client.is_ended());
 }
@@ -405,43 +405,43 @@
 #[case::closed(false)]
 #[case::reset(true)]
 fn a_close_with_answers_unread_is_heeded(#[case] reset: bool) {
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
-    let client = that_does_not_read(&p, &host);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
+    let client = client_that_does_not_read(&p, &host);
     if reset {
         client.reset();
     } else {
         drop(client);
     }
     host.wait("KILL", 1);
-    early("the end of what waited", || open_requests(&p) == 0);
-    host.load(0);
+    wait_early("the end of what waited", || open_requests(&p) == 0);
+    host.finish_load(0);
     serve_another(&p, &host);
-    assert_eq!(host.count("FN"), 2 + UNREAD as usize + 1);
+    assert_eq!(host.count("FN"), 2 + UNREAD_ANSWERS as usize + 1);
 }
 
 /// Requests of a client that reads no answers wait for it in part, and are refused beyond that; each has one answer.
 #[test]
 fn requests_of_a_client_that_reads_no_answers_have_one_answer_each() {
     const MORE: std::ops::Range<u32> = 100..130;
-    let host = Gated::start();
-    let p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let p = platform_with(&[host.address], &[]);
     host.serve_at_once("m");
-    let mut client = that_does_not_read(&p, &host);
+    let mut client = client_that_does_not_read(&p, &host);
     for stream in MORE {
         std::io::Write::write_all(&mut client.0, &Client::request(stream, READ, 3, &[b'm'; 4000])).unwrap();
     }
-    // One that waits is taken back, and nothing comes for it.
+    // One that waits is received back, and nothing comes for it.
     client.cancel(MORE.start);
     client.cancel(31);
-    early("the cancel", || open_requests(&p) == 1);
+    wait_early("the cancel", || open_requests(&p) == 1);
     // Those that were not refused at once are served, or refused when they have waited for long.
-    let mut answers: Vec<(u32, u8)> = (0..UNREAD + 29).map(|_| client.answer()).collect();
-    host.serve(host.nth("out"));
+    let mut answers: Vec<(u32, u8)> = (0..UNREAD_ANSWERS + 29).map(|_| client.answer()).collect();
+    host.serve(host.find("out"));
     answers.push(client.answer());
     answers.sort();
     let streams: Vec<u32> = answers.iter().map(|a| a.0).collect();
-    assert_eq!(streams, (1..=UNREAD).chain([32]).chain(MORE.skip(1)).collect::<Vec<_>>());
+    assert_eq!(streams, (1..=UNREAD_ANSWERS).chain([32]).chain(MORE.skip(1)).collect::<Vec<_>>());
     client.half_close();
     assert!(client.is_ended());
 }
@@ -449,7 +449,7 @@
 // ------------------------------------------------------------------------------------ the invoke front
 
 /// More than the invoke front keeps of what comes while a call is out.
-const PIPELINED: usize = 400 << 10;
+const PIPELINED_BYTES: usize = 400 << 10;
 
 /// A call that is out at the host, with further requests sent behind it.
 fn pipelining(program: &Program, host: &Host, timeout_ms: u32) -> std::net::TcpStream {
@@ -459,7 +459,7 @@
     std::io::Write::write_all(&mut client, first.as_bytes()).unwrap();
     wait_for("the call", || host.calls() == 1);
     let more = call("f2", MAIL, &[], "more");
-    let more = more.repeat(PIPELINED / more.len());
+    let more = more.repeat(PIPELINED_BYTES / more.len());
     // A program that reads none of it may leave the last of it unsent.
     client.set_write_timeout(Some(ms(1000))).unwrap();
     let _ = std::io::Write::write_all(&mut client, more.as_bytes());
@@ -505,18 +505,18 @@
 #[case::loaded_and_served(true)]
 #[case::never_loaded(false)]
 fn what_waits_and_what_is_out_at_sigterm_is_answered(#[case] loads: bool) {
-    let host = Gated::start();
-    let mut p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let mut p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
     client.ask(1, READ, 1, "waits");
     host.wait("FN", 1);
-    host.miss(0);
+    host.answer_miss(0);
     client.ask(2, MAIL, 2, "out");
-    let out = host.nth("out");
+    let out = host.find("out");
     terminate(&p);
     assert_eq!(read_frame(&mut client.0).unwrap().kind, 6, "it asks for no new request");
     if loads {
-        host.load(0);
+        host.finish_load(0);
         host.wait("FN", 3);
         host.serve(2);
         assert_eq!(client.answer(), (1, SERVED));
@@ -534,9 +534,9 @@
 /// Attempts that wait for a connection are queued as long as that, and their answers are owed.
 #[test]
 fn what_waits_for_a_connection_at_sigterm_is_answered() {
-    let (host, stuck) = (Gated::start(), Stuck::start());
+    let (host, stuck) = (ManualHost::start(), Stuck::start());
     let late = [("settings/Limits/ConnectTimeoutUs", json!(2_000_000))];
-    let mut p = platform_before(&[stuck.address], &late);
+    let mut p = platform_with(&[stuck.address], &late);
     let mut client = Client::of(&p.program);
     client.ask(1, MAIL, 1, "x");
     wait_for("the request", || open_requests(&p) == 1);
@@ -553,8 +553,8 @@
 
 #[test]
 fn requests_that_come_after_sigterm_are_answered_on_old_connections_and_new() {
-    let host = Gated::start();
-    let mut p = platform_before(&[host.address], &[]);
+    let host = ManualHost::start();
+    let mut p = platform_with(&[host.address], &[]);
     let mut old = Client::of(&p.program);
     old.ask(1, READ, 1, "before");
     host.wait("FN", 1);
@@ -563,7 +563,7 @@
     old.ask(2, MAIL, 1, "old");
     new.ask(1, MAIL, 1, "new");
     for body in ["before", "old", "new"] {
-        host.serve(host.nth(body));
+        host.serve(host.find(body));
     }
     let mut streams = Vec::new();
     while streams.len() < 2 {
@@ -621,12 +621,12 @@
 fn a_reload_between_two_attempts_leaves_the_request_its_second() {
     let (host, p, mut client) = call_that_waits_for_a_load(READ);
     let edits = [
-        ("known/batch/0/topology/members", members(&[host.address])),
+        ("known/batch/0/topology/members", host_entries(&[host.address])),
         ("settings/Limits/MaxAttempts", json!(2)),
     ];
     p.program.reload(&common::rollout::edited(&config(p.bus.address, &[]), &edits));
     wait_for("the reload", || p.program.logged("configuration read again") == 1);
-    host.load(0);
+    host.finish_load(0);
     host.wait("FN", 2);
     host.serve(1);
     assert_eq!(client.answer(), (1, SERVED));
@@ -635,9 +635,9 @@
 /// A new process takes the clients while the old one owes answers: it gives them, and heeds a half-close, to its end.
 #[test]
 fn what_the_old_process_of_an_upgrade_owes_it_answers() {
-    let host = Gated::start();
+    let host = ManualHost::start();
     let bus = Bus::start();
-    let known = [("known/batch/0/topology/members", members(&[host.address]))];
+    let known = [("known/batch/0/topology/members", host_entries(&[host.address]))];
     let text = common::rollout::edited(&config(bus.address, &[]), &known);
     let program = Program::start(&text, false);
     let (_, feed) = bus.greeted();
@@ -645,7 +645,7 @@
     let (mut stays, mut goes) = (Client::of(&old.program), Client::of(&old.program));
     stays.ask(1, READ, 1, "waits");
     host.wait("FN", 1);
-    host.miss(0);
+    host.answer_miss(0);
     stays.ask(2, MAIL, 2, "out");
     goes.ask(1, READ, 1, "given up");
     wait_for("the requests", || open_requests(&old) == 3);
@@ -658,8 +658,8 @@
     goes.half_close();
     assert_eq!(goes.answer(), (1, REFUSED));
     old.program.terminate();
-    host.load(0);
-    host.serve(host.nth("out"));
+    host.finish_load(0);
+    host.serve(host.find("out"));
     assert_eq!(stays.answer(), (2, SERVED));
     host.wait("FN", 3);
     host.serve(2);
@@ -668,6 +668,6 @@
     assert_eq!(host.bodies(), ["waits", "out", "waits"]);
     let mut client = Client::of(&new);
     client.ask(1, READ, 1, "new");
-    host.serve(host.nth("new"));
+    host.serve(host.find("new"));
     assert_eq!(client.answer(), (1, SERVED));
 }
--- a/node/tests/endings_hosts.rs
+++ b/node/tests/endings_hosts.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Instant;
 
-use common::puppet::*;
+use common::raw_host::*;
 use common::*;
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
@@ -45,12 +45,12 @@
     }
 
     fn event(&self, number: u64) -> Vec<u8> {
-        marked(number, false, &[(0, self.a.address, DRAINING), (1, self.b.address, READY)])
+        event_with_marker(number, false, &[(0, self.a.address, DRAINING), (1, self.b.address, READY)])
     }
 
     /// The event of this number has been taken in: all goes to the other host.
     fn is_done(&self, number: u64) {
-        wait_taken_in(&self.program, number);
+        wait_applied(&self.program, number);
         serve_mails(&self.program, 1..7);
         assert_eq!((self.a.calls(), self.b.calls()), (0, 6));
     }
@@ -83,9 +83,9 @@
     let (handover, mut feed) = Handover::begin();
     let event = handover.event(3);
     let nobody: SocketAddr = ([127, 0, 0, 1], 1).into();
-    let bytes = [marked(2, false, &[(9, nobody, GONE)]), event[..part].to_vec()].concat();
+    let bytes = [event_with_marker(2, false, &[(9, nobody, GONE)]), event[..part].to_vec()].concat();
     feed.write_all(&bytes).unwrap();
-    wait_taken_in(&handover.program, 2);
+    wait_applied(&handover.program, 2);
     if resets {
         socket2::SockRef::from(&feed).set_linger(Some(ms(0))).unwrap();
     }
@@ -117,16 +117,16 @@
     let again = event(2, false, &[(0, handover.a.address, READY)]);
     let drains = handover.event(3);
     feed.write_all(&[again.clone(), drains.clone()].concat()).unwrap();
-    wait_taken_in(&handover.program, 3);
+    wait_applied(&handover.program, 3);
     if reconnected {
         feed.shutdown(std::net::Shutdown::Both).unwrap();
         let (last, fresh) = handover.bus.greeted();
         assert_eq!(last, 3);
         feed = fresh;
     }
-    let next = marked(4, false, &[]);
+    let next = event_with_marker(4, false, &[]);
     feed.write_all(&[again, drains, next].concat()).unwrap();
-    wait_taken_in(&handover.program, 4);
+    wait_applied(&handover.program, 4);
     handover.is_done(3);
 }
 
@@ -134,13 +134,13 @@
 /// comes goes elsewhere.
 #[test]
 fn a_host_missing_from_a_whole_list_has_left() {
-    let (puppet, b) = (Puppet::start(), Host::warm());
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let (puppet, b) = (RawHost::start(), Host::warm());
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, "send-mail", 4000, b"")).unwrap();
     let mut line = puppet.accept();
     line.call();
-    p.feed.write_all(&marked(2, true, &[(1, b.address, READY)])).unwrap();
+    p.feed.write_all(&event_with_marker(2, true, &[(1, b.address, READY)])).unwrap();
     assert_eq!(line.rest(), [], "its connection ends, and nothing more is said on it");
     let answer = read_frame(&mut client).unwrap();
     assert_eq!((answer.stream, answer.code), (1, FAILED), "it may have run");
@@ -178,8 +178,8 @@
             break stream;
         }
     };
-    feed.write_all(&marked(2, false, &[(0, a.address, DRAINING), (1, b.address, READY)])).unwrap();
-    wait_taken_in(&program, 2);
+    feed.write_all(&event_with_marker(2, false, &[(0, a.address, DRAINING), (1, b.address, READY)])).unwrap();
+    wait_applied(&program, 2);
     serve_mails(&program, 4..7);
     assert_eq!((a.calls(), b.calls()), (3, 3));
 }
@@ -204,7 +204,7 @@
         feed.write_all(&handover.event(number)).unwrap();
         wait_for("the event to arrive", || unread(&feed) > 0);
         handover.program.stop(false);
-        wait_taken_in(&handover.program, number);
+        wait_applied(&handover.program, number);
     }
     handover.is_done(4);
     assert_eq!(handover.program.logged("conn bus ended"), 0);
@@ -213,8 +213,8 @@
 /// An answer whose end came while the process was held up is whole, though it paused for too long by the clock.
 #[test]
 fn an_answer_that_became_whole_while_the_process_was_held_up_counts() {
-    let puppet = Puppet::start();
-    let p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     let (mut line, mut rounds) = (None, 0);
     for stream in 1..20 {
@@ -250,15 +250,15 @@
 /// A connection that came up while the process was held up stands, though it took too long by the clock.
 #[test]
 fn a_connection_that_came_up_while_the_process_was_held_up_stands() {
-    let mut puppet = Puppet::start();
-    let timeout = |text: String| patient(text).replace("60000000", "3000000");
+    let mut puppet = RawHost::start();
+    let timeout = |text: String| long_timeouts(text).replace("60000000", "3000000");
     let p = platform_of(&[(7, puppet.address)], timeout);
-    puppet.hold();
+    puppet.block_connects();
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, "send-mail", 8000, b"")).unwrap();
-    wait_for("the connection's beginning", || puppet.is_knocked_at());
+    wait_for("the connection's beginning", || puppet.has_pending_connect());
     p.program.stop(true);
-    let mut lines = puppet.let_in();
+    let mut lines = puppet.accept_all();
     std::thread::sleep(ms(3_000));
     p.program.stop(false);
     assert_eq!(lines.len(), 1);
@@ -270,7 +270,7 @@
 
 /// Calls that are under way to a host which listens and takes no connection.
 struct Waiting {
-    puppet: Puppet,
+    puppet: RawHost,
     p: Platform,
     client: TcpStream,
 }
@@ -278,12 +278,12 @@
 impl Waiting {
     /// A mail waits for a connection to host 7.
     fn begin() -> Self {
-        let mut puppet = Puppet::start();
-        puppet.hold();
-        let p = platform_of(&[(7, puppet.address)], patient);
+        let mut puppet = RawHost::start();
+        puppet.block_connects();
+        let p = platform_of(&[(7, puppet.address)], long_timeouts);
         let mut client = p.program.connect();
         client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
-        wait_for("the connection's beginning", || puppet.is_knocked_at());
+        wait_for("the connection's beginning", || puppet.has_pending_connect());
         Self { puppet, p, client }
     }
 
@@ -292,8 +292,8 @@
         assert_eq!(read_frame(&mut self.client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
         assert_eq!(served(), 1);
         let nothing: Vec<_> =
-            self.puppet.let_in().iter_mut().map(Line::rest).filter(|said| !said.is_empty()).collect();
-        assert_eq!(nothing, Vec::<Vec<Said>>::new());
+            self.puppet.accept_all().iter_mut().map(HostConn::rest).filter(|said| !said.is_empty()).collect();
+        assert_eq!(nothing, Vec::<Vec<Command>>::new());
     }
 }
 
@@ -306,7 +306,7 @@
     let mut w = Waiting::begin();
     let other = Host::warm();
     let hosts = [(7, w.puppet.address, state), (8, other.address, READY)];
-    tell(&w.p.program, &mut w.p.feed, 2, &hosts);
+    apply_changes(&w.p.program, &mut w.p.feed, 2, &hosts);
     w.has_gone_elsewhere(|| other.calls());
 }
 
@@ -315,20 +315,20 @@
 #[test]
 fn a_mail_for_a_host_whose_address_another_takes_over_is_withdrawn() {
     let mut w = Waiting::begin();
-    tell(&w.p.program, &mut w.p.feed, 2, &[(8, w.puppet.address, READY)]);
+    apply_changes(&w.p.program, &mut w.p.feed, 2, &[(8, w.puppet.address, READY)]);
     wait_for("its line in the log", || w.p.program.logged("host s-00000007 ended reason=host_gone") == 1);
     assert_eq!(w.p.program.maintain("exit", 7), 404, "it has gone, whether the list says so by now or not");
     // It goes to the new one, on a connection that was begun for it.
-    let mut lines = w.puppet.let_in();
+    let mut lines = w.puppet.accept_all();
     let calls: Vec<_> = lines.iter_mut().filter_map(|line| Some((line.next()?, line))).collect();
     assert_eq!(calls.len(), 1);
     for (said, line) in calls {
-        let Said::Call { id, .. } = said else { panic!("{said:?}") };
+        let Command::Call { id, .. } = said else { panic!("{said:?}") };
         line.say(&format!("{id} 200 tell=warm 2\r\nok\r\n"));
     }
     assert_eq!(read_frame(&mut w.client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
     // The old one's end comes in its own event, and changes nothing for the new one.
-    tell(&w.p.program, &mut w.p.feed, 3, &[(7, w.puppet.address, GONE)]);
+    apply_changes(&w.p.program, &mut w.p.feed, 3, &[(7, w.puppet.address, GONE)]);
     assert_eq!(w.p.program.maintain("exit", 8), 200);
 }
 
@@ -341,12 +341,12 @@
     let nowhere: SocketAddr = ([127, 0, 0, 1], 2).into();
     let entries =
         [(7, w.puppet.address, READY, started), (8, other.address, READY, 0), (9, nowhere, DRAINING, 0)];
-    w.p.feed.write_all(&event_of(2, false, &entries)).unwrap();
+    w.p.feed.write_all(&timed_event(2, false, &entries)).unwrap();
     wait_for("the event", || w.p.program.maintain("exit", 9) == 200);
     wait_for("its line in the log", || w.p.program.logged("host s-00000007 ended reason=host_gone") == 1);
     // To whichever it goes now, its old connection is not used.
-    let mut lines = w.puppet.let_in();
-    let said: Vec<_> = lines.iter_mut().filter_map(Line::next).collect();
+    let mut lines = w.puppet.accept_all();
+    let said: Vec<_> = lines.iter_mut().filter_map(HostConn::next).collect();
     assert_eq!(said.len() + other.calls(), 1);
 }
 
@@ -355,41 +355,41 @@
 #[case::a_read(READ)]
 #[case::a_mail(MAIL)]
 fn a_miss_of_a_host_that_drains_is_followed_by_no_order_there(#[case] class: &str) {
-    let (puppet, other) = (Puppet::start(), Host::warm());
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let (puppet, other) = (RawHost::start(), Host::warm());
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, class, 8000, b"")).unwrap();
     let mut line = puppet.accept();
     let id = line.call();
-    tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
+    apply_changes(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
     line.answer(&id, "404", "-");
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
     assert_eq!(other.calls(), 1);
-    tell(&p.program, &mut p.feed, 3, &[(7, puppet.address, GONE)]);
+    apply_changes(&p.program, &mut p.feed, 3, &[(7, puppet.address, GONE)]);
     assert_eq!(line.rest(), [], "neither an order nor a call");
 }
 
 /// An order goes on a connection that is not up, as the one before it ended with the miss: the drain withdraws it.
 #[test]
 fn an_order_that_waits_for_a_connection_is_never_sent_to_a_host_that_drains() {
-    let (mut puppet, other) = (Puppet::start(), Host::warm());
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let (mut puppet, other) = (RawHost::start(), Host::warm());
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
     let mut line = puppet.accept();
     let id = line.call();
-    puppet.hold();
+    puppet.block_connects();
     // Both are there when the program looks again.
     p.program.stop(true);
     line.answer(&id, "404", "-");
     line.close();
     p.program.stop(false);
-    wait_for("the order's connection", || puppet.is_knocked_at());
-    tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
+    wait_for("the order's connection", || puppet.has_pending_connect());
+    apply_changes(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
     assert_eq!(other.calls(), 1);
-    tell(&p.program, &mut p.feed, 3, &[(7, puppet.address, GONE)]);
-    let said: Vec<_> = puppet.let_in().iter_mut().flat_map(Line::rest).collect();
+    apply_changes(&p.program, &mut p.feed, 3, &[(7, puppet.address, GONE)]);
+    let said: Vec<_> = puppet.accept_all().iter_mut().flat_map(HostConn::rest).collect();
     assert_eq!(said, []);
 }
 
@@ -407,8 +407,8 @@
 #[case::no_fields("ID 200 tell 0\r\n\r\n", false)]
 #[case::a_word_too_few("ID 200 0\r\n\r\n", false)]
 fn a_mail_whose_answer_is_spoilt_or_cut_short_fails_once(#[case] bytes: &str, #[case] resets: bool) {
-    let puppet = Puppet::start();
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, READ, 8000, b"")).unwrap();
     let mut usual = puppet.accept();
@@ -426,7 +426,7 @@
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((2, FAILED)));
     usual.say(&format!("{first} 200 tell=warm 2\r\nok\r\n"));
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
-    tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, GONE)]);
+    apply_changes(&p.program, &mut p.feed, 2, &[(7, puppet.address, GONE)]);
     assert_eq!(usual.rest(), [], "nothing of the mail is sent again");
     assert!(puppet.accept_within(ms(300)).is_none());
 }
@@ -436,13 +436,13 @@
 #[case::closed(false)]
 #[case::reset(true)]
 fn a_read_whose_answer_is_cut_short_goes_on_elsewhere(#[case] resets: bool) {
-    let (puppet, other) = (Puppet::start(), Host::warm());
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let (puppet, other) = (RawHost::start(), Host::warm());
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, READ, 8000, b"read")).unwrap();
     let mut line = puppet.accept();
     let id = line.call();
-    tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
+    apply_changes(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
     line.say(&format!("{id} 200 tell=warm 10\r\nhalf"));
     if resets {
         line.reset();
@@ -458,8 +458,8 @@
 /// on the connection gets its own answer alone.
 #[test]
 fn a_second_answer_that_comes_later_is_dropped() {
-    let puppet = Puppet::start();
-    let p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
     let mut line = puppet.accept();
@@ -479,14 +479,14 @@
 /// same id, as a client may choose it, goes on another connection.
 #[test]
 fn an_answer_after_the_kill_is_nobodys() {
-    let puppet = Puppet::start();
-    let p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
     let mut line = puppet.accept();
     let id = line.call();
     client.write_all(&client_frame(3, 1, &[])).unwrap();
-    assert_eq!(line.next(), Some(Said::Kill { id: id.clone() }));
+    assert_eq!(line.next(), Some(Command::Kill { id: id.clone() }));
     let again = [id.as_str(), MAIL, "5c0f6e1a", "7f3a9c21e0b4d655"];
     client.write_all(&whole_call_frame(2, again, 8000, b"")).unwrap();
     let mut other = puppet.accept();
@@ -507,8 +507,8 @@
 #[case::the_end_first(true)]
 #[case::the_mail_first(false)]
 fn a_mail_that_crosses_the_end_of_an_idle_connection_is_served(#[case] end_first: bool) {
-    let puppet = Puppet::start();
-    let p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
     let mut line = puppet.accept();
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn one_that_is_killed_is_gone_for_all_and_back_as_another_life() {
-    let mut fleet = Fleet::met(4);
+    let mut fleet = Fleet::start_all(4);
     let first = fleet.said(1, 0, "start_ms").as_u64().unwrap();
     fleet.process(0).kill();
     fleet.each[0] = None;
@@ -25,11 +25,11 @@
 
 #[test]
 fn one_that_was_stopped_accuses_nobody_and_comes_back_by_itself() {
-    let fleet = Fleet::met(4);
+    let fleet = Fleet::start_all(4);
     let stopped = fleet.each[0].as_ref().unwrap();
     stopped.stop(true);
     fleet.agree(&[1, 2, 3]);
-    sleep(ms(20 * PERIOD));
+    sleep(ms(20 * PERIOD_MS));
     stopped.stop(false);
     fleet.agree(&[0, 1, 2, 3]);
     wait_for("its own word", || stopped.logged("held this activator for gone; it is back") > 0);
@@ -39,12 +39,12 @@
 
 #[test]
 fn all_that_were_stopped_at_once_hold_nobody_for_gone() {
-    let fleet = Fleet::met(4);
+    let fleet = Fleet::start_all(4);
     fleet.each.iter().flatten().for_each(|p| p.stop(true));
-    sleep(ms(40 * PERIOD));
+    sleep(ms(40 * PERIOD_MS));
     fleet.each.iter().flatten().for_each(|p| p.stop(false));
     fleet.agree(&[0, 1, 2, 3]);
-    sleep(ms(20 * PERIOD));
+    sleep(ms(20 * PERIOD_MS));
     assert!((0..4).all(|i| (0..4).all(|j| fleet.deaths(i, j) == 0)));
     let pauses = |p: &Program| p.ask("GET", "/members", "").1["pauses"].as_u64().unwrap();
     assert!(fleet.each.iter().flatten().all(|p| pauses(p) > 0), "each noticed that it was away");
@@ -52,7 +52,7 @@
 
 #[test]
 fn one_that_is_told_to_end_takes_its_leave() {
-    let mut fleet = Fleet::met(3);
+    let mut fleet = Fleet::start_all(3);
     fleet.process(0).terminate();
     for i in 1..3 {
         wait_for("its leave", || fleet.said(i, 0, "state") == "left");
@@ -68,9 +68,9 @@
 #[case::both_ways(&[(0, 1), (1, 0)])]
 #[case::one_way(&[(0, 1)])]
 fn two_that_do_not_hear_each_other_stay_there_for_all(#[case] cuts: &[(usize, usize)]) {
-    let fleet = Fleet::met(4);
+    let fleet = Fleet::start_all(4);
     cuts.iter().for_each(|(from, to)| fleet.lose(*from, *to, 255));
-    sleep(ms(40 * PERIOD));
+    sleep(ms(40 * PERIOD_MS));
     fleet.agree(&[0, 1, 2, 3]);
     assert!((0..4).all(|i| (0..4).all(|j| fleet.deaths(i, j) == 0)));
 }
@@ -79,7 +79,7 @@
 #[case::hears_nobody(false)]
 #[case::heard_by_nobody(true)]
 fn one_that_is_cut_one_way_costs_the_others_nothing(#[case] hears: bool) {
-    let fleet = Fleet::met(4);
+    let fleet = Fleet::start_all(4);
     let lives: Vec<_> = (1..4).map(|i| fleet.said(1 + i % 3, i, "start_ms")).collect();
     for i in 1..4 {
         let (from, to) = if hears { (0, i) } else { (i, 0) };
@@ -90,7 +90,7 @@
     assert_eq!(fleet.each[0].as_ref().unwrap().ask("GET", "/members", "").1["majority"], false);
     fleet.lose_everywhere(0);
     fleet.agree(&[0, 1, 2, 3]);
-    sleep(ms(20 * PERIOD));
+    sleep(ms(20 * PERIOD_MS));
     assert!((1..4).all(|i| (1..4).all(|j| fleet.deaths(i, j) == 0)));
     let after: Vec<_> = (1..4).map(|i| fleet.said(1 + i % 3, i, "start_ms")).collect();
     assert_eq!(lives, after, "no other began a new life");
@@ -98,9 +98,9 @@
 
 #[test]
 fn with_a_third_of_all_lost_only_the_dead_are_gone() {
-    let mut fleet = Fleet::met(4);
+    let mut fleet = Fleet::start_all(4);
     fleet.lose_everywhere(77);
-    sleep(ms(40 * PERIOD));
+    sleep(ms(40 * PERIOD_MS));
     fleet.process(0).kill();
     fleet.each[0] = None;
     fleet.agree(&[1, 2, 3]);
@@ -109,7 +109,7 @@
 
 #[test]
 fn halves_that_are_cut_apart_know_it_and_find_back() {
-    let fleet = Fleet::met(4);
+    let fleet = Fleet::start_all(4);
     for (a, b) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
         fleet.lose(a, b, 255);
         fleet.lose(b, a, 255);
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_list_that_changes_is_taken_up_without_a_new_life() {
-    let mut fleet = Fleet::met(3);
+    let mut fleet = Fleet::start_all(3);
     let start = fleet.said(1, 0, "start_ms");
     let whole = fleet.file(0);
     let cut = whole.rfind("[[members.other]]").unwrap();
@@ -141,7 +141,7 @@
 
 #[test]
 fn in_an_upgrade_the_name_passes_without_a_death() {
-    let mut fleet = Fleet::met(3);
+    let mut fleet = Fleet::start_all(3);
     let start = |fleet: &Fleet| fleet.said(1, 0, "start_ms").as_u64().unwrap();
     let first = start(&fleet);
     let old = fleet.each[0].take().expect("it runs");
@@ -149,7 +149,7 @@
     let text = fleet.file(0).replacen("listen = \"127.0.0.1:0\"", &here, 1);
     fleet.each[0] = Some(Program::start(&text, true));
     wait_for("the new life", || start(&fleet) > first);
-    sleep(ms(20 * PERIOD));
+    sleep(ms(20 * PERIOD_MS));
     fleet.agree(&[0, 1, 2]);
     assert!((1..3).all(|i| fleet.deaths(i, 0) == 0), "nobody missed it");
     assert!(
--- a/node/tests/wall_clock.rs
+++ b/node/tests/wall_clock.rs
@@ -34,7 +34,7 @@
         let bus = Bus::start();
         let program = Program::start_with_clock(&clock, &edit(config(bus.address, hosts)));
         let (_, feed) = bus.greeted();
-        puppet::keep_up(&feed);
+        raw_host::send_heartbeats(&feed);
         Self { clock, program, bus, feed }
     }
 
@@ -63,7 +63,7 @@
         let text = config(self.bus.address, hosts).replace("\"listen\":\"127.0.0.1:0\"", &listen);
         let new = Program::start_with_clock(&self.clock, &text);
         let (_, feed) = self.bus.greeted();
-        puppet::keep_up(&feed);
+        raw_host::send_heartbeats(&feed);
         wait_for("readiness", || new.status() == 200);
         self.program.terminate();
         assert!(self.program.ended().success());
@@ -179,8 +179,8 @@
                 .replace("\"FallMultiple\":4.0", "\"FallMultiple\":1.0")
         };
         let mut machine = Machine::start(step, &[&old], delicate);
-        let started = puppet::unix_ms();
-        machine.tell(&puppet::event_of(2, false, &[(1, starting.address, puppet::READY, started)]));
+        let started = raw_host::unix_ms();
+        machine.tell(&raw_host::timed_event(2, false, &[(1, starting.address, raw_host::READY, started)]));
         wait_for("news of it", || machine.program.logged("s-00000001=Up") > 0);
         let mut client = machine.program.connect();
         for n in 1..=CALLS {
