--- a/node/tests/common/links.rs
+++ b/node/tests/common/links.rs
@@ -1,4 +1,4 @@
-//! Several activators that hear each other through links that can be cut, as processes of their own.
+//! A fleet of activator processes whose datagrams to each other pass through relays that can drop them.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
@@ -7,10 +7,10 @@
 
 use super::*;
 
-/// Probes are sent this often: long enough that a busy machine does not make a process look dead.
+/// Period of the members' probes: long enough that a process on a busy machine is not taken for dead.
 pub const PERIOD_MS: u64 = 100;
 
-/// Loopback addresses that no other fleet has: a port there is taken by nobody between its choice and a process's start.
+/// Loopback addresses that no other fleet uses, so that nothing takes a chosen port before the process binds it.
 fn own_addresses(n: usize) -> impl Iterator<Item = Ipv4Addr> {
     static FLEETS: AtomicU32 = AtomicU32::new(0);
     const EACH: u32 = 250;
@@ -18,23 +18,26 @@
     (1..=n).map(move |member| Ipv4Addr::new(127, process as u8, fleet as u8, member as u8))
 }
 
+/// The processes with their host and resolver.
 pub struct Fleet {
+    /// The process of each member, while it runs.
     pub each: Vec<Option<Program>>,
+    /// Where each member receives datagrams.
     at: Vec<SocketAddr>,
     mesh: Mesh,
     pub host: Host,
     pub resolver: Resolver,
-    /// What stands in each one's file besides.
+    /// Additional text for each member's file.
     more: String,
 }
 
 impl Fleet {
-    /// So many that have met.
+    /// Starts `n` members and waits until each knows the others.
     pub fn start_all(n: usize) -> Self {
         Self::start_with(n, "")
     }
 
-    /// ... with this in their files besides.
+    /// Like [`Fleet::start_all`], with additional text in their files.
     pub fn start_with(n: usize, more: &str) -> Self {
         let held: Vec<_> = own_addresses(n).map(|own| UdpSocket::bind((own, 0)).unwrap()).collect();
         let at: Vec<SocketAddr> = held.iter().map(|s| s.local_addr().unwrap()).collect();
@@ -49,6 +52,7 @@
         fleet
     }
 
+    /// The file of one member.
     pub fn file(&self, i: usize) -> String {
         let own = format!("[members]\nname = \"m{i}\"\nlisten = \"{}\"\nperiod_ms = {PERIOD_MS}", self.at[i]);
         let other =
@@ -66,7 +70,7 @@
         self.each[i].as_mut().expect("it runs")
     }
 
-    /// What one says of another.
+    /// The field `what` of member `of` in the view of member `at`.
     pub fn said(&self, at: usize, of: usize, what: &str) -> serde_json::Value {
         let (status, view) = self.each[at].as_ref().expect("it runs").ask("GET", "/members", "");
         assert_eq!(status, 200);
@@ -75,7 +79,7 @@
         members.into_iter().find(|m| m["name"] == *name).expect("on the roster")[what].clone()
     }
 
-    /// Waits until each of these holds just these for being there.
+    /// Waits until each of these members takes exactly these for alive.
     pub fn agree(&self, there: &[usize]) {
         let state = |at, of| self.said(at, of, "state");
         for at in there {
@@ -88,22 +92,23 @@
         }
     }
 
-    /// Times that one logged another's death.
+    /// Number of times that one member logged the death of another.
     pub fn deaths(&self, at: usize, of: usize) -> usize {
         self.each[at].as_ref().expect("it runs").logged(&format!("activator m{of} is gone"))
     }
 
-    /// Of the datagrams from one to the other so many in 256 are lost from now on.
+    /// From now on, drops `loss` of 255 datagrams from one member to the other.
     pub fn lose(&self, from: usize, to: usize, loss: u8) {
         self.mesh.set(from, to, faults(loss));
     }
 
+    /// From now on, drops `loss` of 255 datagrams on all links.
     pub fn lose_everywhere(&self, loss: u8) {
         self.mesh.set_all(faults(loss));
     }
 }
 
-/// 255: all.
+/// A loss of 255 drops every datagram.
 fn faults(loss: u8) -> Faults {
     Faults { loss: f64::from(loss) / 255.0, ..Faults::default() }
 }
--- a/node/tests/common/manual_host.rs
+++ b/node/tests/common/manual_host.rs
@@ -1,5 +1,5 @@
-//! A stand-in host that says nothing until a test tells it to, so that a test decides which of two events comes
-//! first; and clients whose ends of connections are the events.
+//! A stand-in host that answers only when the test says so, and clients that end their connections on request: a test
+//! decides which of two events comes first.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -18,38 +18,39 @@
 pub const REFUSED: u8 = 66;
 pub const FAILED: u8 = 69;
 
-/// Longest that a client may wait here: twice the class's time, less what a busy machine may take to answer.
+/// Timeout of the clients' requests: twice the timeout of the class, less the time that a busy machine may need to
+/// answer.
 pub const CLIENT_TIMEOUT_MS: u32 = 8_000;
-/// An answer that comes within this was not brought by the end of [`CLIENT_TIMEOUT_MS`].
+/// An answer that arrives within this time was not caused by [`CLIENT_TIMEOUT_MS`] running out.
 pub const EARLY: Duration = Duration::from_secs(6);
 
-/// Bytes that a client which does not read takes all the same.
+/// Receive buffer of a client that does not read.
 const SMALL_BUFFER_BYTES: usize = 4 << 10;
 
-/// Waits until it holds, which must be long before the clients' time is up.
+/// Waits until `holds` is true, which must be long before the clients' requests time out.
 pub fn wait_early(what: &str, holds: impl Fn() -> bool) {
     let begun = Instant::now();
     wait_for(what, holds);
-    assert!(begun.elapsed() < EARLY, "{what} came with the end of the client's time");
+    assert!(begun.elapsed() < EARLY, "{what}: only once the client's request had timed out");
 }
 
-/// Requests that are open, as the program's status says.
+/// Number of open requests according to the program's status.
 pub fn open_requests(p: &Platform) -> u64 {
     p.program.ask("GET", "/status", "").1["requests"].as_u64().unwrap()
 }
 
-/// A command that came, with its body and the connection that it came on.
+/// A command, with its body and the connection on which it arrived.
 struct Received {
     words: Vec<String>,
     body: Vec<u8>,
     out: TcpStream,
 }
 
-/// A host that answers what a test tells it to, when it tells it to.
+/// A host that gives the answers that the test chooses, when the test says so.
 pub struct ManualHost {
     pub address: SocketAddr,
     inbox: Arc<Mutex<Vec<Received>>>,
-    /// Calls whose bodies begin like this are served as they come.
+    /// Calls whose bodies start with this are served at once.
     ready: Arc<Mutex<Option<&'static str>>>,
 }
 
@@ -62,74 +63,74 @@
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let (all, served) = (all.clone(), served.clone());
-                spawn(move || attend(stream, &all, &served));
+                spawn(move || serve_conn(stream, &all, &served));
             }
         });
         Self { address, inbox, ready }
     }
 
-    /// Commands of this word that have come whole.
+    /// Number of complete commands of this kind that have arrived.
     pub fn count(&self, word: &str) -> usize {
         self.inbox.lock().unwrap().iter().filter(|t| t.words[0] == word).count()
     }
 
-    /// Waits until so many commands of this word have come.
+    /// Waits until `n` commands of this kind have arrived.
     pub fn wait(&self, word: &str, n: usize) {
         wait_for(&format!("{n} of {word}"), || self.count(word) >= n);
     }
 
-    /// Bodies of all calls that came, in order.
+    /// The bodies of all calls that have arrived, in order.
     pub fn bodies(&self) -> Vec<String> {
         let inbox = self.inbox.lock().unwrap();
         let calls = inbox.iter().filter(|t| t.words[0] == "FN");
         calls.map(|t| String::from_utf8_lossy(&t.body).into_owned()).collect()
     }
 
-    /// Answers the command of this word, counted from 0, with this word, these fields and this body.
+    /// Answers the `nth` command of the kind `word`, counted from 0, with a status, fields and a body.
     pub fn answer(&self, word: &str, nth: usize, answer: &str, fields: &str, body: &[u8]) {
         let inbox = self.inbox.lock().unwrap();
-        let to = inbox.iter().filter(|t| t.words[0] == word).nth(nth).expect("a command that came");
+        let to = inbox.iter().filter(|t| t.words[0] == word).nth(nth).expect("a command that arrived");
         let line = format!("{} {answer} {fields} {}\r\n", to.words[1], body.len());
         (&to.out).write_all(&[line.as_bytes(), body, b"\r\n"].concat()).unwrap();
     }
 
-    /// Serves calls whose bodies begin like this as they come.
+    /// From now on, serves calls at once if their bodies start with this.
     pub fn serve_at_once(&self, beginning: &'static str) {
         *self.ready.lock().unwrap() = Some(beginning);
     }
 
-    /// The place of the call with this body among all calls, once it has come.
+    /// Waits for the call with this body and returns its index among all calls.
     pub fn find(&self, body: &str) -> usize {
         wait_for(&format!("the call {body}"), || self.bodies().iter().any(|b| b == body));
-        self.bodies().iter().rposition(|b| b == body).expect("it has come")
+        self.bodies().iter().rposition(|b| b == body).expect("it has arrived")
     }
 
-    /// Serves this call.
+    /// Answers this call with success.
     pub fn serve(&self, nth: usize) {
         self.answer("FN", nth, "200", "tell=warm", b"done");
     }
 
-    /// Has no copy for this call: an order to load follows, for whose end the call waits.
+    /// Answers this call with a miss and waits for the load order that the program sends; the call waits for that load.
     pub fn answer_miss(&self, nth: usize) {
         let orders = self.count("SPAWN");
         self.answer("FN", nth, "404", "-", b"");
         self.wait("SPAWN", orders + 1);
     }
 
-    /// Ends this order: a copy stands.
+    /// Answers this load order with success.
     pub fn finish_load(&self, nth: usize) {
         self.answer("SPAWN", nth, "200", "copies=1", b"");
     }
 
-    /// Ends the connection on which this call came.
+    /// Closes the connection on which this call arrived.
     pub fn close_conn(&self, nth: usize) {
         let inbox = self.inbox.lock().unwrap();
-        let call = inbox.iter().filter(|t| t.words[0] == "FN").nth(nth).expect("a call that came");
+        let call = inbox.iter().filter(|t| t.words[0] == "FN").nth(nth).expect("a call that arrived");
         call.out.shutdown(Shutdown::Both).unwrap();
     }
 }
 
-fn attend(stream: TcpStream, all: &Mutex<Vec<Received>>, ready: &Mutex<Option<&'static str>>) {
+fn serve_conn(stream: TcpStream, all: &Mutex<Vec<Received>>, ready: &Mutex<Option<&'static str>>) {
     let mut lines = BufReader::new(stream.try_clone().unwrap());
     loop {
         let mut line = String::new();
@@ -146,7 +147,7 @@
                 }
                 body.truncate(body.len() - 2);
             }
-            // Whether it is there is no part of any test here.
+            // No test here is about probes.
             "HELO" => (&stream).write_all(format!("{} alive - 0\r\n\r\n", words[1]).as_bytes()).unwrap_or(()),
             _ => {}
         }
@@ -159,7 +160,7 @@
     }
 }
 
-/// Hosts at these addresses, as a configuration has them.
+/// Entries of a configuration's host list for hosts at these addresses.
 pub fn host_entries(hosts: &[SocketAddr]) -> Value {
     let member = |(i, address): (usize, &SocketAddr)| {
         json!({"id": format!("s-{i:08x}"), "host_port": address.to_string(), "locality": "z", "flavor": "k",
@@ -168,7 +169,7 @@
     hosts.iter().enumerate().map(member).collect()
 }
 
-/// A platform activator that knows hosts at these addresses, with these edits of its configuration.
+/// Starts a platform activator that knows hosts at these addresses, with these edits of its configuration.
 pub fn platform_with(hosts: &[SocketAddr], edits: &[(&str, Value)]) -> Platform {
     let bus = Bus::start();
     let known = [("known/batch/0/topology/members", host_entries(hosts))];
@@ -178,7 +179,7 @@
     Platform { program, bus, feed }
 }
 
-/// A client of the platform's front.
+/// A client that speaks the platform's frames.
 pub struct Client(pub TcpStream);
 
 impl Client {
@@ -186,7 +187,7 @@
         Self(program.connect())
     }
 
-    /// One that takes little before it reads.
+    /// A client whose receive buffer holds little until it reads.
     pub fn with_small_buffer(program: &Program) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
@@ -194,18 +195,18 @@
         Self(socket.into())
     }
 
-    /// Closes with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         SockRef::from(&self.0).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Sends a request for this function; ids are never used twice.
+    /// Sends a request for this function, with an id that was not used before.
     pub fn ask(&mut self, stream: u32, class: &str, function: u64, body: &str) {
         let frame = Self::request(stream, class, function, body.as_bytes());
         self.0.write_all(&frame).unwrap();
     }
 
-    /// A request's frame.
+    /// The frame of such a request.
     pub fn request(stream: u32, class: &str, function: u64, body: &[u8]) -> Vec<u8> {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
@@ -213,17 +214,17 @@
         whole_call_frame(stream, [&id, class, &id, &function], CLIENT_TIMEOUT_MS, body)
     }
 
-    /// Stops waiting for the stream.
+    /// Cancels the request on this stream.
     pub fn cancel(&mut self, stream: u32) {
         self.0.write_all(&client_frame(3, stream, &[])).unwrap();
     }
 
-    /// Ends its side of the connection and goes on to read.
+    /// Ends the client's side of the connection, and still reads.
     pub fn half_close(&mut self) {
         self.0.shutdown(Shutdown::Write).unwrap();
     }
 
-    /// The next answer: its stream and code. It must come long before the client's time is up.
+    /// Stream and code of the next answer, which must arrive long before the request times out.
     pub fn answer(&mut self) -> (u32, u8) {
         self.0.set_read_timeout(Some(EARLY)).unwrap();
         let frame = read_frame(&mut self.0).expect("an answer");
@@ -231,7 +232,7 @@
         (frame.stream, frame.code)
     }
 
-    /// Whether nothing more comes before the end of the connection.
+    /// Whether the connection ends without further bytes.
     pub fn is_ended(&mut self) -> bool {
         match self.0.read(&mut [0]) {
             Ok(n) => n == 0,
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The shared helper: starts the program. What stands in for hosts, resolver, bus and clients is the lab's.
+//! Helpers that start the program. The stand-ins for hosts, resolver, bus and clients come from the lab crate.
 #![allow(dead_code, unused_imports)]
 
 pub mod links;
@@ -18,10 +18,10 @@
 pub use wheellink_lab::{bus::*, host::*, http::*, resolver::*};
 pub use wheellink_lab::{ms, wait_for, LONG};
 
-/// The program that these tests are built with.
+/// Path of the program that these tests are built with.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_wheellink-node");
 
-/// A process of it.
+/// A running process of the program.
 pub struct Program(wheellink_lab::program::Program);
 
 impl Program {
@@ -33,28 +33,28 @@
         Self::run(Start::new(Path::new(PROGRAM), text, operator))
     }
 
-    /// With so many descriptors, whatever its configuration says.
+    /// Starts it with a limit of `most` descriptors, whatever its configuration says.
     pub fn start_with_descriptors(most: u32, text: &str, operator: bool) -> Self {
         Self::run(Start::new(Path::new(PROGRAM), text, operator).descriptors(most))
     }
 
-    /// With so many descriptors, which it should turn down: what it said.
+    /// Starts it with a limit of `most` descriptors, at which it must fail, and returns what it printed.
     pub fn fails_with_descriptors(most: u32, text: &str, operator: bool) -> String {
         let start = Start::new(Path::new(PROGRAM), text, operator).descriptors(most);
         start.run().err().expect("it ends before it listens")
     }
 
-    /// With calls of the system that fail as this says.
+    /// Starts it with system calls that fail as `faults` says.
     pub fn start_with_faults(faults: &str, text: &str, operator: bool) -> Self {
         Self::start_with("WHEELLINK_FAULTS", faults, text, operator)
     }
 
-    /// With a wall clock that the test may step.
+    /// Starts it with a wall clock that the test can step.
     pub fn start_with_clock(clock: &WallClock, text: &str) -> Self {
         Self::run(Start::new(Path::new(PROGRAM), text, false).wall_clock(clock))
     }
 
-    /// With this in its environment besides.
+    /// Starts it with an additional environment variable.
     pub fn start_with(name: &str, value: &str, text: &str, operator: bool) -> Self {
         Self::run(Start::new(Path::new(PROGRAM), text, operator).env(name, value))
     }
@@ -74,24 +74,25 @@
     }
 }
 
-/// Starts the program on a file that it should turn down: its exit and what it said.
+/// Starts the program on a file that it must reject, and returns its exit status and what it printed.
 pub fn turned_down(text: &str, operator: bool) -> (ExitStatus, String) {
     wheellink_lab::program::turned_down(Path::new(PROGRAM), text, operator)
 }
 
-/// The program with its invoke front before these hosts, once it knows them.
+/// Starts the program with the invoke front, and waits until it knows these hosts.
 pub fn operator(hosts: &[&Host], edit: impl Fn(String) -> String) -> (Program, Resolver) {
     let (program, resolver) = wheellink_lab::resolver::operator(Path::new(PROGRAM), hosts, edit);
     (Program(program), resolver)
 }
 
+/// A platform activator with its bus and its connection to that.
 pub struct Platform {
     pub program: Program,
     pub bus: Bus,
     pub feed: TcpStream,
 }
 
-/// A platform activator that has connected to its bus.
+/// Starts a platform activator that knows these hosts, and waits until it has connected to its bus.
 pub fn platform(hosts: &[&Host]) -> Platform {
     let bus = Bus::start();
     let program = Program::start(&config(bus.address, hosts), false);
--- a/node/tests/common/raw_host.rs
+++ b/node/tests/common/raw_host.rs
@@ -1,5 +1,5 @@
-//! Stand-ins that do nothing until the test says so: a script host whose every line the test reads and writes, and
-//! events of the host list whose arrival can be waited for.
+//! A stand-in script host whose every line the test itself reads and writes, and events of the host list for whose
+//! arrival a test can wait.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,13 +15,13 @@
 pub const DRAINING: u8 = 1;
 pub const GONE: u8 = 2;
 
-/// Ids of the hosts that mark events begin here.
+/// First id of the hosts that serve as markers of events.
 const FIRST_MARK: u32 = 0x00ff_0000;
 
-/// An entry of an event: id, address, state, and the Unix millisecond of its start.
+/// An entry of an event: id, address, state, and start time in Unix milliseconds.
 pub type Entry = (u32, SocketAddr, u8, u64);
 
-/// An event whose hosts say when they started.
+/// An event with the start times of its hosts.
 pub fn timed_event(number: u64, whole: bool, entries: &[Entry]) -> Vec<u8> {
     let hosts: Vec<_> = entries.iter().map(|(id, address, state, _)| (*id, *address, *state)).collect();
     let mut bytes = event(number, whole, &hosts);
@@ -35,29 +35,30 @@
     bytes
 }
 
-/// The Unix millisecond.
+/// The current time in Unix milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
 }
 
-/// An event of these changes, with a draining host besides by which it is known to have been taken in.
+/// An event with these changes and an additional draining host as a marker: once the program knows that host, it has
+/// applied the event.
 pub fn event_with_marker(number: u64, whole: bool, hosts: &[(u32, SocketAddr, u8)]) -> Vec<u8> {
     let nowhere: SocketAddr = ([127, 0, 0, 1], number as u16).into();
     event(number, whole, &[hosts, &[(FIRST_MARK + number as u32, nowhere, DRAINING)]].concat())
 }
 
-/// Waits until the program has taken in the event of this number, made by [`event_with_marker`].
+/// Waits until the program has applied the event of this number, which [`event_with_marker`] made.
 pub fn wait_applied(program: &Program, number: u64) {
     wait_for("the event", || program.maintain("exit", FIRST_MARK + number as u32) == 200);
 }
 
-/// Tells the program of these changes and waits until it has taken them in.
+/// Sends the program an event with these changes and waits until it has applied them.
 pub fn apply_changes(program: &Program, feed: &mut TcpStream, number: u64, hosts: &[(u32, SocketAddr, u8)]) {
     feed.write_all(&event_with_marker(number, false, hosts)).unwrap();
     wait_applied(program, number);
 }
 
-/// A platform activator that knows these hosts from its start, with its configuration's text changed by `edit`.
+/// Starts a platform activator that knows these hosts, with its configuration's text changed by `edit`.
 pub fn platform_of(members: &[(u32, SocketAddr)], edit: impl Fn(String) -> String) -> Platform {
     let bus = Bus::start();
     let program = Program::start(&edit(config_with(bus.address, members)), false);
@@ -67,10 +68,10 @@
     Platform { program, bus, feed }
 }
 
-/// An empty frame of the bus: nothing new.
+/// An empty frame of the bus, which says that there is nothing new.
 const EMPTY_FRAME: [u8; 13] = [0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0];
 
-/// Has the bus say that there is nothing new, as it does each second, for as long as the connection stands.
+/// Sends empty frames, as the bus does each second, until the connection ends.
 pub fn send_heartbeats(feed: &TcpStream) {
     let mut feed = feed.try_clone().unwrap();
     std::thread::spawn(move || {
@@ -80,7 +81,7 @@
     });
 }
 
-/// The configuration with these hosts.
+/// A configuration with these hosts.
 pub fn config_with(bus: SocketAddr, members: &[(u32, SocketAddr)]) -> String {
     let member = |(id, address): &(u32, SocketAddr)| {
         serde_json::json!({"id": format!("s-{id:08x}"), "host_port": address.to_string(),
@@ -90,8 +91,8 @@
     config_of("n0", "127.0.0.1:0", bus, &members)
 }
 
-/// Hosts are given all the time in the world to come up, and are never asked whether they are there: what a test
-/// holds back stays as it is until the test goes on.
+/// Changes a configuration to a long connect timeout and no probes: a connection that the test holds back stays as it
+/// is until the test continues.
 pub fn long_timeouts(text: String) -> String {
     let limits = [
         ("\"ConnectTimeoutUs\":250000", "\"ConnectTimeoutUs\":60000000"),
@@ -103,10 +104,10 @@
     })
 }
 
-/// A command as it came.
+/// A command from the program.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// With the time that it says is left, in milliseconds.
+    /// A call, with its time limit in milliseconds.
     Call {
         id: String,
         limit: u64,
@@ -124,10 +125,11 @@
     Other(String),
 }
 
-/// A host that accepts, reads and answers only when the test says so.
+/// A host that accepts connections, reads and answers only when the test does so.
 pub struct RawHost {
     pub address: SocketAddr,
     listener: TcpListener,
+    /// Connections of the test's own that fill the backlog.
     fill: Vec<TcpStream>,
 }
 
@@ -138,12 +140,12 @@
         Self { address, listener, fill: Vec::new() }
     }
 
-    /// The next connection, whether it says anything or not.
+    /// Accepts the next connection.
     pub fn accept(&self) -> HostConn {
         self.accept_within(LONG).expect("a connection")
     }
 
-    /// ... if one comes within that time.
+    /// Accepts the next connection, if one arrives within that time.
     pub fn accept_within(&self, time: Duration) -> Option<HostConn> {
         self.listener.set_nonblocking(true).unwrap();
         let begun = Instant::now();
@@ -161,21 +163,21 @@
         self.fill.iter().any(|s| s.local_addr().is_ok_and(|own| own == from))
     }
 
-    /// From now on connections neither come up nor fail: the backlog is as short as can be, and full.
+    /// From now on connection attempts neither succeed nor fail: the backlog is made as short as possible and filled.
     pub fn block_connects(&mut self) {
         SockRef::from(&self.listener).listen(0).unwrap();
         let more = (0..3).map_while(|_| TcpStream::connect_timeout(&self.address, ms(100)).ok());
         self.fill.extend(more);
     }
 
-    /// Lets in all that wants to come up, until nothing more has come for longer than a lost SYN is repeated after.
+    /// Accepts all connections, until none has arrived for longer than the retransmission timeout of a lost SYN.
     pub fn accept_all(&self) -> Vec<HostConn> {
         SockRef::from(&self.listener).listen(128).unwrap();
         std::iter::from_fn(|| self.accept_within(ms(1_500))).collect()
     }
 }
 
-/// One connection to a [`RawHost`].
+/// A connection to a [`RawHost`].
 pub struct HostConn {
     lines: BufReader<TcpStream>,
 }
@@ -188,12 +190,12 @@
         Self { lines: BufReader::new(stream) }
     }
 
-    /// The next command; `None` once the connection has ended, be it within a command.
+    /// The next command; `None` once the connection has ended, possibly within a command.
     pub fn next(&mut self) -> Option<Command> {
         let mut line = String::new();
         match self.lines.read_line(&mut line) {
             Ok(n) if n > 0 && line.ends_with("\r\n") => {}
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => panic!("waited in vain for a command"),
+            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => panic!("no command arrived in time"),
             _ => return None,
         }
         let words: Vec<&str> = line.trim_end().split(' ').collect();
@@ -213,7 +215,7 @@
         })
     }
 
-    /// The next call's id.
+    /// The id of the next command, which must be a call.
     pub fn call(&mut self) -> String {
         match self.next() {
             Some(Command::Call { id, .. }) => id,
@@ -221,41 +223,41 @@
         }
     }
 
-    /// All that is still said until the connection ends.
+    /// All further commands until the connection ends.
     pub fn rest(&mut self) -> Vec<Command> {
         std::iter::from_fn(|| self.next()).collect()
     }
 
-    /// Answers with these bytes.
+    /// Sends these bytes.
     pub fn say(&mut self, bytes: &str) {
         self.lines.get_mut().write_all(bytes.as_bytes()).unwrap();
     }
 
-    /// Answers a call or an order by this word, with no body.
+    /// Answers a call or an order with this status and no body.
     pub fn answer(&mut self, tag: &str, word: &str, fields: &str) {
         self.say(&format!("{tag} {word} {fields} 0\r\n\r\n"));
     }
 
-    /// Says no more, and hears on.
+    /// Ends the sending side, and still reads.
     pub fn half_close(&self) {
         self.lines.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
 
-    /// Ends both sides in order.
+    /// Ends both sides without a reset.
     pub fn close(&self) {
         self.lines.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     }
 
-    /// Breaks the connection off: the other side gets a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         SockRef::from(self.lines.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
     }
 }
 
-/// TCP's states, as the kernel lists them.
+/// The TCP state SYN_SENT in `/proc/net/tcp`.
 const SYN_SENT: &str = "02";
 
-/// The kernel's rows of TCP sockets: own and other port, state, and bytes that wait to be read.
+/// The TCP sockets in `/proc/net/tcp`: local port, remote port, state, and bytes that wait to be read.
 fn sockets() -> Vec<(u16, u16, String, u64)> {
     let port = |address: &str| address.rsplit(':').next().and_then(|p| u16::from_str_radix(p, 16).ok());
     let row = |line: &str| {
@@ -268,7 +270,7 @@
 }
 
 impl RawHost {
-    /// Whether somebody tries to connect who has not been let in.
+    /// Whether a connection attempt of the program is waiting.
     pub fn has_pending_connect(&self) -> bool {
         let own: Vec<u16> = self.fill.iter().map(|s| s.local_addr().unwrap().port()).collect();
         let knocks = |(from, to, state, _): &(u16, u16, String, u64)| {
@@ -278,7 +280,7 @@
     }
 }
 
-/// Bytes sent on this connection that the other side has been handed and not read.
+/// Bytes sent on this connection that have reached the peer's socket and were not read.
 pub fn unread(stream: &TcpStream) -> u64 {
     let (here, there) = (stream.local_addr().unwrap().port(), stream.peer_addr().unwrap().port());
     let is_other_end = |(own, other, ..): &&(u16, u16, String, u64)| (*own, *other) == (there, here);
@@ -286,7 +288,7 @@
 }
 
 impl HostConn {
-    /// Bytes said that the other side has not read.
+    /// Bytes sent that the program has not read.
     pub fn unread(&self) -> u64 {
         unread(self.lines.get_ref())
     }
--- a/node/tests/common/stand_in.rs
+++ b/node/tests/common/stand_in.rs
@@ -1,27 +1,28 @@
-//! A stand-in host whose answers a test words by itself.
+//! A stand-in host that adds fields chosen by the test to its answers.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::thread::spawn;
 
-/// What a host says to a call's line and body: further fields of the answer, each with a comma before it.
+/// From the line and the body of a call, makes the additional fields of its answer, each preceded by a comma.
 pub type AnswerFields = dyn Fn(&str, &str) -> String + Send + Sync;
 
-/// Listens, and answers each call as `says` has it, from a thread for each connection. It takes orders and is alive.
-pub fn stand_in(says: Arc<AnswerFields>) -> SocketAddr {
+/// Starts a host that answers each call with the fields that `fields` makes, on a thread for each connection. It
+/// confirms orders and answers probes.
+pub fn stand_in(fields: Arc<AnswerFields>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let says = says.clone();
-            spawn(move || attend(stream, &*says));
+            let fields = fields.clone();
+            spawn(move || serve(stream, &*fields));
         }
     });
     address
 }
 
-fn attend(stream: TcpStream, says: &AnswerFields) {
+fn serve(stream: TcpStream, fields: &AnswerFields) {
     let (mut lines, mut out) = (BufReader::new(stream.try_clone().unwrap()), stream);
     loop {
         let mut line = String::new();
@@ -35,8 +36,8 @@
                 lines.read_exact(&mut body).unwrap();
                 body.truncate(body.len() - 2);
                 let body = String::from_utf8(body).unwrap();
-                let said = says(line.trim_end(), &body);
-                format!("{} 200 tell=warm{said} {}\r\n{body}\r\n", words[1], body.len())
+                let more = fields(line.trim_end(), &body);
+                format!("{} 200 tell=warm{more} {}\r\n{body}\r\n", words[1], body.len())
             }
             "SPAWN" => format!("{} 200 copies=1 0\r\n\r\n", words[1]),
             "HELO" => format!("{} alive - 0\r\n\r\n", words[1]),
