--- a/node/tests/bad_input.rs
+++ b/node/tests/bad_input.rs
@@ -1,5 +1,4 @@
-//! Settings that make no sense, at the start and on SIGHUP, and bytes that are none of a protocol: they cost whoever
-//! sent them, and nobody else.
+//! Invalid settings at the start end the program; on SIGHUP they are rejected as a whole and change nothing.
 
 mod common;
 
@@ -12,7 +11,7 @@
 
 const SERVED: u8 = 79;
 
-/// A configuration without a key, named by its place.
+/// Removes the key at this path from a configuration.
 fn without(text: &str, place: &str) -> String {
     let mut value: Value = serde_json::from_str(text).unwrap();
     let (parent, key) = place.rsplit_once('/').unwrap_or(("", place));
@@ -22,11 +21,11 @@
     value.to_string()
 }
 
-fn good() -> String {
+fn valid() -> String {
     config("127.0.0.1:9".parse().unwrap(), &[])
 }
 
-fn is_turned_down(text: &str, wanted: &str) {
+fn assert_rejected(text: &str, wanted: &str) {
     let (status, said) = turned_down(text, false);
     assert!(!status.success(), "{said}");
     assert!(said.lines().count() == 1 && said.contains(wanted), "{said}");
@@ -43,25 +42,21 @@
 #[case("settings/Limits/MaxAttempts", json!(1u64 << 40), "settings.Limits.MaxAttempts: invalid value")]
 #[case("settings/Rules/FallUs", json!(-1), "settings.Rules.FallUs: is a negative time: -1")]
 #[case("limits/sockets", json!(-1), "limits.sockets: invalid value")]
-fn a_value_that_makes_no_sense_ends_the_start(
-    #[case] place: &str,
-    #[case] value: Value,
-    #[case] wanted: &str,
-) {
-    is_turned_down(&edited(&good(), &[(place, value)]), wanted);
+fn an_invalid_value_ends_the_start(#[case] place: &str, #[case] value: Value, #[case] wanted: &str) {
+    assert_rejected(&edited(&valid(), &[(place, value)]), wanted);
 }
 
-/// What serde's own numbers cannot hold.
+/// Numbers that do not fit the types of the deserializer.
 #[test]
-fn a_number_out_of_any_range_ends_the_start() {
-    let text = good().replace("\"FallMultiple\":4.0", "\"FallMultiple\":1e999");
-    is_turned_down(&text, "settings.Rules.FallMultiple: number out of range");
-    let text = good().replace("\"FallUs\":3000000", "\"FallUs\":99999999999999999999");
-    is_turned_down(&text, "settings.Rules.FallUs: invalid type");
+fn an_unrepresentable_number_ends_the_start() {
+    let text = valid().replace("\"FallMultiple\":4.0", "\"FallMultiple\":1e999");
+    assert_rejected(&text, "settings.Rules.FallMultiple: number out of range");
+    let text = valid().replace("\"FallUs\":3000000", "\"FallUs\":99999999999999999999");
+    assert_rejected(&text, "settings.Rules.FallUs: invalid type");
 }
 
 #[rstest]
-fn a_key_that_is_missing_ends_the_start(
+fn a_missing_key_ends_the_start(
     #[values(
         "listen",
         "seed",
@@ -84,18 +79,17 @@
     )]
     place: &str,
 ) {
-    is_turned_down(&without(&good(), place), &format!("{}: is missing", place.replace('/', ".")));
+    assert_rejected(&without(&valid(), place), &format!("{}: is missing", place.replace('/', ".")));
 }
 
 #[rstest]
-fn a_key_that_a_class_lacks_ends_the_start(
+fn a_missing_key_of_a_class_ends_the_start(
     #[values("Name", "AimUs", "GiveUpUs", "Importance", "Effect", "DedupScope", "WindowUs")] key: &str,
 ) {
-    let text = without(&good(), &format!("settings/Profiles/1/{key}"));
-    is_turned_down(&text, &format!("settings.Profiles[1].{key}: is missing"));
+    let text = without(&valid(), &format!("settings/Profiles/1/{key}"));
+    assert_rejected(&text, &format!("settings.Profiles[1].{key}: is missing"));
 }
 
-/// The same of an operator's file.
 #[rstest]
 #[case("window_ms = 0", "class save-answers: window_ms must be 1 to")]
 #[case("window_ms = -1", "class save-answers: window_ms must be 1 to")]
@@ -107,10 +101,7 @@
 #[case("fall_ms = -7", "hosts.fall_ms must be 1 to")]
 #[case("keep_ms = 9223372036854775807", "hosts.keep_ms must be 0 to")]
 #[case("quota_per_s = -1.0", "quota_per_s must be 0 to")]
-fn a_number_of_an_operators_file_that_makes_no_sense_ends_the_start(
-    #[case] line: &str,
-    #[case] wanted: &str,
-) {
+fn an_invalid_number_in_an_operators_file_ends_the_start(#[case] line: &str, #[case] wanted: &str) {
     let text = operator_file("127.0.0.1:9".parse().unwrap());
     let key = line.split(" = ").next().unwrap();
     let at = text.lines().position(|l| l.starts_with(key)).expect("the key stands in the file");
@@ -119,20 +110,19 @@
     assert!(!status.success() && said.lines().count() == 1 && said.contains(wanted), "{said}");
 }
 
-/// ... and of one without a class.
 #[test]
 fn an_operators_file_without_a_class_ends_the_start() {
     let text = operator_file("127.0.0.1:9".parse().unwrap());
     let mut parts = text.split("[[class]]");
     let (head, last) = (parts.next().unwrap(), parts.last().unwrap());
-    // What comes behind the classes stays.
+    // Keeps the sections after the classes.
     let rest = last.split_once("\n[").map(|(_, rest)| format!("[{rest}")).unwrap_or_default();
     let (status, said) = turned_down(&format!("{head}{rest}"), true);
     assert!(!status.success() && said.lines().count() == 1 && said.contains("class is missing"), "{said}");
 }
 
-/// On SIGHUP such a file is refused whole: the class that it would have brought is not known, the calls that are open
-/// go on, and new ones are taken as before.
+/// On SIGHUP an invalid file is rejected as a whole: the class that it adds stays unknown, open calls continue, and
+/// new calls are taken as before.
 #[rstest]
 #[case("settings/Profiles/1/WindowUs", json!(0), "settings.Profiles[1].WindowUs: must be above 0")]
 #[case("settings/Profiles/1/DedupScope", json!("town"), "settings.Profiles[1].DedupScope: unknown")]
@@ -141,11 +131,7 @@
 #[case("settings/Rules/ColdFrom", json!(7), "settings.Rules.ColdFrom: must be 0 to 1")]
 #[case("settings/FamilyInfo/LoadPeriodUs", json!(-1), "settings.FamilyInfo.LoadPeriodUs: is a negative time: -1")]
 #[case("limits/sockets", json!(10), "limits.sockets: 10 descriptors are too few")]
-fn a_reload_that_makes_no_sense_changes_nothing(
-    #[case] place: &str,
-    #[case] value: Value,
-    #[case] wanted: &str,
-) {
+fn an_invalid_reload_changes_nothing(#[case] place: &str, #[case] value: Value, #[case] wanted: &str) {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(300), load: None });
     let p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -154,7 +140,7 @@
     let new = config(p.bus.address, &[&host]);
     let new = edited(&new, &[("settings/Profiles/0/Name", json!("new-class")), (place, value)]);
     p.program.reload(&new);
-    wait_for("word of the bad file", || p.program.logged("the old configuration is kept") == 1);
+    wait_for("the report of the invalid file", || p.program.logged("the old configuration is kept") == 1);
     assert_eq!(p.program.logged(wanted), 1, "{:?}", p.program.lines());
     assert_eq!(read_frame(&mut client).expect("an answer").code, SERVED);
     client.write_all(&call_frame(2, "check-score", 4000, b"")).unwrap();
--- a/node/tests/codecs.rs
+++ b/node/tests/codecs.rs
@@ -1,5 +1,5 @@
-//! The codecs of clients' frames, of hosts' lines, of HTTP and of a proxy's word, on any bytes: they never panic, take no more than there is, and
-//! read what was whole however it came.
+//! The codecs of clients' frames, hosts' lines, HTTP and PROXY headers on arbitrary bytes: they never panic, consume no
+//! more than there is, and read complete messages.
 
 #[path = "../src/front/platform/frames.rs"]
 #[allow(dead_code)]
@@ -17,7 +17,7 @@
 #[allow(dead_code)]
 mod ring;
 
-/// Where the codecs look for one another.
+/// The module path under which the codecs use each other.
 mod hosts {
     pub(crate) use crate::lines;
 }
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reads frames until one is not whole or the framing is lost.
+/// Reads frames until one is incomplete or the framing is lost.
 fn read_all(bytes: &[u8]) -> Vec<(Header, Result<Frame, String>)> {
     let mut ring = Ring::new(bytes.len().max(1));
     assert!(ring.push(bytes));
@@ -54,21 +54,21 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes_of_a_client_are_read_or_turned_down(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn any_bytes_from_a_client_are_read_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         read_all(&bytes);
     }
 
-    /// A payload of any bytes behind a header that fits.
+    /// A payload of arbitrary bytes after a header with the right length.
     #[test]
-    fn any_payload_is_read_or_turned_down(kind in 0..9u8, payload in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn any_payload_is_read_or_rejected(kind in 0..9u8, payload in prop::collection::vec(any::<u8>(), 0..400)) {
         let header = Header { length: payload.len() + 5, kind, stream: 1 };
         let read = frames::frame(&header, &payload);
         prop_assert_eq!(read.is_err(), !matches!(kind, 1 | 3 | 4));
     }
 
-    /// A body is taken as it is, and its length is what the frame leaves for it.
+    /// The body is everything after the fields, unchanged.
     #[test]
-    fn a_body_of_any_bytes_is_taken_unchanged(body in prop::collection::vec(any::<u8>(), 0..300), cut in 0..300usize) {
+    fn a_body_of_any_bytes_is_read_unchanged(body in prop::collection::vec(any::<u8>(), 0..300), cut in 0..300usize) {
         let mut payload = vec![4];
         let fields = [("kind", "a"), ("req", "00000000000000ff"), ("timeout", "9"), ("subject", "7f3a9c21e0b4d655")];
         for (name, value) in fields {
@@ -84,15 +84,15 @@
             Ok(Frame::Request(Ok(request))) => prop_assert_eq!(request.body, body),
             other => prop_assert!(false, "{:?}", other),
         }
-        // Cut within its fields it is no request.
+        // Truncated within its fields it is no valid request.
         let cut = &payload[..cut.min(fields_end - 1)];
         let header = Header { length: cut.len() + 5, kind: 1, stream: 1 };
         prop_assert!(matches!(frames::frame(&header, cut), Ok(Frame::Request(Err(_)))));
     }
 
-    /// Answers of hosts: what is read is taken off the ring, and nothing else is.
+    /// Only complete answers of hosts are removed from the ring.
     #[test]
-    fn any_bytes_of_a_host_are_read_or_turned_down(bytes in host_bytes()) {
+    fn any_bytes_from_a_host_are_read_or_rejected(bytes in host_bytes()) {
         let mut ring = Ring::new(bytes.len().max(1));
         prop_assert!(ring.push(&bytes));
         loop {
@@ -113,7 +113,7 @@
     }
 
     #[test]
-    fn any_bytes_of_an_operator_are_read_or_turned_down(bytes in http_bytes()) {
+    fn any_bytes_from_an_operator_are_read_or_rejected(bytes in http_bytes()) {
         let mut ring = Ring::new(bytes.len().max(1));
         prop_assert!(ring.push(&bytes));
         while let Ok(http::Parsed::Whole(request)) = http::next_request(&mut ring, 300) {
@@ -123,7 +123,7 @@
     }
 
     #[test]
-    fn any_bytes_of_a_proxy_are_read_or_turned_down(rest in prop::collection::vec(any::<u8>(), 0..80), cut in 0..13usize) {
+    fn any_bytes_from_a_proxy_are_read_or_rejected(rest in prop::collection::vec(any::<u8>(), 0..80), cut in 0..13usize) {
         let signature = b"\r\n\r\n\0\r\nQUIT\n";
         let bytes = [&signature[..cut.min(12)], &rest].concat();
         let mut ring = Ring::new(bytes.len().max(1));
@@ -135,7 +135,7 @@
     }
 }
 
-/// Pieces of these, and noise between them.
+/// A sequence of these pieces with random bytes between them.
 fn of_pieces(pieces: &'static [&'static str]) -> impl Strategy<Value = Vec<u8>> {
     let piece = prop::sample::select(pieces).prop_map(|piece| piece.as_bytes().to_vec());
     let noise = prop::collection::vec(any::<u8>(), 0..4);
--- a/node/tests/endings_client.rs
+++ b/node/tests/endings_client.rs
@@ -1,5 +1,5 @@
-//! Whatever ends something on the clients' side, in the instant in which something is still owed. Each test forces
-//! the order of the two events that cross.
+//! Clients that cancel, half-close, close or reset, timeouts, and the end of the process, each while a request is
+//! still open. Each test forces the order of the two events that race.
 
 mod common;
 
@@ -11,7 +11,7 @@
 const READ: &str = "check-score";
 const MAIL: &str = "send-mail";
 
-/// A call by another client, which is served: all that the program had been told before it has been looked at.
+/// Has a call of another client served. Once it is answered, the program has processed everything sent before it.
 fn serve_another(p: &Platform, host: &ManualHost) {
     let before = host.count("FN");
     let mut other = Client::of(&p.program);
@@ -24,7 +24,7 @@
 
 // ------------------------------------------------------------------------------------------- half-close
 
-/// A call of this class, stream 1 with the body "x", that its host missed: it waits for the load that was ordered.
+/// A call of this class on stream 1, with the body "x", that its host missed: it waits for the ordered load.
 fn call_that_waits_for_a_load(class: &str) -> (ManualHost, Platform, Client) {
     let host = ManualHost::start();
     let platform = platform_with(&[host.address], &[]);
@@ -38,18 +38,18 @@
 #[rstest]
 #[case::read(READ)]
 #[case::mail(MAIL)]
-fn what_waits_for_a_load_is_given_up_when_its_client_ends_its_side(#[case] class: &str) {
+fn a_call_waiting_for_a_load_is_refused_when_its_client_half_closes(#[case] class: &str) {
     let (host, p, mut client) = call_that_waits_for_a_load(class);
     client.half_close();
     assert_eq!(client.answer(), (1, REFUSED));
     host.finish_load(0);
     serve_another(&p, &host);
-    assert_eq!(host.bodies(), ["x", "another"], "nothing was begun for a client that may have gone");
+    assert_eq!(host.bodies(), ["x", "another"], "no attempt for a client that may have gone");
     assert!(client.is_ended());
 }
 
 #[test]
-fn a_load_that_ends_before_the_half_close_has_its_call_served() {
+fn a_call_whose_load_ended_before_the_half_close_is_served() {
     let (host, _platform, mut client) = call_that_waits_for_a_load(READ);
     host.finish_load(0);
     host.wait("FN", 2);
@@ -59,9 +59,9 @@
     assert!(client.is_ended());
 }
 
-/// A close is seen as the end of the client's side alone: nothing says whether anybody still reads.
+/// The program sees a close only as a half-close: it cannot tell whether the client still reads.
 #[test]
-fn nothing_begins_for_a_client_that_closed_while_its_call_waited() {
+fn no_attempt_begins_for_a_client_that_closed_while_its_call_waited() {
     let (host, p, client) = call_that_waits_for_a_load(READ);
     drop(client);
     wait_early("the end of its connection", || p.program.logged("ended reason=") == 1);
@@ -70,9 +70,9 @@
     assert_eq!(host.bodies(), ["x", "another"]);
 }
 
-/// Two calls of one connection: the one that waits is refused when the grace has passed, which the other's answer
-/// comes after.
-fn past_the_grace(host: &ManualHost, p: &Platform, class: &str) -> Client {
+/// A half-closed connection with two calls, one that waits for a load and one at the host. The refusal of the first
+/// shows that the grace period after the half-close has passed, before the second is answered.
+fn client_past_grace(host: &ManualHost, p: &Platform, class: &str) -> Client {
     let mut client = Client::of(&p.program);
     client.ask(1, READ, 1, "waits");
     host.wait("FN", 1);
@@ -85,10 +85,10 @@
 }
 
 #[test]
-fn a_call_that_is_out_at_a_half_close_is_answered_after_the_grace() {
+fn a_call_at_the_host_is_answered_after_the_grace_of_a_half_close() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
-    let mut client = past_the_grace(&host, &p, MAIL);
+    let mut client = client_past_grace(&host, &p, MAIL);
     host.serve(1);
     assert_eq!(client.answer(), (2, SERVED));
     assert!(client.is_ended());
@@ -99,10 +99,10 @@
 #[case::full("503", REFUSED)]
 #[case::missed("404", REFUSED)]
 #[case::error("500", REFUSED)]
-fn a_call_that_is_out_at_a_half_close_is_not_begun_again(#[case] word: &str, #[case] code: u8) {
+fn a_call_that_fails_after_the_grace_of_a_half_close_is_not_retried(#[case] word: &str, #[case] code: u8) {
     let (host, other) = (ManualHost::start(), ManualHost::start());
     let p = platform_with(&[host.address], &[]);
-    let mut client = past_the_grace(&host, &p, READ);
+    let mut client = client_past_grace(&host, &p, READ);
     let mut p = p;
     std::io::Write::write_all(&mut p.feed, &event(2, false, &[(7, other.address, 0)])).unwrap();
     host.answer("FN", 1, word, "-", b"");
@@ -112,18 +112,18 @@
 }
 
 #[test]
-fn a_call_whose_connection_breaks_after_a_half_close_is_not_begun_again() {
+fn a_call_whose_host_connection_breaks_after_a_half_close_is_not_retried() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
-    let mut client = past_the_grace(&host, &p, MAIL);
+    let mut client = client_past_grace(&host, &p, MAIL);
     host.close_conn(1);
     assert_eq!(client.answer(), (2, FAILED));
     assert_eq!(host.count("FN"), 2);
 }
 
-/// Some connections to hosts come up late: what has not begun to leave then is received back.
+/// An attempt that still waits for a connection to its host is withdrawn.
 #[test]
-fn a_call_that_waits_for_a_connection_is_taken_back_after_a_half_close() {
+fn a_call_waiting_for_a_host_connection_is_refused_after_a_half_close() {
     let stuck = Stuck::start();
     let late = [("settings/Limits/ConnectTimeoutUs", json!(7_000_000))];
     let p = platform_with(&[stuck.address], &late);
@@ -135,9 +135,9 @@
     assert_eq!(stuck.heard(), 0);
 }
 
-/// A request and the end of its client's side in one read: it is begun at once, and served.
+/// A request and its client's half-close arrive in one read: the attempt begins at once and is served.
 #[test]
-fn a_request_read_with_the_end_of_its_clients_side_is_served() {
+fn a_request_read_together_with_a_half_close_is_served() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
@@ -151,9 +151,10 @@
     assert!(client.is_ended());
 }
 
-/// ... and its second attempt does not begin, as its first ends after the grace.
+/// A request and its client's half-close arrive in one read: the first attempt ends after the grace period, so no
+/// second one begins.
 #[test]
-fn a_request_read_with_the_end_of_its_clients_side_has_one_attempt() {
+fn a_request_read_together_with_a_half_close_is_not_retried() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
@@ -162,7 +163,7 @@
     client.half_close();
     p.program.stop(false);
     host.wait("FN", 1);
-    // A later client's call is refused when its grace has passed; the first one's passed before that.
+    // The refusal of a later client's call shows that its grace period has passed, and thus the first client's too.
     let mut later = Client::of(&p.program);
     later.ask(1, READ, 2, "later");
     host.wait("FN", 2);
@@ -174,24 +175,24 @@
     assert_eq!(host.count("FN"), 2);
 }
 
-/// A call that a rollout passed to its candidate, which decides it.
+/// During a rollout, a half-close reaches the candidate to which the call was passed.
 #[test]
-fn a_half_close_is_told_to_the_candidate_that_decides_the_call() {
+fn a_half_close_is_passed_to_the_candidate_that_decides_the_call() {
     let host = ManualHost::start();
     let known = [("known/batch/0/topology/members", host_entries(&[host.address]))];
     let pair = common::rollout::pair_of(&[], &known, &[]).whole();
-    let mut client = past_the_grace(&host, &pair.old, MAIL);
+    let mut client = client_past_grace(&host, &pair.old, MAIL);
     assert_eq!(pair.count("passed"), 2);
     host.finish_load(0);
     serve_another(&pair.old, &host);
     assert_eq!(host.bodies(), ["waits", "out", "another"]);
     host.serve(1);
-    assert_eq!(client.answer(), (2, SERVED), "what is out goes on there too");
+    assert_eq!(client.answer(), (2, SERVED), "the call at the host continues there too");
 }
 
 // ----------------------------------------------------------------------------------- cancels and resets
 
-/// Waits until all that the client has sent was looked at: nothing but this comes.
+/// Waits until the program has processed everything that the client sent; only the readiness answer may arrive.
 fn wait_readiness(client: &mut Client) {
     std::io::Write::write_all(&mut client.0, &client_frame(4, 9_999, &[0])).unwrap();
     let frame = read_frame(&mut client.0).unwrap();
@@ -199,7 +200,7 @@
 }
 
 #[test]
-fn a_cancel_takes_back_what_waits_for_a_connection() {
+fn a_cancel_withdraws_calls_waiting_for_a_host_connection() {
     let stuck = Stuck::start();
     let late = [("settings/Limits/ConnectTimeoutUs", json!(7_000_000))];
     let p = platform_with(&[stuck.address], &late);
@@ -215,12 +216,12 @@
 }
 
 #[test]
-fn a_request_read_with_its_cancel_is_not_begun() {
+fn a_request_read_together_with_its_cancel_is_not_sent() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
     p.program.stop(true);
-    client.ask(1, READ, 1, "received back");
+    client.ask(1, READ, 1, "cancelled");
     client.cancel(1);
     client.ask(2, READ, 1, "wanted");
     p.program.stop(false);
@@ -232,7 +233,7 @@
 }
 
 #[test]
-fn a_request_read_with_a_reset_is_not_begun() {
+fn a_request_read_together_with_a_reset_is_not_sent() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
@@ -246,18 +247,18 @@
 }
 
 #[test]
-fn a_reset_while_a_call_waits_for_a_load_ends_it() {
+fn a_reset_ends_a_call_waiting_for_a_load() {
     let (host, p, client) = call_that_waits_for_a_load(READ);
     client.reset();
-    wait_early("the end of what waited", || open_requests(&p) == 0);
+    wait_early("the end of the waiting call", || open_requests(&p) == 0);
     host.finish_load(0);
     serve_another(&p, &host);
     assert_eq!(host.bodies(), ["x", "another"]);
 }
 
-/// The end of an attempt and its client's cancel in one turn of the loop, in both orders.
+/// The end of an attempt and the client's cancel arrive in one turn of the event loop, in both orders.
 #[rstest]
-fn a_cancel_and_the_end_of_the_attempt_cross(
+fn a_cancel_and_the_end_of_the_attempt_arrive_together(
     #[values("200", "404", "500", "503", "hangs up")] end: &str,
     #[values(true, false)] host_first: bool,
     #[values(READ, MAIL)] class: &str,
@@ -283,22 +284,22 @@
     let begun = host.bodies().len();
     serve_another(&p, &host);
     let bodies = host.bodies();
-    assert_eq!(bodies.len(), begun + 1, "{bodies:?}: nothing began after the cancel");
+    assert_eq!(bodies.len(), begun + 1, "{bodies:?}: no attempt after the cancel");
     assert!(
         class == READ || end == "404" || end == "503" || begun == 1,
         "a mail that may have run runs once"
     );
-    // What was begun before the cancel was read is given up.
+    // An attempt that began before the cancel was read is killed.
     assert!(begun == 1 || host.count("KILL") == begun - 1, "{bodies:?}");
-    // At most the answer that crossed the cancel, and then the connection goes on.
+    // At most one answer, sent before the cancel was read; then the connection works as before.
     std::io::Write::write_all(&mut client.0, &client_frame(4, 9_999, &[0])).unwrap();
     let frames: Vec<_> = std::iter::from_fn(|| read_frame(&mut client.0).filter(|f| f.kind != 5)).collect();
     assert!(frames.len() <= usize::from(host_first), "{frames:?}");
 }
 
-/// The loop finds the time over and the host's answer there at once: one of them is the answer.
+/// The event loop finds the request timed out and the host's answer at once: the client gets exactly one of them.
 #[test]
-fn a_deadline_and_the_answer_in_one_turn_make_one_answer() {
+fn a_timeout_and_the_hosts_answer_in_one_turn_make_one_answer() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
@@ -318,7 +319,7 @@
 }
 
 #[test]
-fn cancels_of_nothing_change_nothing() {
+fn cancels_of_streams_that_are_not_open_are_ignored() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
@@ -340,11 +341,12 @@
 
 // ----------------------------------------------------------------------- a client that reads no answers
 
-/// Answers that are not read, one each: more than the system's buffers take, so that the program holds the rest.
+/// Number of answers that the client does not read: more than the system's buffers hold, so that the program has to
+/// buffer the rest.
 const UNREAD_ANSWERS: u32 = 30;
 const LONG_BYTES: usize = 250_000;
 
-/// A client that does not read, with long answers on their way to it; one call is out and one waits for a load.
+/// A client that does not read, with long answers waiting for it; one call is at the host and one waits for a load.
 fn client_that_does_not_read(p: &Platform, host: &ManualHost) -> Client {
     let mut client = Client::with_small_buffer(&p.program);
     client.ask(31, READ, 1, "waits");
@@ -363,18 +365,18 @@
 }
 
 #[test]
-fn a_cancel_is_heeded_though_its_client_reads_no_answers() {
+fn a_cancel_takes_effect_while_the_client_reads_no_answers() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
     let mut client = client_that_does_not_read(&p, &host);
     client.cancel(32);
     host.wait("KILL", 1);
     client.cancel(31);
-    wait_early("the end of what waited", || open_requests(&p) == 0);
+    wait_early("the end of the waiting call", || open_requests(&p) == 0);
     host.finish_load(0);
     serve_another(&p, &host);
-    assert_eq!(host.count("FN"), 2 + UNREAD_ANSWERS as usize + 1, "nothing was begun after the cancel");
-    // All that was answered still comes, and nothing that was cancelled.
+    assert_eq!(host.count("FN"), 2 + UNREAD_ANSWERS as usize + 1, "no attempt after the cancel");
+    // All answers given before still arrive, and none for the cancelled calls.
     let mut streams: Vec<u32> = (0..UNREAD_ANSWERS).map(|_| client.answer().0).collect();
     streams.sort();
     assert_eq!(streams, (1..=UNREAD_ANSWERS).collect::<Vec<_>>());
@@ -383,15 +385,15 @@
 }
 
 #[test]
-fn a_half_close_is_heeded_though_its_client_reads_no_answers() {
+fn a_half_close_takes_effect_while_the_client_reads_no_answers() {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
     let mut client = client_that_does_not_read(&p, &host);
     client.half_close();
-    wait_early("the end of what waited", || open_requests(&p) == 1);
+    wait_early("the end of the waiting call", || open_requests(&p) == 1);
     host.finish_load(0);
     serve_another(&p, &host);
-    assert_eq!(host.count("FN"), 2 + UNREAD_ANSWERS as usize + 1, "nothing was begun after the grace");
+    assert_eq!(host.count("FN"), 2 + UNREAD_ANSWERS as usize + 1, "no attempt after the grace period");
     host.serve(host.find("out"));
     let mut answers: Vec<(u32, u8)> = (0..UNREAD_ANSWERS + 2).map(|_| client.answer()).collect();
     answers.sort();
@@ -400,11 +402,11 @@
     assert!(client.is_ended());
 }
 
-/// Its unread answers make the close a reset, which must be seen though nothing can be written.
+/// Because of the unread answers, a close arrives as a reset. The program must notice it although it cannot write.
 #[rstest]
 #[case::closed(false)]
 #[case::reset(true)]
-fn a_close_with_answers_unread_is_heeded(#[case] reset: bool) {
+fn a_close_with_unread_answers_ends_the_requests(#[case] reset: bool) {
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
     let client = client_that_does_not_read(&p, &host);
@@ -414,15 +416,15 @@
         drop(client);
     }
     host.wait("KILL", 1);
-    wait_early("the end of what waited", || open_requests(&p) == 0);
+    wait_early("the end of the waiting call", || open_requests(&p) == 0);
     host.finish_load(0);
     serve_another(&p, &host);
     assert_eq!(host.count("FN"), 2 + UNREAD_ANSWERS as usize + 1);
 }
 
-/// Requests of a client that reads no answers wait for it in part, and are refused beyond that; each has one answer.
+/// Requests of a client that reads no answers are queued up to a limit and refused beyond it; each gets one answer.
 #[test]
-fn requests_of_a_client_that_reads_no_answers_have_one_answer_each() {
+fn requests_of_a_client_that_reads_no_answers_get_one_answer_each() {
     const MORE: std::ops::Range<u32> = 100..130;
     let host = ManualHost::start();
     let p = platform_with(&[host.address], &[]);
@@ -431,11 +433,11 @@
     for stream in MORE {
         std::io::Write::write_all(&mut client.0, &Client::request(stream, READ, 3, &[b'm'; 4000])).unwrap();
     }
-    // One that waits is received back, and nothing comes for it.
+    // A queued request is cancelled and gets no answer.
     client.cancel(MORE.start);
     client.cancel(31);
     wait_early("the cancel", || open_requests(&p) == 1);
-    // Those that were not refused at once are served, or refused when they have waited for long.
+    // The others are refused at once, served, or refused after their time in the queue.
     let mut answers: Vec<(u32, u8)> = (0..UNREAD_ANSWERS + 29).map(|_| client.answer()).collect();
     host.serve(host.find("out"));
     answers.push(client.answer());
@@ -448,10 +450,10 @@
 
 // ------------------------------------------------------------------------------------ the invoke front
 
-/// More than the invoke front keeps of what comes while a call is out.
+/// More than the invoke front buffers while a call is running.
 const PIPELINED_BYTES: usize = 400 << 10;
 
-/// A call that is out at the host, with further requests sent behind it.
+/// A client with a call at the host and further requests sent after it.
 fn pipelining(program: &Program, host: &Host, timeout_ms: u32) -> std::net::TcpStream {
     host.ways.lock().unwrap().does = Does::Nothing;
     let mut client = program.connect();
@@ -460,7 +462,7 @@
     wait_for("the call", || host.calls() == 1);
     let more = call("f2", MAIL, &[], "more");
     let more = more.repeat(PIPELINED_BYTES / more.len());
-    // A program that reads none of it may leave the last of it unsent.
+    // The program may stop reading, so the last bytes may stay unsent.
     client.set_write_timeout(Some(ms(1000))).unwrap();
     let _ = std::io::Write::write_all(&mut client, more.as_bytes());
     client
@@ -469,7 +471,7 @@
 #[rstest]
 #[case::closed(false)]
 #[case::reset(true)]
-fn a_close_behind_pipelined_requests_ends_the_call_that_is_out(#[case] reset: bool) {
+fn a_close_after_pipelined_requests_ends_the_running_call(#[case] reset: bool) {
     let host = Host::warm();
     let (program, _dns) = operator(&[&host], |text| text);
     let client = pipelining(&program, &host, 20_000);
@@ -483,28 +485,28 @@
 }
 
 #[test]
-fn who_pipelines_more_than_is_kept_has_its_answer_and_the_end_of_the_connection() {
+fn after_more_pipelined_requests_than_are_buffered_the_answer_closes_the_connection() {
     let host = Host::warm();
     let (program, _dns) = operator(&[&host], |text| text);
     let mut client = pipelining(&program, &host, 3_000);
     let reply = read_reply(&mut client).unwrap();
     assert_eq!((reply.status, reply.header("connection")), (504, Some("close")));
-    assert!(read_reply(&mut client).is_none(), "what was dropped is sent again elsewhere");
+    assert!(read_reply(&mut client).is_none(), "the discarded requests get no answer");
     assert_eq!(host.calls(), 1);
 }
 
 // ------------------------------------------------------------------------------- the end of the process
 
-/// Has the program end, and waits until it knows that.
+/// Sends SIGTERM and waits until the program has noticed it.
 fn terminate(p: &Platform) {
     p.program.terminate();
-    wait_for("its word that it ends", || p.program.logged("told to stop with") == 1);
+    wait_for("the signal", || p.program.logged("told to stop with") == 1);
 }
 
 #[rstest]
 #[case::loaded_and_served(true)]
 #[case::never_loaded(false)]
-fn what_waits_and_what_is_out_at_sigterm_is_answered(#[case] loads: bool) {
+fn calls_that_are_open_at_sigterm_are_answered(#[case] loads: bool) {
     let host = ManualHost::start();
     let mut p = platform_with(&[host.address], &[]);
     let mut client = Client::of(&p.program);
@@ -514,14 +516,14 @@
     client.ask(2, MAIL, 2, "out");
     let out = host.find("out");
     terminate(&p);
-    assert_eq!(read_frame(&mut client.0).unwrap().kind, 6, "it asks for no new request");
+    assert_eq!(read_frame(&mut client.0).unwrap().kind, 6, "it asks for no new requests");
     if loads {
         host.finish_load(0);
         host.wait("FN", 3);
         host.serve(2);
         assert_eq!(client.answer(), (1, SERVED));
     } else {
-        // A cancel is heeded to the end.
+        // Cancels still take effect.
         client.cancel(1);
     }
     assert!(p.program.has_ended().is_none(), "an answer is owed");
@@ -531,9 +533,9 @@
     assert!(p.program.ended().success());
 }
 
-/// Attempts that wait for a connection are queued as long as that, and their answers are owed.
+/// An attempt that waits for a host connection keeps the program running until its request is answered.
 #[test]
-fn what_waits_for_a_connection_at_sigterm_is_answered() {
+fn a_call_waiting_for_a_host_connection_at_sigterm_is_answered() {
     let (host, stuck) = (ManualHost::start(), Stuck::start());
     let late = [("settings/Limits/ConnectTimeoutUs", json!(2_000_000))];
     let mut p = platform_with(&[stuck.address], &late);
@@ -552,7 +554,7 @@
 }
 
 #[test]
-fn requests_that_come_after_sigterm_are_answered_on_old_connections_and_new() {
+fn requests_after_sigterm_are_answered_on_old_and_new_connections() {
     let host = ManualHost::start();
     let mut p = platform_with(&[host.address], &[]);
     let mut old = Client::of(&p.program);
@@ -573,14 +575,14 @@
         }
     }
     assert_eq!(streams, [(1, SERVED), (2, SERVED)]);
-    assert_eq!(read_frame(&mut new.0).unwrap().kind, 6, "new ones are told too");
+    assert_eq!(read_frame(&mut new.0).unwrap().kind, 6, "new connections are asked to leave too");
     assert_eq!(new.answer(), (1, SERVED));
     assert!(p.program.ended().success());
 }
 
-/// The bus was never reached: what comes is answered all the same, and the program ends.
+/// The bus was never reached: requests are answered all the same, and the program ends.
 #[test]
-fn sigterm_before_any_word_of_the_bus_ends_the_program_with_its_answers() {
+fn sigterm_before_the_bus_is_reached_ends_the_program_after_its_answers() {
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = nobody.local_addr().unwrap();
     drop(nobody);
@@ -594,18 +596,18 @@
     assert!(program.ended().success());
 }
 
-/// What came while the process had no processor is looked at before it ends, however long that was.
+/// Requests that arrived while the process was stopped are read before it ends, however long it was stopped.
 #[test]
-fn requests_that_wait_to_be_read_when_the_time_after_sigterm_is_over_are_answered() {
+fn requests_still_unread_when_the_time_after_sigterm_is_over_are_answered() {
     const MANY: u32 = 80;
     let host = Host::warm();
     let mut p = platform(&[&host]);
     terminate(&p);
     p.program.stop(true);
     let mut clients: Vec<Client> = (0..MANY).map(|_| Client::of(&p.program)).collect();
-    // Answered at once, as an error: nothing else keeps the program.
+    // Answered at once with an error, so no open request keeps the program running.
     clients.iter_mut().for_each(|client| client.ask(1, "unknown", 1, "x"));
-    // For longer than requests are waited for.
+    // Longer than the program waits for further requests.
     std::thread::sleep(ms(1_200));
     p.program.stop(false);
     for client in &mut clients {
@@ -616,9 +618,9 @@
     assert!(p.program.ended().success());
 }
 
-/// A reload between two attempts of a request changes nothing for it.
+/// A reload between two attempts of a request does not affect it.
 #[test]
-fn a_reload_between_two_attempts_leaves_the_request_its_second() {
+fn a_request_keeps_its_second_attempt_over_a_reload() {
     let (host, p, mut client) = call_that_waits_for_a_load(READ);
     let edits = [
         ("known/batch/0/topology/members", host_entries(&[host.address])),
@@ -632,9 +634,9 @@
     assert_eq!(client.answer(), (1, SERVED));
 }
 
-/// A new process takes the clients while the old one owes answers: it gives them, and heeds a half-close, to its end.
+/// During an upgrade, the old process still answers its open requests and reacts to half-closes until it ends.
 #[test]
-fn what_the_old_process_of_an_upgrade_owes_it_answers() {
+fn the_old_process_of_an_upgrade_answers_its_open_requests() {
     let host = ManualHost::start();
     let bus = Bus::start();
     let known = [("known/batch/0/topology/members", host_entries(&[host.address]))];
@@ -647,7 +649,7 @@
     host.wait("FN", 1);
     host.answer_miss(0);
     stays.ask(2, MAIL, 2, "out");
-    goes.ask(1, READ, 1, "given up");
+    goes.ask(1, READ, 1, "abandoned");
     wait_for("the requests", || open_requests(&old) == 3);
     let listen = json!(old.program.address.to_string());
     let new = Program::start(&common::rollout::edited(&text, &[("listen", listen)]), false);
--- a/node/tests/invoke.rs
+++ b/node/tests/invoke.rs
@@ -1,4 +1,4 @@
-//! The invoke front against stand-in hosts and a stand-in resolver, one test a rule.
+//! The invoke front with stand-in hosts and a stand-in resolver; each test checks one rule.
 
 mod common;
 
@@ -12,14 +12,14 @@
 
 const ASYNC: &str = "Prefer: respond-async";
 
-fn same(text: String) -> String {
+fn unchanged(text: String) -> String {
     text
 }
 
 #[test]
-fn a_call_is_served_and_passed_on_unchanged() {
+fn a_call_is_forwarded_unchanged_and_served() {
     let host = Host::warm();
-    let (program, _dns) = operator(&[&host], same);
+    let (program, _dns) = operator(&[&host], unchanged);
     let mut client = program.connect();
     for body in ["one", "two"] {
         client.write_all(call("f1", "save-answers", &["Idempotency-Key: \"k-7\""], body).as_bytes()).unwrap();
@@ -35,18 +35,18 @@
 }
 
 #[rstest]
-#[case::nothing_known("GET", "/v1", &[], 404)]
+#[case::unknown_path("GET", "/v1", &[], 404)]
 #[case::no_class("POST", "/v1/functions/f/calls", &[], 400)]
 #[case::unknown_class("POST", "/v1/functions/f/calls", &["Wheellink-Class: zap"], 400)]
 #[case::unknown_tenant("POST", "/v1/functions/f/calls", &["Wheellink-Class: send-mail", "Wheellink-Tenant: zap"], 400)]
 #[case::bad_name("POST", "/v1/functions/a=b/calls", &["Wheellink-Class: send-mail"], 400)]
-#[case::bad_time("POST", "/v1/functions/f/calls", &["Wheellink-Class: send-mail", "Wheellink-Timeout-Ms: 0"], 400)]
+#[case::zero_timeout("POST", "/v1/functions/f/calls", &["Wheellink-Class: send-mail", "Wheellink-Timeout-Ms: 0"], 400)]
 #[case::bad_key("POST", "/v1/functions/f/calls", &["Wheellink-Class: send-mail", "Idempotency-Key: a,b"], 400)]
 #[case::bad_deferred("POST", "/v1/functions/f/calls", &[ASYNC, "Wheellink-Class: zap"], 400)]
 #[case::wrong_method("PUT", "/v1/functions/f/calls", &[], 405)]
 #[case::no_result("GET", "/v1/results/0", &[], 404)]
 #[case::nothing_to_cancel("DELETE", "/v1/results/0", &[], 404)]
-#[case::no_post_of_results("POST", "/v1/results/0", &[], 405)]
+#[case::post_to_results("POST", "/v1/results/0", &[], 405)]
 fn bad_input_gets_its_status(
     #[case] method: &str,
     #[case] path: &str,
@@ -58,13 +58,13 @@
     client.write_all(request(method, path, headers, "x").as_bytes()).unwrap();
     let reply = read_reply(&mut client).unwrap();
     assert_eq!((reply.status, reply.header("content-type")), (status, Some("application/problem+json")));
-    // The connection is none the worse for it.
+    // The connection still works.
     client.write_all(request("GET", "/healthz", &[], "").as_bytes()).unwrap();
     assert_eq!(read_reply(&mut client).unwrap().status, 503);
 }
 
 #[test]
-fn a_request_that_cannot_be_read_ends_its_connection_after_the_answer() {
+fn an_unreadable_request_is_answered_and_ends_its_connection() {
     let program = Program::start(&operator_file("127.0.0.1:9".parse().unwrap()), true);
     let mut client = program.connect();
     let body = "y".repeat(100_000);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn with_no_host_a_call_is_refused_in_good_time_with_advice() {
+fn without_hosts_a_call_is_refused_early_with_retry_after() {
     let program = Program::start(&operator_file("127.0.0.1:9".parse().unwrap()), true);
     let begun = Instant::now();
     let reply = program.http(&call("f", "send-mail", &[], "x"));
@@ -85,12 +85,12 @@
 }
 
 #[rstest]
-#[case::own_time(&["Wheellink-Timeout-Ms: 300"], 300)]
+#[case::timeout_header(&["Wheellink-Timeout-Ms: 300"], 300)]
 #[case::wait(&["Prefer: wait=1"], 1_000)]
-fn a_silent_host_costs_the_time_told_and_no_more(#[case] headers: &[&str], #[case] time: u64) {
+fn a_call_to_a_silent_host_ends_with_the_clients_timeout(#[case] headers: &[&str], #[case] time: u64) {
     let host = Host::warm();
     host.ways.lock().unwrap().does = Does::Nothing;
-    let (program, _dns) = operator(&[&host], same);
+    let (program, _dns) = operator(&[&host], unchanged);
     let begun = Instant::now();
     assert_eq!(program.http(&call("f", "send-mail", headers, "x")).status, 504);
     let took = begun.elapsed();
@@ -102,7 +102,7 @@
 #[case::error_of_mail("500", "send-mail", 502, 1)]
 #[case::error_of_read("500", "check-score", 503, 2)]
 #[case::full("503", "send-mail", 503, 2)]
-fn what_a_host_says_decides_the_status_and_the_repeats(
+fn the_hosts_status_decides_the_response_and_the_retries(
     #[case] word: &'static str,
     #[case] class: &str,
     #[case] status: u16,
@@ -112,7 +112,7 @@
     for host in [&a, &b] {
         host.ways.lock().unwrap().does = Does::Answer(word);
     }
-    let (program, _dns) = operator(&[&a, &b], same);
+    let (program, _dns) = operator(&[&a, &b], unchanged);
     let reply = program.http(&call("f", class, &[], "x"));
     assert_eq!((reply.status, reply.header("retry-after").is_some()), (status, status == 503));
     let calls = a.calls() + b.calls();
@@ -120,9 +120,9 @@
 }
 
 #[test]
-fn a_miss_is_followed_by_an_order_and_a_repeat() {
+fn a_miss_leads_to_a_load_order_and_a_retry() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(1), load: Some(ms(100)) });
-    let (program, _dns) = operator(&[&host], same);
+    let (program, _dns) = operator(&[&host], unchanged);
     assert_eq!(program.http(&call("f9", "send-mail", &[], "x")).status, 200);
     let seen = host.seen.lock().unwrap();
     assert!(seen.orders.iter().all(|o| o.contains(" item=f9,copies=")), "{:?}", seen.orders);
@@ -132,7 +132,7 @@
 #[test]
 fn a_synchronous_call_whose_client_leaves_during_the_load_never_runs() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(1), load: Some(ms(400)) });
-    let (program, _dns) = operator(&[&host], same);
+    let (program, _dns) = operator(&[&host], unchanged);
     let mut client = program.connect();
     client.write_all(call("f", "send-mail", &[], "x").as_bytes()).unwrap();
     wait_for("the order", || host.seen.lock().unwrap().orders.len() == 1);
@@ -143,10 +143,10 @@
 }
 
 #[test]
-fn a_synchronous_call_whose_client_leaves_is_given_up_at_its_host() {
+fn a_synchronous_call_whose_client_leaves_is_killed_at_its_host() {
     let host = Host::warm();
     host.ways.lock().unwrap().does = Does::Nothing;
-    let (program, _dns) = operator(&[&host], same);
+    let (program, _dns) = operator(&[&host], unchanged);
     let mut client = program.connect();
     client.write_all(call("f", "check-score", &[], "x").as_bytes()).unwrap();
     wait_for("the call", || host.calls() == 1);
@@ -156,9 +156,9 @@
 }
 
 #[test]
-fn a_deferred_mail_outlives_its_connection_and_waits_to_be_collected() {
+fn a_deferred_call_outlives_its_connection_and_its_result_can_be_collected() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(200), load: Some(ms(100)) });
-    let (program, _dns) = operator(&[&host], same);
+    let (program, _dns) = operator(&[&host], unchanged);
     let mut client = program.connect();
     client.write_all(call("f", "send-mail", &[ASYNC], "x").as_bytes()).unwrap();
     let reply = read_reply(&mut client).unwrap();
@@ -179,7 +179,7 @@
 fn a_deferred_call_is_cancelled_by_delete() {
     let host = Host::warm();
     host.ways.lock().unwrap().does = Does::Nothing;
-    let (program, _dns) = operator(&[&host], same);
+    let (program, _dns) = operator(&[&host], unchanged);
     let reply = program.http(&call("f", "send-mail", &[ASYNC], "x"));
     wait_for("the call", || host.calls() == 1);
     let location = reply.header("location").unwrap();
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn results_are_bounded_in_number_and_time() {
+fn results_are_limited_in_number_and_expire() {
     let host = Host::warm();
     host.ways.lock().unwrap().does = Does::Nothing;
     let few =
@@ -207,12 +207,12 @@
     wait_for("the end of its time", || program.http(&request("GET", location, &[], "")).status == 404);
 }
 
-/// The proof that the brief asks for: both kinds mixed, every answer and every mail run counted.
+/// Synchronous and deferred calls mixed; counts every answer and every run.
 #[test]
-fn both_kinds_mixed_get_one_answer_each_and_no_mail_runs_twice() {
+fn mixed_calls_get_one_answer_each_and_no_mail_runs_twice() {
     let ways = || Ways { does: Does::Answer("200"), work: ms(20), load: Some(ms(60)) };
     let hosts = [Host::start(ways()), Host::start(ways()), Host::start(ways())];
-    let (program, _dns) = operator(&[&hosts[0], &hosts[1], &hosts[2]], same);
+    let (program, _dns) = operator(&[&hosts[0], &hosts[1], &hosts[2]], unchanged);
     let (mut waiting, mut deferred, mut left) = (Vec::new(), Vec::new(), Vec::new());
     for i in 0..60 {
         let class = ["check-score", "save-answers", "send-mail"][i % 3];
@@ -221,7 +221,7 @@
         let headers: &[&str] = if i % 2 == 0 { &[] } else { &[ASYNC] };
         client.write_all(call(&function, class, headers, &body).as_bytes()).unwrap();
         match (i % 2, i % 10) {
-            // Some clients that wait leave at once, some of them mid-load.
+            // Some waiting clients leave at once, some of them during a load.
             (0, 4) => left.push(body),
             (0, _) => waiting.push((client, body)),
             // A deferred call's client always leaves after its 202.
@@ -234,7 +234,7 @@
     for (mut client, body) in waiting {
         let reply = read_reply(&mut client).unwrap();
         answers.insert(body, (reply.status, reply.body));
-        // One final answer: after it nothing more comes before the end.
+        // Exactly one answer: then the connection ends.
         client.shutdown(std::net::Shutdown::Write).unwrap();
         assert!(read_reply(&mut client).is_none());
     }
@@ -256,9 +256,9 @@
 }
 
 #[test]
-fn a_host_whose_record_goes_gets_nothing_new_and_a_new_one_does() {
+fn a_host_without_record_gets_no_calls_and_a_new_one_does() {
     let (a, b) = (Host::warm(), Host::warm());
-    let (program, dns) = operator(&[&a], same);
+    let (program, dns) = operator(&[&a], unchanged);
     assert_eq!(program.http(&call("f", "check-score", &[], "x")).status, 200);
     dns.zone.lock().unwrap().instances = vec![("new".into(), b.address.port(), vec!["started=1".into()])];
     wait_for("the new host", || {
@@ -272,12 +272,12 @@
 }
 
 #[test]
-fn a_resolver_that_fails_takes_no_host_away() {
+fn hosts_stay_known_while_the_resolver_fails() {
     let host = Host::warm();
-    let (program, dns) = operator(&[&host], same);
+    let (program, dns) = operator(&[&host], unchanged);
     dns.zone.lock().unwrap().fails = true;
     let asked = dns.zone.lock().unwrap().queries;
-    // Records hold for 1 s here; by the tenth query they have all run out and been asked for in vain.
+    // Records are valid for 1 s here; by the tenth query all have expired and every query for them has failed.
     wait_for("queries", || dns.zone.lock().unwrap().queries > asked + 10);
     assert_eq!(program.http(&call("f", "check-score", &[], "x")).status, 200);
     dns.zone.lock().unwrap().fails = false;
@@ -285,9 +285,9 @@
 }
 
 #[test]
-fn answers_that_do_not_fit_are_asked_for_over_tcp() {
+fn truncated_dns_answers_are_queried_again_over_tcp() {
     let (a, b) = (Host::warm(), Host::warm());
-    let (program, dns) = operator(&[&a], same);
+    let (program, dns) = operator(&[&a], unchanged);
     {
         let mut zone = dns.zone.lock().unwrap();
         zone.cuts = true;
@@ -299,12 +299,12 @@
     wait_for("the line of its connection", || program.logged("conn resolver ended reason=finished") > 0);
 }
 
-/// The listener stays ready while nothing can be accepted: that must not keep the loop busy.
+/// Without descriptors the listener stays ready but accepts fail: the event loop must not spin.
 #[test]
-fn without_descriptors_the_program_waits_and_goes_on() {
+fn without_descriptors_the_program_pauses_accepting_and_recovers() {
     let text = operator_file("127.0.0.1:9".parse().unwrap());
     let program = Program::start(&text, true);
-    // The limit at the start is heeded; one that sinks later is met as it comes.
+    // The program plans with the limit at its start; only a limit lowered later makes accepts fail.
     program.limit_descriptors(24);
     let mut clients: Vec<_> = (0..40).map(|_| program.connect()).collect();
     wait_for("the end of its descriptors", || program.logged("no connection can be accepted") > 0);
@@ -317,9 +317,9 @@
 }
 
 #[test]
-fn after_sigterm_what_is_open_and_what_still_comes_is_answered() {
+fn after_sigterm_open_and_new_calls_are_answered() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(300), load: None });
-    let (mut program, _dns) = operator(&[&host], same);
+    let (mut program, _dns) = operator(&[&host], unchanged);
     let mut open = program.connect();
     open.write_all(call("f", "send-mail", &[], "x").as_bytes()).unwrap();
     wait_for("the call", || host.calls() == 1);
@@ -338,7 +338,7 @@
 #[case::effect("effect = \"maybe\"", "effect is")]
 #[case::no_scope("scope = \"town\"", "scope is")]
 #[case::service("service = \"a..b\"", "hosts.service")]
-fn a_bad_operators_file_ends_the_program_with_one_plain_line(#[case] line: &str, #[case] part: &str) {
+fn an_invalid_operators_file_ends_the_program_with_one_line(#[case] line: &str, #[case] part: &str) {
     let text = operator_file("127.0.0.1:9".parse().unwrap());
     let key = line.split(" = ").next().unwrap();
     let at = text.lines().position(|l| l.starts_with(key)).unwrap_or(0);
@@ -348,14 +348,14 @@
 }
 
 #[test]
-fn a_new_operators_file_moves_the_resolver() {
+fn a_reloaded_operators_file_changes_the_resolver() {
     let (a, b) = (Host::warm(), Host::warm());
     let (program, _old) = operator(&[&a], |text| text);
     let other = Resolver::start(&[&b]);
-    // Its instance goes by another name: the old one's record goes with the old resolver.
+    // Its instance has another name, so the instance of the old resolver disappears with it.
     other.zone.lock().unwrap().instances[0].0 = "other".into();
     program.reload("listen = 7");
-    wait_for("word of the bad file", || program.logged("the old configuration is kept") == 1);
+    wait_for("the report of the invalid file", || program.logged("the old configuration is kept") == 1);
     program.reload(&operator_file(other.address));
     wait_for("a call at the new host", || {
         program.http(&call("7f3a", "check-score", &[], "x"));
@@ -363,10 +363,10 @@
     });
 }
 
-/// Half requests, silence and a flood take no place from a client that asks, and a sender at full speed gets
+/// Incomplete requests, silent connections and a flood do not displace a normal client, and the flooding client gets
 /// its error.
 #[test]
-fn hostile_clients_cost_a_usual_one_nothing() {
+fn hostile_clients_do_not_displace_a_normal_one() {
     let host = Host::warm();
     let (program, _resolver) = operator(&[&host], |text| text.replace("sockets = 1024", "sockets = 96"));
     let silent: Vec<_> = (0..16).map(|_| program.connect()).collect();
@@ -390,9 +390,9 @@
     drop((silent, halves));
 }
 
-/// Within a request silence counts, not how long it takes: pieces are waited for, and who stops is told so.
+/// The time between two reads of a request is limited, so a slow client is served and one that stops gets a 408.
 #[test]
-fn a_slow_writer_is_waited_for_and_a_silent_one_is_not() {
+fn a_slow_request_is_served_and_a_stalled_one_times_out() {
     let host = Host::warm();
     let (program, _resolver) = operator(&[&host], |text| text);
     let text = call("f1", "send-mail", &[], "slow");
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front, its bus and its hosts on real sockets, one test a rule.
+//! The platform's front, its bus and its hosts on real sockets; each test checks one rule.
 
 mod common;
 
@@ -14,7 +14,7 @@
 const FAILED: u8 = 69;
 
 #[test]
-fn requests_come_in_any_split_and_go_on_unchanged() {
+fn a_request_in_pieces_is_forwarded_unchanged() {
     let host = Host::warm();
     let p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn answers_come_in_any_order_and_readiness_is_told() {
+fn answers_arrive_in_any_order_and_readiness_queries_are_answered() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(300), load: None });
     let p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -58,13 +58,13 @@
 #[rstest]
 #[case::unknown_class(call_frame(2, "zap", 4000, b""), 2)]
 #[case::no_fields(without_fields(2), 2)]
-#[case::cut_fields(client_frame(1, 2, &[3, 1, b'x']), 2)]
+#[case::truncated_fields(client_frame(1, 2, &[3, 1, b'x']), 2)]
 #[case::reused_stream(call_frame(1, "send-mail", 4000, b""), 0)]
 #[case::stream_zero(call_frame(0, "send-mail", 4000, b""), 0)]
 #[case::unknown_type(client_frame(7, 2, &[]), 0)]
 #[case::long_body(call_frame(2, "send-mail", 4000, &[7; 17_000]), 2)]
 #[case::very_long_body(call_frame(2, "send-mail", 4000, &[7; 200_000]), 2)]
-fn bad_input_gets_an_error_and_hurts_no_other_request(#[case] bad: Vec<u8>, #[case] stream: u32) {
+fn bad_input_gets_an_error_and_affects_no_other_request(#[case] bad: Vec<u8>, #[case] stream: u32) {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(100), load: None });
     let p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn who_stops_waiting_gets_no_answer_and_the_host_is_told() {
+fn a_cancelled_request_gets_no_answer_and_is_killed_at_its_host() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(200), load: None });
     let p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -126,12 +126,12 @@
     client.write_all(&client_frame(3, 1, &[])).unwrap();
     wait_for("the KILL", || host.kills() == 1);
     client.write_all(&call_frame(2, "check-score", 4000, b"")).unwrap();
-    // The host's answer to the first is on its way all the same; it must reach nobody.
+    // The host still answers the first call; the program must discard that answer.
     assert_eq!(read_frame(&mut client).unwrap().stream, 2);
 }
 
 #[test]
-fn a_client_that_has_ended_its_side_still_gets_its_answer() {
+fn a_half_closed_client_still_gets_its_answer() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(100), load: None });
     let p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_failed_answer_comes_before_the_client_gives_up() {
+fn a_failure_is_reported_before_the_clients_timeout() {
     let host = Host::warm();
     host.ways.lock().unwrap().does = Does::Nothing;
     let p = platform(&[&host]);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn given_up_requests_are_answered_at_once_with_advice() {
+fn requests_without_hosts_are_refused_early_with_a_holdoff() {
     let p = platform(&[]);
     let mut client = p.program.connect();
     let begun = std::time::Instant::now();
@@ -168,7 +168,7 @@
 #[rstest]
 #[case::mail("send-mail", 1..=1, FAILED)]
 #[case::read("check-score", 2..=5, REFUSED)]
-fn a_connection_that_breaks_proves_nothing(
+fn a_call_on_a_broken_host_connection_may_have_run(
     #[case] class: &str,
     #[case] attempts: std::ops::RangeInclusive<usize>,
     #[case] code: u8,
@@ -185,9 +185,9 @@
     assert!(answer.code == code && attempts.contains(&calls), "{answer:?} after {calls} attempts");
 }
 
-/// One attempt out at most: what a silent host is left with is given up there before it goes elsewhere.
+/// A request has at most one attempt at a time: a call to a silent host is killed there before it is retried elsewhere.
 #[test]
-fn what_leaves_a_silent_host_has_been_killed_there() {
+fn calls_to_a_silent_host_are_killed_there_before_a_retry() {
     let (a, b) = (Host::warm(), Host::warm());
     let p = platform(&[&a, &b]);
     let mut client = p.program.connect();
@@ -195,23 +195,23 @@
     assert_eq!(read_frame(&mut client).unwrap().code, SERVED);
     let (silent, other) = if a.calls() == 1 { (&a, &b) } else { (&b, &a) };
     silent.ways.lock().unwrap().does = Does::Nothing;
-    // Three that grow old there without a word tell that the host is silent.
+    // Three calls that stay unanswered for long show that the host is silent.
     for stream in 2..=4 {
         client.write_all(&call_frame(stream, "check-score", 4000, b"")).unwrap();
     }
     for _ in 2..=4 {
         assert_eq!(read_frame(&mut client).unwrap().code, SERVED);
     }
-    let went: Vec<String> =
+    let retried: Vec<String> =
         other.seen.lock().unwrap().calls.iter().map(|(l, _)| l[3..19].to_string()).collect();
-    let stayed: Vec<String> =
+    let killed: Vec<String> =
         silent.seen.lock().unwrap().calls[1..].iter().map(|(l, _)| l[3..19].to_string()).collect();
-    assert!(!stayed.is_empty() && stayed.iter().all(|id| went.contains(id)), "{stayed:?} {went:?}");
-    wait_for("the KILLs", || silent.kills() == stayed.len());
+    assert!(!killed.is_empty() && killed.iter().all(|id| retried.contains(id)), "{killed:?} {retried:?}");
+    wait_for("the KILLs", || silent.kills() == killed.len());
 }
 
 #[test]
-fn a_refused_connection_proves_that_nothing_ran() {
+fn calls_are_retried_after_a_refused_host_connection() {
     let host = Host::warm();
     let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut p = platform(&[&host]);
@@ -224,14 +224,14 @@
     }
 }
 
-/// Attempts that are still connecting when their host drains never ran: they go elsewhere, and nothing is
-/// sent once the connection stands, whatever the list says of that host next.
+/// Attempts that are still connecting when their host starts to drain never ran: they go to another host, and nothing
+/// is sent if the connection succeeds later, whatever the list says about that host afterwards.
 #[rstest]
 #[case::drains(&[1])]
 #[case::drains_and_is_gone(&[1, 2])]
-#[case::drains_which_is_taken_back(&[1, 0])]
-#[case::is_gone_and_back(&[2, 0])]
-fn what_waits_for_a_draining_host_is_withdrawn(#[case] states: &[u8]) {
+#[case::drains_and_is_up_again(&[1, 0])]
+#[case::is_gone_and_up_again(&[2, 0])]
+fn attempts_connecting_to_a_draining_host_are_withdrawn(#[case] states: &[u8]) {
     let (host, stuck) = (Host::warm(), Stuck::start());
     let mut p = platform(&[]);
     p.feed.write_all(&event(2, false, &[(7, stuck.address, 0)])).unwrap();
@@ -249,10 +249,10 @@
 }
 
 #[test]
-fn the_bus_is_resumed_from_the_last_event_and_a_gap_is_asked_for() {
+fn the_bus_is_resumed_from_the_last_event_and_after_a_gap_from_the_start() {
     let (a, b) = (Host::warm(), Host::warm());
     let mut p = platform(&[&a]);
-    // Events may come in any split too.
+    // Events may arrive in pieces too.
     for piece in event(2, false, &[(1, b.address, 0)]).chunks(5) {
         p.feed.write_all(piece).unwrap();
         sleep(ms(1));
@@ -262,7 +262,7 @@
     assert_eq!(last, 2);
     feed.write_all(&event(4, false, &[(0, a.address, 1)])).unwrap();
     let (last, mut feed) = p.bus.greeted();
-    assert_eq!(last, 0, "event 3 is missing: only the start can tell");
+    assert_eq!(last, 0, "event 3 is missing: the list is read from the start");
     feed.write_all(&[event(1, true, &[(0, a.address, 0)]), event(2, false, &[(1, b.address, 0)])].concat())
         .unwrap();
     feed.write_all(&[event(3, false, &[(0, a.address, 1)]), event(4, false, &[(0, a.address, 2)])].concat())
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_new_process_at_an_address_gets_connections_of_its_own() {
+fn a_new_host_id_at_an_address_gets_its_own_connections() {
     let host = Host::warm();
     let mut p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -289,13 +289,13 @@
     assert_eq!(read_frame(&mut client).unwrap().code, SERVED);
 }
 
-/// A list changes twice while a call is on its way, and a new host takes the address over before the old one is said to be
-/// gone. Whatever belongs to the old one ends with it, and the new one is spoken to on connections of its own.
+/// While calls are running, a new host takes over the address of an old one, in some cases before the list says that
+/// the old one is gone. All connections of the old id end with it, and the new id gets its own.
 #[rstest]
-#[case::told_of_the_new_one_first(vec![vec![(5, 0)], vec![(0, 2)]])]
+#[case::new_one_listed_first(vec![vec![(5, 0)], vec![(0, 2)]])]
 #[case::both_at_once(vec![vec![(5, 0), (0, 2)]])]
-#[case::by_a_drain_and_a_whole_list(vec![vec![(0, 1)], vec![(5, 0)]])]
-fn an_address_is_taken_over_by_a_new_id_under_calls(#[case] changes: Vec<Vec<(u32, u8)>>) {
+#[case::drain_then_whole_list(vec![vec![(0, 1)], vec![(5, 0)]])]
+fn a_new_host_id_takes_over_an_address_during_calls(#[case] changes: Vec<Vec<(u32, u8)>>) {
     let host = Host::warm();
     let mut p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -303,7 +303,7 @@
     assert_eq!(read_frame(&mut client).unwrap().code, SERVED);
     let met = host.connections();
     host.ways.lock().unwrap().work = ms(1_500);
-    // A read goes on elsewhere, here to the new one; a mail may have run, and fails.
+    // The read is retried, here at the new host; the mail may have run, so it fails.
     client.write_all(&call_frame(2, "check-score", 4000, b"read")).unwrap();
     client.write_all(&call_frame(3, "send-mail", 4000, b"mail")).unwrap();
     wait_for("the calls", || host.calls() == 3);
@@ -311,7 +311,7 @@
     let last = changes.len() as u64 - 1;
     for (k, hosts) in (0..).zip(&changes) {
         let hosts: Vec<_> = hosts.iter().map(|(id, state)| (*id, host.address, *state)).collect();
-        // The last of a drain and a start is the whole list, without the old one.
+        // After a drain, the last event is the whole list without the old host.
         let whole = k == last && changes[0] == [(0, 1)];
         p.feed.write_all(&event(2 + k, whole, &hosts)).unwrap();
     }
@@ -322,12 +322,12 @@
     assert_eq!(ends, [(2, SERVED), (3, FAILED)]);
     client.write_all(&call_frame(4, "send-mail", 4000, b"new")).unwrap();
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((4, SERVED)));
-    assert!(host.connections() > met, "a connection of its own");
+    assert!(host.connections() > met, "its own connection");
     assert_eq!((host.runs("mail"), host.runs("new")), (1, 1), "a mail is sent once");
 }
 
 #[test]
-fn idle_connections_are_closed_with_one_line_each() {
+fn idle_connections_are_closed_with_one_log_line_each() {
     let host = Host::warm();
     let p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn after_sigterm_clients_are_told_and_everything_is_answered() {
+fn after_sigterm_clients_are_asked_to_leave_and_all_requests_are_answered() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(300), load: None });
     let mut p = platform(&[&host]);
     let mut open = p.program.connect();
@@ -356,14 +356,14 @@
     assert!(p.program.ended().success());
 }
 
-/// SIGTERM finds connections open, each with a request read in part. What is left of them comes within the time that a front
-/// goes on for: each has one answer, and nothing is owed or lost.
+/// At SIGTERM each connection has an incomplete request, whose rest arrives while the program still takes requests.
+/// Each request gets exactly one answer.
 #[rstest]
 #[case::within_the_length(2)]
 #[case::within_the_fields(40)]
 #[case::within_the_body(-5)]
-#[case::but_for_the_last_byte(-1)]
-fn requests_read_in_part_at_sigterm_get_one_answer_each(#[case] cut: isize) {
+#[case::before_the_last_byte(-1)]
+fn requests_incomplete_at_sigterm_get_one_answer_each(#[case] cut: isize) {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(300), load: None });
     let mut p = platform(&[&host]);
     let call = |stream: u32, n: u32, class: &str| {
@@ -375,7 +375,7 @@
     let at = |frame: &[u8]| cut.rem_euclid(frame.len() as isize) as usize;
     let mut clients: Vec<_> = (0..12).map(|_| p.program.connect()).collect();
     for (n, client) in (0..).zip(&mut clients) {
-        // Before the half one there is one that is out at its host.
+        // The incomplete request follows one that is running at the host.
         let first = call(1, n, "check-score");
         client.write_all(&[&first[..], &whole(n)[..at(&whole(n))]].concat()).unwrap();
     }
@@ -398,9 +398,9 @@
     assert!(p.program.ended().success());
 }
 
-/// One that is still being read when the time for what may come is over: it is waited for as long as it moves.
+/// A request that is still incomplete when the program stops taking requests is read to its end while bytes arrive.
 #[test]
-fn a_request_that_comes_slowly_over_sigterm_is_answered() {
+fn a_request_that_arrives_slowly_after_sigterm_is_answered() {
     let host = Host::warm();
     let mut p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -417,12 +417,12 @@
 
 #[rstest]
 #[case::no_json("{", "EOF")]
-#[case::nothing("{}", "listen")]
+#[case::empty("{}", "listen")]
 #[case::address("\"listen\":\"nowhere\"", "listen is no address")]
 #[case::bus("\"bus\":\"nowhere\"", "bus is no address")]
 #[case::effect("\"Effect\":\"maybe\"", "unknown Effect")]
 #[case::state("\"phase\":\"lost\"", "in no known phase")]
-fn a_bad_configuration_ends_the_program_with_one_plain_line(#[case] wrong: &str, #[case] part: &str) {
+fn an_invalid_configuration_ends_the_program_with_one_line(#[case] wrong: &str, #[case] part: &str) {
     let good = config("127.0.0.1:9".parse().unwrap(), &[&Host::warm()]);
     let text = match wrong.split_once(':') {
         None => wrong.to_string(),
@@ -436,9 +436,9 @@
     assert!(!status.success() && said.lines().count() == 1 && said.contains(part), "{said}");
 }
 
-/// SIGHUP ended the process before; now the bus is found where the new file says, and all else lives on.
+/// Guards against SIGHUP ending the process. After the reload, the bus is at its new address and open calls continue.
 #[test]
-fn a_new_configuration_moves_the_bus_and_nothing_else() {
+fn a_reload_changes_the_bus_and_nothing_else() {
     let (a, b) = (Host::start(Ways { does: Does::Answer("200"), work: ms(400), load: None }), Host::warm());
     let mut p = platform(&[&a]);
     p.feed.write_all(&event(2, false, &[(1, b.address, 2)])).unwrap();
@@ -446,36 +446,36 @@
     client.write_all(&call_frame(1, "send-mail", 4000, b"")).unwrap();
     wait_for("the call", || a.calls() == 1);
     p.program.reload("{");
-    wait_for("word of the bad file", || p.program.logged("the old configuration is kept") == 1);
+    wait_for("the report of the invalid file", || p.program.logged("the old configuration is kept") == 1);
     let moved = Bus::start();
     p.program.reload(&config(moved.address, &[]));
     let (last, mut feed) = moved.greeted();
-    assert_eq!(last, 2, "the numbers carry on");
+    assert_eq!(last, 2, "event numbers continue");
     wait_for("the old connection's end", || p.program.logged("conn bus ended reason=moved") == 1);
-    assert_eq!(read_frame(&mut client).unwrap().code, SERVED, "what was open lives on");
+    assert_eq!(read_frame(&mut client).unwrap().code, SERVED, "the open call continues");
     feed.write_all(&event(3, false, &[(0, a.address, 2), (1, b.address, 0)])).unwrap();
     wait_for("the end of a host's connections", || p.program.logged("reason=host_gone") == 1);
     client.write_all(&call_frame(2, "send-mail", 4000, b"")).unwrap();
     assert_eq!((read_frame(&mut client).unwrap().code, b.calls()), (SERVED, 1));
 }
 
-/// A file with something changed by its text.
+/// Replaces the first occurrence of `from` in a file.
 fn changed(text: &str, from: &str, to: &str) -> String {
     assert!(text.contains(from), "{from}");
     text.replacen(from, to, 1)
 }
 
-/// A file is turned down as a whole where a part of it makes no sense or is missing: the new class is not known.
+/// A file with an invalid or missing part is rejected as a whole: its new class stays unknown.
 #[rstest]
-#[case::cut_short("\"FallUs\"", "")]
+#[case::truncated("\"FallUs\"", "")]
 #[case::no_attempts("\"MaxAttempts\":5", "\"MaxAttempts\":0")]
 #[case::attempts_no_number("\"MaxAttempts\":5", "\"MaxAttempts\":\"many\"")]
-#[case::no_time("\"GiveUpUs\":4000000", "\"GiveUpUs\":0")]
+#[case::zero_timeout("\"GiveUpUs\":4000000", "\"GiveUpUs\":0")]
 #[case::negative_aim("\"AimUs\":1500000", "\"AimUs\":-1")]
-#[case::time_no_number("\"GiveUpUs\":4000000", "\"GiveUpUs\":\"NaN\"")]
-#[case::a_key_missing("\"limits\":", "\"limit\":")]
-#[case::an_optional_key_missing("\"ConnIdleUs\":", "\"Idle\":")]
-fn a_reload_takes_all_or_nothing(#[case] from: &str, #[case] to: &str) {
+#[case::timeout_no_number("\"GiveUpUs\":4000000", "\"GiveUpUs\":\"NaN\"")]
+#[case::missing_key("\"limits\":", "\"limit\":")]
+#[case::missing_optional_key("\"ConnIdleUs\":", "\"Idle\":")]
+fn an_invalid_reload_changes_nothing(#[case] from: &str, #[case] to: &str) {
     let host = Host::warm();
     let p = platform(&[&host]);
     let good = config(p.bus.address, &[&host]).replace("\"send-mail\"", "\"post\"");
@@ -484,29 +484,29 @@
     for text in ["", &bad] {
         p.program.reload(text);
     }
-    wait_for("word of the bad file", || p.program.logged("the old configuration is kept") >= 1);
+    wait_for("the report of the invalid file", || p.program.logged("the old configuration is kept") >= 1);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, "send-mail", 4000, b"")).unwrap();
     assert_eq!(read_frame(&mut client).unwrap().code, SERVED);
     p.program.reload(&good);
-    wait_for("word of the good file", || p.program.logged("configuration read again") == 1);
+    wait_for("the reload", || p.program.logged("configuration read again") == 1);
     client.write_all(&call_frame(2, "post", 4000, b"")).unwrap();
     assert_eq!(read_frame(&mut client).unwrap().code, SERVED);
     client.write_all(&call_frame(3, "send-mail", 4000, b"")).unwrap();
-    assert_eq!(read_frame(&mut client).unwrap().code, FAILED, "gone");
+    assert_eq!(read_frame(&mut client).unwrap().code, FAILED, "removed class");
 }
 
-/// A request under way keeps its class, and as many attempts as both files allow.
+/// An open request keeps the settings of its class over a reload, and gets as many attempts as both files allow.
 #[test]
-fn a_request_under_way_keeps_its_class_over_a_reload() {
+fn an_open_request_keeps_its_class_over_a_reload() {
     let (a, b) = (Host::start(Ways { does: Does::HangUp, work: ms(1), load: None }), Host::warm());
     let stuck = Stuck::start();
     let mut p = platform(&[]);
     p.feed.write_all(&event(2, false, &[(7, stuck.address, 0)])).unwrap();
     sleep(ms(100));
     let mut client = p.program.connect();
-    // A read that has not left yet: when its host drains it goes to one that hangs up, and on from there, as
-    // a read may. By the new file its class is one that never may.
+    // A read that was not sent yet: when its host drains, it goes to one that closes the connection, and is then
+    // retried, as its class is safe. In the new file the class is unsafe.
     client.write_all(&call_frame(1, "check-score", 4000, b"")).unwrap();
     sleep(ms(50));
     let text = config(p.bus.address, &[]);
@@ -515,15 +515,15 @@
     let hosts = [(7, stuck.address, 1), (8, a.address, 0), (9, b.address, 0)];
     p.feed.write_all(&event(3, false, &hosts)).unwrap();
     assert_eq!(read_frame(&mut client).unwrap().code, SERVED);
-    // One that comes now is of the new class: where its attempt may have run, it has failed.
+    // A new request has the new settings: its attempt may have run, so it fails.
     b.ways.lock().unwrap().does = Does::HangUp;
     client.write_all(&call_frame(2, "check-score", 4000, b"")).unwrap();
     assert_eq!(read_frame(&mut client).unwrap().code, FAILED);
 }
 
-/// Hosts tell answers apart by the id: a second request under one that is open is turned away alone.
+/// Answers of hosts are matched by the request's id, so a second request with the id of an open one is rejected.
 #[test]
-fn the_id_of_an_open_request_is_taken_once() {
+fn a_request_with_the_id_of_an_open_one_is_rejected() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(200), load: None });
     let p = platform(&[&host]);
     let (mut client, mut other) = (p.program.connect(), p.program.connect());
@@ -536,16 +536,16 @@
     assert_eq!((read_frame(&mut other).unwrap().code, host.calls()), (SERVED, 2));
 }
 
-/// An answer that cannot be read, or does not come whole, has its connection ended. Its call has run: a read
-/// goes on elsewhere and a mail fails, each once. Other connections to the host, and the host, are untouched.
+/// An invalid or incomplete answer ends its connection. Its call may have run, so a read is retried and a mail fails.
+/// Other connections to the host are not affected, and the host stays in use.
 #[rstest]
 #[case::noise("\x01\x02\x03 noise\r\n", "protocol")]
-#[case::a_line_that_never_ends("x".repeat(5000).leak(), "protocol")]
+#[case::endless_line("x".repeat(5000).leak(), "protocol")]
 #[case::huge("ID 200 tell=warm 3000000000\r\n", "protocol")]
-#[case::longer_than_told("ID 200 tell=warm 3\r\nabcdef\r\n", "protocol")]
-#[case::stops_short("ID 200 tell=warm 900\r\nabc", "protocol")]
-#[case::not_at_all("", "silent")]
-fn a_spoilt_answer_ends_its_connection_alone(#[case] bytes: &'static str, #[case] reason: &str) {
+#[case::longer_than_declared("ID 200 tell=warm 3\r\nabcdef\r\n", "protocol")]
+#[case::shorter_than_declared("ID 200 tell=warm 900\r\nabc", "protocol")]
+#[case::no_answer("", "silent")]
+fn an_invalid_answer_ends_only_its_connection(#[case] bytes: &'static str, #[case] reason: &str) {
     let (host, other) =
         (Host::start(Ways { does: Does::Answer("200"), work: ms(1500), load: None }), Host::warm());
     let mut p = platform(&[&host]);
@@ -561,17 +561,17 @@
     let answer = read_frame(&mut client).unwrap();
     assert_eq!((answer.stream, answer.code), (3, SERVED), "it may run again");
     let answer = read_frame(&mut client).unwrap();
-    assert_eq!((answer.stream, answer.code), (1, SERVED), "on a connection of its own");
+    assert_eq!((answer.stream, answer.code), (1, SERVED), "on its own connection");
     assert_eq!((host.runs("slow"), host.runs("mail") + other.runs("mail")), (1, 1));
     let ended = p.program.logged(&format!("reason={reason}"));
     assert!((1..=4).contains(&ended) && p.program.logged("rests") == 0, "{ended} connections");
 }
 
-/// Found on a fleet of 100: each activator held two connections where one carries all, and hosts have few to give.
+/// In a fleet of 100, each activator held two connections to a host where one suffices, and hosts accept only a few.
 #[rstest]
 #[case::few(3, 2)]
 #[case::a_hundred(100, 1)]
-fn calls_are_spread_over_connections_as_long_as_activators_are_few(
+fn calls_use_several_connections_only_while_activators_are_few(
     #[case] activators: u32,
     #[case] connections: usize,
 ) {
@@ -589,9 +589,9 @@
     assert_eq!(host.connections(), connections);
 }
 
-/// Found on a fleet of 100: each connection with one call that took its time was asked every half second.
+/// In a fleet of 100, the program sent a probe every half second on each connection with a long call.
 #[test]
-fn a_host_at_work_is_asked_ever_more_rarely_whether_it_answers() {
+fn probes_of_a_host_with_a_long_call_become_rarer() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(3200), load: None });
     let p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -601,9 +601,9 @@
     assert!((1..=3).contains(&asked), "after 0.5 and 1.5 s, not {asked} times");
 }
 
-/// What belongs to no call is dropped, and the connection is used on.
+/// Answers that belong to no call are discarded, and the connection stays in use.
 #[test]
-fn an_answer_under_an_unknown_id_and_a_second_copy_are_dropped() {
+fn answers_with_an_unknown_id_and_duplicates_are_discarded() {
     let host = Host::warm();
     host.ways.lock().unwrap().does =
         Does::Spoils("zz 200 - 1\r\nx\r\nID 200 - 1\r\na\r\nID 200 - 1\r\nb\r\n");
@@ -616,13 +616,13 @@
     assert_eq!(p.program.logged("reason=protocol"), 0);
 }
 
-/// A newcomer that says nothing, or half of something, is turned away in good time, and a client that asked
-/// once stays.
+/// A new connection that sends nothing or an incomplete frame is closed in time, while a client that has sent a
+/// request stays connected.
 #[rstest]
-#[case::nothing(Vec::new(), 0)]
-#[case::half_a_request(call_frame(1, "send-mail", 4000, b"")[..40].to_vec(), 1)]
-#[case::half_a_length(vec![9, 0], 1)]
-fn newcomers_that_do_not_ask_are_turned_away_in_time(#[case] bytes: Vec<u8>, #[case] errors: usize) {
+#[case::no_bytes(Vec::new(), 0)]
+#[case::incomplete_request(call_frame(1, "send-mail", 4000, b"")[..40].to_vec(), 1)]
+#[case::incomplete_length(vec![9, 0], 1)]
+fn new_connections_without_a_request_are_closed_in_time(#[case] bytes: Vec<u8>, #[case] errors: usize) {
     let host = Host::warm();
     let p = platform(&[&host]);
     let mut usual = p.program.connect();
@@ -636,10 +636,9 @@
     assert!(frames.len() == errors && frames.iter().all(|f| (f.stream, f.code) == (0, FAILED)), "{frames:?}");
 }
 
-/// Who still writes is waited for, in pieces of any size and with every place wanted by thousands that never
-/// finish a request.
+/// A client that is still writing is served, although connections that never complete a request need its place.
 #[test]
-fn a_slow_writer_is_served_though_a_crowd_wants_its_place() {
+fn a_slow_writer_is_not_evicted_for_incomplete_connections() {
     let host = Host::warm();
     let p = platform(&[&host]);
     let mut slow = p.program.connect();
@@ -662,9 +661,9 @@
     assert_eq!(read_frame(&mut usual).unwrap().code, SERVED);
 }
 
-/// A host may write its answer in pieces for longer than it may be silent within it.
+/// A host may take longer for an answer in pieces than it may be silent within one.
 #[test]
-fn an_answer_in_pieces_is_waited_for() {
+fn an_answer_in_pieces_is_read_to_its_end() {
     let host = Host::warm();
     host.ways.lock().unwrap().does = Does::Drips("ID 200 tell=warm 12\r\nin good time\r\n", ms(30));
     let p = platform(&[&host]);
@@ -674,7 +673,7 @@
     assert_eq!((answer.code, answer.body.as_slice()), (SERVED, &b"in good time"[..]));
 }
 
-/// Long answers to one that reads slowly wait for it, however many; when told to stop the program waits too.
+/// Long answers wait for a client that reads slowly, also after SIGTERM.
 #[test]
 fn long_answers_reach_a_slow_reader_also_after_sigterm() {
     const LONG_BODY: usize = 230_000;
@@ -698,10 +697,9 @@
     assert!(p.program.ended().success());
 }
 
-/// What is sent at full speed after an error is passed over, so that no reset overtakes the error, and costs
-/// others next to nothing.
+/// Bytes after a protocol error are discarded, so that no reset overtakes the error and other clients are served.
 #[test]
-fn sixty_megabytes_are_refused_before_they_have_come() {
+fn a_frame_of_sixty_megabytes_is_refused_before_it_arrives() {
     let host = Host::warm();
     let p = platform(&[&host]);
     let mut client = p.program.connect();
@@ -719,9 +717,9 @@
     assert!(sending.join().unwrap(), "all of it could be sent");
 }
 
-/// A third of the descriptors is the clients': those that never asked go first.
+/// Clients get a third of the descriptors. Connections that never sent a request are evicted first.
 #[test]
-fn hundreds_that_say_nothing_do_not_crowd_out_a_client_that_asked() {
+fn hundreds_of_silent_connections_do_not_displace_an_active_client() {
     let host = Host::warm();
     let p = platform(&[&host]);
     let mut usual = p.program.connect();
@@ -730,7 +728,7 @@
     let silent: Vec<_> = (0..80).map(|_| p.program.connect()).collect();
     sleep(ms(300));
     let more: Vec<_> = (0..110).map(|_| p.program.connect()).collect();
-    wait_for("places to be made", || p.program.logged("reason=evicted requests=0") >= 40);
+    wait_for("evictions", || p.program.logged("reason=evicted requests=0") >= 40);
     usual.write_all(&call_frame(2, "send-mail", 4000, b"")).unwrap();
     assert_eq!(read_frame(&mut usual).unwrap().code, SERVED);
     drop((silent, more));
