--- a/node/tests/accord.rs
+++ b/node/tests/accord.rs
@@ -33,7 +33,7 @@
 }
 
 fn show(fleet: &Fleet, at: usize) -> Value {
-    let (status, said) = fleet.each[at].as_ref().expect("it runs").ask("GET", "/accord", "");
+    let (status, said) = fleet.programs[at].as_ref().expect("it runs").ask("GET", "/accord", "");
     assert_eq!(status, 200);
     said
 }
@@ -70,7 +70,7 @@
 /// Changes these keys at one of them, on whatever is in force.
 fn change(fleet: &Fleet, at: usize, set: &str) -> (u16, Value) {
     let base = show(fleet, at)["acting"]["version"]["number"].as_u64().expect("a version");
-    let program = fleet.each[at].as_ref().expect("it runs");
+    let program = fleet.programs[at].as_ref().expect("it runs");
     program.ask("POST", "/accord", &format!(r#"{{"base":{base},"set":{set}}}"#))
 }
 
@@ -84,19 +84,19 @@
 
 /// Serves a call of this class there: the status.
 fn serves(fleet: &Fleet, at: usize) -> u16 {
-    fleet.each[at].as_ref().expect("it runs").http(&call("f", "check-score", &[], "x")).status
+    fleet.programs[at].as_ref().expect("it runs").http(&call("f", "check-score", &[], "x")).status
 }
 
 fn cut(fleet: &Fleet, one: usize, loss: u8) {
     for other in (0..3).filter(|i| *i != one) {
-        fleet.lose(one, other, loss);
-        fleet.lose(other, one, loss);
+        fleet.set_loss(one, other, loss);
+        fleet.set_loss(other, one, loss);
     }
 }
 
 /// What each logged of what it acts on, in order, without what repeats.
 fn acts(fleet: &Fleet, at: usize) -> Vec<String> {
-    let lines = fleet.each[at].as_ref().expect("it runs").lines();
+    let lines = fleet.programs[at].as_ref().expect("it runs").lines();
     let acts = lines.iter().filter_map(|l| Some(l.split_once("accord: acts on ")?.1.to_string()));
     acts.collect()
 }
@@ -110,7 +110,7 @@
         let both = format!("both {} and {number}", number - 1);
         assert!(acts.contains(&both), "{acts:?}");
         assert!(acts.last().is_some_and(|last| last.starts_with(&format!("{number} "))), "{acts:?}");
-        let refused = fleet.each[at].as_ref().unwrap().http(&call("gone", "check-score", &[], "x"));
+        let refused = fleet.programs[at].as_ref().unwrap().http(&call("gone", "check-score", &[], "x"));
         assert_eq!((refused.status, serves(&fleet, at)), (503, 200), "the list is in force");
     }
 }
@@ -133,7 +133,7 @@
 #[test]
 fn one_that_was_stopped_over_its_lease_falls_before_it_does_anything() {
     let fleet = fleet();
-    let stopped = fleet.each[2].as_ref().unwrap();
+    let stopped = fleet.programs[2].as_ref().unwrap();
     // Soft and hard at once; the host knows by the number of attempts what was obeyed.
     stopped.stop(true);
     sleep(ms(2 * LEASE));
@@ -159,7 +159,7 @@
     let before = agreed(&fleet, &[0, 1, 2], 0)["number"].as_u64().unwrap();
     assert_eq!(change(&fleet, 0, r#"{"class/check-score/attempts":3}"#).0, 202);
     fleet.process(0).kill();
-    fleet.each[0] = None;
+    fleet.programs[0] = None;
     // It came into force or not, and either is the same for both; then the next change goes through.
     fleet.start(0);
     let now = agreed(&fleet, &[0, 1, 2], 0)["number"].as_u64().unwrap();
@@ -174,7 +174,7 @@
     changed(&fleet, 0, r#"{"class/check-score/attempts":2}"#);
     for at in 0..3 {
         fleet.process(at).kill();
-        fleet.each[at] = None;
+        fleet.programs[at] = None;
     }
     (0..3).for_each(|at| fleet.start(at));
     for at in 0..3 {
@@ -196,7 +196,7 @@
     assert!(status == 400 && said.to_string().contains("out/another: stricter than the floor"), "{said}");
     changed(&fleet, 0, &format!(r#"{{"out/{id}":true}}"#));
     assert!((0..3).all(|at| serves(&fleet, at) != 200), "there is no other host");
-    let program = fleet.each[0].as_ref().unwrap();
+    let program = fleet.programs[0].as_ref().unwrap();
     assert_eq!(program.operate("POST", "/maintenance/exit", &format!(r#"{{"host":"{id}"}}"#)), 200);
     assert_ne!(serves(&fleet, 0), 200, "what is agreed stands against what is said by hand");
 }
@@ -205,7 +205,7 @@
 fn a_file_that_is_read_again_is_held_to_what_is_in_force() {
     let fleet = fleet();
     changed(&fleet, 0, r#"{"class/send-mail/aim_ms":1400}"#);
-    let (one, whole) = (fleet.each[0].as_ref().unwrap(), fleet.file(0));
+    let (one, whole) = (fleet.programs[0].as_ref().unwrap(), fleet.file(0));
     one.reload(&whole.replacen("name = \"send-mail\"", "name = \"send-mails\"", 1));
     let problem = "the old configuration is kept: accord: in force is class/send-mail/aim_ms: the file";
     wait_for("word of it", || one.logged(problem) > 0);
@@ -226,10 +226,10 @@
 #[test]
 fn in_an_upgrade_the_new_process_begins_on_the_floor() {
     let mut fleet = fleet();
-    let old = fleet.each[0].take().expect("it runs");
+    let old = fleet.programs[0].take().expect("it runs");
     let here = format!("listen = \"{}\"", old.address);
     let text = fleet.file(0).replacen("listen = \"127.0.0.1:0\"", &here, 1);
-    fleet.each[0] = Some(Program::start(&text, true));
+    fleet.programs[0] = Some(Program::start(&text, true));
     wait_for("the new one", || acts(&fleet, 0).first().is_some_and(|first| first.starts_with("the floor")));
     agreed(&fleet, &[0, 1, 2], 0);
     // Without its voice the old one keeps to its lease, and not longer.
@@ -246,7 +246,7 @@
     acts_on(&fleet, &[0, 1, 2], "one");
     let call = call("f", "check-score", &["Wheellink-Tenant: kouterzorg"], "x");
     let served = |n: usize| {
-        let one = fleet.each[0].as_ref().unwrap();
+        let one = fleet.programs[0].as_ref().unwrap();
         (0..n).filter(|_| one.http(&call).status == 200).count()
     };
     wait_for("hosts", || served(1) == 1);
@@ -267,7 +267,7 @@
         "[drafts]\nstart = \"1:2\"\ntable = { \"check-score/0\" = \"1:1\", \"check-score/1\" = \"1:3\" }\n";
     let fleet = Fleet::start_with(3, &format!("{drafts}{ACCORD}"));
     acts_on(&fleet, &[0, 1, 2], "one");
-    let table = |at: usize| fleet.each[at].as_ref().unwrap().ask("GET", "/drafts", "").1["table"].clone();
+    let table = |at: usize| fleet.programs[at].as_ref().unwrap().ask("GET", "/drafts", "").1["table"].clone();
     let file = serde_json::json!({"check-score/0": "1:1", "check-score/1": "1:3"});
     assert!((0..3).all(|at| table(at) == file));
     changed(&fleet, 2, r#"{"draft/check-score/0":"1:5","draft/send-mail/2":"0:0"}"#);
@@ -296,7 +296,7 @@
 
 fn end(fleet: &mut Fleet, at: usize) {
     fleet.process(at).kill();
-    fleet.each[at] = None;
+    fleet.programs[at] = None;
 }
 
 #[test]
@@ -304,14 +304,14 @@
     let mut fleet = five();
     // One activator hears nobody until it is over.
     for other in 0..4 {
-        fleet.lose(4, other, 255);
-        fleet.lose(other, 4, 255);
+        fleet.set_loss(4, other, 255);
+        fleet.set_loss(other, 4, 255);
     }
     acts_on(&fleet, &[4], "floor");
     end(&mut fleet, 0);
     acts_on(&fleet, &[1, 2, 3], "one");
     let base = show(&fleet, 3)["acting"]["version"]["number"].as_u64().unwrap();
-    let post = |fleet: &Fleet, body: &str| fleet.each[3].as_ref().unwrap().ask("POST", "/accord", body);
+    let post = |fleet: &Fleet, body: &str| fleet.programs[3].as_ref().unwrap().ask("POST", "/accord", body);
     let (status, said) = post(&fleet, &format!(r#"{{"base":{base},"set":{{"voter/m4":true}}}}"#));
     assert!(status == 400 && said.to_string().contains("may_vote"), "{said}");
     let change = format!(r#"{{"base":{base},"set":{{"voter/m3":true,"gone/m0":true}},"drop":["voter/m0"]}}"#);
@@ -327,11 +327,11 @@
     assert_eq!(serves(&fleet, 2), 200);
     // The one that was cut off comes back, hears neither old voter, and finds the new ones.
     assert_eq!(voters(&fleet, 4), ["m0", "m1", "m2"]);
-    fleet.lose(3, 4, 0);
-    fleet.lose(4, 3, 0);
+    fleet.set_loss(3, 4, 0);
+    fleet.set_loss(4, 3, 0);
     wait_for("the new voters", || voters(&fleet, 4) == ["m1", "m2", "m3"]);
-    fleet.lose(2, 4, 0);
-    fleet.lose(4, 2, 0);
+    fleet.set_loss(2, 4, 0);
+    fleet.set_loss(4, 2, 0);
     agreed(&fleet, &[2, 3, 4], base + 2);
 }
 
@@ -361,7 +361,8 @@
     let fleet = fleet();
     let before = show(&fleet, 0)["acting"].clone();
     let base = before["version"]["number"].to_string();
-    let (status, said) = fleet.each[0].as_ref().unwrap().ask("POST", "/accord", &body.replace("BASE", &base));
+    let (status, said) =
+        fleet.programs[0].as_ref().unwrap().ask("POST", "/accord", &body.replace("BASE", &base));
     assert!(status == wanted && said.to_string().contains(reason), "{status} {said}");
     assert_eq!(show(&fleet, 0)["acting"], before);
 }
@@ -434,9 +435,9 @@
     // It knows nothing but a file with none of it, so the whole list comes over the network.
     fleet.process(2).kill();
     let small = fleet.file(2).replace(&format!("list.functions = [{}]\n", entries.join(", ")), "");
-    fleet.each[2] = Some(Program::start(&small, true));
+    fleet.programs[2] = Some(Program::start(&small, true));
     wait_for("hosts", || serves(&fleet, 2) == 200);
-    let one = fleet.each[2].as_ref().expect("it runs");
+    let one = fleet.programs[2].as_ref().expect("it runs");
     let fetches = || show(&fleet, 2)["fetched"]["bytes"].as_u64().is_some_and(|bytes| bytes > 0);
     let here = |at: usize| show(&fleet, at)["entries"].as_u64() >= Some(ENTRIES as u64);
     wait_for("some of it", || fetches() || here(2));
@@ -464,7 +465,7 @@
     });
     assert!(calls > 40);
     for at in 0..3 {
-        let program = fleet.each[at].as_ref().expect("it runs");
+        let program = fleet.programs[at].as_ref().expect("it runs");
         for out in ["a000007", "a099999", "gone"] {
             assert_eq!(program.http(&call(out, "check-score", &[], "x")).status, 503, "m{at} obeys the list");
         }
--- a/node/tests/common/links.rs
+++ b/node/tests/common/links.rs
@@ -21,7 +21,7 @@
 /// The processes with their host and resolver.
 pub struct Fleet {
     /// The process of each member, while it runs.
-    pub each: Vec<Option<Program>>,
+    pub programs: Vec<Option<Program>>,
     /// Where each member receives datagrams.
     at: Vec<SocketAddr>,
     mesh: Mesh,
@@ -46,9 +46,9 @@
         let host = Host::warm();
         let resolver = Resolver::start(&[&host]);
         let mut fleet =
-            Self { each: (0..n).map(|_| None).collect(), at, mesh, host, resolver, more: more.into() };
+            Self { programs: (0..n).map(|_| None).collect(), at, mesh, host, resolver, more: more.into() };
         (0..n).for_each(|i| fleet.start(i));
-        fleet.agree(&(0..n).collect::<Vec<_>>());
+        fleet.wait_for_view(&(0..n).collect::<Vec<_>>());
         fleet
     }
 
@@ -63,16 +63,16 @@
     }
 
     pub fn start(&mut self, i: usize) {
-        self.each[i] = Some(Program::start(&self.file(i), true));
+        self.programs[i] = Some(Program::start(&self.file(i), true));
     }
 
     pub fn process(&mut self, i: usize) -> &mut Program {
-        self.each[i].as_mut().expect("it runs")
+        self.programs[i].as_mut().expect("it runs")
     }
 
     /// The field `what` of member `of` in the view of member `at`.
-    pub fn said(&self, at: usize, of: usize, what: &str) -> serde_json::Value {
-        let (status, view) = self.each[at].as_ref().expect("it runs").ask("GET", "/members", "");
+    pub fn member_field(&self, at: usize, of: usize, what: &str) -> serde_json::Value {
+        let (status, view) = self.programs[at].as_ref().expect("it runs").ask("GET", "/members", "");
         assert_eq!(status, 200);
         let members = view["members"].as_array().expect("members").clone();
         let name = format!("m{of}");
@@ -80,11 +80,11 @@
     }
 
     /// Waits until each of these members takes exactly these for alive.
-    pub fn agree(&self, there: &[usize]) {
-        let state = |at, of| self.said(at, of, "state");
+    pub fn wait_for_view(&self, there: &[usize]) {
+        let state = |at, of| self.member_field(at, of, "state");
         for at in there {
             wait_for("one view", || {
-                (0..self.each.len()).filter(|of| of != at).all(|of| {
+                (0..self.programs.len()).filter(|of| of != at).all(|of| {
                     let held = state(*at, of);
                     (held == "alive" || held == "suspect") == there.contains(&of)
                 })
@@ -93,17 +93,17 @@
     }
 
     /// Number of times that one member logged the death of another.
-    pub fn deaths(&self, at: usize, of: usize) -> usize {
-        self.each[at].as_ref().expect("it runs").logged(&format!("activator m{of} is gone"))
+    pub fn deaths_logged(&self, at: usize, of: usize) -> usize {
+        self.programs[at].as_ref().expect("it runs").logged(&format!("activator m{of} is gone"))
     }
 
     /// From now on, drops `loss` of 255 datagrams from one member to the other.
-    pub fn lose(&self, from: usize, to: usize, loss: u8) {
+    pub fn set_loss(&self, from: usize, to: usize, loss: u8) {
         self.mesh.set(from, to, faults(loss));
     }
 
     /// From now on, drops `loss` of 255 datagrams on all links.
-    pub fn lose_everywhere(&self, loss: u8) {
+    pub fn set_loss_everywhere(&self, loss: u8) {
         self.mesh.set_all(faults(loss));
     }
 }
--- a/node/tests/measure.rs
+++ b/node/tests/measure.rs
@@ -524,7 +524,7 @@
         let setup = "[accord]\nvoters = [\"m0\", \"m1\", \"m2\"]\nlease_ms = 3000\nperiod_ms = 100";
         let document = format!("[accord.document]\nlist.addresses = [{}]", entries.join(", "));
         let fleet = common::links::Fleet::start_with(3, &format!("{setup}\nthread = {thread}\n{document}\n"));
-        let of = |at: usize| fleet.each[at].as_ref().expect("it runs");
+        let of = |at: usize| fleet.programs[at].as_ref().expect("it runs");
         let version = |at: usize| of(at).ask("GET", "/accord", "").1["acting"]["version"]["number"].as_u64();
         wait_for("a version", || (0..3).all(|at| version(at).is_some()));
         assert_eq!(of(1).ask("GET", "/accord", "").1["entries"], ENTRIES);
