--- a/node/src/front/invoke.rs
+++ b/node/src/front/invoke.rs
@@ -144,18 +144,18 @@
 /// The response to a rejected client: 429 if it or its tenant exceeded its own limit, 503 if the service is full. The
 /// headers follow draft-ietf-httpapi-ratelimit-headers: the policy, its remaining quota, and the seconds until it
 /// refills.
-fn rejection_response(away: Rejection) -> Response {
-    let seconds = ((away.retry_after + 999_999) / 1_000_000).max(1);
-    let (status, detail) = if away.client_fault {
+fn rejection_response(rejection: Rejection) -> Response {
+    let seconds = ((rejection.retry_after + 999_999) / 1_000_000).max(1);
+    let (status, detail) = if rejection.client_fault {
         (429, "this client or tenant asks for more than it may; trying again is harmless")
     } else {
         (503, "there is no room for the call; trying again is harmless")
     };
     let response = Response::problem(status, detail).with("Retry-After", seconds.to_string());
-    match away.rate {
+    match rejection.rate {
         Some((per_second, _)) => response
-            .with("RateLimit-Policy", format!("\"{}\";q={per_second};w=1", away.reason))
-            .with("RateLimit", format!("\"{}\";r=0;t={seconds}", away.reason)),
+            .with("RateLimit-Policy", format!("\"{}\";q={per_second};w=1", rejection.reason))
+            .with("RateLimit", format!("\"{}\";r=0;t={seconds}", rejection.reason)),
         None => response,
     }
 }
@@ -290,14 +290,14 @@
     }
 
     /// Has the body of a call read, or rejects the call without reading it.
-    pub fn decide_body(&mut self, now: Micros, id: ConnId, away: Option<Rejection>, log: &mut Log) {
+    pub fn decide_body(&mut self, now: Micros, id: ConnId, rejection: Option<Rejection>, log: &mut Log) {
         let Some(c) = self.conns.get_mut(&id).filter(|c| matches!(c.state, State::HeadRead)) else { return };
         c.state = State::Reading;
-        match away {
+        match rejection {
             None => self.on_ready(now, id, log),
-            Some(away) => {
+            Some(rejection) => {
                 c.state = State::Closing(Reason::TurnedAway);
-                self.write(now, id, &rejection_response(away).encode(false, false), log);
+                self.write(now, id, &rejection_response(rejection).encode(false, false), log);
             }
         }
     }
@@ -617,7 +617,7 @@
                 Response::problem(503, "there is no room for the call; trying again is harmless")
                     .with("Retry-After", seconds.max(1).to_string())
             }
-            Reply::TurnedAway(away) => rejection_response(away),
+            Reply::TurnedAway(rejection) => rejection_response(rejection),
             Reply::Failed => Response::problem(502, "the call failed and may have run"),
             Reply::TimedOut => Response::problem(504, "the call was not answered in time and may have run"),
         }
--- a/node/src/http.rs
+++ b/node/src/http.rs
@@ -147,7 +147,7 @@
 
 fn chunked(bytes: &[u8], max_bytes: usize) -> Result<Option<(Vec<u8>, usize)>, Error> {
     const BAD_CHUNK: Error = Error(400, "a broken chunk");
-    // One-byte chunks take up several times the length of their body; the buffer is bounded all the same.
+    // One-byte chunks take up several times the length of their body; a longer encoding than this is rejected.
     if bytes.len() > 2 * max_bytes + MAX_HEAD_BYTES {
         return Err(Error(413, "the body is too large"));
     }
