--- a/node/tests/bad_input.rs
+++ b/node/tests/bad_input.rs
@@ -26,9 +26,9 @@
 }
 
 fn assert_rejected(text: &str, wanted: &str) {
-    let (status, said) = turned_down(text, false);
-    assert!(!status.success(), "{said}");
-    assert!(said.lines().count() == 1 && said.contains(wanted), "{said}");
+    let (status, error) = turned_down(text, false);
+    assert!(!status.success(), "{error}");
+    assert!(error.lines().count() == 1 && error.contains(wanted), "{error}");
 }
 
 #[rstest]
@@ -106,8 +106,8 @@
     let key = line.split(" = ").next().unwrap();
     let at = text.lines().position(|l| l.starts_with(key)).expect("the key stands in the file");
     let text: Vec<&str> = text.lines().enumerate().map(|(i, l)| if i == at { line } else { l }).collect();
-    let (status, said) = turned_down(&text.join("\n"), true);
-    assert!(!status.success() && said.lines().count() == 1 && said.contains(wanted), "{said}");
+    let (status, error) = turned_down(&text.join("\n"), true);
+    assert!(!status.success() && error.lines().count() == 1 && error.contains(wanted), "{error}");
 }
 
 #[test]
@@ -117,8 +117,8 @@
     let (head, last) = (parts.next().unwrap(), parts.last().unwrap());
     // Keeps the sections after the classes.
     let rest = last.split_once("\n[").map(|(_, rest)| format!("[{rest}")).unwrap_or_default();
-    let (status, said) = turned_down(&format!("{head}{rest}"), true);
-    assert!(!status.success() && said.lines().count() == 1 && said.contains("class is missing"), "{said}");
+    let (status, error) = turned_down(&format!("{head}{rest}"), true);
+    assert!(!status.success() && error.lines().count() == 1 && error.contains("class is missing"), "{error}");
 }
 
 /// On SIGHUP an invalid file is rejected as a whole: the class that it adds stays unknown, open calls continue, and
--- a/node/tests/common/manual_host.rs
+++ b/node/tests/common/manual_host.rs
@@ -70,13 +70,13 @@
     }
 
     /// Number of complete commands of this kind that have arrived.
-    pub fn count(&self, word: &str) -> usize {
-        self.inbox.lock().unwrap().iter().filter(|t| t.words[0] == word).count()
+    pub fn count(&self, kind: &str) -> usize {
+        self.inbox.lock().unwrap().iter().filter(|t| t.words[0] == kind).count()
     }
 
     /// Waits until `n` commands of this kind have arrived.
-    pub fn wait(&self, word: &str, n: usize) {
-        wait_for(&format!("{n} of {word}"), || self.count(word) >= n);
+    pub fn wait(&self, kind: &str, n: usize) {
+        wait_for(&format!("{n} of {kind}"), || self.count(kind) >= n);
     }
 
     /// The bodies of all calls that have arrived, in order.
@@ -86,11 +86,11 @@
         calls.map(|t| String::from_utf8_lossy(&t.body).into_owned()).collect()
     }
 
-    /// Answers the `nth` command of the kind `word`, counted from 0, with a status, fields and a body.
-    pub fn answer(&self, word: &str, nth: usize, answer: &str, fields: &str, body: &[u8]) {
+    /// Answers the `nth` command of this `kind`, counted from 0, with a status, fields and a body.
+    pub fn answer(&self, kind: &str, nth: usize, status: &str, fields: &str, body: &[u8]) {
         let inbox = self.inbox.lock().unwrap();
-        let to = inbox.iter().filter(|t| t.words[0] == word).nth(nth).expect("a command that arrived");
-        let line = format!("{} {answer} {fields} {}\r\n", to.words[1], body.len());
+        let to = inbox.iter().filter(|t| t.words[0] == kind).nth(nth).expect("a command that arrived");
+        let line = format!("{} {status} {fields} {}\r\n", to.words[1], body.len());
         (&to.out).write_all(&[line.as_bytes(), body, b"\r\n"].concat()).unwrap();
     }
 
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -26,7 +26,7 @@
 
 impl Program {
     fn run(start: Start) -> Self {
-        Self(start.run().unwrap_or_else(|said| panic!("{said}")))
+        Self(start.run().unwrap_or_else(|output| panic!("{output}")))
     }
 
     pub fn start(text: &str, operator: bool) -> Self {
--- a/node/tests/common/raw_host.rs
+++ b/node/tests/common/raw_host.rs
@@ -234,8 +234,8 @@
     }
 
     /// Answers a call or an order with this status and no body.
-    pub fn answer(&mut self, tag: &str, word: &str, fields: &str) {
-        self.say(&format!("{tag} {word} {fields} 0\r\n\r\n"));
+    pub fn answer(&mut self, tag: &str, status: &str, fields: &str) {
+        self.say(&format!("{tag} {status} {fields} 0\r\n\r\n"));
     }
 
     /// Ends the sending side, and still reads.
--- a/node/tests/endings_client.rs
+++ b/node/tests/endings_client.rs
@@ -99,13 +99,13 @@
 #[case::full("503", REFUSED)]
 #[case::missed("404", REFUSED)]
 #[case::error("500", REFUSED)]
-fn a_call_that_fails_after_the_grace_of_a_half_close_is_not_retried(#[case] word: &str, #[case] code: u8) {
+fn a_call_that_fails_after_the_grace_of_a_half_close_is_not_retried(#[case] status: &str, #[case] code: u8) {
     let (host, other) = (ManualHost::start(), ManualHost::start());
     let p = platform_with(&[host.address], &[]);
     let mut client = client_past_grace(&host, &p, READ);
     let mut p = p;
     std::io::Write::write_all(&mut p.feed, &event(2, false, &[(7, other.address, 0)])).unwrap();
-    host.answer("FN", 1, word, "-", b"");
+    host.answer("FN", 1, status, "-", b"");
     assert_eq!(client.answer(), (2, code));
     assert!(client.is_ended());
     assert_eq!((host.count("FN"), other.count("FN")), (2, 0));
@@ -274,7 +274,7 @@
     }
     match end {
         "hangs up" => host.close_conn(0),
-        word => host.answer("FN", 0, word, "-", b""),
+        status => host.answer("FN", 0, status, "-", b""),
     }
     if host_first {
         client.cancel(1);
@@ -526,7 +526,7 @@
         // Cancels still take effect.
         client.cancel(1);
     }
-    assert!(p.program.has_ended().is_none(), "an answer is owed");
+    assert!(p.program.has_ended().is_none(), "an answer is still to be sent");
     host.serve(out);
     assert_eq!(client.answer(), (2, SERVED));
     assert!(client.is_ended());
--- a/node/tests/invoke.rs
+++ b/node/tests/invoke.rs
@@ -103,14 +103,14 @@
 #[case::error_of_read("500", "check-score", 503, 2)]
 #[case::full("503", "send-mail", 503, 2)]
 fn the_hosts_status_decides_the_response_and_the_retries(
-    #[case] word: &'static str,
+    #[case] host_status: &'static str,
     #[case] class: &str,
     #[case] status: u16,
     #[case] least: usize,
 ) {
     let (a, b) = (Host::warm(), Host::warm());
     for host in [&a, &b] {
-        host.ways.lock().unwrap().does = Does::Answer(word);
+        host.ways.lock().unwrap().does = Does::Answer(host_status);
     }
     let (program, _dns) = operator(&[&a, &b], unchanged);
     let reply = program.http(&call("f", class, &[], "x"));
@@ -343,8 +343,8 @@
     let key = line.split(" = ").next().unwrap();
     let at = text.lines().position(|l| l.starts_with(key)).unwrap_or(0);
     let text: Vec<&str> = text.lines().enumerate().map(|(i, l)| if i == at { line } else { l }).collect();
-    let (status, said) = turned_down(&text.join("\n"), true);
-    assert!(!status.success() && said.lines().count() == 1 && said.contains(part), "{said}");
+    let (status, output) = turned_down(&text.join("\n"), true);
+    assert!(!status.success() && output.lines().count() == 1 && output.contains(part), "{output}");
 }
 
 #[test]
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -432,8 +432,8 @@
             format!("{}{wrong}{}", &good[..at], &good[end..])
         }
     };
-    let (status, said) = turned_down(&text, false);
-    assert!(!status.success() && said.lines().count() == 1 && said.contains(part), "{said}");
+    let (status, output) = turned_down(&text, false);
+    assert!(!status.success() && output.lines().count() == 1 && output.contains(part), "{output}");
 }
 
 /// Guards against SIGHUP ending the process. After the reload, the bus is at its new address and open calls continue.
