--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -318,7 +318,7 @@
         };
         let admission = node.admission.is_on();
         if let Mode::Operator { front, .. } = &mut node.mode {
-            front.asks = admission;
+            front.checks_bodies = admission;
         }
         node.update_limits();
         node.attend_turns(started);
@@ -346,8 +346,8 @@
 
     fn clients(&self) -> usize {
         match &self.mode {
-            Mode::Platform(front, _) => front.held(),
-            Mode::Operator { front, .. } => front.held(),
+            Mode::Platform(front, _) => front.connections(),
+            Mode::Operator { front, .. } => front.connections(),
         }
     }
 
@@ -385,8 +385,8 @@
     /// Whether input of a client was left unread so that other clients were not delayed.
     fn has_more(&self) -> bool {
         match &self.mode {
-            Mode::Platform(front, _) => front.has_more(),
-            Mode::Operator { front, .. } => front.has_more(),
+            Mode::Platform(front, _) => front.has_pending_reads(),
+            Mode::Operator { front, .. } => front.has_pending_reads(),
         }
     }
 
@@ -440,8 +440,8 @@
         let now = self.clock.now();
         if self.has_more() {
             match &mut self.mode {
-                Mode::Platform(front, _) => front.go_on(now, &mut self.log),
-                Mode::Operator { front, .. } => front.go_on(now, &mut self.log),
+                Mode::Platform(front, _) => front.resume_reads(now, &mut self.log),
+                Mode::Operator { front, .. } => front.resume_reads(now, &mut self.log),
             }
             self.process_events();
         }
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -13,7 +13,7 @@
 use super::*;
 use crate::conn::is_exhaustion;
 use crate::control::AdmissionCall;
-use crate::front::{Away, Guest};
+use crate::front::{AcceptedClient, Rejection};
 
 /// Queued connections that are accepted and closed at once when there is no descriptor for them.
 const MAX_NEWCOMERS_CLOSED: usize = 256;
@@ -201,7 +201,7 @@
             return;
         }
         let Some(policy) = &mut self.admission.policy else {
-            self.open_client(now, Guest { stream, peer, known: false, proxied: false });
+            self.open_client(now, AcceptedClient { stream, peer, known: false, proxied: false });
             return;
         };
         // A trusted proxy names the client first. Until then the connection is treated as a known client's.
@@ -217,7 +217,7 @@
             }
             return;
         }
-        match self.open_client(now, Guest { stream, peer, known, proxied }) {
+        match self.open_client(now, AcceptedClient { stream, peer, known, proxied }) {
             // A proxied connection counts only for its client, once the proxy has named it.
             Some(id) => self.admission.enter(id, Client { from, known, counted: !proxied }),
             None => {
@@ -229,7 +229,7 @@
         }
     }
 
-    fn open_client(&mut self, now: Micros, guest: Guest) -> Option<ConnId> {
+    fn open_client(&mut self, now: Micros, guest: AcceptedClient) -> Option<ConnId> {
         match &mut self.mode {
             Mode::Platform(front, _) => front.accept(now, guest, &mut self.log),
             Mode::Operator { front, .. } => front.accept(now, guest, &mut self.log),
@@ -261,14 +261,14 @@
         let mut gone = Vec::new();
         match &mut self.mode {
             Mode::Platform(front, _) => front.notices.retain(|notice| match notice {
-                platform::Notice::Gone { conn } => {
+                platform::Notice::Closed { conn } => {
                     gone.push(*conn);
                     false
                 }
                 _ => true,
             }),
             Mode::Operator { front, .. } => front.notices.retain(|notice| match notice {
-                invoke::Notice::Gone { conn } => {
+                invoke::Notice::Closed { conn } => {
                     gone.push(*conn);
                     false
                 }
@@ -288,10 +288,10 @@
         for _ in 0..MAX_ACCEPTS_PER_WAKE {
             let now = self.clock.now();
             self.update_limits();
-            let Some(listener) = self.client_listener.as_mut().filter(|listener| !listener.is_shut()) else {
+            let Some(listener) = self.client_listener.as_mut().filter(|l| !l.is_paused()) else {
                 break;
             };
-            match listener.next() {
+            match listener.accept() {
                 Ok(None) => break,
                 Ok(Some((stream, peer))) => self.admit_connection(now, stream, peer),
                 Err(e) if is_exhaustion(&e) => {
@@ -299,7 +299,7 @@
                     break;
                 }
                 Err(e) => {
-                    listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
+                    listener.pause(now + NO_DESCRIPTOR_PAUSE_US);
                     self.log.line(now, format_args!("no connection can be accepted: {e}"));
                     break;
                 }
@@ -317,7 +317,7 @@
         drop(self.admission.spare.take());
         let mut closed = 0;
         while closed < MAX_NEWCOMERS_CLOSED {
-            match listener.next() {
+            match listener.accept() {
                 Ok(Some(_)) => closed += 1,
                 _ => break,
             }
@@ -327,7 +327,7 @@
         self.log.line(now, format_args!("out of descriptors ({why}): {closed} new connections closed"));
         // Without the spare descriptor nothing can be accepted: a pause keeps the loop from spinning.
         if closed == 0 || self.admission.spare.is_none() {
-            listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
+            listener.pause(now + NO_DESCRIPTOR_PAUSE_US);
         }
         self.update_limits();
     }
@@ -392,8 +392,8 @@
             }
         }
         match &mut self.mode {
-            Mode::Platform(front, _) => front.know(conn, known),
-            Mode::Operator { front, .. } => front.know(conn, known),
+            Mode::Platform(front, _) => front.set_known(conn, known),
+            Mode::Operator { front, .. } => front.set_known(conn, known),
         }
     }
 
@@ -415,11 +415,11 @@
         Some(RequestInfo { from: client.from, tenant, share, worth, size: size as u64 })
     }
 
-    fn rejection(&self, (why, wait): (Cause, Micros)) -> Away {
+    fn rejection(&self, (why, wait): (Cause, Micros)) -> Rejection {
         let rate = self.admission.policy.as_ref().and_then(|p| p.rules().address.request_rate);
         let rate = rate.filter(|_| why == Cause::RequestRate).map(|r| (r.per_second as u32, r.burst as u32));
-        let own_doing = why.is_client_fault() || why == Cause::Tenant;
-        Away { word: why.as_str(), own_doing, wait, rate }
+        let client_fault = why.is_client_fault() || why == Cause::Tenant;
+        Rejection { reason: why.as_str(), client_fault, retry_after: wait, rate }
     }
 
     /// Admits a request, or returns the reply to send. What it returns for an admitted request must be passed to
@@ -470,7 +470,7 @@
             policy.count_refusal(now, info.from, why);
         }
         if let Mode::Operator { front, .. } = &mut self.mode {
-            front.go_ahead(now, conn, away, &mut self.log);
+            front.decide_body(now, conn, away, &mut self.log);
         }
     }
 
@@ -527,8 +527,8 @@
             ids.sort();
             for id in ids {
                 match &mut self.mode {
-                    Mode::Platform(front, _) => front.dismiss(now, id, &mut self.log),
-                    Mode::Operator { front, .. } => front.dismiss(now, id, &mut self.log),
+                    Mode::Platform(front, _) => front.close_after_answers(now, id, &mut self.log),
+                    Mode::Operator { front, .. } => front.close_after_answers(now, id, &mut self.log),
                 }
             }
         }
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -37,8 +37,8 @@
         self.hosts.set_limits((bounds.hosts, share));
         let clients = bounds.clients;
         match &mut self.mode {
-            Mode::Platform(front, _) => front.bound((clients, share)),
-            Mode::Operator { front, .. } => front.bound((clients, share)),
+            Mode::Platform(front, _) => front.set_limits((clients, share)),
+            Mode::Operator { front, .. } => front.set_limits((clients, share)),
         }
         if !self.upgrade.has_peer() {
             self.close_excess_clients(now, clients);
@@ -83,7 +83,7 @@
                 // Queued connections are accepted by the new process, from the same socket.
                 self.log.line(now, "the new process takes clients");
                 self.superseded = true;
-                self.client_listener.iter_mut().for_each(|listener| listener.shut(Micros::MAX));
+                self.client_listener.iter_mut().for_each(|listener| listener.pause(Micros::MAX));
                 // The new process is another instance of the same member. If both took part, each would declare members
                 // dead that answer to the other instance.
                 self.membership.take().into_iter().for_each(Membership::close);
@@ -117,7 +117,7 @@
                 self.update_limits();
                 if std::mem::take(&mut self.superseded) {
                     // The new process has failed: this one accepts clients again.
-                    self.client_listener.iter_mut().for_each(Listener::reopen);
+                    self.client_listener.iter_mut().for_each(Listener::resume);
                     self.update_draining(now);
                     self.configure_members();
                     // Promises that were made under this member's name since then belong to another instance of the
@@ -211,7 +211,7 @@
             let now = self.clock.now();
             self.update_limits();
             // The listener may have been paused since it became ready.
-            let Some(listener) = self.client_listener.as_mut().filter(|listener| !listener.is_shut()) else {
+            let Some(listener) = self.client_listener.as_mut().filter(|l| !l.is_paused()) else {
                 break;
             };
             let room = match &mut self.mode {
@@ -219,15 +219,15 @@
                 Mode::Operator { front, .. } => front.has_room(now, &mut self.log),
             };
             if !room {
-                listener.shut(now + NO_ROOM_PAUSE_US);
+                listener.pause(now + NO_ROOM_PAUSE_US);
                 break;
             }
-            match listener.next() {
+            match listener.accept() {
                 Ok(None) => break,
                 Ok(Some((stream, peer))) => self.admit_connection(now, stream, peer),
                 Err(e) => {
                     // The listener stays ready: without a pause, the loop would spin.
-                    listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
+                    listener.pause(now + NO_DESCRIPTOR_PAUSE_US);
                     self.log.line(now, format_args!("no connection can be accepted: {e}"));
                     break;
                 }
@@ -243,9 +243,9 @@
         match &mut self.mode {
             Mode::Platform(front, _) => {
                 front.ready = ready;
-                front.part(now, drains, &mut self.log)
+                front.set_draining(now, drains, &mut self.log)
             }
-            Mode::Operator { front, .. } => front.part(now, drains),
+            Mode::Operator { front, .. } => front.set_draining(now, drains),
         }
     }
 
@@ -295,7 +295,7 @@
             ) => {
                 let failed = |e| format!("no socket for queries to {resolver}: {e}");
                 hosts.set_resolver(*resolver).map_err(failed)?;
-                front.retune(idle, *bounds, (d.classes.clone(), d.tenants.clone()));
+                front.update(idle, *bounds, (d.classes.clone(), d.tenants.clone()));
                 if let config::Side::Operator { classes: new, .. } = &config.side {
                     classes.clone_from(new);
                 }
@@ -320,7 +320,7 @@
         self.admission.retune(self.config.admission.as_ref());
         let admission = self.admission.is_on();
         if let Mode::Operator { front, .. } = &mut self.mode {
-            front.asks = admission;
+            front.checks_bodies = admission;
         }
         self.agreed_settings = None;
         let settings = self.binding();
@@ -344,8 +344,8 @@
         }
         let now = self.clock.now();
         let quiet = match &self.mode {
-            Mode::Platform(front, _) => front.is_quiet(),
-            Mode::Operator { front, .. } => front.is_quiet(),
+            Mode::Platform(front, _) => front.is_idle(),
+            Mode::Operator { front, .. } => front.is_idle(),
         };
         // A process that was not scheduled for a while has more input than one iteration reads.
         let over = self.stopping.is_some_and(|since| now - since >= SHUTDOWN_GRACE_US);
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -8,11 +8,11 @@
         for _ in 0..MAX_ACCEPTS_PER_WAKE {
             let now = self.clock.now();
             let Some(listener) = &mut self.control_listener else { break };
-            match listener.next() {
+            match listener.accept() {
                 Ok(None) => break,
                 Ok(Some((stream, peer))) => self.control.accept(now, stream, peer, &mut self.log),
                 Err(e) => {
-                    listener.shut(now + NO_DESCRIPTOR_PAUSE_US);
+                    listener.pause(now + NO_DESCRIPTOR_PAUSE_US);
                     self.log.line(now, format_args!("cannot accept an operator's connection: {e}"));
                     break;
                 }
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -355,7 +355,7 @@
 
     fn hear_turns(&mut self, hears: bool) {
         if let Mode::Operator { front, .. } = &mut self.mode {
-            front.turns = hears;
+            front.reads_turns = hears;
         }
     }
 
--- a/node/tests/endings_hosts.rs
+++ b/node/tests/endings_hosts.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Instant;
 
-use common::puppet::*;
+use common::raw_host::*;
 use common::*;
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
@@ -45,12 +45,12 @@
     }
 
     fn event(&self, number: u64) -> Vec<u8> {
-        marked(number, false, &[(0, self.a.address, DRAINING), (1, self.b.address, READY)])
+        event_with_marker(number, false, &[(0, self.a.address, DRAINING), (1, self.b.address, READY)])
     }
 
     /// Waits until the event has been applied, and checks that all calls go to host `b`.
     fn check_applied(&self, number: u64) {
-        wait_taken_in(&self.program, number);
+        wait_applied(&self.program, number);
         serve_calls(&self.program, 1..7);
         assert_eq!((self.a.calls(), self.b.calls()), (0, 6));
     }
@@ -83,9 +83,9 @@
     let (handover, mut feed) = Handover::start();
     let event = handover.event(3);
     let nobody: SocketAddr = ([127, 0, 0, 1], 1).into();
-    let bytes = [marked(2, false, &[(9, nobody, GONE)]), event[..part].to_vec()].concat();
+    let bytes = [event_with_marker(2, false, &[(9, nobody, GONE)]), event[..part].to_vec()].concat();
     feed.write_all(&bytes).unwrap();
-    wait_taken_in(&handover.program, 2);
+    wait_applied(&handover.program, 2);
     if resets {
         socket2::SockRef::from(&feed).set_linger(Some(ms(0))).unwrap();
     }
@@ -117,16 +117,16 @@
     let again = event(2, false, &[(0, handover.a.address, READY)]);
     let drains = handover.event(3);
     feed.write_all(&[again.clone(), drains.clone()].concat()).unwrap();
-    wait_taken_in(&handover.program, 3);
+    wait_applied(&handover.program, 3);
     if reconnected {
         feed.shutdown(std::net::Shutdown::Both).unwrap();
         let (last, fresh) = handover.bus.greeted();
         assert_eq!(last, 3);
         feed = fresh;
     }
-    let next = marked(4, false, &[]);
+    let next = event_with_marker(4, false, &[]);
     feed.write_all(&[again, drains, next].concat()).unwrap();
-    wait_taken_in(&handover.program, 4);
+    wait_applied(&handover.program, 4);
     handover.check_applied(3);
 }
 
@@ -134,13 +134,13 @@
 /// idempotent fails, and later calls go to other hosts.
 #[test]
 fn a_host_missing_from_a_full_list_is_removed() {
-    let (puppet, b) = (Puppet::start(), Host::warm());
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let (puppet, b) = (RawHost::start(), Host::warm());
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, "send-mail", 4000, b"")).unwrap();
     let mut line = puppet.accept();
     line.call();
-    p.feed.write_all(&marked(2, true, &[(1, b.address, READY)])).unwrap();
+    p.feed.write_all(&event_with_marker(2, true, &[(1, b.address, READY)])).unwrap();
     assert_eq!(line.rest(), [], "its connection ends without further commands");
     let answer = read_frame(&mut client).unwrap();
     assert_eq!((answer.stream, answer.code), (1, FAILED), "it may have run");
@@ -178,8 +178,8 @@
             break stream;
         }
     };
-    feed.write_all(&marked(2, false, &[(0, a.address, DRAINING), (1, b.address, READY)])).unwrap();
-    wait_taken_in(&program, 2);
+    feed.write_all(&event_with_marker(2, false, &[(0, a.address, DRAINING), (1, b.address, READY)])).unwrap();
+    wait_applied(&program, 2);
     serve_calls(&program, 4..7);
     assert_eq!((a.calls(), b.calls()), (3, 3));
 }
@@ -204,7 +204,7 @@
         feed.write_all(&handover.event(number)).unwrap();
         wait_for("the event to arrive", || unread(&feed) > 0);
         handover.program.stop(false);
-        wait_taken_in(&handover.program, number);
+        wait_applied(&handover.program, number);
     }
     handover.check_applied(4);
     assert_eq!(handover.program.logged("conn bus ended"), 0);
@@ -214,8 +214,8 @@
 /// answer: the answer counts.
 #[test]
 fn an_answer_that_was_completed_while_the_process_was_stopped_counts() {
-    let puppet = Puppet::start();
-    let p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     let (mut line, mut rounds) = (None, 0);
     for stream in 1..20 {
@@ -251,15 +251,15 @@
 /// A connection is established while the process is stopped for longer than the connect timeout: it is used.
 #[test]
 fn a_connection_that_was_established_while_the_process_was_stopped_is_used() {
-    let mut puppet = Puppet::start();
-    let timeout = |text: String| patient(text).replace("60000000", "3000000");
+    let mut puppet = RawHost::start();
+    let timeout = |text: String| long_timeouts(text).replace("60000000", "3000000");
     let p = platform_of(&[(7, puppet.address)], timeout);
-    puppet.hold();
+    puppet.block_connects();
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, "send-mail", 8000, b"")).unwrap();
-    wait_for("the connection attempt", || puppet.is_knocked_at());
+    wait_for("the connection attempt", || puppet.has_pending_connect());
     p.program.stop(true);
-    let mut lines = puppet.let_in();
+    let mut lines = puppet.accept_all();
     std::thread::sleep(ms(3_000));
     p.program.stop(false);
     assert_eq!(lines.len(), 1);
@@ -271,7 +271,7 @@
 
 /// A call that waits for a connection to a host that listens but accepts none.
 struct WaitingCall {
-    puppet: Puppet,
+    puppet: RawHost,
     p: Platform,
     client: TcpStream,
 }
@@ -279,12 +279,12 @@
 impl WaitingCall {
     /// A call of class `send-mail` waits for a connection to host 7.
     fn start() -> Self {
-        let mut puppet = Puppet::start();
-        puppet.hold();
-        let p = platform_of(&[(7, puppet.address)], patient);
+        let mut puppet = RawHost::start();
+        puppet.block_connects();
+        let p = platform_of(&[(7, puppet.address)], long_timeouts);
         let mut client = p.program.connect();
         client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
-        wait_for("the connection attempt", || puppet.is_knocked_at());
+        wait_for("the connection attempt", || puppet.has_pending_connect());
         Self { puppet, p, client }
     }
 
@@ -293,8 +293,8 @@
         assert_eq!(read_frame(&mut self.client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
         assert_eq!(served(), 1);
         let sent: Vec<_> =
-            self.puppet.let_in().iter_mut().map(Line::rest).filter(|sent| !sent.is_empty()).collect();
-        assert_eq!(sent, Vec::<Vec<Said>>::new());
+            self.puppet.accept_all().iter_mut().map(HostConn::rest).filter(|sent| !sent.is_empty()).collect();
+        assert_eq!(sent, Vec::<Vec<Command>>::new());
     }
 }
 
@@ -307,7 +307,7 @@
     let mut w = WaitingCall::start();
     let other = Host::warm();
     let hosts = [(7, w.puppet.address, state), (8, other.address, READY)];
-    tell(&w.p.program, &mut w.p.feed, 2, &hosts);
+    apply_changes(&w.p.program, &mut w.p.feed, 2, &hosts);
     w.check_served_elsewhere(|| other.calls());
 }
 
@@ -316,20 +316,20 @@
 #[test]
 fn a_call_for_a_host_whose_address_another_one_gets_is_withdrawn() {
     let mut w = WaitingCall::start();
-    tell(&w.p.program, &mut w.p.feed, 2, &[(8, w.puppet.address, READY)]);
+    apply_changes(&w.p.program, &mut w.p.feed, 2, &[(8, w.puppet.address, READY)]);
     wait_for("its log line", || w.p.program.logged("host s-00000007 ended reason=host_gone") == 1);
     assert_eq!(w.p.program.maintain("exit", 7), 404, "it is removed, though the list does not say so yet");
     // The call goes to the new host, on a connection that was opened for it.
-    let mut lines = w.puppet.let_in();
+    let mut lines = w.puppet.accept_all();
     let calls: Vec<_> = lines.iter_mut().filter_map(|line| Some((line.next()?, line))).collect();
     assert_eq!(calls.len(), 1);
     for (command, line) in calls {
-        let Said::Call { id, .. } = command else { panic!("{command:?}") };
+        let Command::Call { id, .. } = command else { panic!("{command:?}") };
         line.say(&format!("{id} 200 tell=warm 2\r\nok\r\n"));
     }
     assert_eq!(read_frame(&mut w.client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
     // The removal of the old host arrives in a later event, and does not affect the new one.
-    tell(&w.p.program, &mut w.p.feed, 3, &[(7, w.puppet.address, GONE)]);
+    apply_changes(&w.p.program, &mut w.p.feed, 3, &[(7, w.puppet.address, GONE)]);
     assert_eq!(w.p.program.maintain("exit", 8), 200);
 }
 
@@ -342,12 +342,12 @@
     let nowhere: SocketAddr = ([127, 0, 0, 1], 2).into();
     let entries =
         [(7, w.puppet.address, READY, started), (8, other.address, READY, 0), (9, nowhere, DRAINING, 0)];
-    w.p.feed.write_all(&event_of(2, false, &entries)).unwrap();
+    w.p.feed.write_all(&timed_event(2, false, &entries)).unwrap();
     wait_for("the event", || w.p.program.maintain("exit", 9) == 200);
     wait_for("its log line", || w.p.program.logged("host s-00000007 ended reason=host_gone") == 1);
     // It is sent once, to either host, but not on the old connection.
-    let mut lines = w.puppet.let_in();
-    let commands: Vec<_> = lines.iter_mut().filter_map(Line::next).collect();
+    let mut lines = w.puppet.accept_all();
+    let commands: Vec<_> = lines.iter_mut().filter_map(HostConn::next).collect();
     assert_eq!(commands.len() + other.calls(), 1);
 }
 
@@ -356,41 +356,41 @@
 #[case::idempotent(READ)]
 #[case::not_idempotent(MAIL)]
 fn after_a_miss_a_draining_host_gets_no_order(#[case] class: &str) {
-    let (puppet, other) = (Puppet::start(), Host::warm());
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let (puppet, other) = (RawHost::start(), Host::warm());
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, class, 8000, b"")).unwrap();
     let mut line = puppet.accept();
     let id = line.call();
-    tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
+    apply_changes(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
     line.answer(&id, "404", "-");
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
     assert_eq!(other.calls(), 1);
-    tell(&p.program, &mut p.feed, 3, &[(7, puppet.address, GONE)]);
+    apply_changes(&p.program, &mut p.feed, 3, &[(7, puppet.address, GONE)]);
     assert_eq!(line.rest(), [], "neither an order nor a call");
 }
 
 /// An order waits for a new connection, as the previous one ended after the miss: a drain withdraws it.
 #[test]
 fn an_order_that_waits_for_a_connection_is_never_sent_to_a_draining_host() {
-    let (mut puppet, other) = (Puppet::start(), Host::warm());
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let (mut puppet, other) = (RawHost::start(), Host::warm());
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
     let mut line = puppet.accept();
     let id = line.call();
-    puppet.hold();
+    puppet.block_connects();
     // The answer and the end of the connection are both there when the program continues.
     p.program.stop(true);
     line.answer(&id, "404", "-");
     line.close();
     p.program.stop(false);
-    wait_for("the connection of the order", || puppet.is_knocked_at());
-    tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
+    wait_for("the connection of the order", || puppet.has_pending_connect());
+    apply_changes(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
     assert_eq!(other.calls(), 1);
-    tell(&p.program, &mut p.feed, 3, &[(7, puppet.address, GONE)]);
-    let commands: Vec<_> = puppet.let_in().iter_mut().flat_map(Line::rest).collect();
+    apply_changes(&p.program, &mut p.feed, 3, &[(7, puppet.address, GONE)]);
+    let commands: Vec<_> = puppet.accept_all().iter_mut().flat_map(HostConn::rest).collect();
     assert_eq!(commands, []);
 }
 
@@ -408,8 +408,8 @@
 #[case::malformed_fields("ID 200 tell 0\r\n\r\n", false)]
 #[case::a_word_too_few("ID 200 0\r\n\r\n", false)]
 fn a_call_whose_answer_is_malformed_or_cut_short_fails_once(#[case] bytes: &str, #[case] resets: bool) {
-    let puppet = Puppet::start();
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, READ, 8000, b"")).unwrap();
     let mut usual = puppet.accept();
@@ -427,7 +427,7 @@
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((2, FAILED)));
     usual.say(&format!("{first} 200 tell=warm 2\r\nok\r\n"));
     assert_eq!(read_frame(&mut client).map(|f| (f.stream, f.code)), Some((1, SERVED)));
-    tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, GONE)]);
+    apply_changes(&p.program, &mut p.feed, 2, &[(7, puppet.address, GONE)]);
     assert_eq!(usual.rest(), [], "the call is not sent again");
     assert!(puppet.accept_within(ms(300)).is_none());
 }
@@ -437,13 +437,13 @@
 #[case::closed(false)]
 #[case::reset(true)]
 fn an_idempotent_call_whose_answer_is_cut_short_is_repeated_elsewhere(#[case] resets: bool) {
-    let (puppet, other) = (Puppet::start(), Host::warm());
-    let mut p = platform_of(&[(7, puppet.address)], patient);
+    let (puppet, other) = (RawHost::start(), Host::warm());
+    let mut p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, READ, 8000, b"read")).unwrap();
     let mut line = puppet.accept();
     let id = line.call();
-    tell(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
+    apply_changes(&p.program, &mut p.feed, 2, &[(7, puppet.address, DRAINING), (8, other.address, READY)]);
     line.say(&format!("{id} 200 tell=warm 10\r\nhalf"));
     if resets {
         line.reset();
@@ -459,8 +459,8 @@
 /// on the connection gets its own answer.
 #[test]
 fn a_repeated_answer_is_ignored() {
-    let puppet = Puppet::start();
-    let p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
     let mut line = puppet.accept();
@@ -480,14 +480,14 @@
 /// with the same id, which clients choose, uses another connection.
 #[test]
 fn an_answer_after_the_kill_is_ignored() {
-    let puppet = Puppet::start();
-    let p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
     let mut line = puppet.accept();
     let id = line.call();
     client.write_all(&client_frame(3, 1, &[])).unwrap();
-    assert_eq!(line.next(), Some(Said::Kill { id: id.clone() }));
+    assert_eq!(line.next(), Some(Command::Kill { id: id.clone() }));
     let again = [id.as_str(), MAIL, "5c0f6e1a", "7f3a9c21e0b4d655"];
     client.write_all(&whole_call_frame(2, again, 8000, b"")).unwrap();
     let mut other = puppet.accept();
@@ -508,8 +508,8 @@
 #[case::the_end_first(true)]
 #[case::the_call_first(false)]
 fn a_call_that_crosses_the_end_of_an_idle_connection_is_served(#[case] end_first: bool) {
-    let puppet = Puppet::start();
-    let p = platform_of(&[(7, puppet.address)], patient);
+    let puppet = RawHost::start();
+    let p = platform_of(&[(7, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, MAIL, 8000, b"")).unwrap();
     let mut line = puppet.accept();
--- a/node/tests/late_connections.rs
+++ b/node/tests/late_connections.rs
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-use common::puppet::*;
+use common::raw_host::*;
 use common::*;
 
 const SERVED: u8 = 79;
@@ -18,25 +18,25 @@
 /// A keyed call is reset within its window, and its retry waits for a connection that is established after the window.
 #[test]
 fn a_keyed_retry_is_sent_within_its_window_or_not_at_all() {
-    let mut puppet = Puppet::start();
-    let short = |text: String| patient(text).replace("\"WindowUs\":8000000", "\"WindowUs\":1000000");
+    let mut puppet = RawHost::start();
+    let short = |text: String| long_timeouts(text).replace("\"WindowUs\":8000000", "\"WindowUs\":1000000");
     let p = platform_of(&[(0, puppet.address)], short);
     let mut client = p.program.connect();
     client.write_all(&call_frame(1, "save-answers", 3500, b"")).unwrap();
     let mut line = puppet.accept();
     line.call();
     let received = Instant::now();
-    puppet.hold();
+    puppet.block_connects();
     line.reset();
-    wait_for("the connection of the retry", || puppet.is_knocked_at());
+    wait_for("the connection of the retry", || puppet.has_pending_connect());
     sleep(ms(1100).saturating_sub(received.elapsed()));
-    let late = puppet.let_in();
+    let late = puppet.accept_all();
     assert!(!late.is_empty(), "no connection");
     assert_eq!(read_frame(&mut client).expect("an answer").code, FAILED);
     drop(p);
     for mut line in late {
         let sent = line.rest();
-        assert!(!sent.iter().any(|s| matches!(s, Said::Call { .. })), "sent outside its window: {sent:?}");
+        assert!(!sent.iter().any(|s| matches!(s, Command::Call { .. })), "sent outside its window: {sent:?}");
     }
 }
 
@@ -44,17 +44,17 @@
 #[test]
 fn the_limit_is_the_time_that_is_left_when_the_call_is_sent() {
     const TIMEOUT_MS: u64 = 4000;
-    let mut puppet = Puppet::start();
-    puppet.hold();
-    let p = platform_of(&[(0, puppet.address)], patient);
+    let mut puppet = RawHost::start();
+    puppet.block_connects();
+    let p = platform_of(&[(0, puppet.address)], long_timeouts);
     let mut client = p.program.connect();
     let started = Instant::now();
     client.write_all(&call_frame(1, "check-score", TIMEOUT_MS as u32, b"")).unwrap();
-    wait_for("the connection", || puppet.is_knocked_at());
+    wait_for("the connection", || puppet.has_pending_connect());
     sleep(ms(500));
     let waited = started.elapsed().as_millis() as u64;
-    let mut late = puppet.let_in();
-    let Some(Said::Call { id, limit, .. }) = late[0].next() else { panic!("no call") };
+    let mut late = puppet.accept_all();
+    let Some(Command::Call { id, limit, .. }) = late[0].next() else { panic!("no call") };
     assert!(
         limit + waited <= TIMEOUT_MS + LIMIT_SLACK_MS,
         "limit of {limit} ms after {waited} ms of {TIMEOUT_MS}"
