--- a/src/engine.rs
+++ b/src/engine.rs
@@ -179,15 +179,15 @@
     due: Micros,
     answered: bool,
     /// Latest time at which an attempt may begin.
-    last_attempt_at: Micros,
+    start_by: Micros,
     attempts: Vec<Attempt>,
 }
 
 impl OpenRequest {
     /// Whether an attempt may begin now.
     fn may_start(&self, now: Micros) -> bool {
-        let nothing_out = self.attempts.iter().all(|a| a.ended);
-        !self.answered && nothing_out && now < self.due && now <= self.last_attempt_at
+        let none_open = self.attempts.iter().all(|a| a.ended);
+        !self.answered && none_open && now < self.due && now <= self.start_by
     }
 }
 
@@ -306,12 +306,12 @@
         let ended =
             |p: &PastAttempt| Attempt { host: p.worker.clone(), sent: p.sent, cancelled: None, ended: true };
         let attempts = past.iter().map(ended).collect();
-        let last_attempt_at = new.half_closed.map_or(Micros::MAX, |since| since + HALF_CLOSE_GRACE_US);
-        let open = OpenRequest { id: id.clone(), due: new.due, answered: false, last_attempt_at, attempts };
+        let start_by = new.half_closed.map_or(Micros::MAX, |since| since + HALF_CLOSE_GRACE_US);
+        let open = OpenRequest { id: id.clone(), due: new.due, answered: false, start_by, attempts };
         self.open.insert(ticket, open);
         self.arm(new.due, Timer::RequestDue(ticket));
         if new.half_closed.is_some() {
-            self.arm(last_attempt_at, Timer::LastAttempt(ticket));
+            self.arm(start_by, Timer::LastAttempt(ticket));
         }
         if !past.is_empty() {
             self.deliver(Event::PastAttempts(past), out);
@@ -338,15 +338,15 @@
     pub fn client_half_closed(&mut self, now: Micros, ticket: Ticket, since: Micros, out: &mut Vec<Command>) {
         self.advance(now);
         let Some(open) = self.open.get_mut(&ticket).filter(|o| !o.answered) else { return };
-        let last_attempt_at = since + HALF_CLOSE_GRACE_US;
-        if last_attempt_at >= open.last_attempt_at {
+        let start_by = since + HALF_CLOSE_GRACE_US;
+        if start_by >= open.start_by {
             return;
         }
-        open.last_attempt_at = last_attempt_at;
-        if last_attempt_at < self.now {
+        open.start_by = start_by;
+        if start_by < self.now {
             self.stop_attempts(ticket, out);
         } else {
-            self.arm(last_attempt_at, Timer::LastAttempt(ticket));
+            self.arm(start_by, Timer::LastAttempt(ticket));
         }
     }
 
@@ -417,15 +417,9 @@
     }
 
     /// An operator takes a host out of service, whatever the list says, or returns it.
-    pub fn set_out_of_service(
-        &mut self,
-        now: Micros,
-        worker: WorkerId,
-        out: bool,
-        commands: &mut Vec<Command>,
-    ) {
+    pub fn set_out_of_service(&mut self, now: Micros, id: WorkerId, out: bool, commands: &mut Vec<Command>) {
         self.advance(now);
-        self.deliver(Event::OutOfService { worker, out }, commands);
+        self.deliver(Event::OutOfService { worker: id, out }, commands);
     }
 
     /// Applies new settings, which must have been checked. Open requests keep the settings that they began with.
@@ -494,13 +488,13 @@
     fn prune_timers(&mut self) {
         let (open, orders) = (&self.open, &self.orders);
         let waits = |ticket: &Ticket| open.get(ticket).is_some_and(|o| !o.answered);
-        let is_out = |id: &AttemptId| {
+        let is_open = |id: &AttemptId| {
             let attempt = open.get(&id.ticket).and_then(|o| o.attempts.get(id.number as usize));
             attempt.is_some_and(|a| !a.ended)
         };
         self.timers.retain(|Reverse((_, timer))| match timer {
             Timer::RequestDue(ticket) | Timer::LastAttempt(ticket) => waits(ticket),
-            Timer::Attempt(id) => is_out(id),
+            Timer::Attempt(id) => is_open(id),
             Timer::Order(order) => orders.contains_key(order),
             Timer::Wake => true,
         });
@@ -540,8 +534,8 @@
     fn stop_attempts(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
         let Some(open) = self.open.get(&ticket).filter(|o| !o.answered) else { return };
         let request = open.id.clone();
-        let is_out = |a: &Attempt| !a.ended && a.cancelled.is_none();
-        let last = open.attempts.iter().rposition(is_out);
+        let is_open = |a: &Attempt| !a.ended && a.cancelled.is_none();
+        let last = open.attempts.iter().rposition(is_open);
         self.deliver(Event::NoFurtherAttempt { request }, out);
         if let Some(number) = last {
             out.push(Command::Withdraw { attempt: AttemptId { ticket, number: number as u32 } });
@@ -597,8 +591,7 @@
             Action::Cancel { request, attempt } => {
                 let id = AttemptId { ticket: ticket(&request), number: attempt };
                 // The module cancels in order to retry. Where no retry may begin, the request would be lost.
-                let open =
-                    self.open.get_mut(&id.ticket).filter(|o| o.answered || self.now <= o.last_attempt_at);
+                let open = self.open.get_mut(&id.ticket).filter(|o| o.answered || self.now <= o.start_by);
                 let Some(a) = open.and_then(|o| o.attempts.get_mut(attempt as usize)) else { return };
                 if !a.ended && a.cancelled.is_none() {
                     a.cancelled = Some(Outcome::Cancelled);
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -49,7 +49,7 @@
 
 /// Status of a function at a host, or of the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CopyStatus {
+pub(crate) enum Status {
     /// A copy is loaded, with this many calls of the sender in progress.
     Serving(u8),
     /// A load has been ordered.
@@ -67,7 +67,7 @@
 pub(crate) struct Entry {
     pub(crate) host: u16,
     pub(crate) function: u32,
-    pub(crate) status: CopyStatus,
+    pub(crate) status: Status,
 }
 
 /// Keys of a function and a host.
@@ -90,15 +90,15 @@
 /// Encodes a datagram; entries beyond `max_bytes` are omitted.
 pub(crate) fn encode(sequence: u8, entries: &[Entry], max_bytes: usize) -> Vec<u8> {
     let mut bytes = vec![FORMAT, sequence, 0];
-    for l in entries.iter().take(max_bytes.saturating_sub(HEADER_BYTES) / ENTRY_BYTES) {
-        let (function, code) = match l.status {
-            CopyStatus::Serving(n) => (l.function, n.min(MAX_ENTRY_CALLS)),
-            CopyStatus::Loading => (l.function, 11),
-            CopyStatus::Gone => (l.function, 12),
-            CopyStatus::Copies(n) => (l.function, 11 + n.clamp(2, 4)),
-            CopyStatus::NoRoom => (NO_FUNCTION, 0),
+    for e in entries.iter().take(max_bytes.saturating_sub(HEADER_BYTES) / ENTRY_BYTES) {
+        let (function, code) = match e.status {
+            Status::Serving(n) => (e.function, n.min(MAX_ENTRY_CALLS)),
+            Status::Loading => (e.function, 11),
+            Status::Gone => (e.function, 12),
+            Status::Copies(n) => (e.function, 11 + n.clamp(2, 4)),
+            Status::NoRoom => (NO_FUNCTION, 0),
         };
-        bytes.extend(l.host.to_le_bytes());
+        bytes.extend(e.host.to_le_bytes());
         bytes.extend(&(function << 4 | u32::from(code)).to_le_bytes()[..3]);
     }
     bytes[2] = checksum(&bytes);
@@ -117,19 +117,19 @@
         let packed = u32::from_le_bytes([b[2], b[3], b[4], 0]);
         let (function, code) = (packed >> 4, (packed & 15) as u8);
         let status = match (function, code) {
-            (NO_FUNCTION, 0) => CopyStatus::NoRoom,
+            (NO_FUNCTION, 0) => Status::NoRoom,
             (NO_FUNCTION, _) => return None,
-            (_, 11) => CopyStatus::Loading,
-            (_, 12) => CopyStatus::Gone,
-            (_, 13..) => CopyStatus::Copies(code - 11),
-            (_, held) => CopyStatus::Serving(held),
+            (_, 11) => Status::Loading,
+            (_, 12) => Status::Gone,
+            (_, 13..) => Status::Copies(code - 11),
+            (_, held) => Status::Serving(held),
         };
         Some(Entry { host: u16::from_le_bytes([b[0], b[1]]), function, status })
     };
     Some((head[1], body.chunks_exact(ENTRY_BYTES).map(entry).collect::<Option<_>>()?))
 }
 
-/// Another router. `held` has its calls in progress: host, function and number.
+/// Another router. `calls` has its calls in progress: host, function and number.
 #[derive(Default)]
 struct Peer {
     at: Micros,
@@ -152,14 +152,9 @@
 }
 
 impl PeerTable {
-    /// Accepts a datagram and returns its entries, unless it is invalid or older than the last one accepted.
-    pub(crate) fn accept(
-        &mut self,
-        now: Micros,
-        period: Micros,
-        from: u32,
-        bytes: &[u8],
-    ) -> Option<Vec<Entry>> {
+    /// Adds the information of a datagram and returns its entries; `None`, without effect, if the datagram is invalid or
+    /// older than the last one that was added.
+    pub(crate) fn add(&mut self, now: Micros, period: Micros, from: u32, bytes: &[u8]) -> Option<Vec<Entry>> {
         let (sequence, entries) = decode(bytes)?;
         let peer = self.peers.entry(from).or_default();
         let newer = (1..128).contains(&sequence.wrapping_sub(peer.sequence));
@@ -169,12 +164,12 @@
         }
         (peer.at, peer.sequence) = (now, sequence);
         self.clear_calls(from);
-        for l in &entries {
-            let CopyStatus::Serving(n @ 1..) = l.status else { continue };
+        for e in &entries {
+            let Status::Serving(n @ 1..) = e.status else { continue };
             let n = u32::from(n);
-            *self.at_host.entry(l.host).or_default() += n;
-            *self.at_place.entry((l.function, l.host)).or_default() += n;
-            self.peers.entry(from).or_default().calls.push((l.host, l.function, n));
+            *self.at_host.entry(e.host).or_default() += n;
+            *self.at_place.entry((e.function, e.host)).or_default() += n;
+            self.peers.entry(from).or_default().calls.push((e.host, e.function, n));
         }
         Some(entries)
     }
@@ -242,15 +237,13 @@
     }
 
     /// Stores the place of a function that has not been called here yet.
-    pub(crate) fn remember(&mut self, now: Micros, place: PlaceKey, status: CopyStatus) {
+    pub(crate) fn remember(&mut self, now: Micros, place: PlaceKey, status: Status) {
         match status {
-            CopyStatus::Gone => drop(self.uncalled.remove(&place)),
-            CopyStatus::NoRoom => {}
+            Status::Gone => drop(self.uncalled.remove(&place)),
+            Status::NoRoom => {}
             _ if self.uncalled.len() >= MAX_UNCALLED_PLACES && !self.uncalled.contains_key(&place) => {}
-            CopyStatus::Copies(n) => drop(self.uncalled.insert(place, (now, n))),
-            CopyStatus::Serving(_) | CopyStatus::Loading => {
-                self.uncalled.entry(place).or_insert((now, 1)).0 = now
-            }
+            Status::Copies(n) => drop(self.uncalled.insert(place, (now, n))),
+            Status::Serving(_) | Status::Loading => self.uncalled.entry(place).or_insert((now, 1)).0 = now,
         }
     }
 }
@@ -277,20 +270,20 @@
 pub(crate) struct Composer {
     next: Micros,
     sequence: u8,
-    news: BTreeMap<PlaceKey, CopyStatus>,
+    news: BTreeMap<PlaceKey, Status>,
     /// Last places sent, of calls in progress and of news. Where one datagram cannot hold all entries, the next one
     /// continues after these, so that all places are sent in turn.
     last_sent: (PlaceKey, PlaceKey),
 }
 
 /// All entries in cyclic order, beginning after this place.
-fn entries_after<T>(map: &BTreeMap<PlaceKey, T>, after: PlaceKey) -> impl Iterator<Item = (&PlaceKey, &T)> {
+fn rotated<T>(map: &BTreeMap<PlaceKey, T>, after: PlaceKey) -> impl Iterator<Item = (&PlaceKey, &T)> {
     map.range((Bound::Excluded(after), Bound::Unbounded)).chain(map.range(..=after))
 }
 
 impl Composer {
     /// Queues news of a place for the other routers; it replaces queued news of the same place.
-    pub(crate) fn queue(&mut self, place: PlaceKey, status: CopyStatus) {
+    pub(crate) fn queue(&mut self, place: PlaceKey, status: Status) {
         if self.news.len() < MAX_QUEUED_NEWS || self.news.contains_key(&place) {
             self.news.insert(place, status);
         }
@@ -321,20 +314,19 @@
         &mut self,
         calls: &BTreeMap<PlaceKey, u8>,
         max_bytes: usize,
-        mut due: impl FnMut(&PlaceKey, CopyStatus) -> bool,
+        mut due: impl FnMut(&PlaceKey, Status) -> bool,
     ) -> Option<Vec<u8>> {
         let entry = |&(function, host): &PlaceKey, status| Entry { host, function, status };
         let capacity = max_bytes.saturating_sub(HEADER_BYTES) / ENTRY_BYTES;
         // Calls in progress must not take the entries reserved for news.
         let call_entries = capacity - self.news.len().min(capacity / NEWS_RESERVE_DIVISOR);
         let mut entries = Vec::new();
-        for (place, n) in entries_after(calls, self.last_sent.0).take(call_entries) {
-            entries.push(entry(place, CopyStatus::Serving(*n)));
+        for (place, n) in rotated(calls, self.last_sent.0).take(call_entries) {
+            entries.push(entry(place, Status::Serving(*n)));
             self.last_sent.0 = *place;
         }
         while entries.len() < capacity {
-            let Some((place, status)) =
-                entries_after(&self.news, self.last_sent.1).next().map(|(p, w)| (*p, *w))
+            let Some((place, status)) = rotated(&self.news, self.last_sent.1).next().map(|(p, s)| (*p, *s))
             else {
                 break;
             };
@@ -342,7 +334,7 @@
             self.last_sent.1 = place;
             // Calls in progress there imply a loaded copy, and so does a recent announcement of another router.
             let due = due(&place, status) && !calls.contains_key(&place);
-            if due || status != CopyStatus::Serving(0) {
+            if due || status != Status::Serving(0) {
                 entries.push(entry(&place, status));
             }
         }
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -2,25 +2,25 @@
 
 use super::*;
 
-fn entry(host: u16, function: u32, status: CopyStatus) -> Entry {
+fn entry(host: u16, function: u32, status: Status) -> Entry {
     Entry { host, function, status }
 }
 
 #[test]
 fn datagrams_are_decoded_and_corrupt_ones_are_rejected() {
     let statuses = [
-        CopyStatus::Serving(0),
-        CopyStatus::Serving(10),
-        CopyStatus::Loading,
-        CopyStatus::Gone,
-        CopyStatus::Copies(2),
-        CopyStatus::Copies(4),
+        Status::Serving(0),
+        Status::Serving(10),
+        Status::Loading,
+        Status::Gone,
+        Status::Copies(2),
+        Status::Copies(4),
     ];
     let mut entries: Vec<_> = statuses.into_iter().map(|w| entry(0xabcd, NO_FUNCTION - 1, w)).collect();
-    entries.push(entry(7, NO_FUNCTION, CopyStatus::NoRoom));
+    entries.push(entry(7, NO_FUNCTION, Status::NoRoom));
     let bytes = encode(9, &entries, 256);
     assert_eq!(decode(&bytes), Some((9, entries)));
-    let many = vec![entry(1, 2, CopyStatus::Serving(99)); 99];
+    let many = vec![entry(1, 2, Status::Serving(99)); 99];
     let bytes = encode(0, &many, 256);
     assert!(bytes.len() <= 256 && decode(&bytes).is_some_and(|(_, l)| l.len() == 50));
     // Each changed byte and each shorter length is detected.
@@ -40,21 +40,20 @@
 fn calls_in_progress_are_summed_replaced_and_expire() {
     let (period, keep) = (500_000, 5_000_000);
     let mut table = PeerTable::default();
-    let datagram = |sequence, n| {
-        encode(sequence, &[entry(1, 5, CopyStatus::Serving(n)), entry(2, 6, CopyStatus::Gone)], 256)
-    };
-    assert!(table.accept(1, period, 3, &datagram(255, 4)).is_some());
-    assert!(table.accept(2, period, 4, &datagram(7, 2)).is_some());
+    let datagram =
+        |sequence, n| encode(sequence, &[entry(1, 5, Status::Serving(n)), entry(2, 6, Status::Gone)], 256);
+    assert!(table.add(1, period, 3, &datagram(255, 4)).is_some());
+    assert!(table.add(2, period, 4, &datagram(7, 2)).is_some());
     assert_eq!((table.at_host(1), table.at_place(5, 1), table.at_host(2)), (6.0, 6.0, 0.0));
     // A duplicate and an overtaken datagram change nothing; the next one replaces the calls in progress.
     assert!(
-        table.accept(3, period, 3, &datagram(255, 9)).is_none()
-            && table.accept(3, period, 3, &datagram(250, 9)).is_none()
+        table.add(3, period, 3, &datagram(255, 9)).is_none()
+            && table.add(3, period, 3, &datagram(250, 9)).is_none()
     );
-    assert!(table.accept(4, period, 3, &datagram(0, 1)).is_some());
+    assert!(table.add(4, period, 3, &datagram(0, 1)).is_some());
     assert_eq!((table.at_host(1), table.at_place(5, 1)), (3.0, 3.0));
     // A restarted router is accepted once its old datagram has expired.
-    assert!(table.accept(5 + MAX_AGE_PERIODS * period, period, 3, &datagram(200, 5)).is_some());
+    assert!(table.add(5 + MAX_AGE_PERIODS * period, period, 3, &datagram(200, 5)).is_some());
     table.expire(5 + MAX_AGE_PERIODS * period, (period, keep), 4, true);
     assert_eq!((table.at_host(1), table.reliable), (5.0, true), "the other's is too old");
     table.expire(PEER_TIMEOUT_US * 3, (period, keep), 4, true);
@@ -67,12 +66,12 @@
 fn places_of_uncalled_functions_are_bounded_and_expire() {
     let mut table = PeerTable::default();
     for f in 0..2 * MAX_UNCALLED_PLACES as u32 {
-        table.remember(1, (f, 0), CopyStatus::Serving(0));
+        table.remember(1, (f, 0), Status::Serving(0));
     }
     assert_eq!(table.uncalled.len(), MAX_UNCALLED_PLACES);
-    table.remember(2, (0, 0), CopyStatus::Copies(3));
+    table.remember(2, (0, 0), Status::Copies(3));
     assert_eq!(table.uncalled[&(0, 0)], (2, 3), "a known place is kept up to date");
-    table.remember(3, (0, 0), CopyStatus::Gone);
+    table.remember(3, (0, 0), Status::Gone);
     assert_eq!(table.uncalled.len(), MAX_UNCALLED_PLACES - 1);
     table.expire(6_000_000, (500_000, 5_000_000), 4, true);
     assert!(table.uncalled.is_empty());
@@ -86,9 +85,7 @@
     let held: BTreeMap<PlaceKey, u8> = (0..120).map(|f| ((f, 1), 3)).collect();
     let mut sent = std::collections::BTreeMap::new();
     for round in 0..8 {
-        (0..60).for_each(|f| {
-            composer.queue((f, 2), if f % 2 == 0 { CopyStatus::Loading } else { CopyStatus::Gone })
-        });
+        (0..60).for_each(|f| composer.queue((f, 2), if f % 2 == 0 { Status::Loading } else { Status::Gone }));
         let bytes = composer.compose(&held, 256, |_, _| true).expect("entries to send");
         let (sequence, entries) = decode(&bytes).expect("it can be read");
         assert_eq!((sequence, entries.len()), (round + 1, 50));
@@ -101,20 +98,17 @@
 #[test]
 fn queued_news_is_bounded_replaced_and_omitted_if_already_announced() {
     let mut composer = Composer::default();
-    (0..2 * MAX_QUEUED_NEWS as u32).for_each(|f| composer.queue((f, 0), CopyStatus::Loading));
+    (0..2 * MAX_QUEUED_NEWS as u32).for_each(|f| composer.queue((f, 0), Status::Loading));
     assert_eq!(composer.entries(), MAX_QUEUED_NEWS);
-    composer.queue((3, 0), CopyStatus::Gone);
+    composer.queue((3, 0), Status::Gone);
     let bytes = composer.compose(&BTreeMap::new(), 256, |_, _| false).expect("loads are always sent");
     let (_, entries) = decode(&bytes).unwrap();
-    assert!(
-        entries.contains(&entry(0, 3, CopyStatus::Gone))
-            && !entries.contains(&entry(0, 3, CopyStatus::Loading))
-    );
+    assert!(entries.contains(&entry(0, 3, Status::Gone)) && !entries.contains(&entry(0, 3, Status::Loading)));
     let mut composer = Composer::default();
-    (0..4).for_each(|f| composer.queue((f, 0), CopyStatus::Serving(0)));
+    (0..4).for_each(|f| composer.queue((f, 0), Status::Serving(0)));
     let bytes =
         composer.compose(&BTreeMap::new(), 256, |place, _| place.0 == 2).expect("one that is not known");
-    assert_eq!(decode(&bytes).unwrap().1, vec![entry(0, 2, CopyStatus::Serving(0))]);
+    assert_eq!(decode(&bytes).unwrap().1, vec![entry(0, 2, Status::Serving(0))]);
 }
 
 #[test]
--- a/src/gossip_exchange.rs
+++ b/src/gossip_exchange.rs
@@ -4,8 +4,7 @@
 use std::collections::BTreeMap;
 
 use crate::gossip::{
-    function_key, host_key, period, CopyStatus, PlaceKey, ANNOUNCE_AGAIN_DIVISOR, MIN_DATAGRAM_BYTES,
-    NO_FUNCTION,
+    function_key, host_key, period, PlaceKey, Status, ANNOUNCE_AGAIN_DIVISOR, MIN_DATAGRAM_BYTES, NO_FUNCTION,
 };
 use crate::interface::*;
 use crate::state::{Core, Router};
@@ -35,7 +34,7 @@
     }
 
     /// Queues news of a function at a worker for the other routers.
-    pub(crate) fn queue_news(&mut self, worker: &WorkerId, function: &FunctionId, status: CopyStatus) {
+    pub(crate) fn queue_news(&mut self, worker: &WorkerId, function: &FunctionId, status: Status) {
         if self.gossip_enabled() {
             self.composer.queue((function_key(function), host_key(worker)), status);
         }
@@ -47,7 +46,7 @@
         let until = self.now + NO_ROOM_US;
         self.workers.entry(worker.clone()).and_modify(|w| w.no_loads_until = until);
         if self.gossip_enabled() {
-            self.composer.queue((NO_FUNCTION, host_key(worker)), CopyStatus::NoRoom);
+            self.composer.queue((NO_FUNCTION, host_key(worker)), Status::NoRoom);
         }
     }
 
@@ -57,16 +56,16 @@
             return;
         }
         let (now, keep) = (self.now, self.settings.keep);
-        let entries = self.gossip.accept(now, period(self.settings.routers), from, bytes).unwrap_or_default();
-        for l in entries {
-            let Some(n) = self.host_keys.get(&l.host) else { continue };
-            if l.status == CopyStatus::NoRoom {
+        let entries = self.gossip.add(now, period(self.settings.routers), from, bytes).unwrap_or_default();
+        for e in entries {
+            let Some(n) = self.host_keys.get(&e.host) else { continue };
+            if e.status == Status::NoRoom {
                 self.workers.entry(n.clone()).and_modify(|w| w.no_loads_until = now + NO_ROOM_US);
-            } else if let Some(f) = self.function_keys.get(&l.function) {
+            } else if let Some(f) = self.function_keys.get(&e.function) {
                 let f = self.functions.get_mut(f);
-                f.into_iter().for_each(|f| f.apply_gossip(n, (now, now), keep, l.status));
+                f.into_iter().for_each(|f| f.apply_gossip(n, (now, now), keep, e.status));
             } else {
-                self.gossip.remember(now, (l.function, l.host), l.status);
+                self.gossip.remember(now, (e.function, e.host), e.status);
             }
         }
     }
@@ -83,7 +82,7 @@
         f.key = key;
         for (host, at, copies) in self.gossip.take_known(key) {
             if let Some(n) = self.host_keys.get(&host) {
-                f.apply_gossip(n, (now, at), keep, CopyStatus::Copies(copies));
+                f.apply_gossip(n, (now, at), keep, Status::Copies(copies));
             }
         }
     }
@@ -114,29 +113,26 @@
         }
         let functions = &mut self.functions;
         self.function_keys.retain(|_, f| functions.contains_key(f));
-        let mut held: BTreeMap<PlaceKey, u8> = BTreeMap::new();
+        let mut calls: BTreeMap<PlaceKey, u8> = BTreeMap::new();
         for r in self.requests.values() {
             for t in r.attempts.iter().filter(|t| t.ended.is_none()) {
-                let n = held.entry((function_key(&r.function), host_key(&t.worker))).or_default();
+                let n = calls.entry((function_key(&r.function), host_key(&t.worker))).or_default();
                 *n = n.saturating_add(1);
                 let f = functions.get_mut(&r.function);
-                f.and_then(|f| f.placements.get_mut(&t.worker))
-                    .into_iter()
-                    .for_each(|p| p.announced_at = now);
+                f.and_then(|f| f.places.get_mut(&t.worker)).into_iter().for_each(|p| p.announced = now);
             }
         }
         let (function_keys, host_keys, keep) = (&self.function_keys, &self.host_keys, self.settings.keep);
         // Hundreds of routers find a copy within one period: what one has announced, the others omit.
         let due = |&(function, host): &PlaceKey, status| {
             let f = function_keys.get(&function).and_then(|f| functions.get_mut(f));
-            let p = f.zip(host_keys.get(&host)).and_then(|(f, n)| f.placements.get_mut(n));
+            let p = f.zip(host_keys.get(&host)).and_then(|(f, n)| f.places.get_mut(n));
             let Some(p) = p else { return true };
-            let due = now - p.announced_at > keep / ANNOUNCE_AGAIN_DIVISOR;
-            p.announced_at =
-                if status == CopyStatus::Gone { 0 } else { p.announced_at.max(if due { now } else { 0 }) };
+            let due = now - p.announced > keep / ANNOUNCE_AGAIN_DIVISOR;
+            p.announced = if status == Status::Gone { 0 } else { p.announced.max(if due { now } else { 0 }) };
             due
         };
-        let data = self.composer.compose(&held, self.settings.max_gossip_bytes, due);
+        let data = self.composer.compose(&calls, self.settings.max_gossip_bytes, due);
         out.extend(data.map(|data| Action::Broadcast { data }));
     }
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::gossip::{CopyStatus, ANNOUNCE_AGAIN_DIVISOR};
+use crate::gossip::{Status, ANNOUNCE_AGAIN_DIVISOR};
 use crate::hash::hash;
 use crate::interface::*;
 use crate::repeats::retry_deadline;
@@ -19,9 +19,9 @@
 /// A call counts as a successor of an earlier call of the same tenant within this time, once per call.
 const SUCCESSION_WINDOW_US: Micros = 1_000_000;
 /// Calls of a function that are needed before its successor counts are used.
-const MIN_PREDECESSOR_CALLS: f64 = 4.0;
+const MIN_CHAIN_CALLS: f64 = 4.0;
 /// A successor is preloaded when it follows more than this share of the calls of a function.
-const PRELOAD_THRESHOLD: f64 = 0.5;
+const PRELOAD_SHARE: f64 = 0.5;
 /// Preload orders in progress at once. The limit keeps preloads from overloading the function store.
 const MAX_PRELOADS: usize = 4;
 /// Load orders that preloads must leave in the budget for waiting requests.
@@ -51,7 +51,7 @@
 /// Attempts younger than this are never overdue: the durations of short calls vary more.
 const MIN_SILENCE_US: Micros = 600_000;
 /// Share of overdue attempts that never get an answer, above which safe requests are cancelled and retried.
-const MIN_LOST_SHARE: f64 = 0.5;
+const MIN_LOSS: f64 = 0.5;
 /// A worker has almost stopped when at least this many of its attempts, and more than half, are overdue.
 const MIN_STUCK_ATTEMPTS: u32 = 3;
 /// Above this share of stuck and unhealthy workers, the cause is overload, and no stuck worker is rested.
@@ -74,12 +74,12 @@
 /// Time after a worker returns to service in which copies are ordered on it ahead of calls.
 const RESTORE_PERIOD_US: Micros = 5_000_000;
 /// A copy is renewed when it would be unloaded within this time, which covers an order and its load.
-const RENEWAL_LEAD_US: Micros = 1_500_000;
+const RENEW_LEAD_US: Micros = 1_500_000;
 /// Copies of functions not called for this multiple of the keep-alive are no longer renewed.
-const RENEWAL_MULTIPLE: f64 = 2.5;
+const RENEW_MULTIPLE: f64 = 2.5;
 /// When a copy stays idle although all routers together should have sent it this many calls, the calls
 /// have stopped.
-const MAX_MISSED_CALLS: f64 = 3.0;
+const MAX_MISSED: f64 = 3.0;
 /// A tenant exceeds its quota above this multiple of it: traffic is bursty, and a router sees only a part.
 const QUOTA_TOLERANCE: f64 = 1.1;
 /// Slowness, as answer time over latency aim, above which a worker may be passed over. It is well below 1,
@@ -126,8 +126,7 @@
             Event::List { kind: ListKind::Failed, .. } => self.subscribe_at = self.now + MIN_REST_US,
             Event::List { kind, entries } => self.apply_list(kind, entries),
             Event::Arrival { request, class, tenant, function, due, lanes, repeat, hint } => {
-                let (attempts, preferred) =
-                    (std::mem::take(&mut self.past_attempts), std::mem::take(&mut self.preferred));
+                let (past, preferred) = (std::mem::take(&mut self.past), std::mem::take(&mut self.preferred));
                 if class >= self.settings.classes.len() || self.requests.contains_key(&request) {
                     return;
                 }
@@ -141,7 +140,7 @@
                     worth: self.worth(class, tenant, repeat),
                     function: function.clone(),
                     due,
-                    attempts,
+                    attempts: past,
                     answered: false,
                     held: false,
                     counted,
@@ -235,10 +234,10 @@
             w.mean_in_flight += (w.in_flight as f64 - w.mean_in_flight) * (1.0 - fade);
             w.mean_awaiting += (w.awaiting as f64 - w.mean_awaiting) * (1.0 - fade);
             w.slowness *= slowest;
-            w.recent_attempts *= slower;
-            w.recent_failures *= slower;
+            w.attempts *= slower;
+            w.failures *= slower;
         }
-        for p in self.functions.values_mut().flat_map(|f| f.placements.values_mut()) {
+        for p in self.functions.values_mut().flat_map(|f| f.places.values_mut()) {
             p.mean_in_flight += (p.in_flight as f64 - p.mean_in_flight) * (1.0 - fade);
         }
         if now - self.last_halving >= HALVING_PERIOD_US && self.calls >= MIN_CALLS_TO_HALVE {
@@ -320,15 +319,14 @@
         let limit = self.crowding_threshold();
         let others = (self.settings.routers - 1) as f64 * self.trust();
         let lanes = f.lanes.max(1) as f64;
-        let use_gossip = self.gossip.reliable;
+        let gossip = self.gossip.reliable;
         let queue = |p: &Placement, w: &Worker| {
-            let theirs =
-                if use_gossip { self.gossip.at_place(f.key, w.key) } else { others * p.mean_in_flight };
+            let theirs = if gossip { self.gossip.at_place(f.key, w.key) } else { others * p.mean_in_flight };
             (p.in_flight as f64 + theirs) / (lanes * p.copies.max(1) as f64)
         };
         // With gossip the whole load is known, so a starting worker counts with its current part of its
         // size.
-        let pressure = |w: &Worker| self.load(w) / w.size / if use_gossip { self.warmth(w) } else { 1.0 };
+        let pressure = |w: &Worker| self.load(w) / w.size / if gossip { self.warmth(w) } else { 1.0 };
         // Each worker that was full doubles the number of candidates: a router with little traffic finds
         // copies that way.
         let full_count = r.attempts.iter().filter(|t| t.ended == Some(Outcome::Full)).count();
@@ -336,14 +334,12 @@
         let spread = self.spread(f).max(widened);
         let candidates = self.ranked(f).filter(|(n, w)| usable(n, w));
         let candidates: Vec<_> = candidates.take(self.max_candidates(f).max(spread)).collect();
-        let missing =
-            |n| f.placements.get(n).is_some_and(|p| p.missed_until > self.now || p.loading.is_some());
-        let presumed_loaded = candidates.iter().take(spread).map(|(n, _)| *n).filter(|n| !missing(n));
-        let presumed_loaded: BTreeSet<_> = presumed_loaded.collect();
+        let missing = |n| f.places.get(n).is_some_and(|p| p.missed_until > self.now || p.loading.is_some());
+        let presumed = candidates.iter().take(spread).map(|(n, _)| *n).filter(|n| !missing(n));
+        let presumed: BTreeSet<_> = presumed.collect();
         let unknown = Placement::default();
-        let known = f.placements.iter().filter(|(n, _)| !presumed_loaded.contains(n));
-        let places =
-            known.chain(presumed_loaded.iter().map(|n| (*n, f.placements.get(n).unwrap_or(&unknown))));
+        let known = f.places.iter().filter(|(n, _)| !presumed.contains(n));
+        let places = known.chain(presumed.iter().map(|n| (*n, f.places.get(n).unwrap_or(&unknown))));
         // The usual path: the least loaded worker with a loaded copy and room, a random one by size among
         // about equal ones. Preferred locations take precedence over load, unless the worker is slow.
         let location_rank = |n: &WorkerId, w: &Worker| match w.slowness < MAX_WORKER_SLOWNESS {
@@ -354,7 +350,7 @@
         let mut waiting: Option<(f64, WorkerId)> = None;
         for (n, p) in places {
             let Some(w) = self.workers.get(n).filter(|w| usable(n, w) && self.admits(w)) else { continue };
-            let warm = p.warm_until > self.now || presumed_loaded.contains(n);
+            let warm = p.warm_until > self.now || presumed.contains(n);
             if !warm && p.loading.is_none() {
                 continue;
             }
@@ -363,7 +359,7 @@
                 let score = per_size * self.mean_size()
                     + w.slowness / MAX_WORKER_SLOWNESS
                     + self.overlap(f, p, spread);
-                let (level, tie) = if use_gossip {
+                let (level, tie) = if gossip {
                     // Gossip is up to a period old: with finer steps, all routers would choose the worker
                     // that was least loaded at that time.
                     let apart = score.max(MIN_CROWDED_LOAD).sqrt() / ROOT_LOAD_STEP
@@ -385,26 +381,25 @@
         }
         // A worker that returned to service has no copies, so no call would go there: functions that belong
         // there are ordered ahead of calls.
-        let lacks_copy =
-            |n| f.placements.get(n).is_none_or(|p| p.warm_until <= self.now && p.loading.is_none());
+        let lacks_copy = |n| f.places.get(n).is_none_or(|p| p.warm_until <= self.now && p.loading.is_none());
         let restored = |n, w: &Worker| {
             w.restored_at > 0 && self.now - w.restored_at < RESTORE_PERIOD_US && f.known && lacks_copy(n)
         };
         let restored = candidates.iter().find(|(n, w)| restored(*n, w)).map(|(n, _)| (*n).clone());
         if let Some((.., n)) = best {
             if let Some(restored) = restored {
-                self.order_copies(&restored, &function, 1, true, out);
+                self.order(&restored, &function, 1, true, out);
             }
             return Route::Send(n);
         }
-        // A slow outlier is passed over. Where all workers are slow, more copies would only evict others.
-        let others_mean =
+        // A slow outlier is passed over; `mean` is the mean slowness of the others. Where all workers are slow,
+        // more copies would only evict others.
+        let mean =
             |w: &Worker| (self.totals.slowness - w.slowness).max(0.0) / (self.totals.up - 1.0).max(1.0);
         let outlier = |w: &Worker| {
-            w.slowness > MAX_WORKER_SLOWNESS.max(OUTLIER_MULTIPLE * others_mean(w))
-                && others_mean(w) < MAX_WORKER_SLOWNESS
+            w.slowness > MAX_WORKER_SLOWNESS.max(OUTLIER_MULTIPLE * mean(w)) && mean(w) < MAX_WORKER_SLOWNESS
         };
-        let accepts = |w: &Worker| !outlier(w) && (use_gossip || w.accepts_loads(self.now));
+        let accepts = |w: &Worker| !outlier(w) && (gossip || w.accepts_loads(self.now));
         let target = candidates
             .iter()
             .find(|(_, w)| accepts(w))
@@ -412,13 +407,13 @@
             .filter(|(_, w)| self.admits(w));
         // With gossip, all routers know the loads and pass over the same crowded workers.
         let has_room = |w: &Worker| self.admits(w) && pressure(w) < limit && w.accepts_loads(self.now);
-        let nearest = self.ranked(f).find(|(n, w)| use_gossip && usable(n, w) && has_room(w));
+        let nearest = self.ranked(f).find(|(n, w)| gossip && usable(n, w) && has_room(w));
         let target = nearest.or(target.copied()).map(|(n, _)| n.clone());
         let free = |n, w: &Worker| lacks_copy(n) && has_room(w);
         let overflow = candidates.iter().find(|(n, w)| free(*n, w)).map(|(n, _)| (*n).clone());
         if let Some((_, n)) = waiting {
-            let p = f.placements.get(&n).unwrap_or(&unknown);
-            let warm = p.warm_until > self.now || presumed_loaded.contains(&n);
+            let p = f.places.get(&n).unwrap_or(&unknown);
+            let warm = p.warm_until > self.now || presumed.contains(&n);
             // Waiting for a lane or a load must leave enough time to answer within the latency aim.
             let queue = self.workers.get(&n).map_or(0.0, |w| queue(p, w));
             let aim = r.terms.aim as f64;
@@ -428,9 +423,9 @@
             // this one is crowded.
             if warm && has_room {
                 let copies = p.copies.max(1) + 1;
-                self.order_copies(&n, &function, copies, true, out);
+                self.order(&n, &function, copies, true, out);
             } else if let Some(h) = overflow.filter(|_| warm) {
-                self.order_copies(&h, &function, 1, true, out);
+                self.order(&h, &function, 1, true, out);
             }
             if !warm && self.settings.when_cold == WhenCold::Misses {
                 return Route::AwaitLoad;
@@ -439,22 +434,19 @@
         }
         // A load that this router ordered may be at a worker without room just now. Ordering more elsewhere
         // would use up the load budget.
-        if use_gossip
-            && f.placements.iter().any(|(n, p)| p.ordered && self.workers.get(n).is_some_and(|w| w.up))
-        {
+        if gossip && f.places.iter().any(|(n, p)| p.ordered && self.workers.get(n).is_some_and(|w| w.up)) {
             return Route::AwaitLoad;
         }
         let Some(h) = target else { return Route::Busy };
-        let missed =
-            r.attempts.iter().any(|t| (use_gossip || t.worker == h) && t.ended == Some(Outcome::Miss));
+        let missed = r.attempts.iter().any(|t| (gossip || t.worker == h) && t.ended == Some(Outcome::Miss));
         // When gossip is complete and reports no copy, no worker has one. A call sent to find that out
         // would use a cold worker's limited capacity and open a connection.
         let nowhere = f.known && self.gossip.is_complete(self.now, self.settings.keep);
         if self.settings.when_cold == WhenCold::Misses && (missed || nowhere) {
             // After a miss, one copy is ordered, and the request is sent again once it is loaded.
-            self.order_copies(&h, &function, 1, false, out);
-            let ordered = self.functions[&function].placements.get(&h).is_some_and(|p| p.ordered);
-            if ordered || !use_gossip {
+            self.order(&h, &function, 1, false, out);
+            let ordered = self.functions[&function].places.get(&h).is_some_and(|p| p.ordered);
+            if ordered || !gossip {
                 return Route::AwaitLoad;
             }
             if missed {
@@ -498,19 +490,16 @@
     /// threshold.
     fn preload_successor(&mut self, id: &FunctionId, out: &mut Vec<Action>) {
         let Some(f) = self.functions.get(id) else { return };
-        let likely = f
-            .successors
-            .iter()
-            .filter(|(_, n)| f.calls >= MIN_PREDECESSOR_CALLS && **n / f.calls > PRELOAD_THRESHOLD);
-        let cold =
-            likely.filter(|(s, _)| self.functions.get(*s).is_some_and(|s| !s.is_loaded_anywhere(self.now)));
+        let likely =
+            f.successors.iter().filter(|(_, n)| f.calls >= MIN_CHAIN_CALLS && **n / f.calls > PRELOAD_SHARE);
+        let cold = likely.filter(|(s, _)| self.functions.get(*s).is_some_and(|s| !s.is_loaded(self.now)));
         let Some(next) = cold.max_by(|a, b| a.1.total_cmp(b.1)).map(|(s, _)| s.clone()) else { return };
         self.rank(&next);
         let panic = self.is_panicking();
         let usable = |w: &Worker| w.up && !w.on_trial && (panic || w.unhealthy_until <= self.now);
         let target = self.ranked(&self.functions[&next]).find(|(_, w)| usable(w)).map(|(n, _)| n.clone());
         if let Some(h) = target {
-            self.order_copies(&h, &next, 1, true, out);
+            self.order(&h, &next, 1, true, out);
         }
     }
 
@@ -519,33 +508,24 @@
     /// calls: where all routers together should have sent several, either others keep the copy in use or
     /// the calls have stopped.
     fn renew_copies(&mut self, out: &mut Vec<Action>) {
-        let (now, pace) = (self.now, (self.settings.keep as f64 * RENEWAL_MULTIPLE) as Micros);
-        let soon =
-            |p: &Placement| (now + 1..now + RENEWAL_LEAD_US).contains(&p.warm_until) && p.in_flight == 0;
+        let (now, pace) = (self.now, (self.settings.keep as f64 * RENEW_MULTIPLE) as Micros);
+        let soon = |p: &Placement| (now + 1..now + RENEW_LEAD_US).contains(&p.warm_until) && p.in_flight == 0;
         let due = self.settings.routers as f64 * self.settings.keep as f64 / (2 * HALVING_PERIOD_US) as f64;
-        let comes =
-            |f: &Function| f.call_count > 1 && now - f.last_call < pace && f.calls * due < MAX_MISSED_CALLS;
+        let comes = |f: &Function| f.call_count > 1 && now - f.last_call < pace && f.calls * due < MAX_MISSED;
         let wanted = self.functions.iter().filter(|(_, f)| comes(f));
         let newest =
-            wanted.filter_map(|(id, f)| Some((id, f.placements.iter().max_by_key(|(_, p)| p.warm_until)?)));
+            wanted.filter_map(|(id, f)| Some((id, f.places.iter().max_by_key(|(_, p)| p.warm_until)?)));
         let due = newest.filter(|(_, (_, p))| soon(p)).map(|(id, (n, _))| (n.clone(), id.clone()));
         for (n, id) in due.collect::<Vec<_>>() {
             if self.workers.get(&n).is_some_and(|w| w.unhealthy_until <= now) {
-                self.order_copies(&n, &id, 1, true, out);
+                self.order(&n, &id, 1, true, out);
             }
         }
     }
 
     /// Orders copies if the settings, the worker and the load budget allow it. `ahead` marks a preload: an
     /// order that no request waits for.
-    fn order_copies(
-        &mut self,
-        worker: &WorkerId,
-        function: &FunctionId,
-        copies: u32,
-        ahead: bool,
-        out: &mut Vec<Action>,
-    ) {
+    fn order(&mut self, worker: &WorkerId, id: &FunctionId, copies: u32, ahead: bool, out: &mut Vec<Action>) {
         let now = self.now;
         let crowded = ahead && self.preloads.len() >= MAX_PRELOADS;
         if !self.settings.orders
@@ -554,8 +534,8 @@
         {
             return;
         }
-        let Some(f) = self.functions.get_mut(function) else { return };
-        let p = f.placements.entry(worker.clone()).or_default();
+        let Some(f) = self.functions.get_mut(id) else { return };
+        let p = f.places.entry(worker.clone()).or_default();
         if p.ordered {
             return;
         }
@@ -569,54 +549,43 @@
         p.ordered = true;
         p.loading = p.loading.or((p.warm_until <= now).then_some(now));
         if ahead {
-            self.preloads.insert((worker.clone(), function.clone()));
+            self.preloads.insert((worker.clone(), id.clone()));
         }
-        out.push(Action::Load { worker: worker.clone(), function: function.clone(), copies: copies.min(16) });
-        self.queue_news(worker, function, CopyStatus::Loading);
+        out.push(Action::Load { worker: worker.clone(), function: id.clone(), copies: copies.min(16) });
+        self.queue_news(worker, id, Status::Loading);
     }
 
     /// Records the result of a load order and dispatches the held requests for the function.
-    fn load_ended(
-        &mut self,
-        worker: &WorkerId,
-        function: &FunctionId,
-        result: (Outcome, u32),
-        out: &mut Vec<Action>,
-    ) {
-        let (end, copies) = result;
-        self.preloads.remove(&(worker.clone(), function.clone()));
+    fn load_ended(&mut self, worker: &WorkerId, id: &FunctionId, end: (Outcome, u32), out: &mut Vec<Action>) {
+        let (outcome, copies) = end;
+        self.preloads.remove(&(worker.clone(), id.clone()));
         let (now, keep) = (self.now, self.settings.keep);
-        let Some(p) = self.functions.get_mut(function).and_then(|f| f.placements.get_mut(worker)) else {
-            return;
-        };
+        let Some(p) = self.functions.get_mut(id).and_then(|f| f.places.get_mut(worker)) else { return };
         // The worker restarted since the order was sent, so nothing of the load is left.
-        let lost = end == Outcome::Reset && p.loading.is_none() && p.warm_until == 0;
+        let lost = outcome == Outcome::Reset && p.loading.is_none() && p.warm_until == 0;
         (p.ordered, p.loading) = (false, None);
-        if end == Outcome::NotSent {
+        if outcome == Outcome::NotSent {
             // This says nothing about the worker. Ordering again at once could loop without end.
             self.orders.pop_back();
             return;
         }
         p.copies = copies;
         p.warm_until = if copies > 0 { now + keep } else { 0 };
-        let status = [CopyStatus::Gone, CopyStatus::Serving(0), CopyStatus::Copies(copies.min(4) as u8)]
-            [copies.min(2) as usize];
-        self.queue_news(worker, function, status);
-        let Some(p) = self.functions.get_mut(function).and_then(|f| f.placements.get_mut(worker)) else {
-            return;
-        };
-        match end {
+        let status =
+            [Status::Gone, Status::Serving(0), Status::Copies(copies.min(4) as u8)][copies.min(2) as usize];
+        self.queue_news(worker, id, status);
+        let Some(p) = self.functions.get_mut(id).and_then(|f| f.places.get_mut(worker)) else { return };
+        match outcome {
             // The worker carries out an order that it has received, even if the connection breaks: calls
             // wait there for the load.
             Outcome::Reset if !lost => (p.warm_until, p.copies) = (now + keep / 2, 1),
-            Outcome::ConnectFailed => self.record_failure(worker, end, out),
+            Outcome::ConnectFailed => self.record_failure(worker, outcome, out),
             // All its memory is in use, or it drains and the list does not show it yet. Ordering there
             // again at once would use up the load budget of every router in a large fleet.
             Outcome::Full if copies == 0 => self.mark_no_room(worker),
             _ => {}
         }
-        let held =
-            self.requests.iter().filter(|(_, r)| r.held && r.function == *function).map(|(q, _)| q.clone());
+        let held = self.requests.iter().filter(|(_, r)| r.held && r.function == *id).map(|(q, _)| q.clone());
         for q in held.collect::<Vec<_>>() {
             self.dispatch(&q, out);
         }
@@ -705,7 +674,7 @@
     fn attempt_ended(
         &mut self,
         id: &RequestId,
-        attempt: u32,
+        number: u32,
         worker: &WorkerId,
         (outcome, finished, duration, found, report): AttemptResult,
         out: &mut Vec<Action>,
@@ -714,7 +683,7 @@
         let Some(r) = self.requests.get_mut(id) else { return };
         r.answered |= finished;
         let Some(t) =
-            r.attempts.get_mut(attempt as usize).filter(|t| t.ended.is_none() && t.worker == *worker)
+            r.attempts.get_mut(number as usize).filter(|t| t.ended.is_none() && t.worker == *worker)
         else {
             return;
         };
@@ -736,7 +705,7 @@
             w.in_flight = w.in_flight.saturating_sub(1);
             w.awaiting = w.awaiting.saturating_sub(u32::from(!warm));
             report.into_iter().for_each(|r| w.learn_other_load(now, r));
-            w.recent_attempts += if outcome == Outcome::NoConnection { 0.0 } else { 1.0 };
+            w.attempts += if outcome == Outcome::NoConnection { 0.0 } else { 1.0 };
             use Outcome::*;
             if !matches!(outcome, TimedOut | ConnectFailed | Cancelled | NotSent | NoConnection) {
                 (w.last_heard, w.last_answer) = (now, now);
@@ -746,17 +715,16 @@
         // since.
         let earlier = self.workers.get(worker).is_some_and(|w| w.started > sent);
         let (keep, mut news) = (self.settings.keep, None);
-        if let Some(p) = self.functions.get_mut(&function).and_then(|f| f.placements.get_mut(worker)) {
+        if let Some(p) = self.functions.get_mut(&function).and_then(|f| f.places.get_mut(worker)) {
             p.in_flight = p.in_flight.saturating_sub(1);
             match outcome {
                 _ if earlier => {}
                 Outcome::Done => {
                     (p.warm_until, p.loading, p.copies) = (now + keep, None, p.copies.max(1));
-                    news = (now - p.announced_at > keep / ANNOUNCE_AGAIN_DIVISOR)
-                        .then_some(CopyStatus::Serving(0));
+                    news = (now - p.announced > keep / ANNOUNCE_AGAIN_DIVISOR).then_some(Status::Serving(0));
                 }
                 Outcome::Miss => {
-                    news = (p.warm_until > now).then_some(CopyStatus::Gone);
+                    news = (p.warm_until > now).then_some(Status::Gone);
                     (p.warm_until, p.copies, p.missed_until) = (0, 0, now + keep / 4);
                     p.loading = p.loading.filter(|_| p.ordered);
                 }
@@ -780,7 +748,7 @@
                 }
                 if loaded {
                     self.usual_duration = running_mean(self.usual_duration, duration as f64, AVERAGE_WEIGHT);
-                    self.learn_concurrency_limit(worker, (duration, hint), lane_free);
+                    self.learn_limit(worker, (duration, hint), lane_free);
                     self.learn_slowness(worker, of_aim(duration));
                 }
             }
@@ -796,7 +764,7 @@
                 }
             }
             // Orders a copy there for the next call; this request may find another copy meanwhile.
-            Outcome::Miss => self.order_copies(worker, &function, 1, true, out),
+            Outcome::Miss => self.order(worker, &function, 1, true, out),
             Outcome::NotSent | Outcome::Cancelled => {}
             // Two workers do not know the function: no worker does, and the client invented the name.
             Outcome::Error if !known && errors > 1 => return self.finish_unserved(id, out),
@@ -812,8 +780,7 @@
             _ => self.record_failure(worker, outcome, out),
         }
         if warm && duration > self.overdue_age() && matches!(outcome, Outcome::Done | Outcome::TimedOut) {
-            self.lost_share +=
-                (f64::from(u8::from(outcome != Outcome::Done)) - self.lost_share) * 2.0 * AVERAGE_WEIGHT;
+            self.loss += (f64::from(u8::from(outcome != Outcome::Done)) - self.loss) * 2.0 * AVERAGE_WEIGHT;
         }
         match outcome {
             Outcome::Full if duration <= TICK_US => self.learn_slowness(worker, 2.0),
@@ -898,13 +865,12 @@
         if outcome == Outcome::Reset && self.now - std::mem::replace(&mut w.last_reset, self.now) < TICK_US {
             return;
         }
-        w.recent_failures += 1.0;
+        w.failures += 1.0;
         if broken {
             // It may be restarting long before the list shows it: cold until it has had time to warm up.
             w.cold_since = self.now;
         }
-        let often = w.recent_failures > MIN_FAILURES * trust
-            && w.recent_failures > MAX_FAILURE_SHARE * w.recent_attempts;
+        let often = w.failures > MIN_FAILURES * trust && w.failures > MAX_FAILURE_SHARE * w.attempts;
         if (broken || often || w.on_trial) && outcome != Outcome::Full {
             self.rest_worker(worker, out);
         }
@@ -917,7 +883,7 @@
         let Some(w) = self.workers.get_mut(worker).filter(|w| w.unhealthy_until <= now) else { return };
         w.rest_time = (w.rest_time * 2).clamp(first, MAX_REST_US);
         (w.unhealthy_until, w.on_trial) = (now + w.rest_time, true);
-        (w.recent_failures, w.recent_attempts) = (0.0, 0.0);
+        (w.failures, w.attempts) = (0.0, 0.0);
         out.push(Action::Log { text: format!("worker {} rests for {} ms", worker.0, w.rest_time / 1000) });
     }
 
@@ -929,17 +895,17 @@
     /// Rests workers that accept requests without answering: attempts on loaded copies are overdue, and the
     /// worker has sent nothing since.
     fn rest_silent_workers(&mut self, out: &mut Vec<Action>) {
-        let overdue_age = self.overdue_age();
+        let limit = self.overdue_age();
         let (mut unanswered, mut overdue): (BTreeMap<&WorkerId, u32>, BTreeMap<&WorkerId, u32>) =
             Default::default();
         for r in self.requests.values() {
             for t in r.attempts.iter().filter(|t| t.ended.is_none() && t.warm) {
                 let age = self.now - t.sent;
-                if age > overdue_age {
+                if age > limit {
                     *overdue.entry(&t.worker).or_default() += 1;
                 }
-                if age > overdue_age && self.workers.get(&t.worker).is_some_and(|w| w.last_heard <= t.sent) {
-                    *unanswered.entry(&t.worker).or_default() += 1 + u32::from(age > 2 * overdue_age);
+                if age > limit && self.workers.get(&t.worker).is_some_and(|w| w.last_heard <= t.sent) {
+                    *unanswered.entry(&t.worker).or_default() += 1 + u32::from(age > 2 * limit);
                 }
             }
         }
@@ -957,14 +923,10 @@
         }
         // Where overdue attempts mostly get no answer at all, a safe request is retried while there is
         // time.
-        let retry_lost =
-            self.lost_share > MIN_LOST_SHARE && self.slowness < MAX_FLEET_SLOWNESS && self.settings.cancel;
+        let retry_lost = self.loss > MIN_LOSS && self.slowness < MAX_FLEET_SLOWNESS && self.settings.cancel;
         for (id, r) in self.requests.iter().filter(|(_, r)| retry_lost && !r.answered && !r.streaming) {
             let safe = r.terms.effect == Effect::Safe;
-            let k = r
-                .attempts
-                .iter()
-                .position(|t| t.ended.is_none() && t.warm && self.now - t.sent > overdue_age);
+            let k = r.attempts.iter().position(|t| t.ended.is_none() && t.warm && self.now - t.sent > limit);
             if let (true, Some(k)) =
                 (safe && r.attempts.iter().all(|t| t.ended != Some(Outcome::Cancelled)), k)
             {
@@ -981,7 +943,7 @@
                 for (k, t) in
                     r.attempts.iter().enumerate().filter(|(_, t)| t.ended.is_none() && t.worker == n)
                 {
-                    let is_overdue = !r.answered && !r.streaming && self.now - t.sent > overdue_age;
+                    let is_overdue = !r.answered && !r.streaming && self.now - t.sent > limit;
                     if is_overdue && self.may_cancel_for_retry(r, &n) {
                         out.push(Action::Cancel { request: id.clone(), attempt: k as u32 });
                     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::bound::ConcurrencyLimit;
-use crate::gossip::{host_key, Composer, CopyStatus, PeerTable};
+use crate::gossip::{host_key, Composer, PeerTable, Status};
 use crate::hash::hash;
 use crate::interface::*;
 use crate::ramp::share_per_router;
@@ -26,9 +26,9 @@
 pub(crate) const SLOWNESS_MEMORY_US: f64 = 3e6;
 /// A connection used within this time is assumed to be open: hosts close idle ones after half a minute. A wrong
 /// assumption costs one new connection.
-const CONNECTION_REUSE_US: Micros = 20_000_000;
+const MAX_IDLE_US: Micros = 20_000_000;
 /// Age above which a load report is ignored.
-const MAX_REPORT_AGE_US: Micros = 1_000_000;
+const REPORT_TTL_US: Micros = 1_000_000;
 /// Time constant in which the capacity estimate follows a higher rate.
 const CAPACITY_RISE_US: f64 = 3e6;
 /// Time constant in which the capacity estimate falls to a lower rate.
@@ -55,7 +55,7 @@
     /// When that answer came; 0: never.
     pub(crate) overlap_at: Micros,
     /// When a router last announced a loaded copy.
-    pub(crate) announced_at: Micros,
+    pub(crate) announced: Micros,
 }
 
 /// Sums over the workers that are up.
@@ -94,7 +94,7 @@
     /// How many calls of this function each other function followed.
     pub(crate) successors: BTreeMap<FunctionId, f64>,
     pub(crate) lanes: u32,
-    pub(crate) placements: BTreeMap<WorkerId, Placement>,
+    pub(crate) places: BTreeMap<WorkerId, Placement>,
     /// Workers in rendezvous order, as of `ranked_version` of the worker set.
     pub(crate) ranked: Vec<WorkerId>,
     pub(crate) ranked_version: u64,
@@ -137,13 +137,13 @@
     pub(crate) mean_in_flight: f64,
     pub(crate) mean_awaiting: f64,
     /// Requests of the other routers there, from its load reports.
-    pub(crate) other_load: OtherLoad,
+    pub(crate) others: OtherLoad,
     pub(crate) last_heard: Micros,
     /// When a connection to it last worked; 0: never.
     pub(crate) last_answer: Micros,
     /// Attempts and failures, decaying within some seconds.
-    pub(crate) recent_attempts: f64,
-    pub(crate) recent_failures: f64,
+    pub(crate) attempts: f64,
+    pub(crate) failures: f64,
     /// When a connection to it last broke: all attempts that end with one connection are one failure.
     pub(crate) last_reset: Micros,
     /// Length of the last rest; 0 after a successful answer.
@@ -247,7 +247,7 @@
     pub(crate) slowness: f64,
     pub(crate) mean_worth: f64,
     /// Share of overdue attempts that never got an answer.
-    pub(crate) lost_share: f64,
+    pub(crate) loss: f64,
     /// Answers a second, decaying within about a second.
     pub(crate) done_rate: f64,
     /// Maximum number of calls that a worker of mean size runs at once.
@@ -259,7 +259,7 @@
     /// Highest worth of a held request.
     pub(crate) max_held_worth: f64,
     /// Attempts that the next request to arrive had at another router.
-    pub(crate) past_attempts: Vec<Attempt>,
+    pub(crate) past: Vec<Attempt>,
     /// Preferred locations of the next request to arrive.
     pub(crate) preferred: Vec<PreferredLocation>,
     pub(crate) peer: PeerRouter,
@@ -352,7 +352,7 @@
     /// Number of entries in all tables. Each table is bounded or expires, so the number does not grow for ever.
     pub fn entries(&self) -> usize {
         let c = &self.0;
-        let of = |f: &Function| 1 + f.successors.len() + f.placements.len() + f.ranked.len();
+        let of = |f: &Function| 1 + f.successors.len() + f.places.len() + f.ranked.len();
         c.functions.values().map(of).sum::<usize>()
             + c.workers.values().map(|w| 1 + w.rejections.len() + w.cold_sends.len()).sum::<usize>()
             + c.requests.values().map(|r| 1 + r.attempts.len()).sum::<usize>()
@@ -377,8 +377,7 @@
 impl Worker {
     /// Whether a connection to it is probably open; a new one costs both sides.
     pub(crate) fn is_connected(&self, now: Micros) -> bool {
-        self.in_flight > 0
-            || (self.last_answer > self.last_reset && now - self.last_answer < CONNECTION_REUSE_US)
+        self.in_flight > 0 || (self.last_answer > self.last_reset && now - self.last_answer < MAX_IDLE_US)
     }
 
     /// Whether it probably accepts load orders.
@@ -391,18 +390,18 @@
     pub(crate) fn learn_other_load(&mut self, now: Micros, report: LoadReport) {
         let holding = report.in_flight - f64::from(self.in_flight);
         let running = report.in_flight - report.waiting - f64::from(self.in_flight - self.awaiting);
-        let weight = if self.other_load.at == 0 { 1.0 } else { AVERAGE_WEIGHT };
+        let weight = if self.others.at == 0 { 1.0 } else { AVERAGE_WEIGHT };
         let mean = |before: f64, now: f64| before + (now - before) * weight;
-        let OtherLoad { holding: held, running: ran, .. } = self.other_load;
-        self.other_load = OtherLoad { at: now, holding: mean(held, holding), running: mean(ran, running) };
+        let OtherLoad { holding: held, running: ran, .. } = self.others;
+        self.others = OtherLoad { at: now, holding: mean(held, holding), running: mean(ran, running) };
     }
 
     /// Clears what was learnt of an earlier process of the worker.
     pub(crate) fn reset_record(&mut self) {
-        (self.recent_failures, self.recent_attempts, self.rest_time, self.unhealthy_until, self.full_until) =
+        (self.failures, self.attempts, self.rest_time, self.unhealthy_until, self.full_until) =
             (0.0, 0.0, 0, 0, 0);
         self.no_loads_until = 0;
-        (self.on_trial, self.other_load, self.slowness) = (false, OtherLoad::default(), 0.0);
+        (self.on_trial, self.others, self.slowness) = (false, OtherLoad::default(), 0.0);
         self.rejections.clear();
     }
 }
@@ -448,10 +447,8 @@
 
     /// Requests of the other routers there by fresh load reports; `None` if there are no other routers.
     fn other_load(&self, w: &Worker) -> Option<OtherLoad> {
-        let fresh = self.settings.routers > 1
-            && w.other_load.at > 0
-            && self.now - w.other_load.at < MAX_REPORT_AGE_US;
-        fresh.then_some(w.other_load)
+        let fresh = self.settings.routers > 1 && w.others.at > 0 && self.now - w.others.at < REPORT_TTL_US;
+        fresh.then_some(w.others)
     }
 
     /// How far, from 0 to 1, the own requests show what the other routers do: near 0 with few requests per worker.
@@ -494,7 +491,7 @@
         let met = if part > 0.0 { (1.0 - self.trust()) * f64::from(met.min(MAX_OVERLAP)) } else { 0.0 };
         let Some(f) = self.functions.get_mut(&r.function) else { return };
         (f.overlap, f.overlap_base) = (f.overlap + met, f.overlap_base + part);
-        f.placements.entry(worker.clone()).and_modify(|p| (p.overlap, p.overlap_at) = (met, now));
+        f.places.entry(worker.clone()).and_modify(|p| (p.overlap, p.overlap_at) = (met, now));
     }
 
     /// Estimated calls of the function, from routers without gossip, at one of `places` workers: as last reported by an
@@ -521,12 +518,7 @@
     }
 
     /// Learns the concurrency limit from a call that found a copy and a free lane at a worker that is fully warm.
-    pub(crate) fn learn_concurrency_limit(
-        &mut self,
-        worker: &WorkerId,
-        (took, work): (Micros, Micros),
-        lane_free: bool,
-    ) {
+    pub(crate) fn learn_limit(&mut self, worker: &WorkerId, (took, work): (Micros, Micros), lane_free: bool) {
         if lane_free && self.workers.get(worker).is_some_and(|w| self.warmth(w) >= 1.0) {
             let up = self.totals.up.max(1.0);
             self.concurrency_limit.learn(took as f64, work as f64, self.totals.running / up, up);
@@ -624,7 +616,7 @@
     /// All functions assumed to be loaded, for a router that replaces this one.
     pub(crate) fn loaded(&self) -> Vec<LoadedFunction> {
         let places =
-            self.functions.iter().flat_map(|(id, f)| f.placements.iter().map(move |(n, p)| (id, f, n, p)));
+            self.functions.iter().flat_map(|(id, f)| f.places.iter().map(move |(n, p)| (id, f, n, p)));
         let warm = places.filter(|(.., p)| p.warm_until > self.now);
         let loaded = warm.map(|(id, f, n, p)| LoadedFunction {
             worker: n.clone(),
@@ -662,7 +654,7 @@
     /// Sets the attempts that the next request to arrive had at another router.
     pub(crate) fn set_past_attempts(&mut self, past: Vec<PastAttempt>) {
         let past = past.into_iter();
-        self.past_attempts = past
+        self.past = past
             .map(|p| Attempt {
                 worker: p.worker,
                 sent: p.sent,
@@ -705,12 +697,12 @@
         }
         for l in loaded.into_iter().filter(|l| l.until > self.now && l.calls.is_finite()) {
             let f = self.functions.entry(l.function).or_default();
-            if f.placements.is_empty() {
+            if f.places.is_empty() {
                 self.calls += l.calls.max(0.0);
                 (f.calls, f.lanes, f.known) = (f.calls + l.calls.max(0.0), l.lanes.max(1), true);
                 (f.last_call, f.call_count) = (self.now, f.call_count.max(2));
             }
-            let p = f.placements.entry(l.worker).or_default();
+            let p = f.places.entry(l.worker).or_default();
             (p.warm_until, p.copies) = (p.warm_until.max(l.until), p.copies.max(l.copies));
         }
     }
@@ -760,7 +752,7 @@
             (w.restored_at, w.cold_since) = (self.now, self.now);
             for f in self.functions.values_mut() {
                 f.drop_copies(worker);
-                f.placements.entry(worker.clone()).and_modify(|p| p.missed_until = 0);
+                f.places.entry(worker.clone()).and_modify(|p| p.missed_until = 0);
             }
         }
         self.update_totals();
@@ -794,8 +786,8 @@
             *n /= 2.0;
             *n >= 0.25
         });
-        self.placements.retain(|_, p| p.warm_until > now || p.loading.is_some() || p.in_flight > 0);
-        !self.placements.is_empty() || now - self.last_call < forget
+        self.places.retain(|_, p| p.warm_until > now || p.loading.is_some() || p.in_flight > 0);
+        !self.places.is_empty() || now - self.last_call < forget
     }
 
     /// Applies a status that another router reported at `at`, unless this router knows better.
@@ -804,29 +796,29 @@
         n: &WorkerId,
         (now, at): (Micros, Micros),
         keep: Micros,
-        status: CopyStatus,
+        status: Status,
     ) {
-        let p = self.placements.entry(n.clone()).or_default();
-        p.announced_at = now;
+        let p = self.places.entry(n.clone()).or_default();
+        p.announced = now;
         match status {
-            CopyStatus::Gone => (p.warm_until, p.copies, p.announced_at) = (0, 0, 0),
+            Status::Gone => (p.warm_until, p.copies, p.announced) = (0, 0, 0),
             // A miss observed here later takes precedence.
             _ if p.missed_until - keep / 4 >= at => {}
             _ => {
-                let copies = if let CopyStatus::Copies(n) = status { u32::from(n) } else { 1 };
+                let copies = if let Status::Copies(n) = status { u32::from(n) } else { 1 };
                 (p.warm_until, p.copies) = (p.warm_until.max(at + keep), p.copies.max(copies));
             }
         }
     }
 
     /// Whether it is loaded, or being loaded, on some worker.
-    pub(crate) fn is_loaded_anywhere(&self, now: Micros) -> bool {
-        self.placements.values().any(|p| p.warm_until > now || p.loading.is_some())
+    pub(crate) fn is_loaded(&self, now: Micros) -> bool {
+        self.places.values().any(|p| p.warm_until > now || p.loading.is_some())
     }
 
     /// Records that the worker has no copies any more.
     pub(crate) fn drop_copies(&mut self, worker: &WorkerId) {
-        if let Some(p) = self.placements.get_mut(worker) {
+        if let Some(p) = self.places.get_mut(worker) {
             (p.warm_until, p.copies, p.loading) = (0, 0, None);
         }
     }
@@ -838,7 +830,7 @@
     f: &FunctionId,
     worker: &WorkerId,
 ) -> &'a mut Placement {
-    all.entry(f.clone()).or_default().placements.entry(worker.clone()).or_default()
+    all.entry(f.clone()).or_default().places.entry(worker.clone()).or_default()
 }
 
 /// Running mean that starts with its first value.
