--- a/src/engine.rs
+++ b/src/engine.rs
@@ -74,7 +74,7 @@
 /// How an attempt ended, as reported by the host adapter.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The outcome; one of [`Outcome::never_ran`] needs proof.
+    /// The outcome. One for which [`Outcome::never_ran`] is true may only be reported if that is proven.
     pub outcome: Outcome,
     /// What the answer reported about the copy.
     pub found: Option<Found>,
@@ -328,7 +328,7 @@
         open.answered = true;
         let request = open.id.clone();
         self.deliver(Event::ClientLeft { request }, out);
-        // The module may lack the right to cancel; work that nobody waits for still stops.
+        // The settings may not allow the module to cancel; work that no client waits for is cancelled anyway.
         self.cancel_attempts(ticket, Outcome::Cancelled, out);
         self.forget(ticket);
     }
@@ -671,7 +671,7 @@
         self.module.handover_state()
     }
 
-    /// Own calls and orders since this time that count for the load budget, for such a process.
+    /// Own calls and orders since this time that count for the load budget, for a process that replaces this one.
     pub fn tallies(&self, since: Micros) -> Vec<Tally> {
         self.module.tallies(since)
     }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -145,7 +145,7 @@
     at_place: BTreeMap<PlaceKey, u32>,
     /// Time of the last report and copies of functions that have not been called here yet.
     uncalled: BTreeMap<PlaceKey, (Micros, u8)>,
-    /// Enough of the routers were heard from recently, and gossip is needed here; see [`PeerTable::expire`].
+    /// Gossip is needed here, and enough of the other routers were heard from recently; see [`PeerTable::expire`].
     pub(crate) reliable: bool,
     /// Since when `reliable` holds without a break.
     reliable_since: Micros,
--- a/src/gossip_exchange.rs
+++ b/src/gossip_exchange.rs
@@ -21,7 +21,8 @@
 }
 
 impl Core {
-    /// Whether the routers of this fleet use gossip. Each sends it however much it sees itself, as others may see less.
+    /// Whether the routers of this fleet use gossip. A router that sees enough by itself sends it too, as others may see
+    /// less.
     pub(crate) fn gossip_enabled(&self) -> bool {
         self.settings.max_gossip_bytes > MIN_DATAGRAM_BYTES && self.settings.routers > 1
     }
@@ -63,7 +64,7 @@
                 self.workers.entry(n.clone()).and_modify(|w| w.no_loads_until = now + NO_ROOM_US);
             } else if let Some(f) = self.function_keys.get(&e.function) {
                 let f = self.functions.get_mut(f);
-                f.into_iter().for_each(|f| f.apply_gossip(n, (now, now), keep, e.status));
+                f.into_iter().for_each(|f| f.apply(n, (now, now), keep, e.status));
             } else {
                 self.gossip.remember(now, (e.function, e.host), e.status);
             }
@@ -82,7 +83,7 @@
         f.key = key;
         for (host, at, copies) in self.gossip.take_known(key) {
             if let Some(n) = self.host_keys.get(&host) {
-                f.apply_gossip(n, (now, at), keep, Status::Copies(copies));
+                f.apply(n, (now, at), keep, Status::Copies(copies));
             }
         }
     }
@@ -123,7 +124,7 @@
             }
         }
         let (function_keys, host_keys, keep) = (&self.function_keys, &self.host_keys, self.settings.keep);
-        // Hundreds of routers find a copy within one period: what one has announced, the others omit.
+        // Hundreds of routers may find the same copy within one period: what one has announced, the others omit.
         let due = |&(function, host): &PlaceKey, status| {
             let f = function_keys.get(&function).and_then(|f| functions.get_mut(f));
             let p = f.zip(host_keys.get(&host)).and_then(|(f, n)| f.places.get_mut(n));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -139,7 +139,7 @@
     pub classes: Vec<Class>,
     /// Tenants; events name them by index. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of its class's worth.
+    /// Factor for the worth of a request beyond its tenant's quota.
     pub over_share_worth: f64,
     /// This router's zone; entries of the worker list use the same numbers.
     pub zone: u32,
@@ -205,7 +205,7 @@
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "settings make no sense: {}", self.0)
+        write!(f, "invalid settings: {}", self.0)
     }
 }
 impl std::error::Error for SettingsError {}
@@ -295,18 +295,18 @@
     pub served: f64,
     /// Times of recent attempts at starting workers, whose limit counts both routers as one.
     pub sends: Vec<(WorkerId, Vec<Micros>)>,
-    /// The sending router keeps running beside the receiver, which must not report the received tallies as its own.
+    /// The sending router keeps running alongside the receiver, which must not report the received tallies as its own.
     pub sender_keeps_running: bool,
 }
 
-/// An ended attempt that a request had at a router that has ended.
+/// An ended attempt that a request had at another router, which has ended too.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PastAttempt {
     /// The worker.
     pub worker: WorkerId,
     /// When it was sent.
     pub sent: Micros,
-    /// How it ended; an outcome of [`Outcome::never_ran`] needs proof.
+    /// How it ended. An outcome for which [`Outcome::never_ran`] is true may only be given if that is proven.
     pub outcome: Outcome,
 }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -167,8 +167,7 @@
                         let at = self.arrivals.partition_point(|t| *t < r.arrived);
                         self.arrivals.remove(at);
                     }
-                    // A client that leaves mostly retries at once; cancelling keeps it from using room
-                    // twice.
+                    // Most clients that leave retry at once, and must not use room twice.
                     for (k, _) in r.attempts.iter().enumerate().filter(|(_, t)| t.ended.is_none()) {
                         if self.settings.cancel && !r.streaming {
                             out.push(Action::Cancel { request: request.clone(), attempt: k as u32 });
@@ -324,8 +323,8 @@
             let theirs = if gossip { self.gossip.at_place(f.key, w.key) } else { others * p.mean_in_flight };
             (p.in_flight as f64 + theirs) / (lanes * p.copies.max(1) as f64)
         };
-        // With gossip the whole load is known, so a starting worker counts with its current part of its
-        // size.
+        // With gossip the whole load is known, so a starting worker counts with the part of its size that it
+        // can use now.
         let pressure = |w: &Worker| self.load(w) / w.size / if gossip { self.warmth(w) } else { 1.0 };
         // Each worker that was full doubles the number of candidates: a router with little traffic finds
         // copies that way.
@@ -392,8 +391,8 @@
             }
             return Route::Send(n);
         }
-        // A slow outlier is passed over; `mean` is the mean slowness of the others. Where all workers are slow,
-        // more copies would only evict others.
+        // A slow outlier is passed over; `mean` is the mean slowness of the other workers. Where all workers
+        // are slow, more copies would only evict others.
         let mean =
             |w: &Worker| (self.totals.slowness - w.slowness).max(0.0) / (self.totals.up - 1.0).max(1.0);
         let outlier = |w: &Worker| {
@@ -508,11 +507,12 @@
     /// calls: where all routers together should have sent several, either others keep the copy in use or
     /// the calls have stopped.
     fn renew_copies(&mut self, out: &mut Vec<Action>) {
-        let (now, pace) = (self.now, (self.settings.keep as f64 * RENEW_MULTIPLE) as Micros);
+        let (now, ttl) = (self.now, (self.settings.keep as f64 * RENEW_MULTIPLE) as Micros);
         let soon = |p: &Placement| (now + 1..now + RENEW_LEAD_US).contains(&p.warm_until) && p.in_flight == 0;
+        // Calls due from all routers within the keep-alive, for each call counted here.
         let due = self.settings.routers as f64 * self.settings.keep as f64 / (2 * HALVING_PERIOD_US) as f64;
-        let comes = |f: &Function| f.call_count > 1 && now - f.last_call < pace && f.calls * due < MAX_MISSED;
-        let wanted = self.functions.iter().filter(|(_, f)| comes(f));
+        let active = |f: &Function| f.call_count > 1 && now - f.last_call < ttl && f.calls * due < MAX_MISSED;
+        let wanted = self.functions.iter().filter(|(_, f)| active(f));
         let newest =
             wanted.filter_map(|(id, f)| Some((id, f.places.iter().max_by_key(|(_, p)| p.warm_until)?)));
         let due = newest.filter(|(_, (_, p))| soon(p)).map(|(id, (n, _))| (n.clone(), id.clone()));
@@ -523,8 +523,8 @@
         }
     }
 
-    /// Orders copies if the settings, the worker and the load budget allow it. `ahead` marks a preload: an
-    /// order that no request waits for.
+    /// Orders copies to be loaded if the settings, the worker and the load budget allow it. `ahead` marks a
+    /// preload: an order that no request waits for.
     fn order(&mut self, worker: &WorkerId, id: &FunctionId, copies: u32, ahead: bool, out: &mut Vec<Action>) {
         let now = self.now;
         let crowded = ahead && self.preloads.len() >= MAX_PRELOADS;
@@ -636,8 +636,8 @@
                 }
                 let leave_by = retry_deadline(r);
                 r.attempts.push(Attempt { worker: n.clone(), sent: now, warm, lane_free, ended: None });
-                // Only the client's time-out applies: retrying what waits for a load or a lane adds to both
-                // queues.
+                // Only the client's time-out applies: a retry of a request that waits for a load or a lane
+                // would make both queues longer.
                 out.push(Action::Send { request: id.clone(), worker: n, timeout: None, leave_by });
             }
         }
@@ -674,7 +674,7 @@
     fn attempt_ended(
         &mut self,
         id: &RequestId,
-        number: u32,
+        attempt: u32,
         worker: &WorkerId,
         (outcome, finished, duration, found, report): AttemptResult,
         out: &mut Vec<Action>,
@@ -683,7 +683,7 @@
         let Some(r) = self.requests.get_mut(id) else { return };
         r.answered |= finished;
         let Some(t) =
-            r.attempts.get_mut(number as usize).filter(|t| t.ended.is_none() && t.worker == *worker)
+            r.attempts.get_mut(attempt as usize).filter(|t| t.ended.is_none() && t.worker == *worker)
         else {
             return;
         };
@@ -711,8 +711,7 @@
                 (w.last_heard, w.last_answer) = (now, now);
             }
         }
-        // An answer from an earlier process of the worker says nothing about the one that has started
-        // since.
+        // An answer from an earlier process of the worker says nothing about its present one.
         let earlier = self.workers.get(worker).is_some_and(|w| w.started > sent);
         let (keep, mut news) = (self.settings.keep, None);
         if let Some(p) = self.functions.get_mut(&function).and_then(|f| f.places.get_mut(worker)) {
@@ -741,8 +740,7 @@
                     (w.on_trial, w.rest_time) = (false, 0);
                 }
                 let of_aim = |time: Micros| (time as f64 / aim.max(1) as f64).min(2.0);
-                // Where answers do not report what they found, most come from copies that were already
-                // loaded.
+                // Where answers do not report what they found, most come from loaded copies.
                 if loaded || found.is_none() {
                     self.slowness = running_mean(self.slowness, of_aim(now - arrived), AVERAGE_WEIGHT);
                 }
@@ -771,8 +769,8 @@
             // An error for an unknown function does not count against the worker, where this router sees
             // enough other answers of it to judge.
             Outcome::Error if !known && self.trust() > 0.5 => {}
-            // An early client time-out says nothing about the worker. A router with little traffic would
-            // rest the worker for this one alone.
+            // An early client time-out says nothing about the worker, but a router with little traffic
+            // would rest the worker for it alone.
             Outcome::TimedOut if self.sees_little() && duration < self.overdue_age() => {}
             _ if earlier => {}
             // A time-out counts against the worker only if it has sent nothing since the attempt was sent.
@@ -848,8 +846,7 @@
         sent < budget as usize + usize::from(extra)
     }
 
-    /// Whether most of the fleet looks unhealthy: then this router's view is wrong rather than every
-    /// worker.
+    /// Whether most workers are unhealthy by this router's records: then the records are taken to be wrong.
     fn is_panicking(&self) -> bool {
         self.totals.unhealthy * 2.0 > self.totals.up
     }
@@ -921,8 +918,8 @@
         if stuck.len() as f64 + self.totals.unhealthy <= MAX_STUCK_SHARE * self.totals.up {
             silent.extend(stuck);
         }
-        // Where overdue attempts mostly get no answer at all, a safe request is retried while there is
-        // time.
+        // Where overdue attempts mostly get no answer at all, a safe request is cancelled, so that it is
+        // retried while there is time.
         let retry_lost = self.loss > MIN_LOSS && self.slowness < MAX_FLEET_SLOWNESS && self.settings.cancel;
         for (id, r) in self.requests.iter().filter(|(_, r)| retry_lost && !r.answered && !r.streaming) {
             let safe = r.terms.effect == Effect::Safe;
--- a/src/state.rs
+++ b/src/state.rs
@@ -9,23 +9,23 @@
 use crate::ramp::share_per_router;
 use crate::succession::Succession;
 
-/// Minimum number of calls that a share is computed of.
+/// Minimum number of calls that a function's calls are divided by to get its share.
 pub(crate) const MIN_SHARE_CALLS: f64 = 10.0;
-/// Calls of each function that do not count for its share: rarely called functions occur twice by chance.
+/// Calls of each function that do not count for its share: a rarely called function may be called twice by chance.
 pub(crate) const IGNORED_CALLS: f64 = 1.0;
-/// Minimum number of calls at the average worker that overlapping calls are taken as a share of: fewer calls do not
-/// slow a worker down.
+/// Minimum number of calls in flight at the average worker that overlapping calls are divided by to get a function's
+/// share: fewer calls do not slow a worker down.
 pub(crate) const MIN_OVERLAP_BASE: f64 = 4.0;
 /// Maximum number of overlapping calls used from one answer: no worker runs more of one function, so a greater
 /// number is corrupt.
 const MAX_OVERLAP: u32 = 64;
-/// Own requests in flight at the average worker at which a router trusts about half of what its own requests show of
-/// the other routers' load.
+/// Own requests in flight at the average worker with which a router's trust in its own requests, as a sample of the
+/// load of all routers, is about one half; see [`Core::trust`].
 pub(crate) const HALF_TRUST_IN_FLIGHT: f64 = 0.1;
 /// Time constant in which a measured slowness of a worker loses its weight.
 pub(crate) const SLOWNESS_MEMORY_US: f64 = 3e6;
-/// A connection used within this time is assumed to be open: hosts close idle ones after half a minute. A wrong
-/// assumption costs one new connection.
+/// A connection that has been idle for less than this is assumed to be open: hosts close idle ones after half a minute.
+/// A wrong assumption costs one new connection.
 const MAX_IDLE_US: Micros = 20_000_000;
 /// Age above which a load report is ignored.
 const REPORT_TTL_US: Micros = 1_000_000;
@@ -282,8 +282,8 @@
     share: f64,
 }
 
-/// Orders that each of two routers at most reserves for the other: enough that a burst of one does not block the
-/// first orders of the other, and few enough that little of the budget stays unused.
+/// Maximum number of orders that each of two routers reserves for the other: enough that a burst of one does not block
+/// the first orders of the other, and few enough that little of the budget stays unused.
 const MAX_ORDERS_LEFT_TO_PEER: f64 = 2.0;
 
 /// Orders that the load budget leaves to this router and to its peer; below 1, no order may be given.
@@ -319,7 +319,7 @@
         HandoverState { loaded, tallies, served, sends, sender_keeps_running: false }
     }
 
-    /// Own calls and orders since this time that count for the load budget, for such a router.
+    /// Own calls and orders since this time that count for the load budget, for a router that replaces this one.
     pub fn tallies(&self, since: Micros) -> Vec<Tally> {
         self.0.tallies(since, true)
     }
@@ -352,8 +352,8 @@
     /// Number of entries in all tables. Each table is bounded or expires, so the number does not grow for ever.
     pub fn entries(&self) -> usize {
         let c = &self.0;
-        let of = |f: &Function| 1 + f.successors.len() + f.places.len() + f.ranked.len();
-        c.functions.values().map(of).sum::<usize>()
+        let count = |f: &Function| 1 + f.successors.len() + f.places.len() + f.ranked.len();
+        c.functions.values().map(count).sum::<usize>()
             + c.workers.values().map(|w| 1 + w.rejections.len() + w.cold_sends.len()).sum::<usize>()
             + c.requests.values().map(|r| 1 + r.attempts.len()).sum::<usize>()
             + c.arrivals.len()
@@ -473,10 +473,10 @@
         (1.0 - self.trust()) * out.max(MIN_OVERLAP_BASE * self.totals.up)
     }
 
-    /// Learns how many calls of the same function, from all routers, a call met at its worker. They are a sample of all
-    /// calls in flight, which are as many as this router sees in minutes. A share estimated from two or three own calls
-    /// would be chance, and each router with a wrong estimate would begin a load that no other uses. Calls that awaited
-    /// a load do not count: they accumulate because of the load.
+    /// Learns from the number of calls of the same function, from all routers, that the worker of a call held when the
+    /// call arrived. They are a sample of all calls in flight, which are as many as this router sees in minutes. A share
+    /// estimated from two or three own calls would be chance, and each router with a wrong estimate would begin a load
+    /// that no other uses. Calls that awaited a load do not count: they accumulate because of the load.
     pub(crate) fn learn_overlap(
         &mut self,
         id: &RequestId,
@@ -527,12 +527,12 @@
 
     /// Learns the rate that a worker of size 1 serves. Cold workers count with their warm part: counted in full, they
     /// would lower the estimate and so starve each other. The highest rate counts for minutes: with little traffic
-    /// little is served, and the limit for cold workers must not follow that down. Random peaks are the higher, the
-    /// fewer answers this router sees, so only what is above chance is remembered.
+    /// little is served, and the limit for cold workers must not follow that down. The fewer answers this router sees,
+    /// the higher are random peaks, so the part of the rate that may be due to chance is not counted.
     pub(crate) fn learn_capacity(&mut self, passed: f64, fade: f64) {
         self.mean_warm = self.totals.warm + (self.mean_warm - self.totals.warm) * fade;
-        // The standard deviation of a count with exponential decay over a second: twice that over the time in
-        // which the estimate rises.
+        // The standard deviation of a count with exponential decay over a second; it is twice that of the estimate,
+        // which averages over the longer [`CAPACITY_RISE_US`].
         let chance = (self.done_rate / 2.0).sqrt();
         let rate = (self.done_rate - chance).max(0.0) / self.mean_warm.max(1e-9);
         let time = if rate > self.capacity { CAPACITY_RISE_US } else { CAPACITY_FALL_US };
@@ -791,13 +791,7 @@
     }
 
     /// Applies a status that another router reported at `at`, unless this router knows better.
-    pub(crate) fn apply_gossip(
-        &mut self,
-        n: &WorkerId,
-        (now, at): (Micros, Micros),
-        keep: Micros,
-        status: Status,
-    ) {
+    pub(crate) fn apply(&mut self, n: &WorkerId, (now, at): (Micros, Micros), keep: Micros, status: Status) {
         let p = self.places.entry(n.clone()).or_default();
         p.announced = now;
         match status {
--- a/src/succession.rs
+++ b/src/succession.rs
@@ -28,8 +28,8 @@
 }
 
 impl Succession {
-    /// Counts a call. `followed` is called for each other function, with the number of its calls that this is the first
-    /// call of its function to follow.
+    /// Counts a call. `followed` is called for each other function that was called since the last call of this function,
+    /// with the number of those calls: this call is the first of its function that follows them.
     pub(crate) fn call(
         &mut self,
         now: Micros,
@@ -55,8 +55,8 @@
 
     /// Number of entries in all tables.
     pub(crate) fn entries(&self) -> usize {
-        let of = |l: &TenantCalls| l.latest.len() + l.calls.values().map(|c| 1 + c.len()).sum::<usize>();
-        self.window.len() + self.tenants.values().map(of).sum::<usize>()
+        let count = |t: &TenantCalls| t.latest.len() + t.calls.values().map(|c| 1 + c.len()).sum::<usize>();
+        self.window.len() + self.tenants.values().map(count).sum::<usize>()
     }
 
     /// Clears all calls, as the indexes of tenants change.
