--- a/crates/members/src/settings.rs
+++ b/crates/members/src/settings.rs
@@ -87,7 +87,7 @@
         self.probe_period.mul_f64(MIN_SUSPICION_PERIODS + SUSPICION_PERIODS_PER_DECADE * decades)
     }
 
-    /// Time in which all members detect a death, with exceptions of one in thousands: each member is probed once per
+    /// Time in which all members detect a death, except in one of thousands of cases: each member is probed once per
     /// period on average, a probe takes one period, and gossip takes several rounds to reach all members.
     pub fn detection_bound(&self) -> Duration {
         self.suspicion_timeout()
--- a/crates/members/src/settings/tests.rs
+++ b/crates/members/src/settings/tests.rs
@@ -21,7 +21,6 @@
 
 #[test]
 fn a_larger_fleet_has_a_longer_suspicion_timeout() {
-    let timeout =
-        |expected| Settings { expected_members: expected, ..Settings::default() }.suspicion_timeout();
+    let timeout = |n| Settings { expected_members: n, ..Settings::default() }.suspicion_timeout();
     assert!(timeout(1) < timeout(10) && timeout(10) < timeout(1_000) && timeout(1_000) < 3 * timeout(1));
 }
--- a/crates/rollout/src/ledger.rs
+++ b/crates/rollout/src/ledger.rs
@@ -58,7 +58,7 @@
 pub struct ProtocolViolation(pub &'static str);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct PassedCall {
+struct Call {
     policy: CallPolicy,
     deadline: Micros,
     body_bytes: usize,
@@ -93,7 +93,7 @@
 /// The calls that the candidate decides, and their attempts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
-    calls: BTreeMap<u64, PassedCall>,
+    calls: BTreeMap<u64, Call>,
     deadlines: BTreeSet<(Micros, u64)>,
     bytes: usize,
     max_calls: usize,
@@ -147,14 +147,13 @@
     ) -> Result<(), LedgerFull> {
         self.check_capacity(body_bytes)?;
         debug_assert!(!self.calls.contains_key(&seq), "sequence numbers are not reused");
-        let (policy, attempts) = (policy.into(), Vec::new());
-        self.calls.insert(seq, PassedCall { policy, deadline, body_bytes, attempts });
+        self.calls.insert(seq, Call { policy: policy.into(), deadline, body_bytes, attempts: Vec::new() });
         self.deadlines.insert((deadline, seq));
         self.bytes += body_bytes;
         Ok(())
     }
 
-    fn take_call(&mut self, seq: u64) -> Option<PassedCall> {
+    fn take_call(&mut self, seq: u64) -> Option<Call> {
         let call = self.calls.remove(&seq)?;
         self.deadlines.remove(&(call.deadline, seq));
         self.bytes -= call.body_bytes;
@@ -229,9 +228,7 @@
     /// The candidate has announced attempts of the call, so it has to finish the call.
     pub fn returned(&mut self, seq: u64) -> Result<bool, ProtocolViolation> {
         match self.calls.get(&seq) {
-            Some(call) if !call.attempts.is_empty() => {
-                Err(ProtocolViolation("a call returned after an attempt"))
-            }
+            Some(call) if !call.attempts.is_empty() => Err(ProtocolViolation("a return after an attempt")),
             Some(_) => Ok(self.take_call(seq).is_some()),
             None => Ok(false),
         }
@@ -260,18 +257,17 @@
     }
 
     /// Empties the ledger after the candidate was lost, and returns how each call is recovered. Call it after all
-    /// messages of the candidate were read. `process_ended` says that its process, and with it its connections, is
-    /// known to have ended; otherwise an attempt whose end was not reported may still be open.
-    pub fn candidate_lost(&mut self, now: Micros, process_ended: bool) -> Vec<(u64, Recovery)> {
+    /// messages of the candidate were read. `ended` says that its process, and with it its connections, is known to have
+    /// ended; otherwise an attempt whose end was not reported may still be open.
+    pub fn candidate_lost(&mut self, now: Micros, ended: bool) -> Vec<(u64, Recovery)> {
         self.deadlines.clear();
         self.bytes = 0;
-        let calls = std::mem::take(&mut self.calls);
-        calls.into_iter().map(|(seq, call)| (seq, call.recovery(now, process_ended))).collect()
+        std::mem::take(&mut self.calls).into_iter().map(|(seq, c)| (seq, c.recovery(now, ended))).collect()
     }
 }
 
-impl PassedCall {
-    fn recovery(mut self, now: Micros, process_ended: bool) -> Recovery {
+impl Call {
+    fn recovery(mut self, now: Micros, ended: bool) -> Recovery {
         let open = self.attempts.iter().any(|a| a.outcome.is_none());
         let first_run = self.attempts.iter().find(|a| a.may_have_run()).map(|a| a.announced_at);
         if now >= self.deadline {
@@ -279,7 +275,7 @@
         }
         // A safe call can always be refused: a repeat by its client is harmless.
         let give_up = if self.policy.effect == EffectKind::Safe { Recovery::Refuse } else { Recovery::Fail };
-        if open && !process_ended {
+        if open && !ended {
             return give_up;
         }
         let no_attempts_left = self.attempts.len() as u32 >= self.policy.max_attempts;
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -154,26 +154,25 @@
     /// # Errors
     /// The first step or setting that is invalid.
     pub fn check(&self) -> Result<(), PlanError> {
-        let fail_if = |invalid: bool, why: String| if invalid { Err(PlanError(why)) } else { Ok(()) };
+        let reject = |invalid: bool, why: String| if invalid { Err(PlanError(why)) } else { Ok(()) };
         let name = &self.name;
         let printable = name.chars().all(|c| !c.is_control());
-        fail_if(
+        reject(
             name.is_empty() || name.len() > MAX_NAME_BYTES || !printable,
             format!("name must be 1 to {MAX_NAME_BYTES} bytes without control characters"),
         )?;
-        fail_if(self.steps.is_empty(), "a plan needs a step".into())?;
-        fail_if(self.steps.len() > MAX_STEPS, format!("more than {MAX_STEPS} steps"))?;
+        reject(self.steps.is_empty(), "a plan needs a step".into())?;
+        reject(self.steps.len() > MAX_STEPS, format!("more than {MAX_STEPS} steps"))?;
         for (i, step) in self.steps.iter().enumerate() {
             let at = i + 1;
             let in_range = step.percent.is_finite() && step.percent > 0.0 && step.percent <= 100.0;
-            fail_if(!in_range, format!("step {at}: percent must be above 0 and at most 100"))?;
-            fail_if(step.share() == Share::NONE, format!("step {at}: percent is below a hundredth of one"))?;
-            let too_long = step.min_duration_ms > MAX_STEP_MS;
-            fail_if(too_long, format!("step {at}: least_ms is longer than a week"))?;
+            reject(!in_range, format!("step {at}: percent must be above 0 and at most 100"))?;
+            reject(step.share() == Share::NONE, format!("step {at}: percent is below a hundredth of one"))?;
+            reject(step.min_duration_ms > MAX_STEP_MS, format!("step {at}: least_ms is longer than a week"))?;
         }
         for (i, pair) in self.steps.windows(2).enumerate() {
             let rises = pair[0].share() < pair[1].share();
-            fail_if(!rises, format!("step {}: its share must be above that of step {}", i + 2, i + 1))?;
+            reject(!rises, format!("step {}: its share must be above that of step {}", i + 2, i + 1))?;
         }
         let gates = &self.gates;
         let margins = [
@@ -184,18 +183,18 @@
         ];
         for (name, margin) in margins {
             let bad = margin.is_some_and(|m| !(m > 0.0 && m < 1.0));
-            fail_if(bad, format!("gates.{name} must be above 0 and below 1"))?;
+            reject(bad, format!("gates.{name} must be above 0 and below 1"))?;
         }
         for (name, chance) in [("alpha", gates.alpha), ("beta", gates.beta)] {
             let bad = !(1e-9..=0.5).contains(&chance);
-            fail_if(bad, format!("gates.{name} must be a chance from 1e-9 to 0.5"))?;
+            reject(bad, format!("gates.{name} must be a chance from 1e-9 to 0.5"))?;
         }
         let cluster = (1.0..=1000.0).contains(&gates.max_cluster_size);
-        fail_if(!cluster, "gates.cluster must be 1 to 1000".into())?;
+        reject(!cluster, "gates.cluster must be 1 to 1000".into())?;
         let whole = self.steps.last().is_some_and(|s| s.share() == Share::ALL);
-        fail_if(self.auto_complete && !whole, "completes needs a last step of 100 percent".into())?;
-        fail_if(self.max_silence_ms < MIN_SILENCE_MS, format!("silent_ms is below {MIN_SILENCE_MS}"))?;
-        fail_if(self.max_silence_ms > MAX_SILENCE_MS, "silent_ms is above a minute".into())
+        reject(self.auto_complete && !whole, "completes needs a last step of 100 percent".into())?;
+        reject(self.max_silence_ms < MIN_SILENCE_MS, format!("silent_ms is below {MIN_SILENCE_MS}"))?;
+        reject(self.max_silence_ms > MAX_SILENCE_MS, "silent_ms is above a minute".into())
     }
 
     /// How long a candidate may be silent, in microseconds.
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -255,7 +255,7 @@
         match self.phase {
             Phase::Stepping | Phase::Held if self.plan.as_ref() == Some(&plan) => return Ok(()),
             Phase::Stepping | Phase::Held => {
-                return Err(Rejection("another rollout is under way: call back first".into()))
+                return Err(Rejection("another rollout is under way: roll it back first".into()))
             }
             Phase::RollingBack => {
                 return Err(Rejection("calls of the new version have not ended yet".into()))
@@ -286,10 +286,10 @@
             return Ok(());
         }
         if to < current {
-            return Err(Rejection(format!("step {to} is behind; call back to lower the share")));
+            return Err(Rejection(format!("step {to} is not ahead; roll back to lower the share")));
         }
         if to > step_count {
-            return Err(Rejection(format!("the plan has no step {to}; after the last one call complete")));
+            return Err(Rejection(format!("the plan has no step {to}; complete it after its last step")));
         }
         self.enter_step(now, to - 1, Cause::Operator("step"));
         Ok(())
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn datagrams_are_decoded_and_corrupt_ones_are_rejected() {
-    let statuses = [
+    let all = [
         Status::Serving(0),
         Status::Serving(10),
         Status::Loading,
@@ -16,7 +16,7 @@
         Status::Copies(2),
         Status::Copies(4),
     ];
-    let mut entries: Vec<_> = statuses.into_iter().map(|w| entry(0xabcd, NO_FUNCTION - 1, w)).collect();
+    let mut entries: Vec<_> = all.into_iter().map(|s| entry(0xabcd, NO_FUNCTION - 1, s)).collect();
     entries.push(entry(7, NO_FUNCTION, Status::NoRoom));
     let bytes = encode(9, &entries, 256);
     assert_eq!(decode(&bytes), Some((9, entries)));
@@ -40,8 +40,7 @@
 fn calls_in_progress_are_summed_replaced_and_expire() {
     let (period, keep) = (500_000, 5_000_000);
     let mut table = PeerTable::default();
-    let datagram =
-        |sequence, n| encode(sequence, &[entry(1, 5, Status::Serving(n)), entry(2, 6, Status::Gone)], 256);
+    let datagram = |s, n| encode(s, &[entry(1, 5, Status::Serving(n)), entry(2, 6, Status::Gone)], 256);
     assert!(table.add(1, period, 3, &datagram(255, 4)).is_some());
     assert!(table.add(2, period, 4, &datagram(7, 2)).is_some());
     assert_eq!((table.at_host(1), table.at_place(5, 1), table.at_host(2)), (6.0, 6.0, 0.0));
