--- a/crates/accord/src/lease.rs
+++ b/crates/accord/src/lease.rs
@@ -6,7 +6,7 @@
 use crate::quorum::Quorum;
 use crate::record::Position;
 use crate::settings::MemberId;
-use crate::voter::Flaws;
+use crate::voter::Faults;
 
 /// The lease grants that one activator holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -17,25 +17,25 @@
     lease: Duration,
     /// By voter: the position that the grant was requested for, and when the grant ends.
     grants: BTreeMap<MemberId, (Position, Duration)>,
-    flaws: Flaws,
+    faults: Faults,
 }
 
 impl LeaseHolder {
     /// Creates a holder without grants.
     pub fn new(quorum: Quorum, lease: Duration) -> LeaseHolder {
-        LeaseHolder { quorum, lease, grants: BTreeMap::new(), flaws: Flaws::default() }
+        LeaseHolder { quorum, lease, grants: BTreeMap::new(), faults: Faults::default() }
     }
 
     /// Injects faults, for tests.
-    pub fn flawed(mut self, flaws: Flaws) -> LeaseHolder {
-        self.flaws = flaws;
+    pub fn with_faults(mut self, faults: Faults) -> LeaseHolder {
+        self.faults = faults;
         self
     }
 
     /// Records a grant for a request sent at `sent`. The lease is counted from then, because the grantor's
     /// count may have run for long while the grant was in transit or this process was paused.
     pub fn record_grant(&mut self, now: Duration, voter: MemberId, position: Position, sent: Duration) {
-        let sent = if self.flaws.lease_from_arrival { now } else { sent.min(now) };
+        let sent = if self.faults.lease_from_arrival { now } else { sent.min(now) };
         let until = sent + self.lease;
         let held = self.grants.entry(voter).or_insert((position, until));
         if !held.0.same_epoch(position) || until > held.1 {
@@ -47,10 +47,10 @@
     pub fn expires_at(&self, position: Position) -> Duration {
         let grant = |voter: MemberId| self.grants.get(&voter).filter(|(at, _)| at.same_epoch(position));
         let expiry = |voter: MemberId| grant(voter).map_or(Duration::ZERO, |(_, until)| *until);
-        if self.flaws.half_is_majority {
+        if self.faults.half_is_majority {
             return self.quorum.clone().one_fewer().expires_at(expiry);
         }
-        if self.flaws.lease_from_old_list {
+        if self.faults.lease_from_old_list {
             return self.quorum.clone().only_list(false).expires_at(expiry);
         }
         self.quorum.expires_at(expiry)
@@ -59,7 +59,7 @@
     /// Whether a lease is held at `now`.
     pub fn is_held(&self, now: Duration, position: Position) -> bool {
         let until = self.expires_at(position);
-        until > now || (self.flaws.stale_lease && until > Duration::ZERO)
+        until > now || (self.faults.stale_lease && until > Duration::ZERO)
     }
 
     /// Whether the grant of this voter runs at `now`.
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -49,7 +49,7 @@
     pub use crate::quorum::Quorum;
     pub use crate::round::{Round, RoundAction};
     pub use crate::voter::{
-        Accept, Ballot, Flaws, LeaseRequest, Limits, Promise, PromiseRequest, Voter, VoterStatus,
+        Accept, Ballot, Faults, LeaseRequest, Limits, Promise, PromiseRequest, Voter, VoterStatus,
     };
     pub use crate::wire::{decode, encode, Message, MAX_DATAGRAM_BYTES};
 }
--- a/crates/accord/src/participant.rs
+++ b/crates/accord/src/participant.rs
@@ -186,9 +186,9 @@
 
     /// Injects faults, for tests.
     #[doc(hidden)]
-    pub fn flawed(mut self, flaws: crate::voter::Flaws) -> Participant {
-        self.voter = self.voter.take().map(|voter| voter.flawed(flaws));
-        self.holder = self.holder.flawed(flaws);
+    pub fn with_faults(mut self, faults: crate::voter::Faults) -> Participant {
+        self.voter = self.voter.take().map(|voter| voter.with_faults(faults));
+        self.holder = self.holder.with_faults(faults);
         self
     }
 
--- a/crates/accord/src/round.rs
+++ b/crates/accord/src/round.rs
@@ -5,7 +5,7 @@
 use crate::quorum::Quorum;
 use crate::record::{Phase, Record};
 use crate::settings::MemberId;
-use crate::voter::{Accept, Ballot, Flaws, Promise, PromiseRequest};
+use crate::voter::{Accept, Ballot, Faults, Promise, PromiseRequest};
 
 /// What the caller of a round does next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -31,7 +31,7 @@
     promises: BTreeMap<MemberId, Promise>,
     accept: Option<Accept>,
     accepted: BTreeSet<MemberId>,
-    flaws: Flaws,
+    faults: Faults,
 }
 
 impl Round {
@@ -45,7 +45,7 @@
             promises: BTreeMap::new(),
             accept: None,
             accepted: BTreeSet::new(),
-            flaws: Flaws::default(),
+            faults: Faults::default(),
         }
     }
 
@@ -65,13 +65,13 @@
             promises: BTreeMap::new(),
             accept: Some(accept),
             accepted: BTreeSet::new(),
-            flaws: Flaws::default(),
+            faults: Faults::default(),
         }
     }
 
     /// Injects faults, for tests.
-    pub fn flawed(mut self, flaws: Flaws) -> Round {
-        self.flaws = flaws;
+    pub fn with_faults(mut self, faults: Faults) -> Round {
+        self.faults = faults;
         self
     }
 
@@ -104,14 +104,14 @@
         self.promises.insert(from, *promise);
         let Some(previous) = &self.previous else { return RoundAction::Wait };
         let promised = |name: MemberId| self.promises.contains_key(&name);
-        if !self.flawed_quorum(previous.quorum()).is_met(promised) {
+        if !self.quorum_with_faults(previous.quorum()).is_met(promised) {
             return RoundAction::Wait;
         }
         // A record that was accepted with the highest ballot may have been chosen, so it has to be completed,
         // whoever proposed it.
         let accepted = self.promises.values().filter_map(|p| p.accepted).max_by_key(|(ballot, _)| *ballot);
         let record = accepted.map_or(self.request.proposal, |(_, record)| record);
-        let quorum = self.flawed_quorum(previous.quorum_for(&record));
+        let quorum = self.quorum_with_faults(previous.quorum_for(&record));
         let would_accept = |name: MemberId| self.promises.get(&name).is_some_and(|p| p.would_accept);
         let may_propose = match accepted {
             Some(_) => quorum.is_met(promised),
@@ -133,7 +133,7 @@
     pub fn on_accepted(&mut self, from: MemberId, ballot: Ballot, incarnation: u64) -> RoundAction {
         let Some(accept) = &self.accept else { return RoundAction::Wait };
         if ballot != self.request.ballot
-            || !(self.flaws.accepts_unpromised || accept.incarnations.contains(&(from, incarnation)))
+            || !(self.faults.accepts_unpromised || accept.incarnations.contains(&(from, incarnation)))
         {
             return RoundAction::Wait;
         }
@@ -144,12 +144,12 @@
         RoundAction::Chosen(accept.record)
     }
 
-    fn flawed_quorum(&self, quorum: Quorum) -> Quorum {
+    fn quorum_with_faults(&self, quorum: Quorum) -> Quorum {
         let joint = self.previous.is_some_and(|previous| matches!(previous.phase, Phase::Joint { .. }));
-        if self.flaws.half_is_majority {
+        if self.faults.half_is_majority {
             return quorum.one_fewer();
         }
-        if self.flaws.choice_by_new_list && joint {
+        if self.faults.choice_by_new_list && joint {
             return quorum.only_list(true);
         }
         quorum
--- a/crates/accord/src/settings.rs
+++ b/crates/accord/src/settings.rs
@@ -214,9 +214,9 @@
         Ok(VoterLists::unchanged(list))
     }
 
-    /// The members whose silence allows an epoch bootstrap: all eligible voters but fewer than a majority of
-    /// the smallest allowed list. So whatever list is in force, each of its majorities has a silent member.
-    /// If the list cannot change, this is a majority.
+    /// The members whose silence allows an epoch bootstrap: all eligible voters except half of `voters`, rounded
+    /// down. No list is shorter than `voters`, so the other members are fewer than a majority of any list, and
+    /// every majority has a silent member. If the list cannot change, the quorum is a majority of it.
     ///
     /// Members for which `gone` is true count as silent: the operator promises by a document that their
     /// processes are stopped.
--- a/crates/accord/src/voter.rs
+++ b/crates/accord/src/voter.rs
@@ -19,7 +19,7 @@
 /// Faults that tests inject to show that the models and the checker detect them. All are false in production;
 /// only tests set them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Flaws {
+pub struct Faults {
     /// A voter that starts without state votes and grants leases at once.
     pub votes_at_once: bool,
     /// The grantor's count of a lease ends before the holder's.
@@ -199,7 +199,7 @@
     required: BTreeSet<MemberId>,
     /// During recovery: the peers with intact state that answered this incarnation.
     recovered_from: BTreeSet<MemberId>,
-    flaws: Flaws,
+    faults: Faults,
 }
 
 impl Voter {
@@ -231,14 +231,14 @@
             skip_refusals: false,
             required: BTreeSet::new(),
             recovered_from: BTreeSet::new(),
-            flaws: Flaws::default(),
+            faults: Faults::default(),
         }
     }
 
     /// Injects faults, for tests.
-    pub fn flawed(mut self, flaws: Flaws) -> Voter {
-        self.flaws = flaws;
-        if flaws.votes_at_once {
+    pub fn with_faults(mut self, faults: Faults) -> Voter {
+        self.faults = faults;
+        if faults.votes_at_once {
             self.status = VoterStatus::Voting;
         }
         self
@@ -388,7 +388,7 @@
         // smaller set may miss what an earlier incarnation of this voter chose together with others.
         let recovered = is_voter
             && (self.known.quorum().is_met(|name| self.recovered_from.contains(&name))
-                || self.flaws.added_votes_unlearnt);
+                || self.faults.added_votes_unlearnt);
         let next = match self.status {
             VoterStatus::Silent { until, state_lost } if now >= until => match state_lost {
                 false => VoterStatus::Voting,
@@ -446,7 +446,7 @@
         // Only voters whose promises the round relies on may accept. If another voter accepted, no check would
         // notice that it lost its state: without this check the model finds two records chosen at one
         // position.
-        if own_entry.map_or(!self.flaws.accepts_unpromised, |(_, known)| *known != self.incarnation) {
+        if own_entry.map_or(!self.faults.accepts_unpromised, |(_, known)| *known != self.incarnation) {
             return false;
         }
         let is_outdated = |(name, incarnation): &(MemberId, u64)| {
@@ -458,7 +458,7 @@
         let accepts = match self.status {
             VoterStatus::Silent { .. } => false,
             VoterStatus::Voting => {
-                let keeps_promise = accept.ballot >= self.promised || self.flaws.breaks_promise;
+                let keeps_promise = accept.ballot >= self.promised || self.faults.breaks_promise;
                 keeps_promise && record.position == self.known.position.next() && self.allows(now, record)
             }
             VoterStatus::Ready => {
@@ -494,7 +494,7 @@
             Some(Transition::Finish) => self.old_leases_expired(now),
             None => {
                 let (from, to) = (self.known.phase, record.phase);
-                self.flaws.skips_joint
+                self.faults.skips_joint
                     && record.position == self.known.position.next()
                     && matches!((from, to), (Phase::Prepare { new, .. }, Phase::Single(v)) if new == v)
             }
@@ -559,12 +559,12 @@
         let accepted_joint = self.accepted.is_some_and(|(_, r)| matches!(r.phase, Phase::Joint { .. }));
         let in_range = request.position.same_epoch(self.known.position)
             && (self.known.leases_from..=self.known.position).contains(&request.position);
-        let removed_may_grant = self.flaws.removed_grants && !self.known.lists.contains(self.me);
+        let removed_may_grant = self.faults.removed_grants && !self.known.lists.contains(self.me);
         if !removed_may_grant && (self.status != VoterStatus::Voting || accepted_joint || !in_range) {
             return false;
         }
-        let length = if self.flaws.grantor_expires_first { self.limits.grant / 2 } else { self.limits.grant };
-        let until = (now + length).max(renewed.map_or(Duration::ZERO, |held| held.until));
+        let lease = if self.faults.grantor_expires_first { self.limits.grant / 2 } else { self.limits.grant };
+        let until = (now + lease).max(renewed.map_or(Duration::ZERO, |held| held.until));
         self.grants
             .insert(from, Grant { incarnation: request.incarnation, position: request.position, until });
         true
--- a/crates/accord/tests/check/mod.rs
+++ b/crates/accord/tests/check/mod.rs
@@ -21,7 +21,7 @@
 }
 
 /// Finds a trace to a state that violates the property. Fails if the injected fault is not found.
-pub fn find_fault<M>(model: M, property: &'static str)
+pub fn detect<M>(model: M, property: &'static str)
 where
     M: Model + Send + Sync + 'static,
     M::State: std::hash::Hash + Send + Sync + Clone + std::fmt::Debug + PartialEq + Eq,
--- a/crates/accord/tests/faults.rs
+++ b/crates/accord/tests/faults.rs
@@ -23,13 +23,13 @@
 
 #[track_caller]
 fn assert_guarantees(net: &Net) {
-    assert!(net.violations.is_empty(), "{:#?}\n{:#?}", net.violations, net.notes);
+    assert!(net.violations.is_empty(), "{:#?}\n{:#?}", net.violations, net.logs);
     let bound = net.settings.bound().as_micros() as u64;
     assert!(
         net.longest_us <= bound,
         "{} us of contradiction, {bound} promised\n{:#?}",
         net.longest_us,
-        net.notes
+        net.logs
     );
 }
 
@@ -41,7 +41,7 @@
     assert!(
         net.run_until(30_000, |net| net.agreed().is_some_and(|version| version.number == 2)),
         "{:#?}",
-        net.notes
+        net.logs
     );
     assert_eq!(obeyed_attempts(&net, 4), Some(Value::Int(2)));
     assert!(
@@ -56,9 +56,9 @@
     for seed in 0..seeds {
         let (net, agreed) = random_history(seed, 4, Default::default());
         let bound = net.settings.bound().as_micros() as u64;
-        assert!(net.violations.is_empty(), "seed {seed}: {:#?}\n{:#?}", net.violations, net.notes);
-        assert!(net.longest_us <= bound, "seed {seed}: {} of {bound} us\n{:#?}", net.longest_us, net.notes);
-        assert!(agreed, "seed {seed}: not agreed after 120 s\n{:#?}", net.notes);
+        assert!(net.violations.is_empty(), "seed {seed}: {:#?}\n{:#?}", net.violations, net.logs);
+        assert!(net.longest_us <= bound, "seed {seed}: {} of {bound} us\n{:#?}", net.longest_us, net.logs);
+        assert!(agreed, "seed {seed}: not agreed after 120 s\n{:#?}", net.logs);
     }
 }
 
@@ -69,9 +69,9 @@
     for seed in 0..seeds {
         let (net, agreed) = random_history_with_spares(seed, 4, Default::default(), 1 + seed as u32 % 3);
         let bound = net.settings.bound().as_micros() as u64;
-        assert!(net.violations.is_empty(), "seed {seed}: {:#?}\n{:#?}", net.violations, net.notes);
-        assert!(net.longest_us <= bound, "seed {seed}: {} of {bound} us\n{:#?}", net.longest_us, net.notes);
-        assert!(agreed, "seed {seed}: not agreed after 120 s\n{:#?}", net.notes);
+        assert!(net.violations.is_empty(), "seed {seed}: {:#?}\n{:#?}", net.violations, net.logs);
+        assert!(net.longest_us <= bound, "seed {seed}: {} of {bound} us\n{:#?}", net.longest_us, net.logs);
+        assert!(agreed, "seed {seed}: not agreed after 120 s\n{:#?}", net.logs);
         let list = listed(&net, 1);
         assert!(
             (1..=net.members.len() as u32).all(|name| listed(&net, name) == list),
@@ -88,9 +88,9 @@
 
 /// Runs until all members act on this version.
 #[track_caller]
-fn in_force(net: &mut Net, number: u64) {
+fn run_until_in_force(net: &mut Net, number: u64) {
     let done = net.run_until(60_000, |net| net.agreed().is_some_and(|version| version.number == number));
-    assert!(done, "{number} is not in force: {:#?}", net.notes);
+    assert!(done, "{number} is not in force: {:#?}", net.logs);
 }
 
 #[test]
@@ -100,8 +100,8 @@
         net.wait_for_start();
         net.propose(MemberId(4), attempts(2)).unwrap();
         net.propose(MemberId(5), attempts(5)).unwrap();
-        in_force(&mut net, 2);
-        assert!(net.run_until(60_000, |net| net.settled.len() == 2), "{:?}\n{:#?}", net.settled, net.notes);
+        run_until_in_force(&mut net, 2);
+        assert!(net.run_until(60_000, |net| net.settled.len() == 2), "{:?}\n{:#?}", net.settled, net.logs);
         let (good, bad): (Vec<_>, Vec<_>) = net.settled.iter().partition(|(.., result)| result.is_ok());
         assert!(
             matches!(bad[..], [(_, _, Err(ProposalError::Busy(_) | ProposalError::StaleBase(_)))]),
@@ -132,7 +132,7 @@
         assert!(
             net.run_until(90_000, |net| still(net) && net.agreed().is_some()),
             "killed at {millis} ms: {:#?}",
-            net.notes
+            net.logs
         );
         assert_guarantees(&net);
     }
@@ -154,7 +154,7 @@
     assert!(net.run_until(30_000, |net| obeyed_attempts(net, 4) == Some(Value::Int(2))));
     assert_guarantees(&net);
     net.cuts.clear();
-    in_force(&mut net, 2);
+    run_until_in_force(&mut net, 2);
     assert_guarantees(&net);
 }
 
@@ -169,7 +169,7 @@
     net.pause(MemberId(4), false);
     // No call was made yet, so only the clock ends the lease.
     assert!(matches!(net.acting(MemberId(4)), ActiveTerms::Floor(_)));
-    in_force(&mut net, 2);
+    run_until_in_force(&mut net, 2);
     assert_guarantees(&net);
 }
 
@@ -179,12 +179,12 @@
         let mut net = Net::new(5, 3, seed);
         net.wait_for_start();
         net.propose(MemberId(5), attempts(2)).unwrap();
-        in_force(&mut net, 2);
+        run_until_in_force(&mut net, 2);
         let digest = net.agreed().unwrap().digest;
         (1..=3).for_each(|name| net.kill(MemberId(name)));
         net.run(600);
         (1..=3).for_each(|name| net.restart(MemberId(name)));
-        assert!(net.run_until(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
+        assert!(net.run_until(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.logs);
         assert_eq!(net.agreed().unwrap().digest, digest, "seed {seed}");
         assert!(net.agreed().unwrap().number > 2, "never the number of what may have been lost");
         assert_guarantees(&net);
@@ -199,18 +199,18 @@
         let mut net = Net::new(5, 3, seed);
         net.wait_for_start();
         net.propose(MemberId(5), attempts(2)).unwrap();
-        in_force(&mut net, 2);
+        run_until_in_force(&mut net, 2);
         for name in 1..=3 {
             net.kill(MemberId(name));
             net.restart_set_back(MemberId(name));
             net.run(200);
         }
-        assert!(net.run_until(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
+        assert!(net.run_until(60_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.logs);
         net.propose(MemberId(4), attempts(3)).unwrap();
         assert!(
             net.run_until(60_000, |net| obeyed_attempts(net, 1) == Some(Value::Int(3))),
             "seed {seed}: {:#?}",
-            net.notes
+            net.logs
         );
         assert_guarantees(&net);
     }
@@ -224,9 +224,9 @@
     net.run(1_000);
     net.kill(MemberId(2));
     net.restart(MemberId(2));
-    assert!(net.run_until(60_000, |net| net.agreed().is_some()), "{:#?}", net.notes);
+    assert!(net.run_until(60_000, |net| net.agreed().is_some()), "{:#?}", net.logs);
     net.propose(MemberId(4), attempts(2)).unwrap();
-    assert!(net.run_until(60_000, |net| obeyed_attempts(net, 1) == Some(Value::Int(2))), "{:#?}", net.notes);
+    assert!(net.run_until(60_000, |net| obeyed_attempts(net, 1) == Some(Value::Int(2))), "{:#?}", net.logs);
     assert_guarantees(&net);
 }
 
@@ -240,18 +240,18 @@
     };
     net.propose(MemberId(1), with).unwrap();
     net.run(20_000);
-    assert_eq!(net.agreed().map(|version| version.number), Some(1), "{:#?}", net.notes);
+    assert_eq!(net.agreed().map(|version| version.number), Some(1), "{:#?}", net.logs);
     assert_eq!(net.view(MemberId(1)).refused, [(MemberId(5), Refusal::Unknown("list/l/new".into()))]);
     net.withdraw(MemberId(2));
-    assert!(net.run_until(30_000, |net| net.settled.len() == 1), "{:#?}", net.notes);
+    assert!(net.run_until(30_000, |net| net.settled.len() == 1), "{:#?}", net.logs);
     assert!(matches!(net.settled[0].2, Err(ProposalError::Withdrawn)));
-    net.propose(MemberId(1), |change| drop(change.set.insert(key("accord/refused"), word("go_on")))).unwrap();
-    in_force(&mut net, 2);
+    net.propose(MemberId(1), |change| drop(change.set.insert(key("accord/refused"), text("go_on")))).unwrap();
+    run_until_in_force(&mut net, 2);
     net.propose(MemberId(1), with).unwrap();
     assert!(
         net.run_until(60_000, |net| net.settled.len() == 3 && net.view(MemberId(1)).known.number == 3),
         "{:#?}",
-        net.notes
+        net.logs
     );
     net.run(10_000);
     assert!(matches!(net.acting(MemberId(5)), ActiveTerms::Floor(_)), "it is left on the floor");
@@ -284,7 +284,7 @@
         net.restart(MemberId(name));
         net.run(12_000);
     }
-    in_force(&mut net, 1);
+    run_until_in_force(&mut net, 1);
     net.cut(&[4], &[1, 2, 3], true);
     net.run(5_000);
     net.propose(MemberId(1), |change| drop(change.set.insert(key("floor/limit/x"), Value::Int(0)))).unwrap();
@@ -292,12 +292,12 @@
     assert!(
         matches!(net.acting(MemberId(1)), ActiveTerms::Single(Version { number: 1, .. }, _)),
         "{:#?}",
-        net.notes
+        net.logs
     );
     net.cuts.clear();
-    in_force(&mut net, 2);
+    run_until_in_force(&mut net, 2);
     net.propose(MemberId(1), |change| drop(change.set.insert(key("limit/x"), Value::Int(9)))).unwrap();
-    in_force(&mut net, 3);
+    run_until_in_force(&mut net, 3);
     assert_guarantees(&net);
 }
 
@@ -328,16 +328,16 @@
         net.kill(MemberId(1));
         net.run(8_000);
         net.propose(MemberId(6), voters(&[4], &[1])).unwrap();
-        in_force(&mut net, 2);
+        run_until_in_force(&mut net, 2);
         assert_eq!((listed(&net, 2), listed(&net, 6)), (vec![2, 3, 4], vec![2, 3, 4]), "seed {seed}");
         net.kill(MemberId(2));
         net.run(8_000);
         net.propose(MemberId(5), attempts(2)).unwrap();
-        in_force(&mut net, 3);
+        run_until_in_force(&mut net, 3);
         assert_guarantees(&net);
         // The removed voter restarts with its old file and learns the current voters from others.
         net.restart(MemberId(1));
-        in_force(&mut net, 3);
+        run_until_in_force(&mut net, 3);
         assert_eq!((listed(&net, 1), net.view(MemberId(1)).role), (vec![2, 3, 4], Role::Activator));
         assert_guarantees(&net);
     }
@@ -354,14 +354,14 @@
     while net.agreed().is_none_or(|version| version.number != 2) {
         net.run(50);
         fell += (1..=6).filter(|name| matches!(net.acting(MemberId(*name)), ActiveTerms::Floor(_))).count();
-        assert!(net.now < 120_000_000, "{:#?}", net.notes);
+        assert!(net.now < 120_000_000, "{:#?}", net.logs);
     }
     assert_eq!((fell, listed(&net, 1)), (0, vec![4, 5, 6]));
     // The old voters are no longer needed.
     (1..=3).for_each(|name| net.kill(MemberId(name)));
     net.run(8_000);
     net.propose(MemberId(5), attempts(2)).unwrap();
-    in_force(&mut net, 3);
+    run_until_in_force(&mut net, 3);
     assert_guarantees(&net);
 }
 
@@ -375,13 +375,13 @@
     net.cut(&[6], &[1, 2, 3, 4, 5], true);
     net.run(6_000);
     net.propose(MemberId(5), voters(&[4, 5], &[1, 2])).unwrap();
-    assert!(net.run_until(60_000, |net| listed(net, 3) == [3, 4, 5]), "{:#?}", net.notes);
+    assert!(net.run_until(60_000, |net| listed(net, 3) == [3, 4, 5]), "{:#?}", net.logs);
     // Member 6 knows voters 1 to 3. Only voter 3 is left of them, and cannot be reached.
     (1..=2).for_each(|name| net.kill(MemberId(name)));
     net.cuts.clear();
     net.cut(&[6], &[1, 2, 3], true);
-    assert!(net.run_until(60_000, |net| listed(net, 6) == [3, 4, 5]), "{:#?}", net.notes);
-    in_force(&mut net, 2);
+    assert!(net.run_until(60_000, |net| listed(net, 6) == [3, 4, 5]), "{:#?}", net.logs);
+    run_until_in_force(&mut net, 2);
     assert_guarantees(&net);
 }
 
@@ -399,7 +399,7 @@
         assert!(
             net.run_until(90_000, |net| still(net) && net.agreed().is_some()),
             "killed at {millis} ms: {:#?}",
-            net.notes
+            net.logs
         );
         let lists: Vec<Vec<u32>> = (2..=6).map(|name| listed(&net, name)).collect();
         assert!(lists.iter().all(|list| *list == lists[0]), "{lists:?}");
@@ -414,13 +414,13 @@
         let mut net = net_with_eligible_voters(seed);
         net.wait_for_start();
         net.propose(MemberId(2), voters(&[4, 5], &[1, 2])).unwrap();
-        in_force(&mut net, 2);
+        run_until_in_force(&mut net, 2);
         // The files still name voters 1 to 3. Only member 6, which has no vote, knows the current list.
         (1..=5).for_each(|name| net.kill(MemberId(name)));
         net.run(600);
         (1..=5).for_each(|name| net.restart(MemberId(name)));
-        assert!(net.run_until(90_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.notes);
-        assert_eq!(listed(&net, 1), [3, 4, 5], "seed {seed}: {:#?}", net.notes);
+        assert!(net.run_until(90_000, |net| net.agreed().is_some()), "seed {seed}: {:#?}", net.logs);
+        assert_eq!(listed(&net, 1), [3, 4, 5], "seed {seed}: {:#?}", net.logs);
         assert_guarantees(&net);
     }
 }
@@ -431,7 +431,7 @@
         let mut net = net_with_eligible_voters(seed);
         net.wait_for_start();
         net.propose(MemberId(2), voters(&[4, 5], &[1, 2])).unwrap();
-        in_force(&mut net, 2);
+        run_until_in_force(&mut net, 2);
         // A majority of the list in the files restarts without state and reaches no other member.
         net.cut(&[1, 2], &[3, 4, 5, 6], true);
         for name in [1, 2] {
@@ -440,11 +440,11 @@
         }
         net.propose(MemberId(6), attempts(2)).unwrap();
         net.run(40_000);
-        assert!(matches!(net.acting(MemberId(1)), ActiveTerms::Floor(_)), "{:#?}", net.notes);
+        assert!(matches!(net.acting(MemberId(1)), ActiveTerms::Floor(_)), "{:#?}", net.logs);
         assert_eq!(obeyed_attempts(&net, 6), Some(Value::Int(2)));
         assert_guarantees(&net);
         net.cuts.clear();
-        in_force(&mut net, 3);
+        run_until_in_force(&mut net, 3);
         assert_guarantees(&net);
     }
 }
@@ -465,13 +465,13 @@
             }
         })
         .unwrap();
-        in_force(&mut net, 2);
+        run_until_in_force(&mut net, 2);
         // Of voters 2, 3 and 4, one is killed for good and one loses its state.
         net.kill(MemberId(2));
         net.kill(MemberId(3));
         net.restart(MemberId(3));
         net.run(60_000);
-        assert_eq!(net.agreed().is_some(), declared, "{:#?}", net.notes);
+        assert_eq!(net.agreed().is_some(), declared, "{:#?}", net.logs);
         assert_guarantees(&net);
     }
 }
@@ -495,7 +495,7 @@
     });
     assert!(matches!(with_gone, Err(ProposalError::Voters(why)) if why.contains("gone/4 says")));
     net.propose(MemberId(1), voters(&[4], &[])).unwrap();
-    in_force(&mut net, 2);
+    run_until_in_force(&mut net, 2);
     assert_eq!(listed(&net, 6), [1, 2, 3, 4], "an even number is no error");
     // The list of the settings files is never used again.
     assert!(refused(&mut net, &[], &[1, 2, 3, 4]).contains("at least one voter must remain"));
@@ -504,7 +504,7 @@
     assert!(net.run_until(30_000, |net| net.view(MemberId(6)).pending.is_some()));
     let busy = net.propose(MemberId(6), voters(&[5], &[2]));
     assert!(matches!(busy, Err(ProposalError::Busy(_) | ProposalError::StaleBase(_))), "{busy:?}");
-    in_force(&mut net, 3);
+    run_until_in_force(&mut net, 3);
     assert_eq!(listed(&net, 2), [2, 3, 4, 5]);
     assert_guarantees(&net);
 }
@@ -519,7 +519,7 @@
     // The version is withdrawn automatically after twice the preparation timeout.
     net.run(15_000);
     assert!(net.view(MemberId(6)).pending.is_some());
-    assert!(net.run_until(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.notes);
+    assert!(net.run_until(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.logs);
     assert!(
         matches!(net.settled[..], [(MemberId(6), _, Err(ProposalError::Withdrawn))]),
         "{:?}",
@@ -527,14 +527,14 @@
     );
     net.propose(MemberId(6), voters(&[4, 5], &[1, 2])).unwrap();
     net.run(10_000);
-    assert_eq!(net.agreed().map(|version| version.number), Some(1), "{:#?}", net.notes);
+    assert_eq!(net.agreed().map(|version| version.number), Some(1), "{:#?}", net.logs);
     let view = net.view(MemberId(6));
     let to_come: Vec<u32> = view.next_voters.unwrap().iter().map(|(name, _)| name.0).collect();
     assert_eq!((view.pending.map(|(_, both)| both), to_come), (Some(false), vec![3, 4, 5]));
     net.withdraw(MemberId(6));
-    assert!(net.run_until(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.notes);
+    assert!(net.run_until(30_000, |net| net.view(MemberId(6)).pending.is_none()), "{:#?}", net.logs);
     net.propose(MemberId(6), attempts(2)).unwrap();
-    in_force(&mut net, 2);
+    run_until_in_force(&mut net, 2);
     assert_eq!(listed(&net, 6), [1, 2, 3]);
     assert_guarantees(&net);
 }
@@ -555,7 +555,7 @@
     assert!(
         net.run_until(300_000, |net| net.agreed().is_some_and(|version| version.number == 2)),
         "{:#?}",
-        net.notes
+        net.logs
     );
     let ActiveTerms::Single(_, terms) = net.acting(MemberId(2)) else { panic!() };
     assert_eq!(terms.entries_under("list/").len(), 100_000);
@@ -567,7 +567,7 @@
     assert!(
         net.run_until(60_000, |net| net.agreed().is_some_and(|version| version.number == 3)),
         "{:#?}",
-        net.notes
+        net.logs
     );
     let after: u64 = net.members.iter().map(|member| member.sent).sum();
     assert!(after - before < 200_000, "{} bytes for a change of one entry", after - before);
@@ -594,21 +594,21 @@
     net.wait_for_start();
     net.max_entries_touched = (0, 0);
     list(&mut net, ENTRIES, true);
-    in_force(&mut net, 2);
+    run_until_in_force(&mut net, 2);
     list(&mut net, ENTRIES, false);
-    in_force(&mut net, 3);
+    run_until_in_force(&mut net, 3);
     net.propose(MemberId(4), |change| {
         change.drop = (0..ENTRIES).map(|at| key(&format!("list/blocked/host-{at}"))).collect();
     })
     .unwrap();
-    in_force(&mut net, 4);
+    run_until_in_force(&mut net, 4);
     // Make changes until no stored version has the lists.
     for number in 5..=12 {
         net.propose(MemberId(4), |change| {
             drop(change.set.insert(key(&format!("list/few/{number}")), Value::Flag(true)))
         })
         .unwrap();
-        in_force(&mut net, number);
+        run_until_in_force(&mut net, number);
     }
     net.run(5_000);
     let most = STEP_ENTRIES as u64 + MAX_BUCKET_ENTRIES;
@@ -642,7 +642,7 @@
         net.pause(MemberId(3), seed % 2 == 1);
         list(&mut net, 20_000, true);
         let coming = |net: &Net| net.view(MemberId(1)).pending.is_some();
-        assert!(net.run_until(60_000, coming), "seed {seed}: {:#?}", net.notes);
+        assert!(net.run_until(60_000, coming), "seed {seed}: {:#?}", net.logs);
         // Withdraw while other members receive chunks, hash or check the document.
         net.run(seed * 130);
         net.withdraw(MemberId(1));
@@ -650,18 +650,18 @@
         let still = |net: &Net| (1..=5).all(|name| net.view(MemberId(name)).pending.is_none());
         let settled =
             net.run_until(90_000, |net| net.settled.len() == 1 && still(net) && net.agreed().is_some());
-        assert!(settled, "seed {seed}: {:#?}", net.notes);
+        assert!(settled, "seed {seed}: {:#?}", net.logs);
         given_up += u32::from(net.settled[0].2 == Err(ProposalError::Withdrawn));
         let before = net.view(MemberId(1)).known.number;
         list(&mut net, 20_000, false);
-        in_force(&mut net, before + 1);
+        run_until_in_force(&mut net, before + 1);
         for name in 1..=5 {
             let ActiveTerms::Single(_, terms) = net.acting(MemberId(name)) else {
                 panic!("seed {seed}: {name}")
             };
             let entries = terms.entries_under("list/");
             let off = entries.iter().filter(|(_, value)| **value == Value::Flag(false)).count();
-            assert_eq!((entries.len(), off), (20_000, 20_000), "seed {seed}: {name}: {:#?}", net.notes);
+            assert_eq!((entries.len(), off), (20_000, 20_000), "seed {seed}: {name}: {:#?}", net.logs);
         }
     }
     assert!(given_up >= 2, "{given_up} of 4 were withdrawn before anybody acted on them");
@@ -675,13 +675,13 @@
         change.set = (0..entries).map(|at| (key(&format!("list/l/{at}")), Value::Flag(true))).collect();
         change.set.insert(key("limit/y"), Value::Int(3));
     };
-    let word = ProposalError::Change(ChangeError::StricterThanFloor(key("limit/y")));
-    assert_eq!(net.propose(MemberId(4), |change| undercuts(change, 10)), Err(word.clone()));
+    let text = ProposalError::Change(ChangeError::StricterThanFloor(key("limit/y")));
+    assert_eq!(net.propose(MemberId(4), |change| undercuts(change, 10)), Err(text.clone()));
     let id = net.propose(MemberId(4), |change| undercuts(change, 20_000)).unwrap();
     let busy = net.propose(MemberId(4), attempts(2));
     assert!(matches!(busy, Err(ProposalError::Unavailable(_))), "one at a time: {busy:?}");
     assert!(net.run_until(30_000, |net| net.settled.len() == 1));
-    assert_eq!(net.settled[0], (MemberId(4), id, Err(word)));
+    assert_eq!(net.settled[0], (MemberId(4), id, Err(text)));
     net.propose(MemberId(4), attempts(2)).unwrap();
-    in_force(&mut net, 2);
+    run_until_in_force(&mut net, 2);
 }
--- a/crates/accord/tests/measure.rs
+++ b/crates/accord/tests/measure.rs
@@ -76,7 +76,7 @@
     pauses();
 }
 
-/// The measurements of `entries`, on their own.
+/// Runs only the measurements of `entries`.
 #[test]
 #[ignore = "a measurement"]
 fn accord_entries() {
@@ -98,9 +98,9 @@
     }
 }
 
-fn in_force(net: &mut Net, number: u64) {
+fn run_until_in_force(net: &mut Net, number: u64) {
     let done = net.run_until(600_000, |net| net.agreed().is_some_and(|version| version.number == number));
-    assert!(done, "{number} is not in force: {:#?}", net.notes);
+    assert!(done, "{number} is not in force: {:#?}", net.logs);
     net.run(10_000);
 }
 
@@ -117,38 +117,38 @@
             |from: usize| (from..entries + from - 20).map(|at| key(&format!("list/blocked/host-{at}")));
         net.propose(MemberId(4), |change| change.set = list(0).map(|key| (key, Value::Flag(true))).collect())
             .unwrap();
-        in_force(&mut net, 2);
+        run_until_in_force(&mut net, 2);
         print_longest_calls(&mut net, entries, "made_and_fetched");
         net.propose(MemberId(4), |change| {
             drop(change.set.insert(key("list/blocked/more"), Value::Flag(true)))
         })
         .unwrap();
-        in_force(&mut net, 3);
+        run_until_in_force(&mut net, 3);
         print_longest_calls(&mut net, entries, "one_entry_more");
         net.propose(MemberId(4), |change| {
             change.set = list(0).map(|key| (key, Value::Flag(false))).collect();
         })
         .unwrap();
-        in_force(&mut net, 4);
+        run_until_in_force(&mut net, 4);
         print_longest_calls(&mut net, entries, "all_values_changed");
         net.propose(MemberId(4), |change| change.drop = list(0).collect()).unwrap();
-        in_force(&mut net, 5);
+        run_until_in_force(&mut net, 5);
         print_longest_calls(&mut net, entries, "all_taken_out");
         for number in 6..=12 {
             net.propose(MemberId(4), |change| {
                 drop(change.set.insert(key(&format!("list/few/{number}")), Value::Flag(true)))
             })
             .unwrap();
-            in_force(&mut net, number);
+            run_until_in_force(&mut net, number);
         }
         print_longest_calls(&mut net, entries, "freed_at_last");
         net.propose(MemberId(4), |change| change.set = list(0).map(|key| (key, Value::Flag(true))).collect())
             .unwrap();
-        in_force(&mut net, 13);
+        run_until_in_force(&mut net, 13);
         net.longest_calls.clear();
         net.kill(MemberId(2));
         net.restart(MemberId(2));
-        in_force(&mut net, 13);
+        run_until_in_force(&mut net, 13);
         print_longest_calls(&mut net, entries, "fetched_whole_by_a_voter_from_nothing");
     }
     // The same number of hard keys, with floors: none of these buckets is skipped.
@@ -171,18 +171,18 @@
         change.set = hosts().map(|host| (key(&host), Value::Flag(true))).collect();
     })
     .unwrap();
-    in_force(&mut net, 2);
+    run_until_in_force(&mut net, 2);
     print_longest_calls(&mut net, entries, "hard_made_and_fetched");
     net.propose(MemberId(4), |change| {
         change.drop.insert(key("out/host-7"));
     })
     .unwrap();
-    in_force(&mut net, 3);
+    run_until_in_force(&mut net, 3);
     print_longest_calls(&mut net, entries, "hard_one_entry_less");
     net.cut(&[4], &[1, 2, 3], true);
     net.run(10_000);
     net.cuts.clear();
-    in_force(&mut net, 3);
+    run_until_in_force(&mut net, 3);
     print_longest_calls(&mut net, entries, "hard_cut_off_and_back");
 }
 
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -15,10 +15,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use check::{explore, find_fault};
+use check::{detect, explore};
 use stateright::{Checker, Model, Property};
 use wheellink_accord::parts::{
-    Accept, Flaws, LeaseHolder, LeaseRequest, Promise, PromiseRequest, Round, RoundAction, Voter,
+    Accept, Faults, LeaseHolder, LeaseRequest, Promise, PromiseRequest, Round, RoundAction, Voter,
 };
 use wheellink_accord::*;
 
@@ -69,15 +69,15 @@
     }
 }
 
-fn voter(name: u32, incarnation: u64, now: u8, flaws: Flaws) -> Voter {
+fn voter(name: u32, incarnation: u64, now: u8, faults: Faults) -> Voter {
     Voter::new(MemberId(name), incarnation, limits(), (1..=VOTERS).map(MemberId), record(0), secs(now))
-        .flawed(flaws)
+        .with_faults(faults)
 }
 
 // ---- one position, two proposers -------------------------------------------------------------------------------
 
 struct Choice {
-    flaws: Flaws,
+    faults: Faults,
     crashes: u8,
 }
 
@@ -135,14 +135,14 @@
 
     fn init_states(&self) -> Vec<ChoiceState> {
         let ready = |name| {
-            let mut one = voter(name, 1, 0, Flaws { votes_at_once: false, ..self.flaws }).into_voting();
+            let mut one = voter(name, 1, 0, Faults { votes_at_once: false, ..self.faults }).into_voting();
             one.learn(secs(0), &record(1));
             one.set_preparation(true, false, BTreeSet::new());
             one
         };
         let rounds = (0..2).map(|at| {
             Round::new(&record(1), Self::proposal(at), (at as u32 + 1, MemberId(at as u32 + 1)))
-                .flawed(self.flaws)
+                .with_faults(self.faults)
         });
         vec![ChoiceState {
             voters: (1..=VOTERS).map(ready).collect(),
@@ -213,8 +213,8 @@
             ChoiceAction::Restart(at) => {
                 state.crashes += 1;
                 let incarnation = state.voters[at].incarnation() + 1;
-                state.voters[at] = voter(at as u32 + 1, incarnation, 0, self.flaws);
-                if self.flaws.votes_at_once {
+                state.voters[at] = voter(at as u32 + 1, incarnation, 0, self.faults);
+                if self.faults.votes_at_once {
                     state.voters[at].learn(now, &record(1));
                     state.voters[at] = state.voters[at].clone().into_voting();
                     state.voters[at].set_preparation(true, false, BTreeSet::new());
@@ -256,7 +256,7 @@
 // ---- leases while a version changes ----------------------------------------------------------------------------
 
 struct Leases {
-    flaws: Flaws,
+    faults: Faults,
     crashes: u8,
     ticks: u8,
     /// Whether answers may be late. A lease is counted from its request, so a late answer only shortens it;
@@ -301,7 +301,7 @@
 impl Leases {
     fn next(&self, fleet: &Fleet) -> Option<u32> {
         match fleet.chosen {
-            1 if self.flaws.skips_joint => Some(3),
+            1 if self.faults.skips_joint => Some(3),
             step if step < 3 => Some(step + 1),
             _ => None,
         }
@@ -319,7 +319,7 @@
     }
 
     fn record_at(&self, step: u32) -> Record {
-        match (step, self.flaws.skips_joint) {
+        match (step, self.faults.skips_joint) {
             (3, true) => Record { position: position(2), leases_from: position(0), ..record(3) },
             _ => record(step),
         }
@@ -347,9 +347,9 @@
     type Action = FleetAction;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let without = Flaws { votes_at_once: false, ..self.flaws };
+        let without = Faults { votes_at_once: false, ..self.faults };
         let activator = || Activator {
-            holder: LeaseHolder::new(record(1).quorum(), secs(2)).flawed(self.flaws),
+            holder: LeaseHolder::new(record(1).quorum(), secs(2)).with_faults(self.faults),
             adopted: 0,
             grants: BTreeMap::new(),
         };
@@ -448,7 +448,7 @@
                 // What an earlier incarnation accepted does not count; the `Choice` model shows that.
                 fleet.accepted_by.remove(&at);
                 let incarnation = fleet.voters[at].incarnation() + 1;
-                fleet.voters[at] = voter(at as u32 + 1, incarnation, fleet.now, self.flaws);
+                fleet.voters[at] = voter(at as u32 + 1, incarnation, fleet.now, self.faults);
             }
             FleetAction::Recover(at) => {
                 let status = fleet.voters[at].status();
@@ -501,18 +501,18 @@
 
 #[test]
 fn one_record_is_chosen_at_a_position() {
-    let checker = explore(Choice { flaws: Flaws::default(), crashes: 1 });
+    let checker = explore(Choice { faults: Faults::default(), crashes: 1 });
     checker.assert_properties();
 }
 
 #[test]
 fn leases_keep_versions_apart_while_answers_are_late() {
-    explore(Leases { flaws: Flaws::default(), crashes: 0, ticks: 2, late: true }).assert_properties();
+    explore(Leases { faults: Faults::default(), crashes: 0, ticks: 2, late: true }).assert_properties();
 }
 
 #[test]
 fn leases_keep_versions_apart_while_a_voter_loses_its_state() {
-    explore(Leases { flaws: Flaws::default(), crashes: 1, ticks: 3, late: false }).assert_properties();
+    explore(Leases { faults: Faults::default(), crashes: 1, ticks: 3, late: false }).assert_properties();
 }
 
 const ONE_RECORD: &str = "one record at one position";
@@ -520,56 +520,53 @@
 
 #[test]
 fn detects_acceptance_below_a_promise() {
-    find_fault(Choice { flaws: Flaws { breaks_promise: true, ..Flaws::default() }, crashes: 0 }, ONE_RECORD);
+    detect(Choice { faults: Faults { breaks_promise: true, ..Faults::default() }, crashes: 0 }, ONE_RECORD);
 }
 
 #[test]
 fn detects_a_quorum_of_half_the_voters() {
-    find_fault(
-        Choice { flaws: Flaws { half_is_majority: true, ..Flaws::default() }, crashes: 0 },
-        ONE_RECORD,
-    );
-    let flaws = Flaws { half_is_majority: true, ..Flaws::default() };
-    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
+    detect(Choice { faults: Faults { half_is_majority: true, ..Faults::default() }, crashes: 0 }, ONE_RECORD);
+    let faults = Faults { half_is_majority: true, ..Faults::default() };
+    detect(Leases { faults, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_voter_that_votes_at_once_without_state() {
-    find_fault(Choice { flaws: Flaws { votes_at_once: true, ..Flaws::default() }, crashes: 1 }, ONE_RECORD);
-    let flaws = Flaws { votes_at_once: true, ..Flaws::default() };
-    find_fault(Leases { flaws, crashes: 1, ticks: 3, late: false }, NO_CONTRADICTION);
+    detect(Choice { faults: Faults { votes_at_once: true, ..Faults::default() }, crashes: 1 }, ONE_RECORD);
+    let faults = Faults { votes_at_once: true, ..Faults::default() };
+    detect(Leases { faults, crashes: 1, ticks: 3, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_acceptance_without_a_promise() {
-    // A voter that lost its state accepts in a round that does not rest on a promise of its new incarnation.
+    // A voter that lost its state accepts in a round that does not rely on a promise of its new incarnation.
     // This model found the fault in an early version of the protocol.
-    find_fault(
-        Choice { flaws: Flaws { accepts_unpromised: true, ..Flaws::default() }, crashes: 1 },
+    detect(
+        Choice { faults: Faults { accepts_unpromised: true, ..Faults::default() }, crashes: 1 },
         ONE_RECORD,
     );
 }
 
 #[test]
 fn detects_a_lease_that_ends_at_the_grantor_first() {
-    let flaws = Flaws { grantor_expires_first: true, ..Flaws::default() };
-    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
+    let faults = Faults { grantor_expires_first: true, ..Faults::default() };
+    detect(Leases { faults, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_skipped_joint_step() {
-    let flaws = Flaws { skips_joint: true, ..Flaws::default() };
-    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
+    let faults = Faults { skips_joint: true, ..Faults::default() };
+    detect(Leases { faults, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_stale_lease_after_a_pause() {
-    let flaws = Flaws { stale_lease: true, ..Flaws::default() };
-    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
+    let faults = Faults { stale_lease: true, ..Faults::default() };
+    detect(Leases { faults, crashes: 0, ticks: 2, late: false }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_lease_counted_from_the_arrival() {
-    let flaws = Flaws { lease_from_arrival: true, ..Flaws::default() };
-    find_fault(Leases { flaws, crashes: 0, ticks: 2, late: true }, NO_CONTRADICTION);
+    let faults = Faults { lease_from_arrival: true, ..Faults::default() };
+    detect(Leases { faults, crashes: 0, ticks: 2, late: true }, NO_CONTRADICTION);
 }
--- a/crates/accord/tests/net/mod.rs
+++ b/crates/accord/tests/net/mod.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wheellink_accord::parts::Flaws;
+use wheellink_accord::parts::Faults;
 use wheellink_accord::*;
 
 pub fn key(path: &str) -> Key {
@@ -18,14 +18,14 @@
     entries.iter().map(|(path, value)| (key(path), value.clone())).collect()
 }
 
-pub fn word(word: &str) -> Value {
-    Value::Text(word.into())
+pub fn text(text: &str) -> Value {
+    Value::Text(text.into())
 }
 
 /// At least as strict as any change of these tests.
 pub fn floor() -> Document {
     document(&[
-        ("class/a/effect", word("unsafe")),
+        ("class/a/effect", text("unsafe")),
         ("class/a/attempts", Value::Int(1)),
         ("limit/x", Value::Int(0)),
         ("out/h", Value::Flag(true)),
@@ -42,7 +42,7 @@
         drift_ppm: 2_000,
         prepare_timeout: Duration::from_secs(10),
         transfer_bytes_per_period: 120_000,
-        document: document(&[("class/a/attempts", Value::Int(3)), ("class/a/effect", word("safe"))]),
+        document: document(&[("class/a/attempts", Value::Int(3)), ("class/a/effect", text("safe"))]),
         floor: floor(),
     }
 }
@@ -111,9 +111,9 @@
     pub max_delay_us: u64,
     /// Ordered pairs of members between which datagrams are lost.
     pub cuts: BTreeSet<(MemberId, MemberId)>,
-    pub flaws: Flaws,
+    pub faults: Faults,
     pub settled: Vec<(MemberId, ProposalId, Result<Version, ProposalError>)>,
-    pub notes: Vec<String>,
+    pub logs: Vec<String>,
     pub checks_enabled: bool,
     obeyed: Vec<Option<Obeyed>>,
     terms: BTreeMap<Obeyed, Arc<Document>>,
@@ -138,10 +138,10 @@
 
 impl Net {
     pub fn new(members: u32, voters: u32, seed: u64) -> Net {
-        Net::with(settings(members, voters), seed, Flaws::default())
+        Net::with(settings(members, voters), seed, Faults::default())
     }
 
-    pub fn with(settings: Settings, seed: u64, flaws: Flaws) -> Net {
+    pub fn with(settings: Settings, seed: u64, faults: Faults) -> Net {
         let mut net = Net {
             now: 0,
             members: Vec::new(),
@@ -153,9 +153,9 @@
             duplication: 0.0,
             max_delay_us: 20_000,
             cuts: BTreeSet::new(),
-            flaws,
+            faults,
             settled: Vec::new(),
-            notes: Vec::new(),
+            logs: Vec::new(),
             checks_enabled: true,
             obeyed: vec![None; settings.roster.len()],
             terms: BTreeMap::new(),
@@ -197,7 +197,7 @@
         let seed = self.rng.u64(..);
         Participant::new(self.settings.clone(), name, incarnation, seed, Duration::from_secs(7))
             .unwrap()
-            .flawed(self.flaws)
+            .with_faults(self.faults)
     }
 
     pub fn at(&self, name: MemberId) -> usize {
@@ -264,7 +264,7 @@
                 Output::Apply(_) => {}
                 Output::Settled { change, result } => self.settled.push((from, change, result)),
                 Output::Log(note) => {
-                    self.notes.push(format!("{:>9.3} {from}: {note}", self.now as f64 / 1e6));
+                    self.logs.push(format!("{:>9.3} {from}: {note}", self.now as f64 / 1e6));
                 }
             }
         }
@@ -509,7 +509,7 @@
     }
 
     pub fn wait_for_start(&mut self) {
-        assert!(self.run_until(60_000, |net| net.agreed().is_some()), "no start: {:#?}", self.notes);
+        assert!(self.run_until(60_000, |net| net.agreed().is_some()), "no start: {:#?}", self.logs);
     }
 }
 
@@ -529,13 +529,13 @@
 
 /// Runs a random history of changes and faults, and ends the faults. Returns false if the members did not
 /// agree afterwards.
-pub fn random_history(seed: u64, changes: u32, flaws: Flaws) -> (Net, bool) {
-    random_history_with_spares(seed, changes, flaws, 0)
+pub fn random_history(seed: u64, changes: u32, faults: Faults) -> (Net, bool) {
+    random_history_with_spares(seed, changes, faults, 0)
 }
 
 /// The same with additional members that may vote, and with changes of voters among the other changes. The
 /// settings files stay the same.
-pub fn random_history_with_spares(seed: u64, changes: u32, flaws: Flaws, spares: u32) -> (Net, bool) {
+pub fn random_history_with_spares(seed: u64, changes: u32, faults: Faults, spares: u32) -> (Net, bool) {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let voters = *rng.choice(&[3, 3, 4, 5]).unwrap();
     let members = voters + rng.u32(0..=3) + spares;
@@ -543,7 +543,7 @@
     if spares > 0 {
         setup.eligible_voters = (1..=voters + spares).map(MemberId).collect();
     }
-    let mut net = Net::with(setup, seed, flaws);
+    let mut net = Net::with(setup, seed, faults);
     net.duplication = 0.1;
     net.run(6_000);
     for _ in 0..changes {
@@ -572,7 +572,7 @@
                     0 | 1 => drop(change.set.insert(key("class/a/attempts"), Value::Int(value))),
                     2 => drop(change.set.insert(
                         key("class/a/effect"),
-                        word(["safe", "keyed", "unsafe"][value as usize % 3]),
+                        text(["safe", "keyed", "unsafe"][value as usize % 3]),
                     )),
                     3 => drop(change.set.insert(key("limit/x"), Value::Int(value))),
                     4 if value % 2 == 0 => drop(change.drop.insert(key("out/h"))),
--- a/crates/accord/tests/props.rs
+++ b/crates/accord/tests/props.rs
@@ -9,7 +9,7 @@
     prop_oneof![
         (name, 1..=16i64).prop_map(|(name, value)| (format!("class/{name}/attempts"), Value::Int(value))),
         (name, prop::sample::select(vec!["safe", "keyed", "unsafe"]))
-            .prop_map(|(name, word)| (format!("class/{name}/effect"), Value::Text(word.into()))),
+            .prop_map(|(name, text)| (format!("class/{name}/effect"), Value::Text(text.into()))),
         (name, 0..99i64).prop_map(|(name, value)| (format!("limit/{name}"), Value::Int(value))),
         name.prop_map(|name| (format!("out/{name}"), Value::Flag(true))),
         (name, name, any::<bool>())
--- a/crates/accord/tests/voters.rs
+++ b/crates/accord/tests/voters.rs
@@ -20,7 +20,7 @@
 use check::explore;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use wheellink_accord::parts::{
-    Accept, Flaws, LeaseHolder, LeaseRequest, Limits, Round, RoundAction, Voter, VoterStatus,
+    Accept, Faults, LeaseHolder, LeaseRequest, Limits, Round, RoundAction, Voter, VoterStatus,
 };
 use wheellink_accord::*;
 
@@ -39,7 +39,7 @@
 /// A change from one list of voters to another.
 #[derive(Clone, Debug)]
 struct Change {
-    flaws: Flaws,
+    faults: Faults,
     from: VoterList,
     to: VoterList,
     /// The position that all voters know at the start.
@@ -142,7 +142,7 @@
         };
         let all = VoterLists { current: self.from, next: Some(self.to) };
         let mut voter = Voter::new(MemberId(name), incarnation, limits, all.all(), chosen[&1], secs(now))
-            .flawed(self.flaws);
+            .with_faults(self.faults);
         voter.set_preparation(true, true, BTreeSet::new());
         voter
     }
@@ -196,7 +196,7 @@
         vec![Fleet {
             now: 0,
             voters: names.iter().map(ready).collect(),
-            holder: LeaseHolder::new(chosen[&self.first].quorum(), secs(2)).flawed(self.flaws),
+            holder: LeaseHolder::new(chosen[&self.first].quorum(), secs(2)).with_faults(self.faults),
             adopted: self.first,
             joint: (self.first > 1).then_some(0),
             chosen,
@@ -234,7 +234,7 @@
             }
             if self.restarts == Some(name) && fleet.voters[at].status() != VoterStatus::Voting {
                 actions.push(FleetAction::EndSilence(at));
-                if !self.flaws.added_votes_unlearnt {
+                if !self.faults.added_votes_unlearnt {
                     actions
                         .extend((0..fleet.voters.len()).map(|from| FleetAction::Recover { voter: at, from }));
                 }
@@ -256,8 +256,8 @@
             FleetAction::PromiseRequest { index, proposer, voter } => {
                 let after = *fleet.chosen.get(&(index - 1))?;
                 let proposal = self.proposal(&after, proposer)?;
-                let new_round =
-                    Round::new(&after, proposal, (proposer + 1, MemberId(proposer + 1))).flawed(self.flaws);
+                let new_round = Round::new(&after, proposal, (proposer + 1, MemberId(proposer + 1)))
+                    .with_faults(self.faults);
                 let round = fleet.rounds.entry((index, proposer)).or_insert(new_round);
                 if round.accept().is_some() {
                     return None;
@@ -289,7 +289,7 @@
                     return None;
                 }
                 let quorum = after.quorum_for(&proposal);
-                let quorum = if self.flaws.choice_by_new_list { quorum.only_list(true) } else { quorum };
+                let quorum = if self.faults.choice_by_new_list { quorum.only_list(true) } else { quorum };
                 if quorum.is_met(|name| fleet.accepted_by.contains(&name)) {
                     fleet.accepted_by.clear();
                     fleet.record_chosen(proposal);
@@ -375,7 +375,7 @@
 /// new may have no member in common.
 fn down_to_one() -> Change {
     Change {
-        flaws: Flaws::default(),
+        faults: Faults::default(),
         from: list(&[1, 2, 3]),
         to: list(&[1]),
         first: 1,
@@ -398,7 +398,7 @@
 }
 
 /// Finds a trace to a state that violates the property, and stops there.
-fn find_fault(model: Change, property: &'static str) {
+fn detect(model: Change, property: &'static str) {
     let checker = model.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let path =
         checker.discovery(property).unwrap_or_else(|| panic!("an injected fault was not found: {property}"));
@@ -409,29 +409,29 @@
 
 #[test]
 fn detects_a_final_step_chosen_by_the_new_list_alone() {
-    let flaws = Flaws { choice_by_new_list: true, ..Flaws::default() };
-    find_fault(Change { flaws, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
+    let faults = Faults { choice_by_new_list: true, ..Faults::default() };
+    detect(Change { faults, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_a_joint_lease_from_the_old_list_alone() {
-    let flaws = Flaws { lease_from_old_list: true, ..Flaws::default() };
-    find_fault(
-        Change { flaws, first: 2, last: 6, ticks: 0, lease_voters: &[2, 3], ..down_to_one() },
+    let faults = Faults { lease_from_old_list: true, ..Faults::default() };
+    detect(
+        Change { faults, first: 2, last: 6, ticks: 0, lease_voters: &[2, 3], ..down_to_one() },
         NO_CONTRADICTION,
     );
 }
 
 #[test]
 fn detects_a_removed_voter_that_grants() {
-    let flaws = Flaws { removed_grants: true, ..Flaws::default() };
-    find_fault(Change { flaws, ticks: 0, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
+    let faults = Faults { removed_grants: true, ..Faults::default() };
+    detect(Change { faults, ticks: 0, lease_voters: &[2, 3], ..down_to_one() }, NO_CONTRADICTION);
 }
 
 #[test]
 fn detects_an_added_voter_that_votes_before_recovery() {
-    let flaws = Flaws { added_votes_unlearnt: true, ..Flaws::default() };
+    let faults = Faults { added_votes_unlearnt: true, ..Faults::default() };
     let (from, to, contested_position) = (list(&[1, 2]), list(&[1, 2, 3]), Some(4));
-    let change = Change { flaws, from, to, first: 3, last: 4, contested_position, ..down_to_one() };
-    find_fault(Change { restarts: Some(3), lease_voters: &[], ..change }, ONE_RECORD);
+    let change = Change { faults, from, to, first: 3, last: 4, contested_position, ..down_to_one() };
+    detect(Change { restarts: Some(3), lease_voters: &[], ..change }, ONE_RECORD);
 }
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -157,9 +157,9 @@
     adaptive: Option<AdaptiveLimit>,
     /// When the last refusal summary was taken.
     summary_at: Micros,
-    /// Refusals since then that are counted by client and reason.
+    /// Refusals since the last summary, by client and reason.
     refused: BTreeMap<(Prefix, Reason), u64>,
-    /// All other refusals since then.
+    /// Refusals since the last summary that `refused` has no room for.
     others: u64,
     /// The number of refusals since the start.
     pub total_refusals: u64,
@@ -292,10 +292,10 @@
             [(&mut self.clients, client, &a.connect_rate), (&mut self.subnets, subnet, &n.connect_rate)]
         {
             let scaled = rate.map(|r| r.times(factor));
-            let took = table.update(now, key, ADMIT_WEIGHT, |e| {
+            let outcome = table.update(now, key, ADMIT_WEIGHT, |e| {
                 scaled.is_none_or(|r| e.connect_limiter.take(now, &r).is_ok())
             });
-            match took {
+            match outcome {
                 Some(true) => {}
                 Some(false) => return Err(Reason::ConnectRate),
                 None => return Err(Reason::TableFull),
@@ -318,11 +318,11 @@
     /// # Errors
     /// Why the request is refused, and how long to wait before a retry; then it does not count.
     pub fn admit_request(&mut self, now: Micros, info: &RequestInfo) -> Result<(), (Reason, Micros)> {
-        let taken = self.try_request(now, info);
-        if let Err((reason, _)) = taken {
+        let result = self.try_request(now, info);
+        if let Err((reason, _)) = result {
             self.record_refusal(now, info.from, reason);
         }
-        taken
+        result
     }
 
     fn try_request(&mut self, now: Micros, info: &RequestInfo) -> Result<(), (Reason, Micros)> {
@@ -351,10 +351,10 @@
             [(&mut self.clients, client, &a.request_rate), (&mut self.subnets, subnet, &n.request_rate)]
         {
             let scaled = rate.map(|r| r.times(factor));
-            let took = table.update(now, key, ADMIT_WEIGHT, |e| {
+            let outcome = table.update(now, key, ADMIT_WEIGHT, |e| {
                 scaled.map_or(Ok(()), |r| e.request_limiter.take(now, &r))
             });
-            match took {
+            match outcome {
                 Some(Ok(())) => {}
                 Some(Err(wait)) => return Err((Reason::RequestRate, wait)),
                 None => return Err((Reason::TableFull, RETRY_US)),
@@ -446,7 +446,7 @@
         if !reason.is_client_fault() {
             return;
         }
-        let (p, suspended) = (&self.rules.penalty, self.rules.suspension());
+        let (p, suspension) = (&self.rules.penalty, self.rules.suspension());
         let (window, first) = (p.window_ms as Micros * 1000, p.first_ms as Micros * 1000);
         let (longest, refusals) = (p.longest_ms as Micros * 1000, p.refusals);
         let apply_refusal = |e: &mut Entry| {
@@ -455,7 +455,7 @@
             if reason == Reason::Penalty {
                 return;
             }
-            e.suspended_until = now + suspended;
+            e.suspended_until = now + suspension;
             if now - e.window_start >= window || e.window_start > now {
                 (e.window_start, e.recent_refusals) = (now, 0);
             }
--- a/crates/admission/src/ledger.rs
+++ b/crates/admission/src/ledger.rs
@@ -76,8 +76,8 @@
     held: [usize; OWNERS],
 }
 
-/// The interval at which the ceiling rises after the system had fewer units than the limit. The steps double (1, 2, 4, ...):
-/// a short shortage is soon over, and a lasting one meets only a few attempts.
+/// The interval at which the ceiling rises after the system had fewer units than the limit. The steps double (1, 2, 4, ...),
+/// so that the ceiling rises fast after a short shortage, and few attempts fail during a long one.
 const CEILING_RAISE_INTERVAL_US: Micros = 100_000;
 
 impl Ledger {
--- a/crates/admission/src/rules.rs
+++ b/crates/admission/src/rules.rs
@@ -134,11 +134,11 @@
                 let valid = rate.is_none_or(|r| r.is_valid());
                 err_if(!valid, format!("{level}.{name}: per_second above 0, burst at least 1"))?;
             }
-            let zero = [caps.connections, caps.open].contains(&Some(0)) || caps.open_bytes == Some(0);
-            err_if(zero, format!("{level}: a cap of 0 admits nobody; omit it, or block the prefix"))?;
+            let has_zero = [caps.connections, caps.open].contains(&Some(0)) || caps.open_bytes == Some(0);
+            err_if(has_zero, format!("{level}: a cap of 0 admits nobody; omit it, or block the prefix"))?;
         }
-        let tenant = self.tenant.connections.is_some() || self.tenant.connect_rate.is_some();
-        err_if(tenant, "tenant: connections have no tenant; cap open, open_bytes or request_rate".into())?;
+        let capped = self.tenant.connections.is_some() || self.tenant.connect_rate.is_some();
+        err_if(capped, "tenant: connections have no tenant; cap open, open_bytes or request_rate".into())?;
         err_if(!(1.0..=1e6).contains(&self.known_factor), "known_factor must be at least 1".into())?;
         err_if(!(0.0..=1e9).contains(&self.learn_calls), "learn_calls must not be negative".into())?;
         err_if(self.learn_half_ms == 0, "learn_half_ms must be above 0".into())?;
@@ -147,8 +147,8 @@
         err_if(p.refusals == 0 || p.window_ms == 0, "penalty: refusals and window_ms above 0".into())?;
         let invalid = p.first_ms == 0 || p.longest_ms < p.first_ms || p.longest_ms > 86_400_000;
         err_if(invalid, "penalty: first_ms above 0, longest_ms at least first_ms, at most a day".into())?;
-        let many = self.known.len().max(self.proxies.len()) > MAX_PREFIXES;
-        err_if(many, format!("more than {MAX_PREFIXES} prefixes"))?;
+        let too_many = self.known.len().max(self.proxies.len()) > MAX_PREFIXES;
+        err_if(too_many, format!("more than {MAX_PREFIXES} prefixes"))?;
         let fault = self.adaptive.as_ref().and_then(|a| a.validation_error());
         err_if(fault.is_some(), format!("adaptive: {}", fault.unwrap_or_default()))
     }
--- a/crates/drafts/src/evaluate.rs
+++ b/crates/drafts/src/evaluate.rs
@@ -35,7 +35,7 @@
     pub min_lead: f64,
     /// The best length by drafter (from 1).
     pub best_lengths: Vec<Option<u8>>,
-    /// The evidence about some drafter is insufficient.
+    /// Whether the evidence about some drafter is insufficient.
     pub uncertain: bool,
     pub why: &'static str,
 }
@@ -190,15 +190,15 @@
         let least = if matches!(metric, Metric::Cost(..)) { least / 5.0 } else { least };
         let half = |new: bool, reporter: Option<usize>| {
             let rows = rows.iter().filter(move |r| r.age < window && (r.age < split) == new);
-            let rows = rows.filter(move |r| reporter.is_none_or(|t| r.reporter == t));
+            let rows = rows.filter(move |r| reporter.is_none_or(|i| r.reporter == i));
             Moments::of(&tally(rows, metric, weights), metric, settings)
         };
         let (new, old) = (half(true, None), half(false, None));
-        let without = |t: usize| {
-            let (new, old) = (new.minus(half(true, Some(t))), old.minus(half(false, Some(t))));
+        let without = |i: usize| {
+            let (new, old) = (new.minus(half(true, Some(i))), old.minus(half(false, Some(i))));
             new.distance(&old, least / 2.0, alpha.max(0.01)).is_some()
         };
-        if !alone && !(0..weights.len()).filter(|t| weights[*t] > 0.0).all(without) {
+        if !alone && !(0..weights.len()).filter(|i| weights[*i] > 0.0).all(without) {
             break;
         }
         window = split;
@@ -218,18 +218,18 @@
     for drafter in 1..=settings.drafters {
         for at in 0..settings.longest as usize {
             let of = |t: &Tally| t.rates(drafter)[at];
-            let known: Vec<usize> = (0..tallies.len()).filter(|t| of(&tallies[*t]).rounds >= least).collect();
+            let known: Vec<usize> = (0..tallies.len()).filter(|i| of(&tallies[*i]).rounds >= least).collect();
             if known.len() < MIN_REPORTERS {
                 continue;
             }
-            let center = median(known.iter().map(|t| of(&tallies[*t]).rate()).collect());
-            for t in known {
-                let Rate { rounds, hits } = of(&tallies[t]);
+            let center = median(known.iter().map(|i| of(&tallies[*i]).rate()).collect());
+            for i in known {
+                let Rate { rounds, hits } = of(&tallies[i]);
                 let n = rounds / settings.cluster;
                 let (low, high) = confidence::rate_interval(hits / settings.cluster, n, settings.alpha);
                 if low > center + settings.tolerance || high < center - settings.tolerance {
                     let (at, rate) = (at + 1, hits / rounds);
-                    add(t, format!("drafter {drafter}, position {at}: accepted {rate:.2}, the members' median is {center:.2}"));
+                    add(i, format!("drafter {drafter}, position {at}: accepted {rate:.2}, the members' median is {center:.2}"));
                 }
             }
         }
@@ -238,18 +238,18 @@
         let lengths = (0..=settings.drafters).flat_map(|d| (0..=settings.longest).map(move |l| (d, l)));
         for (drafter, length) in lengths.filter(|(d, l)| (*d == 0) == (*l == 0)) {
             let draft = Draft { drafter, length };
-            let known = |t: &usize| tallies[*t].cost(band, draft).calls >= least / 5.0;
+            let known = |i: &usize| tallies[*i].cost(band, draft).calls >= least / 5.0;
             let known: Vec<usize> = (0..tallies.len()).filter(known).collect();
             if known.len() < MIN_REPORTERS {
                 continue;
             }
-            let center = median(known.iter().map(|t| tallies[*t].cost(band, draft).mean()).collect());
-            for t in known {
-                let mean = tallies[t].cost(band, draft).mean();
+            let center = median(known.iter().map(|i| tallies[*i].cost(band, draft).mean()).collect());
+            for i in known {
+                let mean = tallies[i].cost(band, draft).mean();
                 if mean > center * (1.0 + settings.cost_tolerance)
                     || mean < center / (1.0 + settings.cost_tolerance)
                 {
-                    add(t, format!("draft {draft}, band {band}: {mean:.0} us a round, the members' median is {center:.0} us"));
+                    add(i, format!("draft {draft}, band {band}: {mean:.0} us a round, the members' median is {center:.0} us"));
                 }
             }
         }
@@ -356,7 +356,7 @@
     /// Useful tokens per second.
     fn value(&self, draft: Draft, other: Draft) -> f64 {
         let tokens = 1.0 + self.tokens(draft.drafter, 0, draft.length).0;
-        self.cost_model(draft, other).map_or(0.0, |cost_model| 1e6 * tokens / cost_model.at(draft.length))
+        self.cost_model(draft, other).map_or(0.0, |cost| 1e6 * tokens / cost.at(draft.length))
     }
 
     /// The lead of `to` over `from` as a fraction, and its lower confidence bound.
@@ -420,7 +420,7 @@
     result.best_lengths = best_lengths.collect();
     let fully_tried = |drafter: u8| {
         let longest_tried = model.covers(Draft { drafter, length: settings.longest }, Draft::OFF);
-        longest_tried && model.costs[(drafter - 1) as usize].is_some_and(|l| l.shortest == 0)
+        longest_tried && model.costs[(drafter - 1) as usize].is_some_and(|c| c.shortest == 0)
     };
     result.uncertain = !(1..=settings.drafters).all(fully_tried);
     if !model.covers(in_force, in_force) {
--- a/crates/drafts/src/explore.rs
+++ b/crates/drafts/src/explore.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Arms {
     drafts: Vec<Draft>,
-    /// The evidence is insufficient: the full exploration share is used.
+    /// Whether the evidence is insufficient, so that the full exploration share is used.
     uncertain: bool,
 }
 
--- a/crates/drafts/src/learner.rs
+++ b/crates/drafts/src/learner.rs
@@ -363,7 +363,7 @@
         let mut rows: BTreeMap<u16, (Vec<MemberId>, Vec<Row>)> = BTreeMap::new();
         self.store.for_each(now, &self.settings, |item| {
             let (reporters, rows) = rows.entry(item.key.workload).or_default();
-            let reporter = reporters.iter().position(|t| *t == item.reporter).unwrap_or(reporters.len());
+            let reporter = reporters.iter().position(|r| *r == item.reporter).unwrap_or(reporters.len());
             if reporter == reporters.len() {
                 reporters.push(item.reporter);
             }
@@ -385,7 +385,7 @@
             let workload = self.workloads[number as usize].as_ref()?;
             // The same order at every member; otherwise floating-point sums would differ in the last digits.
             let mut order: Vec<usize> = (0..reporters.len()).collect();
-            order.sort_by_key(|t| reporters[*t]);
+            order.sort_by_key(|i| reporters[*i]);
             let mut rank = vec![0; order.len()];
             order.iter().enumerate().for_each(|(to, from)| rank[*from] = to);
             rows.iter_mut().for_each(|r| r.reporter = rank[r.reporter]);
@@ -393,7 +393,7 @@
                 let key = |r: &Row| (r.reporter, r.age, r.draft, r.band);
                 key(a).cmp(&key(b)).then(a.micros.total_cmp(&b.micros))
             });
-            let reporters: Vec<MemberId> = order.iter().map(|t| reporters[*t]).collect();
+            let reporters: Vec<MemberId> = order.iter().map(|i| reporters[*i]).collect();
             let alone = self.heard == 0 && self.roster.is_empty();
             let in_force = |band| self.in_force(workload, band, table);
             let evaluation = evaluate::evaluate(&rows, reporters.len(), alone, in_force, &self.settings);
@@ -424,10 +424,10 @@
 
     /// The number of tables within the last hour. For the part of the hour before this incarnation it assumes the maximum rate.
     fn recent_versions(&self, now: Duration) -> usize {
-        let most = self.settings.versions_hour as usize;
+        let limit = self.settings.versions_hour as usize;
         let seen = self.table_changes.iter().filter(|at| now.saturating_sub(**at) < HOUR).count();
-        let lived = now.saturating_sub(self.started_at).as_secs_f64() / HOUR.as_secs_f64();
-        let before = (most as f64 * (1.0 - lived).max(0.0)).ceil() as usize;
+        let uptime = now.saturating_sub(self.started_at).as_secs_f64() / HOUR.as_secs_f64();
+        let before = (limit as f64 * (1.0 - uptime).max(0.0)).ceil() as usize;
         seen + before
     }
 
--- a/crates/drafts/src/store.rs
+++ b/crates/drafts/src/store.rs
@@ -206,9 +206,9 @@
                     // Incarnations known only from relayed rows are evicted first, and relayed rows never evict directly
                     // reported ones.
                     let old = known.iter().enumerate().min_by_key(|(_, e)| (e.direct.is_some(), e.heard_at));
-                    let (i, is_direct) =
+                    let (i, reported) =
                         old.map(|(i, e)| (i, e.direct.is_some())).ok_or(Refusal::StoreFull)?;
-                    if is_direct && !direct {
+                    if reported && !direct {
                         return Err(Refusal::StoreFull);
                     }
                     let old = known.remove(i);
--- a/crates/drafts/src/view.rs
+++ b/crates/drafts/src/view.rs
@@ -12,13 +12,13 @@
     /// The number of tables that came into force within the last hour: seen by this incarnation, plus the assumed maximum before
     /// it.
     pub versions_in_the_hour: usize,
-    /// The maximum time for which outdated evidence counts, in milliseconds.
+    /// The maximum time for which outdated evidence is used, in milliseconds.
     pub bound_ms: u64,
     /// The number of rows of all members.
     pub rows: usize,
     /// The number of rejected counts and datagrams, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// The members that rows are held of.
+    /// The members whose rows are held.
     pub members: Vec<MemberView>,
     /// The evaluation by workload.
     pub workloads: BTreeMap<String, WorkloadView>,
--- a/crates/handoff/src/lib.rs
+++ b/crates/handoff/src/lib.rs
@@ -35,9 +35,9 @@
     submitted: Option<u64>,
     /// The newest version that was published.
     published: Option<u64>,
-    /// The submitter is closed or dropped.
+    /// Whether the submitter is closed or dropped.
     closed: bool,
-    /// The worker is dropped, after its last job or by a panic.
+    /// Whether the worker is dropped, after its last job or by a panic.
     worker_gone: bool,
 }
 
@@ -67,7 +67,7 @@
     pub version: u64,
     /// The input of the job.
     pub input: I,
-    /// Tells the worker to abandon the job; to be checked while the job runs.
+    /// Signals that the worker may abandon the job. The worker checks it while the job runs.
     pub cancel: Cancellation,
 }
 
@@ -157,7 +157,7 @@
     /// The versions of the pending and of the running job.
     pub fn versions_in_progress(&self) -> (Option<u64>, Option<u64>) {
         let slots = self.0.slots();
-        (slots.pending.as_ref().map(|w| w.0), slots.running.as_ref().map(|b| b.0))
+        (slots.pending.as_ref().map(|p| p.0), slots.running.as_ref().map(|r| r.0))
     }
 
     /// Whether the worker is gone: it ended or a job panicked. The job that was running then is lost.
--- a/crates/turns/src/feedback.rs
+++ b/crates/turns/src/feedback.rs
@@ -18,7 +18,7 @@
 /// Common prefixes recorded per new conversation: the longest, and shorter ones that are at least twice as common.
 const MAX_COMMON_LEVELS: usize = 4;
 /// Above this probability, a prefix that is not found counts as evidence against the tenant or the site.
-const CONFIDENT: f64 = 0.7;
+const MIN_CONFIDENT_PROBABILITY: f64 = 0.7;
 
 /// An attempt that was sent and has not ended.
 #[derive(Debug)]
@@ -194,7 +194,7 @@
         let share = f64::from(found.min(depth)) / f64::from(depth);
         let trust = self.tenant_trust(open.tenant);
         // Uses the site's own probability: the one lowered by distrust of the tenant says nothing about the site.
-        if self.sites.all[index].retention(clock) > CONFIDENT {
+        if self.sites.all[index].retention(clock) > MIN_CONFIDENT_PROBABILITY {
             self.trust.record_found(open.tenant, share as f32);
         }
         self.sites.all[index].learn(clock, share, trust);
@@ -202,8 +202,10 @@
             entry.misses = if share >= 0.25 || probability < 0.1 { 0 } else { (entry.misses + 1).min(8) };
         }
         self.counts.misses += u64::from(share < 0.5);
-        let nothing = found == 0 && probability > CONFIDENT;
-        if probability > CONFIDENT && self.sites.all[index].detect_cleared(nothing, open.conversation) {
+        let nothing = found == 0 && probability > MIN_CONFIDENT_PROBABILITY;
+        if probability > MIN_CONFIDENT_PROBABILITY
+            && self.sites.all[index].detect_cleared(nothing, open.conversation)
+        {
             self.counts.caches_found_empty += 1;
             self.sites.clear_cache(open.site);
             // The prefix of this turn itself is in the cache.
--- a/crates/turns/src/sites.rs
+++ b/crates/turns/src/sites.rs
@@ -142,11 +142,11 @@
         } else if self.empty_streak == 0 || self.last_empty_conversation != conversation {
             (self.empty_streak, self.last_empty_conversation) = (self.empty_streak + 1, conversation);
         }
-        let emptied = self.empty_streak >= MISSES_UNTIL_CLEARED;
-        if emptied {
+        let cleared = self.empty_streak >= MISSES_UNTIL_CLEARED;
+        if cleared {
             self.empty_streak = 0;
         }
-        emptied
+        cleared
     }
 
     fn decay_load(&mut self, now: Duration) {
@@ -344,7 +344,7 @@
         loads.filter(|(_, load, count)| *load >= 0.5 || *count > 0).collect()
     }
 
-    /// Records the loads reported by another activator. An older report of the same run_id is ignored.
+    /// Records the loads reported by another activator. A report of the same run that is not newer is ignored.
     pub fn on_loads(&mut self, now: Duration, from: ActivatorId, (run, seq): (u32, u32), loads: &[SiteLoad]) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&from) {
             return;
