--- a/crates/accord/tests/check/mod.rs
+++ b/crates/accord/tests/check/mod.rs
@@ -28,8 +28,7 @@
     M::Action: Send + Sync + std::fmt::Debug + PartialEq + Clone,
 {
     let checker = model.checker().threads(2).target_state_count(MAX_STATES).spawn_bfs().join();
-    let path =
-        checker.discovery(property).unwrap_or_else(|| panic!("an injected fault was not found: {property}"));
+    let path = checker.discovery(property).unwrap_or_else(|| panic!("fault not detected: {property}"));
     let steps = path.into_actions();
     println!("found in {} steps: {steps:#?}", steps.len());
     assert!(!steps.is_empty());
--- a/crates/accord/tests/faults.rs
+++ b/crates/accord/tests/faults.rs
@@ -25,12 +25,7 @@
 fn assert_guarantees(net: &Net) {
     assert!(net.violations.is_empty(), "{:#?}\n{:#?}", net.violations, net.logs);
     let bound = net.settings.bound().as_micros() as u64;
-    assert!(
-        net.longest_us <= bound,
-        "{} us of contradiction, {bound} promised\n{:#?}",
-        net.longest_us,
-        net.logs
-    );
+    assert!(net.longest_us <= bound, "contradiction for {} of {bound} us\n{:#?}", net.longest_us, net.logs);
 }
 
 #[test]
@@ -38,15 +33,9 @@
     let mut net = Net::new(5, 3, 1);
     net.wait_for_start();
     let id = net.propose(MemberId(5), attempts(2)).unwrap();
-    assert!(
-        net.run_until(30_000, |net| net.agreed().is_some_and(|version| version.number == 2)),
-        "{:#?}",
-        net.logs
-    );
+    assert!(net.run_until(30_000, |net| net.agreed().is_some_and(|v| v.number == 2)), "{:#?}", net.logs);
     assert_eq!(obeyed_attempts(&net, 4), Some(Value::Int(2)));
-    assert!(
-        matches!(&net.settled[..], [(MemberId(5), settled, Ok(Version { number: 2, .. }))] if *settled == id)
-    );
+    assert!(matches!(&net.settled[..], [(MemberId(5), done, Ok(Version { number: 2, .. }))] if *done == id));
     assert_guarantees(&net);
 }
 
@@ -73,10 +62,7 @@
         assert!(net.longest_us <= bound, "seed {seed}: {} of {bound} us\n{:#?}", net.longest_us, net.logs);
         assert!(agreed, "seed {seed}: not agreed after 120 s\n{:#?}", net.logs);
         let list = listed(&net, 1);
-        assert!(
-            (1..=net.members.len() as u32).all(|name| listed(&net, name) == list),
-            "seed {seed}: one list"
-        );
+        assert!((1..=net.members.len() as u32).all(|n| listed(&net, n) == list), "seed {seed}: one list");
         if list.len() > 3 || list != [1, 2, 3] {
             lists.insert((seed, list));
         }
@@ -89,7 +75,7 @@
 /// Runs until all members act on this version.
 #[track_caller]
 fn run_until_in_force(net: &mut Net, number: u64) {
-    let done = net.run_until(60_000, |net| net.agreed().is_some_and(|version| version.number == number));
+    let done = net.run_until(60_000, |net| net.agreed().is_some_and(|v| v.number == number));
     assert!(done, "{number} is not in force: {:#?}", net.logs);
 }
 
@@ -109,10 +95,7 @@
         );
         let won = if good[0].0 == MemberId(4) { 2 } else { 5 };
         assert_eq!(obeyed_attempts(&net, 1), Some(Value::Int(won)), "seed {seed}");
-        assert!(matches!(
-            net.propose(MemberId(1), |change| change.base = 1),
-            Err(ProposalError::StaleBase(_))
-        ));
+        assert!(matches!(net.propose(MemberId(1), |c| c.base = 1), Err(ProposalError::StaleBase(_))));
         assert_guarantees(&net);
     }
 }
@@ -552,11 +535,7 @@
             (0..100_000).map(|at| (key(&format!("list/blocked/host-{at}")), Value::Flag(true))).collect();
     })
     .unwrap();
-    assert!(
-        net.run_until(300_000, |net| net.agreed().is_some_and(|version| version.number == 2)),
-        "{:#?}",
-        net.logs
-    );
+    assert!(net.run_until(300_000, |net| net.agreed().is_some_and(|v| v.number == 2)), "{:#?}", net.logs);
     let ActiveTerms::Single(_, terms) = net.acting(MemberId(2)) else { panic!() };
     assert_eq!(terms.entries_under("list/").len(), 100_000);
     let before: u64 = net.members.iter().map(|member| member.sent).sum();
@@ -564,11 +543,7 @@
         change.drop.insert(key("list/blocked/host-5"));
     })
     .unwrap();
-    assert!(
-        net.run_until(60_000, |net| net.agreed().is_some_and(|version| version.number == 3)),
-        "{:#?}",
-        net.logs
-    );
+    assert!(net.run_until(60_000, |net| net.agreed().is_some_and(|v| v.number == 3)), "{:#?}", net.logs);
     let after: u64 = net.members.iter().map(|member| member.sent).sum();
     assert!(after - before < 200_000, "{} bytes for a change of one entry", after - before);
 }
@@ -675,13 +650,13 @@
         change.set = (0..entries).map(|at| (key(&format!("list/l/{at}")), Value::Flag(true))).collect();
         change.set.insert(key("limit/y"), Value::Int(3));
     };
-    let text = ProposalError::Change(ChangeError::StricterThanFloor(key("limit/y")));
-    assert_eq!(net.propose(MemberId(4), |change| undercuts(change, 10)), Err(text.clone()));
+    let error = ProposalError::Change(ChangeError::StricterThanFloor(key("limit/y")));
+    assert_eq!(net.propose(MemberId(4), |change| undercuts(change, 10)), Err(error.clone()));
     let id = net.propose(MemberId(4), |change| undercuts(change, 20_000)).unwrap();
     let busy = net.propose(MemberId(4), attempts(2));
     assert!(matches!(busy, Err(ProposalError::Unavailable(_))), "one at a time: {busy:?}");
     assert!(net.run_until(30_000, |net| net.settled.len() == 1));
-    assert_eq!(net.settled[0], (MemberId(4), id, Err(text)));
+    assert_eq!(net.settled[0], (MemberId(4), id, Err(error)));
     net.propose(MemberId(4), attempts(2)).unwrap();
     run_until_in_force(&mut net, 2);
 }
--- a/crates/accord/tests/measure.rs
+++ b/crates/accord/tests/measure.rs
@@ -113,8 +113,7 @@
         net.wait_for_start();
         net.longest_calls.clear();
         // Only the last entries differ between the lists, so that each document is within the limits.
-        let list =
-            |from: usize| (from..entries + from - 20).map(|at| key(&format!("list/blocked/host-{at}")));
+        let list = |from: usize| (from..entries + from - 20).map(|i| key(&format!("list/blocked/host-{i}")));
         net.propose(MemberId(4), |change| change.set = list(0).map(|key| (key, Value::Flag(true))).collect())
             .unwrap();
         run_until_in_force(&mut net, 2);
--- a/crates/accord/tests/model.rs
+++ b/crates/accord/tests/model.rs
@@ -157,8 +157,7 @@
         for packet in &state.in_transit {
             match packet {
                 Packet::Promise { to, .. } => actions.push(ChoiceAction::Deliver(*to, packet.clone())),
-                _ => actions
-                    .extend((1..=VOTERS).map(|name| ChoiceAction::Deliver(MemberId(name), packet.clone()))),
+                _ => actions.extend((1..=VOTERS).map(|n| ChoiceAction::Deliver(MemberId(n), packet.clone()))),
             }
         }
         // Voters are symmetric, so only the first one restarts without state.
@@ -428,8 +427,7 @@
             }
             FleetAction::Accept(at) => {
                 let next = self.next_record(&fleet)?;
-                let incarnations =
-                    fleet.voters.iter().map(|voter| (voter.me(), voter.incarnation())).collect();
+                let incarnations = fleet.voters.iter().map(|v| (v.me(), v.incarnation())).collect();
                 let accept = Accept { ballot: (1, MemberId(1)), record: next, incarnations, basis: None };
                 fleet.voters[at].set_preparation(true, true, BTreeSet::new());
                 if !fleet.voters[at].accept(now, &accept) {
--- a/crates/accord/tests/net/mod.rs
+++ b/crates/accord/tests/net/mod.rs
@@ -263,8 +263,8 @@
                 }
                 Output::Apply(_) => {}
                 Output::Settled { change, result } => self.settled.push((from, change, result)),
-                Output::Log(note) => {
-                    self.logs.push(format!("{:>9.3} {from}: {note}", self.now as f64 / 1e6));
+                Output::Log(line) => {
+                    self.logs.push(format!("{:>9.3} {from}: {line}", self.now as f64 / 1e6));
                 }
             }
         }
@@ -638,8 +638,7 @@
     }
     (net.loss, net.duplication, net.max_delay_us) = (0.0, 0.0, 20_000);
     let agreed = net.run_until(120_000, |net| {
-        let still =
-            net.members.iter().all(|member| member.accord.status(Duration::MAX / 4).pending.is_none());
+        let still = net.members.iter().all(|m| m.accord.status(Duration::MAX / 4).pending.is_none());
         still && net.agreed().is_some()
     });
     (net, agreed)
--- a/crates/accord/tests/voters.rs
+++ b/crates/accord/tests/voters.rs
@@ -281,8 +281,7 @@
             FleetAction::AcceptNext(at) => {
                 let after = *Self::latest(before).1;
                 let proposal = self.proposal(&after, 0)?;
-                let incarnations =
-                    before.voters.iter().map(|voter| (voter.me(), voter.incarnation())).collect();
+                let incarnations = before.voters.iter().map(|v| (v.me(), v.incarnation())).collect();
                 let accept = Accept { ballot: (1, MemberId(1)), record: proposal, incarnations, basis: None };
                 if !fleet.voters[at].accept(now, &accept) || !fleet.accepted_by.insert(fleet.voters[at].me())
                 {
@@ -311,9 +310,7 @@
             FleetAction::Adopt => {
                 let (index, record) = Self::latest(before);
                 fleet.adopted = *index;
-                fleet
-                    .holder
-                    .adopt_record(record.position, record.quorum(), |name| record.lists.contains(name));
+                fleet.holder.adopt_record(record.position, record.quorum(), |n| record.lists.contains(n));
             }
             FleetAction::Restart(at) => {
                 fleet.restarted = true;
@@ -400,8 +397,7 @@
 /// Finds a trace to a state that violates the property, and stops there.
 fn detect(model: Change, property: &'static str) {
     let checker = model.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
-    let path =
-        checker.discovery(property).unwrap_or_else(|| panic!("an injected fault was not found: {property}"));
+    let path = checker.discovery(property).unwrap_or_else(|| panic!("fault not detected: {property}"));
     let steps = path.into_actions();
     println!("found in {} steps of {} states: {steps:#?}", steps.len(), checker.state_count());
     assert!(!steps.is_empty());
--- a/crates/turns/src/histories.rs
+++ b/crates/turns/src/histories.rs
@@ -475,7 +475,7 @@
     let mut recomputed: Vec<Vec<(f64, f64)>> = vec![Vec::new(); SITES];
     let mut turns: HashMap<u64, (usize, f64)> = HashMap::new();
     let mut queue: BTreeMap<u64, f64> = BTreeMap::new();
-    // For each queue turn, the lowest value of a turn of its activator that was sent meanwhile.
+    // For each waiting turn, the lowest value of a turn of its activator that was sent meanwhile.
     let mut lowest: HashMap<u64, f64> = HashMap::new();
     let mut ended: HashSet<u64> = HashSet::new();
     let mut lying = (0, 0);
@@ -504,7 +504,7 @@
                 if *displaced {
                     recomputed[*site].push((*now, *blocks as f64));
                 }
-                // Only the first attempt of a turn counts: a retry may go ahead of queue turns.
+                // Only the first attempt of a turn counts: a retry may go ahead of waiting turns.
                 if *displaced && first {
                     let others =
                         lowest.iter_mut().filter(|(w, _)| queue.contains_key(w) && turns[w].0 == *by);
--- a/crates/turns/src/sketch.rs
+++ b/crates/turns/src/sketch.rs
@@ -22,7 +22,7 @@
         Self { counts: vec![0; ROWS * WIDTH], counted: 0 }
     }
 
-    fn places(key: u64) -> [usize; ROWS] {
+    fn indexes(key: u64) -> [usize; ROWS] {
         let a = key.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let b = (key ^ 0xA5A5_A5A5_5A5A_5A5A).wrapping_mul(0xC2B2_AE3D_27D4_EB4F) | 1;
         std::array::from_fn(|row| {
@@ -39,11 +39,11 @@
             self.counted = 0;
             self.counts.iter_mut().for_each(|c| *c /= 2);
         }
-        let places = Self::places(key);
-        let least = places.iter().map(|p| self.counts[*p]).min().unwrap_or(0);
-        // Only the smallest counters grow (conservative update): keys that share a counter are over-counted less.
-        for place in places {
-            self.counts[place] = self.counts[place].max(least.saturating_add(1));
+        let indexes = Self::indexes(key);
+        let least = indexes.iter().map(|i| self.counts[*i]).min().unwrap_or(0);
+        // Only the smallest counters grow (conservative update): this reduces the error of keys that share counters.
+        for index in indexes {
+            self.counts[index] = self.counts[index].max(least.saturating_add(1));
         }
         least.saturating_add(1)
     }
--- a/crates/turns/src/types.rs
+++ b/crates/turns/src/types.rs
@@ -7,7 +7,7 @@
 pub const MAX_HASHES: usize = 64;
 /// Largest number of sites in an advice.
 pub const MAX_CHOICES: usize = 3;
-/// Largest number of sites tracked: each placement looks at every one of them.
+/// Largest number of sites tracked: each placement evaluates all of them.
 pub const MAX_SITES: usize = 256;
 /// Largest number of turns that wait for recomputation budget at once.
 pub const MAX_WAITING_TURNS: usize = 256;
--- a/crates/turns/tests/measure.rs
+++ b/crates/turns/tests/measure.rs
@@ -8,8 +8,8 @@
 #[ignore = "a measurement, of minutes"]
 fn turns() {
     let seeds = 3;
-    // `full` is the highest load at which the sites bear the loss of one in twelve, and `over` is above it. The last
-    // ones have few calls.
+    // `full` is the highest load at which the fleet can lose one of twelve sites, and `over` is above it. The last
+    // four have few calls.
     let lost = Some((150.0, 210.0));
     let half = || vec![(0, 50)];
     let kinds = [
