--- a/crates/accord/src/schema.rs
+++ b/crates/accord/src/schema.rs
@@ -120,7 +120,7 @@
             let parts = text.split_once(':').map(|(d, l)| (d.parse::<u8>(), l.parse::<u8>()));
             match parts {
                 Some((Ok(_), Ok(0..=8))) => Ok(()),
-                _ => refuse(format!("{text} is not DRAFTER:LENGTH, drafter 0 to 255, length 0 to 8")),
+                _ => refuse(format!("{text} is not DRAFTER:LENGTH, drafter of 0 to 255, length of 0 to 8")),
             }
         }
         (ValueRule::Draft, value) => refuse(format!("{value} is not DRAFTER:LENGTH")),
