--- a/crates/accord/src/settings.rs
+++ b/crates/accord/src/settings.rs
@@ -123,10 +123,7 @@
             return refuse("may_vote", format!("the voter {name} is missing"));
         }
         if self.roster.len() > MAX_MEMBERS {
-            return refuse(
-                "voters",
-                format!("{} members, at most {MAX_MEMBERS} are allowed", self.roster.len()),
-            );
+            return refuse("voters", format!("{} members, at most {MAX_MEMBERS} allowed", self.roster.len()));
         }
         if !(Duration::from_millis(10)..=Duration::from_secs(60)).contains(&self.period) {
             return refuse("period_ms", format!("{:?} is not 10 ms to 60 s", self.period));
@@ -146,9 +143,7 @@
             return refuse("pace_bytes", format!("{} is less than 2400", self.transfer_bytes_per_period));
         }
         for (name, document) in [("document", &self.document), ("floor", &self.floor)] {
-            if let Some(error) =
-                document.iter().find_map(|(key, value)| schema::check_entry(key, value).err())
-            {
+            if let Some(error) = document.iter().find_map(|(k, v)| schema::check_entry(k, v).err()) {
                 return refuse(name, error.to_string());
             }
             if !document.fits() {
@@ -219,9 +214,9 @@
         Ok(VoterLists::unchanged(list))
     }
 
-    /// The members whose silence allows an epoch bootstrap: all eligible voters but fewer than a majority of
-    /// the smallest allowed list. So whatever list is in force, each of its majorities has a silent member.
-    /// If the list cannot change, this is a majority.
+    /// The members whose silence allows an epoch bootstrap: all eligible voters except half of `voters`, rounded
+    /// down. No list is shorter than `voters`, so the other members are fewer than a majority of any list, and
+    /// every majority has a silent member. If the list cannot change, the quorum is a majority of it.
     ///
     /// Members for which `gone` is true count as silent: the operator promises by a document that their
     /// processes are stopped.
--- a/crates/accord/tests/check/mod.rs
+++ b/crates/accord/tests/check/mod.rs
@@ -21,15 +21,14 @@
 }
 
 /// Finds a trace to a state that violates the property. Fails if the injected fault is not found.
-pub fn find_fault<M>(model: M, property: &'static str)
+pub fn detect<M>(model: M, property: &'static str)
 where
     M: Model + Send + Sync + 'static,
     M::State: std::hash::Hash + Send + Sync + Clone + std::fmt::Debug + PartialEq + Eq,
     M::Action: Send + Sync + std::fmt::Debug + PartialEq + Clone,
 {
     let checker = model.checker().threads(2).target_state_count(MAX_STATES).spawn_bfs().join();
-    let path =
-        checker.discovery(property).unwrap_or_else(|| panic!("an injected fault was not found: {property}"));
+    let path = checker.discovery(property).unwrap_or_else(|| panic!("fault not detected: {property}"));
     let steps = path.into_actions();
     println!("found in {} steps: {steps:#?}", steps.len());
     assert!(!steps.is_empty());
--- a/crates/drafts/src/learner.rs
+++ b/crates/drafts/src/learner.rs
@@ -266,15 +266,15 @@
         }
         if now >= self.next_review {
             self.next_review = now + self.settings.review;
-            self.drop_expired(now);
+            self.expire(now);
             self.review(now, out);
         }
     }
 
     /// Drops rows outside the window, table changes older than an hour and workloads without rows.
-    fn drop_expired(&mut self, now: Duration) {
+    fn expire(&mut self, now: Duration) {
         let roster = &self.roster;
-        self.store.drop_expired(now, &self.settings, |name| roster.binary_search(&name).is_ok());
+        self.store.expire(now, &self.settings, |name| roster.binary_search(&name).is_ok());
         while self.table_changes.front().is_some_and(|at| now.saturating_sub(*at) >= HOUR) {
             self.table_changes.pop_front();
         }
@@ -337,10 +337,8 @@
             out.push(Output::Send { to, data });
         }
         // Relays only rows that their member reported itself, also those of members that are gone.
-        let sources =
-            self.store.others.iter().flat_map(|(member, all)| all.iter().map(move |l| (*member, l)));
-        let sources: Vec<_> =
-            sources.filter_map(|(member, l)| Some((member, l.id, l.direct.as_ref()?))).collect();
+        let sources = self.store.others.iter().flat_map(|(m, all)| all.iter().map(move |e| (*m, e)));
+        let sources: Vec<_> = sources.filter_map(|(m, e)| Some((m, e.id, e.direct.as_ref()?))).collect();
         let sources: Vec<_> = sources.into_iter().filter(|(.., r)| !r.rows.is_empty()).collect();
         if sources.is_empty() {
             return;
@@ -349,8 +347,7 @@
         let to = self.roster[(self.next_relay / sources.len()) % self.roster.len()];
         self.next_relay = (self.next_relay + 1) % (1 << 40);
         let epoch = record.epoch(now, &self.settings);
-        let rows =
-            record.rows.iter().filter(|(key, _)| epoch.saturating_sub(key.epoch) < self.settings.window);
+        let rows = record.rows.iter().filter(|(k, _)| epoch.saturating_sub(k.epoch) < self.settings.window);
         let rows: Vec<_> = rows.collect();
         let owner = RowsOwner { member: Some(member), incarnation, clock_ms: millis(record.clock(now)) };
         let start = self.cursors[2] % rows.len().max(1);
@@ -366,7 +363,7 @@
         let mut rows: BTreeMap<u16, (Vec<MemberId>, Vec<Row>)> = BTreeMap::new();
         self.store.for_each(now, &self.settings, |item| {
             let (reporters, rows) = rows.entry(item.key.workload).or_default();
-            let reporter = reporters.iter().position(|t| *t == item.reporter).unwrap_or(reporters.len());
+            let reporter = reporters.iter().position(|r| *r == item.reporter).unwrap_or(reporters.len());
             if reporter == reporters.len() {
                 reporters.push(item.reporter);
             }
@@ -388,7 +385,7 @@
             let workload = self.workloads[number as usize].as_ref()?;
             // The same order at every member; otherwise floating-point sums would differ in the last digits.
             let mut order: Vec<usize> = (0..reporters.len()).collect();
-            order.sort_by_key(|t| reporters[*t]);
+            order.sort_by_key(|i| reporters[*i]);
             let mut rank = vec![0; order.len()];
             order.iter().enumerate().for_each(|(to, from)| rank[*from] = to);
             rows.iter_mut().for_each(|r| r.reporter = rank[r.reporter]);
@@ -396,11 +393,10 @@
                 let key = |r: &Row| (r.reporter, r.age, r.draft, r.band);
                 key(a).cmp(&key(b)).then(a.micros.total_cmp(&b.micros))
             });
-            let reporters: Vec<MemberId> = order.iter().map(|t| reporters[*t]).collect();
-            let single_member = self.heard == 0 && self.roster.is_empty();
+            let reporters: Vec<MemberId> = order.iter().map(|i| reporters[*i]).collect();
+            let alone = self.heard == 0 && self.roster.is_empty();
             let in_force = |band| self.in_force(workload, band, table);
-            let evaluation =
-                evaluate::evaluate(&rows, reporters.len(), single_member, in_force, &self.settings);
+            let evaluation = evaluate::evaluate(&rows, reporters.len(), alone, in_force, &self.settings);
             Some((number, (reporters, evaluation)))
         });
         evaluated.collect()
@@ -414,14 +410,11 @@
                 *arms = Arms::of(result.bands.get(*band as usize), &self.settings);
             }
             for outlier in &result.outliers {
-                let member = reporters[outlier.reporter];
-                if self.logged_outliers.insert((*number, member)) {
-                    let workload = self.workloads[*number as usize].as_ref().map_or("?", Workload::as_str);
+                let id = reporters[outlier.reporter];
+                if self.logged_outliers.insert((*number, id)) {
+                    let name = self.workloads[*number as usize].as_ref().map_or("?", Workload::as_str);
                     let why = &outlier.why;
-                    out.push(Output::Log(format!(
-                        "drafts of {workload}: member {} is left out: {why}",
-                        member.0
-                    )));
+                    out.push(Output::Log(format!("drafts of {name}: member {} is left out: {why}", id.0)));
                 }
             }
             let out_now: BTreeSet<MemberId> = result.outliers.iter().map(|o| reporters[o.reporter]).collect();
@@ -431,10 +424,10 @@
 
     /// The number of tables within the last hour. For the part of the hour before this incarnation it assumes the maximum rate.
     fn recent_versions(&self, now: Duration) -> usize {
-        let most = self.settings.versions_hour as usize;
+        let limit = self.settings.versions_hour as usize;
         let seen = self.table_changes.iter().filter(|at| now.saturating_sub(**at) < HOUR).count();
-        let lived = now.saturating_sub(self.started_at).as_secs_f64() / HOUR.as_secs_f64();
-        let before = (most as f64 * (1.0 - lived).max(0.0)).ceil() as usize;
+        let uptime = now.saturating_sub(self.started_at).as_secs_f64() / HOUR.as_secs_f64();
+        let before = (limit as f64 * (1.0 - uptime).max(0.0)).ceil() as usize;
         seen + before
     }
 
