--- a/node/src/accords.rs
+++ b/node/src/accords.rs
@@ -73,7 +73,7 @@
 
 /// The name of a member in the accord.
 pub fn number(name: &str) -> MemberId {
-    MemberId(membership::number(name).0)
+    MemberId(membership::member_id(name).0)
 }
 
 impl Setup {
--- a/node/src/accords/office.rs
+++ b/node/src/accords/office.rs
@@ -56,7 +56,7 @@
     /// Starts its thread.
     pub fn open(handle: &Handle) -> io::Result<Self> {
         let (ping, source) = make_ping()?;
-        let token = handle.insert_source(source, |(), (), wakes| wakes.push(Wake::Prepared));
+        let token = handle.insert_source(source, |(), (), wakes| wakes.push(Wake::AccordPrepared));
         let token = token.map_err(|e| io::Error::other(e.error.to_string()))?;
         let (desk, bench) = channel();
         let bell = Bell(ping);
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -14,9 +14,9 @@
 use wheellink::Micros;
 
 /// Two readings no further apart than this count as made at the same time.
-const AT_ONCE: Micros = 200;
+const MAX_READING_GAP_US: Micros = 200;
 /// A machine on which no two readings are that close is not waited for any longer.
-const MOST_READINGS: u32 = 100;
+const MAX_READINGS: u32 = 100;
 
 /// What another process on the same machine needs to go by this one's time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     /// The time at `origin`.
     began: Micros,
     /// While it is held, what it stands at.
-    held: Option<Micros>,
+    frozen: Option<Micros>,
 }
 
 impl Default for Clock {
@@ -39,26 +39,26 @@
     fn default() -> Self {
         let origin = Instant::now();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { origin, began: unix.as_micros() as Micros, held: None }
+        Self { origin, began: unix.as_micros() as Micros, frozen: None }
     }
 }
 
 impl Clock {
     /// Goes on with the time of another process of this machine.
     pub fn from_base(base: TimeBase) -> Self {
-        let (origin, monotonic) = at_once(Instant::now);
-        Self { origin, began: base.difference + monotonic, held: None }
+        let (origin, monotonic) = read_together(Instant::now);
+        Self { origin, began: base.difference + monotonic, frozen: None }
     }
 
     /// What another process of this machine goes on by.
     pub fn base(&self) -> TimeBase {
-        let (time, monotonic) = at_once(|| self.running());
+        let (time, monotonic) = read_together(|| self.running());
         TimeBase { difference: time - monotonic }
     }
 
     /// Now.
     pub fn now(&self) -> Micros {
-        self.held.unwrap_or_else(|| self.running())
+        self.frozen.unwrap_or_else(|| self.running())
     }
 
     /// Now, also while the clock is held.
@@ -66,28 +66,28 @@
         self.began + self.origin.elapsed().as_micros() as Micros
     }
 
-    /// Now, and for all who ask until [`Clock::release`]: whatever is found to be due is due by one time, from before
+    /// Now, and for all who ask until [`Clock::unfreeze`]: whatever is found to be due is due by one time, from before
     /// what has come was looked at, however long that took.
-    pub fn hold(&mut self) -> Micros {
+    pub fn freeze(&mut self) -> Micros {
         let now = self.running();
-        self.held = Some(now);
+        self.frozen = Some(now);
         now
     }
 
     /// It goes on.
-    pub fn release(&mut self) {
-        self.held = None;
+    pub fn unfreeze(&mut self) {
+        self.frozen = None;
     }
 }
 
 /// Reads a clock and the machine's monotonic one at the same time: read anew where the process was held up between them.
-fn at_once<T>(read: impl Fn() -> T) -> (T, Micros) {
+fn read_together<T>(read: impl Fn() -> T) -> (T, Micros) {
     let mut tries = 0;
     loop {
         let before = monotonic();
         let value = read();
         tries += 1;
-        if monotonic() - before <= AT_ONCE || tries == MOST_READINGS {
+        if monotonic() - before <= MAX_READING_GAP_US || tries == MAX_READINGS {
             return (value, before);
         }
     }
--- a/node/src/clock/steps.rs
+++ b/node/src/clock/steps.rs
@@ -6,13 +6,13 @@
 
 /// A change of the difference between the two clocks above this is a step; daemons that discipline a clock slew it by
 /// less between two looks.
-const LEAST_STEP: Micros = 50_000;
+const MIN_STEP_US: Micros = 50_000;
 /// Two readings that are further apart say nothing: the process was held up between them.
-const LONGEST_READING: Duration = Duration::from_millis(5);
+const MAX_READING_TIME: Duration = Duration::from_millis(5);
 
 /// What was seen of steps so far.
 #[derive(Debug)]
-pub struct Steps {
+pub struct StepDetector {
     origin: Instant,
     /// Wall clock less monotonic clock, in microseconds, when last looked at.
     difference: Option<Micros>,
@@ -20,19 +20,19 @@
     total: Micros,
 }
 
-impl Default for Steps {
+impl Default for StepDetector {
     fn default() -> Self {
         Self { origin: Instant::now(), difference: None, count: 0, total: 0 }
     }
 }
 
-impl Steps {
+impl StepDetector {
     /// Reads both clocks: by how much the wall clock was stepped since the last look, if it was.
-    pub fn look(&mut self) -> Option<Micros> {
+    pub fn poll(&mut self) -> Option<Micros> {
         let before = Instant::now();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let after = Instant::now();
-        if after - before > LONGEST_READING {
+        if after - before > MAX_READING_TIME {
             return None;
         }
         self.compare(wall.as_micros() as Micros - (before - self.origin).as_micros() as Micros)
@@ -41,7 +41,7 @@
     /// Takes in a reading of the difference between the clocks.
     fn compare(&mut self, difference: Micros) -> Option<Micros> {
         let step = difference - self.difference.replace(difference)?;
-        if step.abs() < LEAST_STEP {
+        if step.abs() < MIN_STEP_US {
             return None;
         }
         self.count += 1;
--- a/node/src/clock/tests.rs
+++ b/node/src/clock/tests.rs
@@ -6,13 +6,13 @@
 fn time_stands_still_while_it_is_held_and_never_runs_backwards() {
     let mut clock = Clock::default();
     let before = clock.now();
-    let held = clock.hold();
+    let held = clock.freeze();
     std::thread::sleep(Duration::from_millis(2));
     assert_eq!(clock.now(), held);
-    let again = clock.hold();
+    let again = clock.freeze();
     assert!(before <= held && held < again, "held anew, by the time of then");
     std::thread::sleep(Duration::from_millis(2));
-    clock.release();
+    clock.unfreeze();
     assert!(clock.now() > again);
 }
 
@@ -23,6 +23,6 @@
     let second = Clock::from_base(first.base());
     let (before, between, after) = (first.now(), second.now(), first.now());
     // Each base is as exact as its two readings.
-    let exact = 2 * AT_ONCE;
+    let exact = 2 * MAX_READING_GAP_US;
     assert!(before - exact <= between && between <= after + exact, "{before} {between} {after}");
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -36,7 +36,7 @@
     pub deployment: Deployment,
     /// Where the activators of the tier hear one another, where they may; else why they do not.
     pub peers: Result<Addresses, String>,
-    pub side: Side,
+    pub mode: Mode,
     /// Gradual versions, where they are set up.
     pub rollout: Option<rollout::Setup>,
     /// Who is let in, where that is set up.
@@ -65,7 +65,7 @@
 
     /// Whether a file may take this one's place: what stood in this one must not be missing there. A file that
     /// lost a part would else be taken with defaults in its place.
-    pub fn may_be_followed_by(&self, next: &Config) -> Result<(), String> {
+    pub fn check_replacement(&self, next: &Config) -> Result<(), String> {
         match missing(&self.form, &next.form) {
             Some(key) => Err(format!("{key} is missing")),
             None => Ok(()),
@@ -93,7 +93,7 @@
 }
 
 /// Who speaks with clients, and who tells of hosts.
-pub enum Side {
+pub enum Mode {
     /// The platform's front and its event bus, with the events known and the number of the last of them.
     Platform { bus: SocketAddr, offset: u64, known: Vec<Event> },
     /// The invoke front, and hosts by DNS-SD. By class: how long a deferred call is tried, and the lanes of a
@@ -202,7 +202,7 @@
         drafts: None,
         turns: None,
         accord: None,
-        side: Side::Platform { bus: address("bus", &file.bus)?, offset: file.known.offset, known: known? },
+        mode: Mode::Platform { bus: address("bus", &file.bus)?, offset: file.known.offset, known: known? },
     })
 }
 
--- a/node/src/config/operator.rs
+++ b/node/src/config/operator.rs
@@ -8,7 +8,7 @@
 use wheellink::{Class, Discovery, Effect, LoadBudget, Micros, Scope, Settings, Tenant, WhenCold};
 use wheellink_settings::{Deployment, Transport};
 
-use super::{Config, Side};
+use super::{Config, Mode};
 use crate::descriptors::Ledger;
 use crate::dnssd;
 use crate::front::invoke::results::Bounds;
@@ -223,7 +223,7 @@
         retry_after: settings.max_retry_after,
     };
     let deferred = |c: &ClassTable| c.deferred_give_up_ms.unwrap_or(c.give_up_ms) * 1000;
-    let side = Side::Operator {
+    let mode = Mode::Operator {
         resolver: hosts.resolver,
         service: dnssd::parse_name(&hosts.service).map_err(|e| format!("hosts.service: {e}"))?,
         bounds: Bounds {
@@ -256,7 +256,7 @@
         memory: file.memory_mb << 20,
         deployment,
         peers: Err("an operator's file names none".into()),
-        side,
+        mode,
         rollout: file.rollout,
         admission: file.admission,
         members: file.members,
--- a/node/src/config/rollout.rs
+++ b/node/src/config/rollout.rs
@@ -10,7 +10,7 @@
 /// When a rollout begins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Begin {
+pub enum StartOn {
     /// With an operator's call.
     #[default]
     Call,
@@ -21,7 +21,7 @@
 /// What a new process does where the old version takes no part in rollouts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OldCannot {
+pub enum IfUnsupported {
     /// It ends with an error: the old one serves on.
     #[default]
     Stop,
@@ -33,8 +33,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Setup {
-    pub begin: Begin,
-    pub old_cannot: OldCannot,
+    pub begin: StartOn,
+    pub old_cannot: IfUnsupported,
     /// Its name for operators, instead of the package's version.
     version: Option<String>,
     pub plan: Option<Plan>,
@@ -54,7 +54,7 @@
                 "rollout.version must be 1 to {LONGEST_VERSION} bytes without control characters"
             ));
         }
-        if self.begin == Begin::Ready && self.plan.is_none() {
+        if self.begin == StartOn::Ready && self.plan.is_none() {
             return Err("rollout.begin = \"ready\" needs a rollout.plan".into());
         }
         match self.plan.as_ref().map(Plan::check) {
--- a/node/src/config/turns.rs
+++ b/node/src/config/turns.rs
@@ -9,7 +9,7 @@
 /// What shares a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum By {
+pub enum SiteKind {
     /// The hosts of one cell; a host of no cell is a site of its own.
     Cell,
     /// The hosts of one zone.
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Setup {
-    pub site: By,
+    pub site: SiteKind,
     /// Price of computing one block anew.
     block_us: u64,
     /// Every host holds every function that carries turns, loaded for as long as it runs, as a model server does.
--- a/node/src/conn.rs
+++ b/node/src/conn.rs
@@ -85,7 +85,7 @@
         bounds: (usize, usize),
         ready: Waking,
     ) -> io::Result<Self> {
-        faults::meet(faults::Call::Connect)?;
+        faults::inject(faults::Fault::Connect)?;
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -1,4 +1,4 @@
-//! The operators' address: HTTP/1.1 with one call to a connection. It reads calls and writes answers; what
+//! The operators' address: HTTP/1.1 with one call to a connection. It reads commands and writes answers; what
 //! they do is the node's affair.
 
 use std::collections::BTreeMap;
@@ -17,17 +17,17 @@
 use crate::wake::{Handle, Wake};
 
 /// The longest change of agreed settings: some thousand entries, which are read within a few milliseconds.
-const LONGEST_BODY: usize = 256 << 10;
-const INBOX: usize = LONGEST_BODY + http::LONGEST_HEAD;
-const OUTBOX: usize = 256 << 10;
+const MAX_BODY_BYTES: usize = 256 << 10;
+const INBOX_BYTES: usize = MAX_BODY_BYTES + http::LONGEST_HEAD;
+const OUTBOX_BYTES: usize = 256 << 10;
 /// A call must be whole within this time.
-const PATIENCE: Micros = 5_000_000;
+const CALL_TIMEOUT_US: Micros = 5_000_000;
 /// How long a caller is given to take its answer and end the connection.
-const LINGER: Micros = 1_000_000;
+const LINGER_US: Micros = 1_000_000;
 
 /// What an operator asks for.
 #[derive(Debug, PartialEq)]
-pub enum Call {
+pub enum Command {
     /// Whether this process is ready to serve.
     Status,
     /// All counters.
@@ -37,9 +37,9 @@
     /// No new clients; or they are welcome again.
     Standby(bool),
     /// Of a change of versions.
-    Rollout(RolloutCall),
+    Rollout(RolloutCommand),
     /// Of who is let in.
-    Admission(AdmissionCall),
+    Admission(AdmissionCommand),
     /// Which other activators are alive; or that this one leaves them.
     Members { leave: bool },
     /// What is learnt of drafts, and which are in force.
@@ -53,7 +53,7 @@
 /// What an operator asks of admission.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AdmissionCall {
+pub enum AdmissionCommand {
     Show,
     Block(Prefix),
     Unblock(Prefix),
@@ -62,7 +62,7 @@
 
 /// What an operator asks of a rollout.
 #[derive(Debug, PartialEq)]
-pub enum RolloutCall {
+pub enum RolloutCommand {
     /// Where it is.
     Show,
     /// Begin this plan, or the file's.
@@ -97,21 +97,21 @@
     true
 }
 
-fn admission(request: &Request, path: &str) -> Result<AdmissionCall, Response> {
+fn admission(request: &Request, path: &str) -> Result<AdmissionCommand, Response> {
     if path == "/admission" {
-        return Ok(AdmissionCall::Show);
+        return Ok(AdmissionCommand::Show);
     }
     let wanted = || Response::problem(400, "the body must be {\"prefix\":\"ADDRESS/LENGTH\"}");
-    let PrefixBody { prefix, known } = said::<PrefixBody>(request)?.ok_or_else(wanted)?;
+    let PrefixBody { prefix, known } = optional_body::<PrefixBody>(request)?.ok_or_else(wanted)?;
     Ok(match path {
-        "/admission/block" => AdmissionCall::Block(prefix),
-        "/admission/unblock" => AdmissionCall::Unblock(prefix),
-        _ => AdmissionCall::Know { prefix, known },
+        "/admission/block" => AdmissionCommand::Block(prefix),
+        "/admission/unblock" => AdmissionCommand::Unblock(prefix),
+        _ => AdmissionCommand::Know { prefix, known },
     })
 }
 
 /// Reads a body that may be empty, which stands for nothing said.
-fn said<T: DeserializeOwned>(request: &Request) -> Result<Option<T>, Response> {
+fn optional_body<T: DeserializeOwned>(request: &Request) -> Result<Option<T>, Response> {
     if request.body.iter().all(u8::is_ascii_whitespace) {
         return Ok(None);
     }
@@ -120,27 +120,27 @@
         .map_err(|e| Response::problem(400, &format!("the body: {e}")))
 }
 
-fn rollout(request: &Request, path: &str) -> Result<RolloutCall, Response> {
+fn rollout(request: &Request, path: &str) -> Result<RolloutCommand, Response> {
     let call = match path {
-        "/rollout" if request.method != "POST" => RolloutCall::Show,
+        "/rollout" if request.method != "POST" => RolloutCommand::Show,
         "/rollout" => {
-            let plan = said::<Plan>(request)?;
+            let plan = optional_body::<Plan>(request)?;
             if let Some(Err(problem)) = plan.as_ref().map(Plan::check) {
                 return Err(Response::problem(400, &format!("the plan: {problem}")));
             }
-            RolloutCall::Begin(plan.map(Box::new))
+            RolloutCommand::Begin(plan.map(Box::new))
         }
-        "/rollout/step" => RolloutCall::Step(said::<Target>(request)?.unwrap_or_default().to),
-        "/rollout/hold" => RolloutCall::Hold,
-        "/rollout/back" => RolloutCall::Back,
-        "/rollout/complete" => RolloutCall::Complete,
+        "/rollout/step" => RolloutCommand::Step(optional_body::<Target>(request)?.unwrap_or_default().to),
+        "/rollout/hold" => RolloutCommand::Hold,
+        "/rollout/back" => RolloutCommand::Back,
+        "/rollout/complete" => RolloutCommand::Complete,
         _ => return Err(Response::problem(404, "no such call")),
     };
     Ok(call)
 }
 
 /// Reads a call; else the answer that says what is wrong with it.
-pub fn call(request: &Request) -> Result<Call, Response> {
+pub fn parse_command(request: &Request) -> Result<Command, Response> {
     let path = request.path.split('?').next().unwrap_or_default();
     let wanted = match (path, request.method.as_str()) {
         ("/status" | "/metrics" | "/admission" | "/members" | "/drafts" | "/turns", _) => "GET",
@@ -148,21 +148,21 @@
         _ => "POST",
     };
     let call = match path {
-        "/status" => Call::Status,
-        "/metrics" => Call::Metrics,
+        "/status" => Command::Status,
+        "/metrics" => Command::Metrics,
         "/maintenance/enter" | "/maintenance/exit" => {
-            Call::Host { id: String::new(), out: path.ends_with("enter") }
+            Command::Host { id: String::new(), out: path.ends_with("enter") }
         }
-        "/accord" => Call::Accord(None),
-        "/members" | "/members/leave" => Call::Members { leave: path.ends_with("leave") },
-        "/drafts" => Call::Drafts,
-        "/turns" => Call::Turns,
-        "/standby" | "/active" => Call::Standby(path == "/standby"),
+        "/accord" => Command::Accord(None),
+        "/members" | "/members/leave" => Command::Members { leave: path.ends_with("leave") },
+        "/drafts" => Command::Drafts,
+        "/turns" => Command::Turns,
+        "/standby" | "/active" => Command::Standby(path == "/standby"),
         "/rollout" | "/rollout/step" | "/rollout/hold" | "/rollout/back" | "/rollout/complete" => {
-            Call::Rollout(RolloutCall::Show)
+            Command::Rollout(RolloutCommand::Show)
         }
         "/admission" | "/admission/block" | "/admission/unblock" | "/admission/known" => {
-            Call::Admission(AdmissionCall::Show)
+            Command::Admission(AdmissionCommand::Show)
         }
         _ => return Err(Response::problem(404, "no such call")),
     };
@@ -170,14 +170,14 @@
         return Err(Response::problem(405, "this call is made another way").with("Allow", wanted));
     }
     match call {
-        Call::Host { out, .. } => match serde_json::from_slice::<Named>(&request.body) {
-            Ok(Named { host }) if !host.is_empty() => Ok(Call::Host { id: host, out }),
+        Command::Host { out, .. } => match serde_json::from_slice::<Named>(&request.body) {
+            Ok(Named { host }) if !host.is_empty() => Ok(Command::Host { id: host, out }),
             _ => Err(Response::problem(400, "the body must be {\"host\":\"ID\"}")),
         },
-        Call::Rollout(_) => rollout(request, path).map(Call::Rollout),
-        Call::Admission(_) => admission(request, path).map(Call::Admission),
-        Call::Accord(_) if request.method == "POST" => match crate::accords::change(&request.body) {
-            Ok(change) => Ok(Call::Accord(Some(Box::new(change)))),
+        Command::Rollout(_) => rollout(request, path).map(Command::Rollout),
+        Command::Admission(_) => admission(request, path).map(Command::Admission),
+        Command::Accord(_) if request.method == "POST" => match crate::accords::change(&request.body) {
+            Ok(change) => Ok(Command::Accord(Some(Box::new(change)))),
             Err(problem) => Err(Response::problem(400, &problem)),
         },
         call => Ok(call),
@@ -196,36 +196,36 @@
 pub struct Control {
     handle: Handle,
     callers: BTreeMap<ConnId, Caller>,
-    /// Callers at once. Who is not done makes room for a new one, longest first: calls are answered in the turn
+    /// Callers at once. Who is not done makes room for a new one, longest first: commands are answered in the turn
     /// in which they are whole, so nobody who has called waits among them.
-    most: usize,
-    pub calls: Vec<(ConnId, Call)>,
+    max_callers: usize,
+    pub commands: Vec<(ConnId, Command)>,
 }
 
 impl Control {
-    pub fn new(handle: Handle, most: usize) -> Self {
-        Self { handle, callers: BTreeMap::new(), most, calls: Vec::new() }
+    pub fn new(handle: Handle, max_callers: usize) -> Self {
+        Self { handle, callers: BTreeMap::new(), max_callers, commands: Vec::new() }
     }
 
     /// Holds so many at once from now on.
-    pub fn bound(&mut self, most: usize) {
-        self.most = most;
+    pub fn set_max_callers(&mut self, max_callers: usize) {
+        self.max_callers = max_callers;
     }
 
     /// Connections that are held.
-    pub fn held(&self) -> usize {
+    pub fn conn_count(&self) -> usize {
         self.callers.len()
     }
 
     pub fn accept(&mut self, now: Micros, stream: TcpStream, peer: SocketAddr, log: &mut Log) {
-        if self.callers.len() >= self.most {
+        if self.callers.len() >= self.max_callers {
             // Those that have had their answer go first, then those that came first.
             let first =
                 self.callers.iter().min_by_key(|(id, c)| (c.answered.is_none(), **id)).map(|(id, _)| *id);
             first.into_iter().for_each(|id| self.end(now, id, Reason::Evicted, log));
         }
         let id = crate::conn::fresh_id();
-        match Conn::accepted(&self.handle, id, stream, (INBOX, OUTBOX), Wake::Caller) {
+        match Conn::accepted(&self.handle, id, stream, (INBOX_BYTES, OUTBOX_BYTES), Wake::Caller) {
             Ok(conn) => {
                 let caller = Caller { conn, peer, begun: now, answered: None, head_only: false };
                 self.callers.insert(id, caller);
@@ -257,7 +257,7 @@
                 _ => Ok(()),
             };
         }
-        match http::next_request(&mut c.conn.inbox, LONGEST_BODY) {
+        match http::next_request(&mut c.conn.inbox, MAX_BODY_BYTES) {
             Ok(Parsed::Partial { .. }) if c.conn.eof => Err(Reason::PeerClosed),
             Ok(Parsed::Partial { expects_continue, .. }) => {
                 if expects_continue {
@@ -268,8 +268,8 @@
             }
             Ok(Parsed::Whole(request)) => {
                 c.head_only = request.method == "HEAD";
-                match call(&request) {
-                    Ok(call) => self.calls.push((id, call)),
+                match parse_command(&request) {
+                    Ok(call) => self.commands.push((id, call)),
                     Err(problem) => self.answer(now, id, problem, log),
                 }
                 Ok(())
@@ -301,8 +301,8 @@
 
     /// Gives up callers that do not come to an end.
     pub fn tick(&mut self, now: Micros, log: &mut Log) {
-        let over = |c: &Caller| c.answered.is_some_and(|at| now - at >= LINGER);
-        let stuck = |c: &Caller| c.answered.is_none() && now - c.begun >= PATIENCE;
+        let over = |c: &Caller| c.answered.is_some_and(|at| now - at >= LINGER_US);
+        let stuck = |c: &Caller| c.answered.is_none() && now - c.begun >= CALL_TIMEOUT_US;
         let over: Vec<_> = self.callers.iter().filter(|(_, c)| over(c)).map(|(id, _)| *id).collect();
         over.into_iter().for_each(|id| self.end(now, id, Reason::Finished, log));
         let stuck: Vec<_> = self.callers.iter().filter(|(_, c)| stuck(c)).map(|(id, _)| *id).collect();
--- a/node/src/faults.rs
+++ b/node/src/faults.rs
@@ -7,7 +7,7 @@
 
 /// A call that makes a descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Fault {
     /// Taking a connection in.
     Accept,
     /// A socket for a connection to somebody else.
@@ -16,10 +16,10 @@
     Attempt,
 }
 
-/// The error that this call is to meet instead of being made.
-pub fn meet(call: Call) -> io::Result<()> {
+/// The error that this call is to inject instead of being made.
+pub fn inject(call: Fault) -> io::Result<()> {
     if cfg!(debug_assertions) {
-        plan::meet(call)
+        plan::inject(call)
     } else {
         Ok(())
     }
@@ -29,17 +29,17 @@
     use std::cell::RefCell;
     use std::io;
 
-    use super::Call;
+    use super::Fault;
 
-    struct Fault {
-        call: Call,
+    struct Rule {
+        call: Fault,
         error: i32,
         from: u32,
         until: u32,
     }
 
     struct Plan {
-        faults: Vec<Fault>,
+        faults: Vec<Rule>,
         made: [u32; 3],
     }
 
@@ -48,13 +48,13 @@
         made: [0; 3],
     }));
 
-    fn read(text: &str) -> Vec<Fault> {
+    fn read(text: &str) -> Vec<Rule> {
         let fault = |part: &str| {
             let mut words = part.split(':');
             let call = match words.next()? {
-                "accept" => Call::Accept,
-                "connect" => Call::Connect,
-                "attempt" => Call::Attempt,
+                "accept" => Fault::Accept,
+                "connect" => Fault::Connect,
+                "attempt" => Fault::Attempt,
                 _ => return None,
             };
             let error = match words.next()? {
@@ -66,12 +66,12 @@
                 _ => return None,
             };
             let from = words.next()?.parse().ok()?;
-            Some(Fault { call, error, from, until: words.next()?.parse::<u32>().ok()?.saturating_add(from) })
+            Some(Rule { call, error, from, until: words.next()?.parse::<u32>().ok()?.saturating_add(from) })
         };
         text.split(',').filter_map(fault).collect()
     }
 
-    pub fn meet(call: Call) -> io::Result<()> {
+    pub fn inject(call: Fault) -> io::Result<()> {
         PLAN.with_borrow_mut(|plan| {
             if plan.faults.is_empty() {
                 return Ok(());
--- a/node/src/front/invoke.rs
+++ b/node/src/front/invoke.rs
@@ -372,7 +372,7 @@
                 Ok(Some(client)) => self.notices.push(Notice::Proxied { conn: id, client }),
                 Ok(None) => {}
                 Err(problem) => {
-                    log.bad(now, format_args!("proxy {} sent {problem}", c.peer));
+                    log.bad_input(now, format_args!("proxy {} sent {problem}", c.peer));
                     return Err(Reason::Protocol);
                 }
             }
@@ -444,7 +444,7 @@
             Err(Bad(status, what)) => {
                 c.state = State::Closing(Reason::Protocol);
                 let peer = c.peer;
-                log.bad(now, format_args!("http client {peer} sent a bad request: {what}"));
+                log.bad_input(now, format_args!("http client {peer} sent a bad request: {what}"));
                 let bytes = Response::problem(status, what).encode(false, false);
                 self.write(now, id, &bytes, log);
                 Ok(false)
--- a/node/src/front/platform.rs
+++ b/node/src/front/platform.rs
@@ -404,7 +404,7 @@
             Ok(None) if c.through == Through::Proxy && c.conn.eof => return Err(Reason::PeerClosed),
             Ok(None) => {}
             Err(problem) => {
-                log.bad(now, format_args!("proxy {} sent {problem}", c.peer));
+                log.bad_input(now, format_args!("proxy {} sent {problem}", c.peer));
                 return Err(Reason::Protocol);
             }
         }
@@ -472,7 +472,7 @@
         let Some(c) = self.conns.get_mut(&id) else { return };
         c.broken = true;
         c.conn.inbox.consume(usize::MAX);
-        log.bad(now, format_args!("client {} sent {problem}", c.peer));
+        log.bad_input(now, format_args!("client {} sent {problem}", c.peer));
         self.error(now, Origin { conn: id, stream: 0 }, problem, log);
     }
 
--- a/node/src/hosts/pool/answers.rs
+++ b/node/src/hosts/pool/answers.rs
@@ -47,7 +47,7 @@
                     Ok(Some(answer)) => self.answered(now, id, answer),
                     Ok(None) => break,
                     Err(problem) => {
-                        log.bad(now, format_args!("host {} sent {problem}", c.host.0));
+                        log.bad_input(now, format_args!("host {} sent {problem}", c.host.0));
                         return Err(Reason::Protocol);
                     }
                 }
--- a/node/src/ipc.rs
+++ b/node/src/ipc.rs
@@ -1,80 +1,81 @@
-//! What the two processes of a rollout say to each other: words in frames on the connection on which the hello
-//! was said. Length (4 bytes, little-endian, of what follows), then one [`Word`] in postcard. No decisions.
+//! Frames between the two processes of a rollout, on the connection on which the `hello` was sent. A frame is a length
+//! (4 bytes, little-endian, of what follows) and one [`Frame`] in postcard. This module only encodes and decodes.
 
 use serde::{Deserialize, Serialize};
 use wheellink::{Micros, Outcome};
 
 use crate::ring::Ring;
 
-pub mod more;
+pub mod fields;
 
-use more::More;
+use fields::Fields;
 
-/// Protocols that this version speaks. The number changes where the meaning of a word does, and when one is
-/// added: who does not know a word takes the other side for broken. The highest that both speak is spoken.
-pub const PROTOCOLS: &[u32] = &[1, WITH_MORE];
-/// From this one on calls and answers may carry further fields.
-pub const WITH_MORE: u32 = 2;
-/// Longest word: an answer of a host, or the longest body that a front takes, and what goes with it, which is
-/// [`more::MOST_WIRE`] at the most.
-pub const MOST_FRAME: usize = 1 << 20;
-/// Bytes of the length before each.
-const HEAD: usize = 4;
-// The longest answer of a host goes in one frame, with its line and all that is said besides.
-const _: () = assert!(crate::hosts::lines::LONGEST_ANSWER + more::MOST_WIRE < MOST_FRAME);
+/// Protocols that this version supports. The number changes when the meaning of a frame changes and when a frame is
+/// added, because a process that receives a frame it does not know drops the connection. Both sides use the highest
+/// protocol that both support.
+pub const PROTOCOLS: &[u32] = &[1, FIELDS_PROTOCOL];
+/// From this protocol on calls and answers may carry extra fields.
+pub const FIELDS_PROTOCOL: u32 = 2;
+/// Longest frame: a host's answer, or the longest body that a front accepts, with its extra fields, which are at most
+/// [`fields::MAX_ENCODED_BYTES`].
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
+/// Bytes of the length before each frame.
+const LENGTH_BYTES: usize = 4;
+// The longest answer of a host fits in one frame together with its line and its extra fields.
+const _: () = assert!(crate::hosts::lines::LONGEST_ANSWER + fields::MAX_ENCODED_BYTES < MAX_FRAME_BYTES);
 
-/// One word. New ones go to the end: postcard tells them apart by their place.
+/// One frame. New variants are appended: postcard encodes the position of a variant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
-    /// What is said in a plain upgrade too, as its line of JSON.
-    Say(String),
-    /// Holder: alive, and where the rollout is. Ten to twenty a second.
-    Holds { life: String, percent: f64 },
-    /// Candidate: alive, and whether its host list is as new as can be told.
-    Stands { caught_up: bool },
+pub enum Frame {
+    /// A JSON message, as in a plain upgrade.
+    Json(String),
+    /// Holder: heartbeat, with the phase and percentage of the rollout. Ten to twenty a second.
+    HolderAlive { phase: String, percent: f64 },
+    /// Candidate: heartbeat, and whether its host list is up to date.
+    CandidateAlive { caught_up: bool },
     /// Holder: decide this call.
-    Call(Passed),
-    /// Holder: nobody waits for this call any more.
-    Left { seq: u64 },
-    /// Candidate: this attempt may run from now on. No byte of it has left before this word has.
+    Call(PassedCall),
+    /// Holder: the client of this call has left.
+    Abandoned { seq: u64 },
+    /// Candidate: this attempt may run from now on. No byte of the attempt is sent before this frame is.
     Intent { seq: u64, number: u32, host: String, at: Micros },
-    /// Candidate: this attempt has ended, by its place in [`ENDS`].
-    Ended { seq: u64, number: u32, end: u8 },
+    /// Candidate: this attempt has ended; the code is the index of its outcome in [`OUTCOMES`].
+    AttemptEnded { seq: u64, number: u32, code: u8 },
     /// Candidate: the final answer.
     Answer { seq: u64, reply: Reply, body: Vec<u8> },
-    /// Candidate: it cannot decide this call, and has begun nothing of it.
+    /// Candidate: it cannot decide this call, and has begun no attempt of it.
     Return { seq: u64 },
-    /// Candidate: may it give this order to load?
-    Ask { order: u64 },
-    /// Holder: it may, or may not. A grant counts as an order.
-    Grant { order: u64, granted: bool },
-    /// Holder: an attempt goes to a host that is not warm yet.
-    Sent { host: String, at: Micros },
-    /// Calls (and, of the holder, orders) that count for the ration: when, calls, orders.
-    Ration(Vec<(Micros, u32, u32)>),
+    /// Candidate: asks whether it may give this load order.
+    OrderRequest { order: u64 },
+    /// Holder: whether the load order is granted. A granted order counts against the load budget.
+    OrderReply { order: u64, granted: bool },
+    /// Holder: an attempt is sent to a host that is not warm yet.
+    ColdSend { host: String, at: Micros },
+    /// Calls (and, from the holder, load orders) that count for the load budget: time, calls, orders.
+    Tallies(Vec<(Micros, u32, u32)>),
     /// Classes have changed with a new configuration.
     Classes(Vec<wheellink_rollout::ClassPolicy>),
-    /// Holder: take the clients.
+    /// Holder: take over the clients.
     TakeOver,
-    /// Holder: you are not wanted any more.
-    Dismiss { why: String },
-    /// Candidate: told to end.
+    /// Holder: the candidate is to end, for this reason.
+    Dismiss { reason: String },
+    /// Candidate: it has been told to terminate.
     Leaving,
-    /// Holder, from [`WITH_MORE`] on: decide this call, which has these further fields.
-    CallWith(Passed, More),
-    /// Candidate, from [`WITH_MORE`] on: the final answer, with what the call's host said besides.
-    AnswerWith { seq: u64, reply: Reply, body: Vec<u8>, more: More },
+    /// Holder, from [`FIELDS_PROTOCOL`] on: decide this call, which has these extra fields.
+    CallExt(PassedCall, Fields),
+    /// Candidate, from [`FIELDS_PROTOCOL`] on: the final answer, with extra fields from the host's answer.
+    AnswerExt { seq: u64, reply: Reply, body: Vec<u8>, fields: Fields },
 }
 
-/// A call as it is passed.
+/// A call that the holder passes to the candidate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Passed {
+pub struct PassedCall {
     pub seq: u64,
     pub id: String,
     pub class: String,
     pub tenant: Option<String>,
     pub function: String,
-    /// When its answer must be with the holder, in Unix microseconds: both run on one machine.
+    /// When the answer must have reached the holder, in Unix microseconds: both processes run on one machine.
     pub due: Micros,
     pub lanes: u32,
     pub repeat: bool,
@@ -82,7 +83,7 @@
     pub body: Vec<u8>,
 }
 
-/// How a call was answered.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     Served,
@@ -91,8 +92,8 @@
     TimedOut,
 }
 
-/// Ends of attempts, by their number on the wire.
-pub const ENDS: [Outcome; 9] = [
+/// Outcomes of attempts; the index is the code in frames.
+pub const OUTCOMES: [Outcome; 9] = [
     Outcome::Done,
     Outcome::Error,
     Outcome::Full,
@@ -104,40 +105,41 @@
     Outcome::Miss,
 ];
 
-/// The number of an end. Programs of before know no end for want of a connection: it is never sent to them as well.
-pub fn number(end: Outcome) -> u8 {
-    let end = if end == Outcome::NoConnection { Outcome::NotSent } else { end };
-    ENDS.iter().position(|e| *e == end).unwrap_or(0) as u8
+/// The code of an outcome. Older versions have no code for [`Outcome::NoConnection`], so it is sent as
+/// [`Outcome::NotSent`].
+pub fn outcome_code(outcome: Outcome) -> u8 {
+    let sent = if outcome == Outcome::NoConnection { Outcome::NotSent } else { outcome };
+    OUTCOMES.iter().position(|o| *o == sent).unwrap_or(0) as u8
 }
 
-/// The word as it goes out; `None` for one that is too long.
-pub fn frame(word: &Word) -> Option<Vec<u8>> {
-    let mut bytes = vec![0; HEAD];
-    bytes.extend(postcard::to_stdvec(word).ok()?);
-    let length = bytes.len() - HEAD;
-    if length > MOST_FRAME {
+/// Encodes a frame with its length; `None` if it is too long.
+pub fn encode(frame: &Frame) -> Option<Vec<u8>> {
+    let mut bytes = vec![0; LENGTH_BYTES];
+    bytes.extend(postcard::to_stdvec(frame).ok()?);
+    let length = bytes.len() - LENGTH_BYTES;
+    if length > MAX_FRAME_BYTES {
         return None;
     }
-    bytes[..HEAD].copy_from_slice(&(length as u32).to_le_bytes());
+    bytes[..LENGTH_BYTES].copy_from_slice(&(length as u32).to_le_bytes());
     Some(bytes)
 }
 
-/// Takes the next word; `None` when none is whole.
+/// Removes the next frame from the buffer; `None` while it is incomplete.
 ///
 /// # Errors
-/// What came is no word: a length beyond the bound, or bytes that do not make one.
-pub fn next(ring: &mut Ring) -> Result<Option<Word>, String> {
-    let Some(head) = ring.copy(0, HEAD) else { return Ok(None) };
+/// The length is zero or beyond the limit, or the bytes are not a valid frame.
+pub fn decode_next(ring: &mut Ring) -> Result<Option<Frame>, String> {
+    let Some(head) = ring.copy(0, LENGTH_BYTES) else { return Ok(None) };
     let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    if length == 0 || length > MOST_FRAME {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return Err(format!("a frame of {length} bytes"));
     }
-    let Some(bytes) = ring.copy(HEAD, length) else { return Ok(None) };
-    ring.consume(HEAD + length);
+    let Some(bytes) = ring.copy(LENGTH_BYTES, length) else { return Ok(None) };
+    ring.consume(LENGTH_BYTES + length);
     match postcard::take_from_bytes(&bytes) {
-        Ok((word, [])) => Ok(Some(word)),
-        Ok(_) => Err("a frame with more than its word".into()),
-        Err(e) => Err(format!("a frame that is no word: {e}")),
+        Ok((frame, [])) => Ok(Some(frame)),
+        Ok(_) => Err("a frame with trailing bytes".into()),
+        Err(e) => Err(format!("an invalid frame: {e}")),
     }
 }
 
--- a/node/src/ipc/tests.rs
+++ b/node/src/ipc/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use rstest::rstest;
 
-fn passed(body: usize) -> Passed {
+fn passed(body: usize) -> PassedCall {
     let text = |t: &str| t.to_string();
-    Passed {
+    PassedCall {
         seq: 7,
         id: text("9b1f03aa5c7e2d41"),
         class: text("send-mail"),
@@ -19,56 +19,56 @@
     }
 }
 
-fn call(body: usize) -> Word {
-    Word::Call(passed(body))
+fn call(body: usize) -> Frame {
+    Frame::Call(passed(body))
 }
 
-fn with(prefix: usize) -> Word {
-    let given = more::Given { turn: Some((7, 2, vec![u64::MAX; prefix])), ..Default::default() };
-    Word::CallWith(passed(16 << 10), given.more())
+fn call_with_fields(prefix: usize) -> Frame {
+    let given = fields::CallFields { turn: Some((7, 2, vec![u64::MAX; prefix])), ..Default::default() };
+    Frame::CallExt(passed(16 << 10), given.to_fields())
 }
 
-fn answer_with() -> Word {
+fn answer_with_fields() -> Frame {
     let fields = vec![("found".to_string(), "3".to_string())];
-    let more = more::Said { fields, held: None }.more();
-    Word::AnswerWith { seq: 1, reply: Reply::Served, body: vec![0; 300], more }
+    let fields = fields::AnswerFields { fields, in_flight: None }.to_fields();
+    Frame::AnswerExt { seq: 1, reply: Reply::Served, body: vec![0; 300], fields }
 }
 
 #[rstest]
-#[case(Word::Say("{}".into()))]
-#[case(Word::Holds { life: "held".into(), percent: 0.25 })]
+#[case(Frame::Json("{}".into()))]
+#[case(Frame::HolderAlive { phase: "held".into(), percent: 0.25 })]
 #[case(call(0))]
 #[case(call(16 << 10))]
-#[case(Word::Intent { seq: u64::MAX, number: 0, host: "s-1".into(), at: -1 })]
-#[case(Word::Answer { seq: 1, reply: Reply::Refused(250_000), body: vec![0; 300] })]
-#[case(Word::TakeOver)]
-#[case(with(64))]
-#[case(answer_with())]
-fn a_word_comes_as_it_left_in_pieces_of_any_size(#[case] word: Word) {
-    let bytes = frame(&word).unwrap();
-    let mut ring = Ring::new(MOST_FRAME + HEAD);
+#[case(Frame::Intent { seq: u64::MAX, number: 0, host: "s-1".into(), at: -1 })]
+#[case(Frame::Answer { seq: 1, reply: Reply::Refused(250_000), body: vec![0; 300] })]
+#[case(Frame::TakeOver)]
+#[case(call_with_fields(64))]
+#[case(answer_with_fields())]
+fn a_frame_that_arrives_byte_by_byte_is_decoded_unchanged(#[case] frame: Frame) {
+    let bytes = encode(&frame).unwrap();
+    let mut ring = Ring::new(MAX_FRAME_BYTES + LENGTH_BYTES);
     for byte in &bytes[..bytes.len() - 1] {
         assert!(ring.push(&[*byte]));
-        assert_eq!(next(&mut ring), Ok(None));
+        assert_eq!(decode_next(&mut ring), Ok(None));
     }
     ring.push(&bytes[bytes.len() - 1..]);
-    assert_eq!(next(&mut ring), Ok(Some(word)));
+    assert_eq!(decode_next(&mut ring), Ok(Some(frame)));
     assert!(ring.is_empty());
 }
 
 #[rstest]
 #[case::three_gigabytes(&[0, 0, 0, 0xc0, 1])]
-#[case::nothing(&[0, 0, 0, 0])]
-#[case::no_such_word(&[2, 0, 0, 0, 200, 1])]
-#[case::cut_within(&[2, 0, 0, 0, 3, 9])]
-#[case::more_than_a_word(&[2, 0, 0, 0, 14, 0])]
-fn what_is_no_word_is_a_fault(#[case] bytes: &[u8]) {
+#[case::length_of_zero(&[0, 0, 0, 0])]
+#[case::no_such_variant(&[2, 0, 0, 0, 200, 1])]
+#[case::truncated(&[2, 0, 0, 0, 3, 9])]
+#[case::trailing_byte(&[2, 0, 0, 0, 14, 0])]
+fn invalid_bytes_are_an_error(#[case] bytes: &[u8]) {
     let mut ring = Ring::new(64);
     ring.push(bytes);
-    assert!(next(&mut ring).is_err());
+    assert!(decode_next(&mut ring).is_err());
 }
 
-/// Whatever bytes come: a word, a wait or a fault, and never a panic or storage beyond the bound.
+/// Whatever bytes come: a frame, a wait or a fault, and never a panic or storage beyond the bound.
 #[test]
 fn noise_is_survived() {
     let mut rng = fastrand::Rng::with_seed(3);
@@ -80,50 +80,51 @@
         }
         let mut ring = Ring::new(128);
         ring.push(&bytes);
-        while let Ok(Some(_)) = next(&mut ring) {}
+        while let Ok(Some(_)) = decode_next(&mut ring) {}
     }
 }
 
 #[test]
-fn a_word_beyond_the_bound_is_not_sent() {
-    assert_eq!(frame(&call(MOST_FRAME)), None);
+fn a_frame_beyond_the_limit_is_not_encoded() {
+    assert_eq!(encode(&call(MAX_FRAME_BYTES)), None);
 }
 
-/// A version before this one tells words apart by their place: those that it knows stand where they stood.
+/// Older versions identify a frame by its variant index, so the variants that they know must keep theirs.
 #[rstest]
-#[case(Word::Say(String::new()), 0)]
+#[case(Frame::Json(String::new()), 0)]
 #[case(call(0), 3)]
-#[case(Word::Left { seq: 1 }, 4)]
-#[case(Word::Answer { seq: 1, reply: Reply::Failed, body: Vec::new() }, 7)]
-#[case(Word::Leaving, 16)]
-#[case(with(0), 17)]
-#[case(answer_with(), 18)]
-fn words_keep_their_places(#[case] word: Word, #[case] place: u8) {
-    assert_eq!(frame(&word).unwrap()[HEAD], place);
+#[case(Frame::Abandoned { seq: 1 }, 4)]
+#[case(Frame::Answer { seq: 1, reply: Reply::Failed, body: Vec::new() }, 7)]
+#[case(Frame::Leaving, 16)]
+#[case(call_with_fields(0), 17)]
+#[case(answer_with_fields(), 18)]
+fn frames_keep_their_variant_indexes(#[case] frame: Frame, #[case] index: u8) {
+    assert_eq!(encode(&frame).unwrap()[LENGTH_BYTES], index);
 }
 
-/// What goes with a call takes no more room in its frame than is stated.
+/// The extra fields of a call must fit in the frame next to the longest body.
 #[test]
-fn further_fields_have_a_bound_in_the_frame() {
+fn extra_fields_stay_within_their_limit_in_the_frame() {
     let name = "z".repeat(255);
-    let places =
-        vec![more::Place::Host(name.clone()), more::Place::Zone(name.clone()), more::Place::Host(name)];
+    let sites =
+        vec![fields::Site::Host(name.clone()), fields::Site::Zone(name.clone()), fields::Site::Host(name)];
     let draft = Some("255:8".parse().unwrap());
-    let given = more::Given { turn: Some((u64::MAX, u16::MAX, vec![u64::MAX; 64])), draft, places };
-    let (plain, with) = (call(16 << 10), Word::CallWith(passed(16 << 10), given.more()));
-    let length = |word: &Word| frame(word).unwrap().len();
-    assert!(length(&with) - length(&plain) <= more::MOST_WIRE);
+    let given = fields::CallFields { turn: Some((u64::MAX, u16::MAX, vec![u64::MAX; 64])), draft, sites };
+    let (plain, with) = (call(16 << 10), Frame::CallExt(passed(16 << 10), given.to_fields()));
+    let length = |frame: &Frame| encode(frame).unwrap().len();
+    assert!(length(&with) - length(&plain) <= fields::MAX_ENCODED_BYTES);
 }
 
 #[test]
-fn every_end_has_its_number() {
-    assert!(ENDS.iter().all(|end| ENDS[usize::from(number(*end))] == *end));
+fn every_outcome_code_gives_its_outcome_back() {
+    assert!(OUTCOMES.iter().all(|outcome| OUTCOMES[usize::from(outcome_code(*outcome))] == *outcome));
 }
 
-/// A number that programs of before do not know would end the connection to them; and that nothing ran must still be proven.
+/// Older versions drop the connection on a code that they do not know. The outcome that is sent instead must still
+/// prove that the call did not run.
 #[test]
-fn want_of_a_connection_is_told_as_never_sent() {
-    let told = ENDS[usize::from(number(Outcome::NoConnection))];
-    assert_eq!(told, Outcome::NotSent);
-    assert!(told.never_ran());
+fn an_attempt_without_a_connection_is_reported_as_not_sent() {
+    let sent = OUTCOMES[usize::from(outcome_code(Outcome::NoConnection))];
+    assert_eq!(sent, Outcome::NotSent);
+    assert!(sent.never_ran());
 }
--- a/node/src/listener.rs
+++ b/node/src/listener.rs
@@ -63,7 +63,7 @@
     /// The next connection; `None` when none waits.
     pub fn next(&self) -> io::Result<Option<(TcpStream, SocketAddr)>> {
         loop {
-            match faults::meet(faults::Call::Accept).and_then(|()| self.socket.accept()) {
+            match faults::inject(faults::Fault::Accept).and_then(|()| self.socket.accept()) {
                 Ok(taken) => return Ok(Some(taken)),
                 Err(e) => match e.kind() {
                     ErrorKind::WouldBlock => return Ok(None),
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -6,8 +6,8 @@
 use wheellink::Micros;
 
 /// Lines of one kind that may come at once, and then each second.
-const BURST: f64 = 400.0;
-const RATE: f64 = 50.0;
+const BURST_LINES: f64 = 400.0;
+const LINES_PER_S: f64 = 50.0;
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,22 +71,22 @@
 }
 
 /// Lines of one kind as long as they are not too many; the others are counted.
-struct Allowance {
-    left: f64,
+struct TokenBucket {
+    tokens: f64,
     at: Micros,
     dropped: u64,
 }
 
-impl Allowance {
+impl TokenBucket {
     /// Whether a line may be written now; how many were left out before it.
     fn take(&mut self, now: Micros) -> Option<u64> {
-        self.left = (self.left + (now - self.at) as f64 * RATE / 1e6).min(BURST);
+        self.tokens = (self.tokens + (now - self.at) as f64 * LINES_PER_S / 1e6).min(BURST_LINES);
         self.at = now;
-        if self.left < 1.0 {
+        if self.tokens < 1.0 {
             self.dropped += 1;
             return None;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         Some(std::mem::take(&mut self.dropped))
     }
 }
@@ -94,17 +94,17 @@
 /// The log. Clients can end connections by the thousand, and send thousands of things that cannot be read:
 /// the lines of connections and of requests have allowances of their own, so that they drown nothing else.
 pub struct Log {
-    connections: Allowance,
-    requests: Allowance,
-    others: Allowance,
+    connections: TokenBucket,
+    requests: TokenBucket,
+    others: TokenBucket,
     /// Connections that ended, by the code of the reason: those whose lines were left out as well.
     ended: BTreeMap<&'static str, u64>,
 }
 
 impl Log {
     pub fn new() -> Self {
-        let whole = || Allowance { left: BURST, at: 0, dropped: 0 };
-        Self { connections: whole(), requests: whole(), others: whole(), ended: BTreeMap::new() }
+        let full = || TokenBucket { tokens: BURST_LINES, at: 0, dropped: 0 };
+        Self { connections: full(), requests: full(), others: full(), ended: BTreeMap::new() }
     }
 
     /// The one line of a connection that has ended.
@@ -125,7 +125,7 @@
     }
 
     /// What a connection brought that cannot be read.
-    pub fn bad(&mut self, now: Micros, text: impl Display) {
+    pub fn bad_input(&mut self, now: Micros, text: impl Display) {
         write(now, self.connections.take(now), text);
     }
 
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -21,13 +21,13 @@
 
 use crate::datagrams;
 use crate::wake::{Handle, Wake};
-use checksum::{As, Seals};
-use envelope::{Envelope, Kind, Opened, Read};
+use checksum::{ChecksumState, Encoding};
+use envelope::{Content, Decoded, Envelope, Kind};
 
 /// Datagrams taken at one go: a flood of them must not keep the loop.
-const AT_ONCE: usize = 64;
+const MAX_READS: usize = 64;
 /// The longest name: it is logged and shown.
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// What an operator sets.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -38,28 +38,28 @@
     /// Where it hears the others.
     listen: SocketAddr,
     /// Between two probes by one member; the same for all of them.
-    #[serde(default = "period")]
+    #[serde(default = "default_period_ms")]
     period_ms: u64,
     /// The others.
     #[serde(default)]
-    other: Vec<Other>,
+    other: Vec<OtherMember>,
 }
 
 /// One of the others.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Other {
+struct OtherMember {
     name: String,
     /// Where it hears this one, and where its datagrams come from.
     address: SocketAddr,
 }
 
-fn period() -> u64 {
+fn default_period_ms() -> u64 {
     500
 }
 
 /// What stands for a name in datagrams, at every activator and in every version.
-pub fn number(name: &str) -> MemberId {
+pub fn member_id(name: &str) -> MemberId {
     MemberId(SipHasher13::new().hash(name.as_bytes()) as u32)
 }
 
@@ -67,19 +67,18 @@
     /// What is wrong with it, in one line.
     pub fn check(&self) -> Result<(), String> {
         let names = || self.other.iter().map(|o| &o.name).chain([&self.name]);
-        if names().any(|name| name.is_empty() || name.len() > LONGEST_NAME || name.contains(char::is_control))
-        {
-            return Err(format!("members: a name is 1 to {LONGEST_NAME} bytes of text"));
+        if names().any(|n| n.is_empty() || n.len() > MAX_NAME_BYTES || n.contains(char::is_control)) {
+            return Err(format!("members: a name is 1 to {MAX_NAME_BYTES} bytes of text"));
         }
-        if let Some(name) = names().find(|name| !envelope::differs(number(name))) {
+        if let Some(name) = names().find(|name| !envelope::is_distinguishable(member_id(name))) {
             return Err(format!(
                 "members: {name} cannot be a name: its datagrams would be taken for others'"
             ));
         }
-        let mut numbers: Vec<MemberId> = names().map(|name| number(name)).collect();
-        numbers.sort();
-        if let Some(twice) = numbers.windows(2).find(|w| w[0] == w[1]) {
-            let twice: Vec<&str> = names().filter(|n| number(n) == twice[0]).map(|n| n.as_str()).collect();
+        let mut ids: Vec<MemberId> = names().map(|name| member_id(name)).collect();
+        ids.sort();
+        if let Some(twice) = ids.windows(2).find(|w| w[0] == w[1]) {
+            let twice: Vec<&str> = names().filter(|n| member_id(n) == twice[0]).map(|n| n.as_str()).collect();
             return Err(format!("members: {} cannot be told apart", twice.join(" and ")));
         }
         let mut addresses: Vec<SocketAddr> = self.other.iter().map(|o| o.address).collect();
@@ -118,27 +117,27 @@
     others: BTreeMap<MemberId, (String, SocketAddr)>,
     names: HashMap<SocketAddr, MemberId>,
     left: bool,
-    /// Heard for other parts and not yet taken by the hub; see [`AT_ONCE`].
+    /// Heard for other parts and not yet taken by the hub; see [`MAX_READS`].
     envelopes: Vec<Envelope>,
     /// Parcels that were dropped: of a kind that this program does not know, too long, or too many at one go.
     dropped: u64,
     /// Who carries sums in what it says, and how many datagrams were dropped for a wrong one or for want of one.
-    seals: RefCell<Seals>,
-    spoilt: u64,
+    checksums: RefCell<ChecksumState>,
+    corrupt: u64,
 }
 
 impl Membership {
-    /// Begins a life of this activator's name.
+    /// Begins a instance of this activator's name.
     pub fn open(handle: &Handle, setup: &Setup, seed: u64) -> io::Result<Self> {
         let (socket, token) = datagrams::open(handle, setup.listen, Wake::Members)?;
         let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let life = MemberInstance::new(number(&setup.name), start);
-        let members = LocalMember::new(setup.settings(), life, [], seed, Duration::ZERO);
+        let instance = MemberInstance::new(member_id(&setup.name), start);
+        let members = LocalMember::new(setup.settings(), instance, [], seed, Duration::ZERO);
         let members = members.map_err(|e| io::Error::new(ErrorKind::InvalidInput, e))?;
         let (origin, setup) = (Instant::now(), setup.clone());
         let (others, names, left) = (BTreeMap::new(), HashMap::new(), false);
         let (handle, envelopes, dropped) = (handle.clone(), Vec::new(), 0);
-        let (seals, spoilt) = (RefCell::default(), 0);
+        let (checksums, corrupt) = (RefCell::default(), 0);
         let mut membership = Self {
             handle,
             socket,
@@ -151,39 +150,39 @@
             left,
             envelopes,
             dropped,
-            seals,
-            spoilt,
+            checksums,
+            corrupt,
         };
-        membership.meet();
+        membership.apply_roster();
         Ok(membership)
     }
 
     /// Knows the others of its setup, and nobody else.
-    fn meet(&mut self) {
-        let other = |o: &Other| (number(&o.name), (o.name.clone(), o.address));
+    fn apply_roster(&mut self) {
+        let other = |o: &OtherMember| (member_id(&o.name), (o.name.clone(), o.address));
         self.others = self.setup.other.iter().map(other).collect();
         self.names = self.others.iter().map(|(number, (_, address))| (*address, *number)).collect();
         self.members.set_roster(self.others.keys().copied());
-        self.seals.get_mut().keep(|name| self.others.contains_key(&name));
+        self.checksums.get_mut().retain(|name| self.others.contains_key(&name));
     }
 
-    /// Whether it can go on with this setup, which it then does: others may come and go, the rest asks for a new life.
-    pub fn retune(&mut self, setup: &Setup) -> bool {
+    /// Whether it can go on with this setup, which it then does: others may come and go, the rest asks for a new instance.
+    pub fn reconfigure(&mut self, setup: &Setup) -> bool {
         let same = Setup { other: self.setup.other.clone(), ..setup.clone() } == self.setup;
         if same && self.setup != *setup {
             self.setup = setup.clone();
-            self.meet();
+            self.apply_roster();
         }
         same
     }
 
     /// What stands for this one's name, and for the others' with the names themselves.
     pub fn roster(&self) -> (MemberId, impl Iterator<Item = (MemberId, &str)>) {
-        (number(&self.setup.name), self.others.iter().map(|(number, (name, _))| (*number, name.as_str())))
+        (member_id(&self.setup.name), self.others.iter().map(|(number, (name, _))| (*number, name.as_str())))
     }
 
     /// How many of the others are there.
-    pub fn there(&self) -> usize {
+    pub fn present_count(&self) -> usize {
         self.members.view().present().count()
     }
 
@@ -195,33 +194,33 @@
     pub fn ready(&mut self) -> Vec<String> {
         let mut buf = [0; 1_500];
         let mut out = Vec::new();
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_READS {
             match self.socket.recv_from(&mut buf) {
                 Ok((n, from)) => {
                     let (now, Some(from)) = (self.now(), self.names.get(&from)) else { continue };
-                    let read = match envelope::open(&buf[..n]) {
-                        Opened::Sealed(read) => {
-                            self.seals.get_mut().heard(now, *from);
+                    let read = match envelope::decode(&buf[..n]) {
+                        Decoded::Checked(read) => {
+                            self.checksums.get_mut().record_checked(now, *from);
                             read
                         }
-                        Opened::Plain(read) if self.seals.get_mut().takes_plain(now, *from) => read,
-                        Opened::Plain(_) | Opened::Spoilt => {
-                            self.spoilt += 1;
+                        Decoded::Plain(read) if self.checksums.get_mut().accepts_plain(now, *from) => read,
+                        Decoded::Plain(_) | Decoded::Corrupt => {
+                            self.corrupt += 1;
                             continue;
                         }
                     };
                     match read {
-                        Read::Word => {
-                            if self.seals.get_mut().answers(now, *from) {
-                                let _ = self.socket.send_to(&envelope::answer(), self.others[from].1);
+                        Content::Probe => {
+                            if self.checksums.get_mut().should_reply(now, *from) {
+                                let _ = self.socket.send_to(&envelope::probe_reply(), self.others[from].1);
                             }
                         }
-                        Read::Answer => {}
-                        Read::Own(data) => self.members.handle_datagram(now, *from, data, &mut out),
-                        Read::Unknown => self.dropped += 1,
+                        Content::ProbeReply => {}
+                        Content::Members(data) => self.members.handle_datagram(now, *from, data, &mut out),
+                        Content::Unknown => self.dropped += 1,
                         // What is left of one go is taken before the next: else nobody takes any.
-                        Read::Envelope(..) if self.envelopes.len() >= AT_ONCE => self.dropped += 1,
-                        Read::Envelope(kind, data) => {
+                        Content::Envelope(..) if self.envelopes.len() >= MAX_READS => self.dropped += 1,
+                        Content::Envelope(kind, data) => {
                             self.envelopes.push(Envelope { from: *from, kind, data: data.to_vec() })
                         }
                     }
@@ -231,27 +230,27 @@
                 Err(_) => break,
             }
         }
-        self.carry_out(out)
+        self.apply(out)
     }
 
     /// What was heard for other parts since this was last asked.
-    pub fn envelopes(&mut self) -> Vec<Envelope> {
+    pub fn take_envelopes(&mut self) -> Vec<Envelope> {
         std::mem::take(&mut self.envelopes)
     }
 
-    /// Sends another part's bytes, at most [`envelope::LONGEST`], to its like. They may be lost, doubled or late.
+    /// Sends another part's bytes, at most [`envelope::MAX_PAYLOAD_BYTES`], to its like. They may be lost, doubled or late.
     pub fn send(&self, to: MemberId, kind: Kind, data: &[u8]) {
-        self.put(to, Some(kind), data);
+        self.send_datagram(to, Some(kind), data);
     }
 
     /// Sends something with a sum, or as programs of before read it. What cannot be sent is lost, as any may be.
-    fn put(&self, to: MemberId, kind: Option<Kind>, data: &[u8]) {
+    fn send_datagram(&self, to: MemberId, kind: Option<Kind>, data: &[u8]) {
         let Some((_, address)) = self.others.get(&to) else { return };
-        let how = self.seals.borrow_mut().next(self.now(), to);
-        if how == As::PlainAfterWord {
-            let _ = self.socket.send_to(&envelope::word(), address);
+        let how = self.checksums.borrow_mut().next_encoding(self.now(), to);
+        if how == Encoding::PlainAfterProbe {
+            let _ = self.socket.send_to(&envelope::probe(), address);
         }
-        if let Some(datagram) = envelope::write(kind, data, how == As::Sealed) {
+        if let Some(datagram) = envelope::encode(kind, data, how == Encoding::Checked) {
             let _ = self.socket.send_to(&datagram, address);
         }
     }
@@ -264,7 +263,7 @@
         let mut lines = self.ready();
         let (now, mut out) = (self.now(), Vec::new());
         self.members.handle_timers(now, &mut out);
-        lines.extend(self.carry_out(out));
+        lines.extend(self.apply(out));
         lines
     }
 
@@ -281,7 +280,7 @@
         }
         let (now, mut out) = (self.now(), Vec::new());
         self.members.leave(now, &mut out);
-        let mut lines = self.carry_out(out);
+        let mut lines = self.apply(out);
         lines.push("left the other activators".into());
         lines
     }
@@ -291,12 +290,12 @@
         self.handle.remove(self.token);
     }
 
-    fn carry_out(&mut self, out: Vec<Output>) -> Vec<String> {
+    fn apply(&mut self, out: Vec<Output>) -> Vec<String> {
         let mut lines = Vec::new();
         for o in out {
             match o {
-                Output::Send { to, data } => self.put(to, None, &data),
-                Output::StateChanged { id, state } => lines.push(self.changed(id, state)),
+                Output::Send { to, data } => self.send_datagram(to, None, &data),
+                Output::StateChanged { id, state } => lines.push(self.describe_change(id, state)),
                 Output::Rejoined => lines.push("others held this activator for gone; it is back".into()),
             }
         }
@@ -304,7 +303,7 @@
     }
 
     /// A change with its evidence.
-    fn changed(&self, name: MemberId, state: MemberState) -> String {
+    fn describe_change(&self, name: MemberId, state: MemberState) -> String {
         let view = self.members.view();
         let told = self.others.get(&name).map_or("?", |(told, _)| told.as_str());
         let member = view.members.iter().find(|m| m.id == name);
@@ -315,7 +314,7 @@
         let there = 1 + view.present().count();
         let (all, majority) = (view.members.len() + 1, if view.majority { "" } else { ", no majority" });
         format!("activator {told} is {}: {heard}, spoke for itself {renewed} times; {there} of {all} there{majority}",
-            word(state))
+            state_label(state))
     }
 
     /// What this one holds of the others.
@@ -324,17 +323,17 @@
         let ago = |at: Option<Duration>| at.map(|at| now.saturating_sub(at).as_millis() as u64);
         let member = |m: &wheellink_members::Member| {
             let (name, address) = &self.others[&m.id];
-            json!({"name": name, "address": address, "state": word(m.state), "sums": self.seals.borrow().knows(m.id), "start_ms": m.start_ms,
+            json!({"name": name, "address": address, "state": state_label(m.state), "sums": self.checksums.borrow().uses_checksums(m.id), "start_ms": m.start_ms,
                 "incarnation": m.incarnation, "since_ms": ago(m.state_since), "heard_ms": ago(m.last_heard)})
         };
         let known = view.members.iter().filter(|m| self.others.contains_key(&m.id));
         json!({"name": self.setup.name, "start_ms": self.members.instance().start_ms, "left": self.left,
-            "majority": view.majority, "dropped": self.dropped, "spoilt": self.spoilt, "pauses": view.pauses, "stretch": view.health_multiplier,
+            "majority": view.majority, "dropped": self.dropped, "spoilt": self.corrupt, "pauses": view.pauses, "stretch": view.health_multiplier,
             "members": known.map(member).collect::<Vec<_>>()})
     }
 }
 
-fn word(state: MemberState) -> &'static str {
+fn state_label(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
         MemberState::Suspect => "suspect",
--- a/node/src/membership/checksum.rs
+++ b/node/src/membership/checksum.rs
@@ -14,9 +14,9 @@
 use wheellink_members::MemberId;
 
 /// Between two short words to one that is not known to read them.
-const AGAIN: Duration = Duration::from_millis(100);
+const PROBE_PERIOD: Duration = Duration::from_millis(100);
 /// Who said nothing with a sum for so long may have been replaced by a program that knows none.
-const SILENCE: Duration = Duration::from_secs(1);
+const PLAIN_ACCEPT_DELAY: Duration = Duration::from_secs(1);
 
 /// The sum of these bytes, of that kind.
 pub fn sum(kind: u8, data: &[u8]) -> [u8; 8] {
@@ -25,11 +25,11 @@
 
 /// How something is to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum As {
+pub enum Encoding {
     /// With a sum.
-    Sealed,
+    Checked,
     /// Without, and before it a word that carries one.
-    PlainAfterWord,
+    PlainAfterProbe,
     /// Without.
     Plain,
 }
@@ -37,65 +37,65 @@
 #[derive(Clone, Copy, Default)]
 struct Peer {
     /// When it last said something with a sum, if it is held to that.
-    sealed: Option<Duration>,
+    checked: Option<Duration>,
     /// When it was last sent a word.
-    word: Option<Duration>,
+    probed: Option<Duration>,
     /// When its word was last answered.
-    answered: Option<Duration>,
+    replied: Option<Duration>,
 }
 
 /// Who carries sums. Times are of a clock that nobody sets.
 #[derive(Default)]
-pub struct Seals {
+pub struct ChecksumState {
     peers: HashMap<MemberId, Peer>,
 }
 
-impl Seals {
+impl ChecksumState {
     /// Forgets all but these.
-    pub fn keep(&mut self, roster: impl Fn(MemberId) -> bool) {
+    pub fn retain(&mut self, roster: impl Fn(MemberId) -> bool) {
         self.peers.retain(|name, _| roster(*name));
     }
 
     /// It said something whose sum is right.
-    pub fn heard(&mut self, now: Duration, from: MemberId) {
-        self.peers.entry(from).or_default().sealed = Some(now);
+    pub fn record_checked(&mut self, now: Duration, from: MemberId) {
+        self.peers.entry(from).or_default().checked = Some(now);
     }
 
     /// Whether its word is answered now: not each of a flood is.
-    pub fn answers(&mut self, now: Duration, from: MemberId) -> bool {
+    pub fn should_reply(&mut self, now: Duration, from: MemberId) -> bool {
         let peer = self.peers.entry(from).or_default();
-        let due = peer.answered.is_none_or(|at| now.saturating_sub(at) >= AGAIN / 2);
+        let due = peer.replied.is_none_or(|at| now.saturating_sub(at) >= PROBE_PERIOD / 2);
         if due {
-            peer.answered = Some(now);
+            peer.replied = Some(now);
         }
         due
     }
 
     /// Whether something without a sum is taken from it.
-    pub fn takes_plain(&mut self, now: Duration, from: MemberId) -> bool {
+    pub fn accepts_plain(&mut self, now: Duration, from: MemberId) -> bool {
         let Some(peer) = self.peers.get_mut(&from) else { return true };
-        if peer.sealed.is_some_and(|at| now.saturating_sub(at) > SILENCE) {
-            peer.sealed = None;
+        if peer.checked.is_some_and(|at| now.saturating_sub(at) > PLAIN_ACCEPT_DELAY) {
+            peer.checked = None;
         }
-        peer.sealed.is_none()
+        peer.checked.is_none()
     }
 
     /// How the next datagram goes to it.
-    pub fn next(&mut self, now: Duration, to: MemberId) -> As {
+    pub fn next_encoding(&mut self, now: Duration, to: MemberId) -> Encoding {
         let peer = self.peers.entry(to).or_default();
-        if peer.sealed.is_some() {
-            return As::Sealed;
+        if peer.checked.is_some() {
+            return Encoding::Checked;
         }
-        if peer.word.is_some_and(|at| now.saturating_sub(at) < AGAIN) {
-            return As::Plain;
+        if peer.probed.is_some_and(|at| now.saturating_sub(at) < PROBE_PERIOD) {
+            return Encoding::Plain;
         }
-        peer.word = Some(now);
-        As::PlainAfterWord
+        peer.probed = Some(now);
+        Encoding::PlainAfterProbe
     }
 
     /// Whether it is known to carry sums.
-    pub fn knows(&self, name: MemberId) -> bool {
-        self.peers.get(&name).is_some_and(|peer| peer.sealed.is_some())
+    pub fn uses_checksums(&self, name: MemberId) -> bool {
+        self.peers.get(&name).is_some_and(|peer| peer.checked.is_some())
     }
 }
 
--- a/node/src/membership/checksum/tests.rs
+++ b/node/src/membership/checksum/tests.rs
@@ -10,52 +10,52 @@
 
 #[test]
 fn words_are_said_now_and_then_until_one_is_known_to_read_them() {
-    let mut seals = Seals::default();
-    let said = [0, 50, 99, 100, 150, 260].map(|at| seals.next(ms(at), ONE));
-    use As::*;
-    assert_eq!(said, [PlainAfterWord, Plain, Plain, PlainAfterWord, Plain, PlainAfterWord]);
-    assert!(seals.takes_plain(ms(300), ONE) && !seals.knows(ONE));
-    seals.heard(ms(300), ONE);
-    assert_eq!((seals.next(ms(301), ONE), seals.takes_plain(ms(302), ONE)), (Sealed, false));
-    assert!(seals.knows(ONE) && seals.takes_plain(ms(302), MemberId(2)), "each for itself");
+    let mut state = ChecksumState::default();
+    let said = [0, 50, 99, 100, 150, 260].map(|at| state.next_encoding(ms(at), ONE));
+    use Encoding::*;
+    assert_eq!(said, [PlainAfterProbe, Plain, Plain, PlainAfterProbe, Plain, PlainAfterProbe]);
+    assert!(state.accepts_plain(ms(300), ONE) && !state.uses_checksums(ONE));
+    state.record_checked(ms(300), ONE);
+    assert_eq!((state.next_encoding(ms(301), ONE), state.accepts_plain(ms(302), ONE)), (Checked, false));
+    assert!(state.uses_checksums(ONE) && state.accepts_plain(ms(302), MemberId(2)), "each for itself");
 }
 
 #[test]
 fn two_that_start_with_nothing_find_each_other_though_only_one_speaks() {
     // The second has nothing to say: what it hears without a sum it drops once it heard the word.
-    let (mut first, mut second) = (Seals::default(), Seals::default());
-    assert_eq!(first.next(ms(0), MemberId(2)), As::PlainAfterWord);
-    second.heard(ms(1), ONE);
-    assert!(!second.takes_plain(ms(1), ONE) && second.answers(ms(1), ONE));
-    first.heard(ms(2), MemberId(2));
-    assert_eq!(first.next(ms(3), MemberId(2)), As::Sealed);
+    let (mut first, mut second) = (ChecksumState::default(), ChecksumState::default());
+    assert_eq!(first.next_encoding(ms(0), MemberId(2)), Encoding::PlainAfterProbe);
+    second.record_checked(ms(1), ONE);
+    assert!(!second.accepts_plain(ms(1), ONE) && second.should_reply(ms(1), ONE));
+    first.record_checked(ms(2), MemberId(2));
+    assert_eq!(first.next_encoding(ms(3), MemberId(2)), Encoding::Checked);
     // Of a flood of words few are answered; a later one is, as the answer may have been lost.
-    assert_eq!((2..50).filter(|at| second.answers(ms(*at), ONE)).count(), 0);
-    assert!(second.answers(ms(101), ONE));
+    assert_eq!((2..50).filter(|at| second.should_reply(ms(*at), ONE)).count(), 0);
+    assert!(second.should_reply(ms(101), ONE));
 }
 
 #[test]
 fn one_that_a_program_of_before_replaced_is_heard_and_spoken_to_again() {
-    let mut seals = Seals::default();
-    seals.heard(ms(0), ONE);
-    assert!(!seals.takes_plain(ms(1_000), ONE));
+    let mut state = ChecksumState::default();
+    state.record_checked(ms(0), ONE);
+    assert!(!state.accepts_plain(ms(1_000), ONE));
     // Nothing said is no reason: large fleets seldom speak to each one.
-    assert_eq!(seals.next(ms(60_000), ONE), As::Sealed);
-    assert!(seals.takes_plain(ms(60_000), ONE));
-    assert_eq!(seals.next(ms(60_001), ONE), As::PlainAfterWord);
-    seals.heard(ms(60_100), ONE);
-    assert!(!seals.takes_plain(ms(60_200), ONE), "and held to sums again once it has them");
+    assert_eq!(state.next_encoding(ms(60_000), ONE), Encoding::Checked);
+    assert!(state.accepts_plain(ms(60_000), ONE));
+    assert_eq!(state.next_encoding(ms(60_001), ONE), Encoding::PlainAfterProbe);
+    state.record_checked(ms(60_100), ONE);
+    assert!(!state.accepts_plain(ms(60_200), ONE), "and held to sums again once it has them");
 }
 
 #[test]
 fn those_who_left_the_roster_are_forgotten() {
-    let mut seals = Seals::default();
+    let mut state = ChecksumState::default();
     for name in 0..100 {
-        seals.heard(ms(0), MemberId(name));
+        state.record_checked(ms(0), MemberId(name));
     }
-    seals.keep(|name| name.0 < 3);
-    assert_eq!(seals.peers.len(), 3);
-    assert!(!seals.knows(MemberId(50)) && seals.knows(MemberId(2)));
+    state.retain(|name| name.0 < 3);
+    assert_eq!(state.peers.len(), 3);
+    assert!(!state.uses_checksums(MemberId(50)) && state.uses_checksums(MemberId(2)));
 }
 
 #[test]
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -30,28 +30,28 @@
 use wheellink_turns::Turn;
 
 use crate::bus::{self, Bus, Frame, Gap};
-use crate::clock::steps::Steps;
+use crate::clock::steps::StepDetector;
 use crate::clock::Clock;
 use crate::config::{self, Config};
 use crate::conn::{fresh_id, Conn, ConnId};
 use crate::control::{self, Control};
 use crate::descriptors::{Bounds, Held};
 use crate::dnssd::{Browser, DnsSd};
-use crate::faults::{meet, Call as Faulty};
+use crate::faults::{inject, Fault};
 use crate::front::invoke::{self, Invoke};
 use crate::front::platform::frames::Request;
 use crate::front::platform::{self, Platform};
 use crate::front::Reply;
 use crate::hosts::{self, Call, CallTimes, Hosts, Starts};
 use crate::http::Response;
-use crate::ipc::more::Said;
+use crate::ipc::fields::AnswerFields;
 use crate::listener::{self, Listener};
 use crate::log::{Log, Reason};
 use crate::membership::Membership;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::startup;
-use crate::upgrade::{self, Message, News, Place, State, Upgrade};
+use crate::upgrade::{self, Claim, Message, PeerEvent, ProcessState, Upgrade};
 use crate::wake::{Handle, Wake};
 
 use admission::AdmissionControl;
@@ -82,7 +82,7 @@
 /// Hosts that operators may have taken out: ids are kept for good.
 const MOST_BARRED: usize = 4096;
 /// Between looks at connections that are idle or do not come up.
-const HOUSEKEEPING: Micros = startup::LOOK.as_micros() as Micros;
+const HOUSEKEEPING: Micros = startup::POLL_PERIOD.as_micros() as Micros;
 
 /// A request that is owed an answer.
 struct Pending {
@@ -109,7 +109,7 @@
     /// Further fields of its line to a host.
     line: String,
     /// What the host said that answered last.
-    said: Said,
+    said: AnswerFields,
 }
 
 /// Who is owed it.
@@ -148,20 +148,20 @@
 }
 
 /// What a process of this configuration wants of one that runs at its address, where that is more than its place.
-pub fn wish(config: &Config) -> Option<upgrade::Wish> {
+pub fn wish(config: &Config) -> Option<upgrade::Candidacy> {
     let setup = config.rollout.as_ref()?;
-    let hail = upgrade::Hail {
+    let info = upgrade::VersionInfo {
         protocols: crate::ipc::PROTOCOLS.to_vec(),
         version: setup.version(),
         classes: rollout::classes(&config.deployment),
     };
-    Some(upgrade::Wish { hail, or_upgrade: setup.old_cannot == config::rollout::OldCannot::Upgrade })
+    Some(upgrade::Candidacy { info, or_upgrade: setup.old_cannot == config::rollout::IfUnsupported::Upgrade })
 }
 
 pub struct Node {
     handle: Handle,
     clock: Clock,
-    clock_steps: Steps,
+    clock_steps: StepDetector,
     held_up: HeldUp,
     metrics: Metrics,
     log: Log,
@@ -219,10 +219,10 @@
 
 impl Node {
     /// With its listening socket, and what the process tells that was there before.
-    pub fn new(handle: Handle, mut config: Config, place: Place, began: Instant) -> Result<Self, String> {
-        let Place { listener, inheritance } = place;
-        let state = inheritance.as_ref().map(|i| i.state.clone());
-        let upgrade = Upgrade::new(&handle, config.listen, inheritance)
+    pub fn new(handle: Handle, mut config: Config, place: Claim, began: Instant) -> Result<Self, String> {
+        let Claim { listener, predecessor } = place;
+        let state = predecessor.as_ref().map(|p| p.state.clone());
+        let upgrade = Upgrade::new(&handle, config.listen, predecessor)
             .map_err(|e| format!("no word with the peer: {e}"))?;
         let transport = config.deployment.transport.clone();
         let descriptors = config.descriptors;
@@ -230,14 +230,14 @@
         let share = config.memory / MEMORY_SHARE;
         let router = config.deployment.router(config.seed).map_err(|e| e.to_string())?;
         let mut known = Vec::new();
-        let side = match &mut config.side {
-            config::Side::Platform { bus, offset, known: events } => {
+        let side = match &mut config.mode {
+            config::Mode::Platform { bus, offset, known: events } => {
                 // Only the start needs them.
                 known = std::mem::take(events);
                 let front = Box::new(Platform::new(handle.clone(), (clients, share), transport.conn_idle));
                 Side::Platform(front, Box::new(Bus::new(*bus, *offset)))
             }
-            config::Side::Operator { resolver, service, bounds, classes } => {
+            config::Mode::Operator { resolver, service, bounds, classes } => {
                 let d = &config.deployment;
                 let names = (d.classes.clone(), d.tenants.clone());
                 let front = Box::new(Invoke::new(
@@ -261,7 +261,7 @@
         let base = state.as_ref().and_then(|state| state.clock);
         let clock = base.map_or_else(Clock::default, Clock::from_base);
         let begun = clock.now();
-        let patience = startup::CATCH_UP.min(startup::LATEST.saturating_sub(began.elapsed()));
+        let patience = startup::CATCH_UP_TIMEOUT.min(startup::MAX_STARTUP.saturating_sub(began.elapsed()));
         let mut node = Self {
             client_listener: None,
             control_listener: None,
@@ -295,7 +295,7 @@
             by_hand: BTreeSet::new(),
             config,
             clock,
-            clock_steps: Steps::default(),
+            clock_steps: StepDetector::default(),
             held_up: HeldUp::default(),
             metrics: Metrics::default(),
             log: Log::new(),
@@ -321,7 +321,7 @@
         if let Some(state) = &state {
             // Only now, as a whole list begins all beliefs anew.
             let now = node.clock.now();
-            let mut legacy = state.legacy();
+            let mut legacy = state.engine_state();
             if let Some(holder) = state.rollout.clone() {
                 // The ration stays the holder's.
                 let ration = std::mem::take(&mut legacy.tallies);
@@ -402,10 +402,10 @@
             Wake::ResolverConn(id) => self.dns_tcp_ready(id),
             Wake::Clients => self.accept(),
             Wake::Callers => self.accept_callers(),
-            Wake::Guests => self.guests_ready(),
+            Wake::PeerArrival => self.guests_ready(),
             Wake::Peers => self.peers_ready(),
             Wake::Members => self.members_ready(),
-            Wake::Prepared => self.prepared(),
+            Wake::AccordPrepared => self.prepared(),
             Wake::Stop => self.stop(),
             Wake::Reload => {}
         }
@@ -414,7 +414,7 @@
     /// Whether something is due by now, where the time stands until the turn is over: a stop of the process between a
     /// look at what has come and the turn makes nothing due.
     pub fn is_due(&mut self) -> bool {
-        let now = self.clock.hold();
+        let now = self.clock.freeze();
         self.next_tick(now) <= now
     }
 
@@ -481,7 +481,7 @@
             }
             self.settle();
         }
-        self.clock.release();
+        self.clock.unfreeze();
         if more || self.has_more() {
             return Duration::ZERO;
         }
@@ -505,10 +505,10 @@
                 self.carry_out(command);
             } else if let Some(notice) = self.hosts.notices.pop_front() {
                 self.host_notice(notice);
-            } else if let Some(news) = self.upgrade.news.pop_front() {
+            } else if let Some(news) = self.upgrade.events.pop_front() {
                 let now = self.clock.now();
                 self.hear_peer(now, news);
-            } else if let Some((caller, call)) = self.control.calls.pop() {
+            } else if let Some((caller, call)) = self.control.commands.pop() {
                 let now = self.clock.now();
                 let answer = self.operate(now, call);
                 self.control.answer(now, caller, answer, &mut self.log);
@@ -526,7 +526,7 @@
         let now = self.clock.now();
         match command {
             // Decided by terms that are not obeyed any more: it is decided anew.
-            Command::Send { attempt, host, .. } if self.mind_accord() || meet(Faulty::Attempt).is_err() => {
+            Command::Send { attempt, host, .. } if self.mind_accord() || inject(Fault::Attempt).is_err() => {
                 self.withheld(now, attempt, host)
             }
             // The process was held up since it was decided.
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -12,7 +12,7 @@
 
 use super::*;
 use crate::conn::is_exhaustion;
-use crate::control::AdmissionCall;
+use crate::control::AdmissionCommand;
 use crate::front::{Away, Guest};
 
 /// Newcomers that are closed at one go where there is no descriptor for them.
@@ -157,7 +157,7 @@
         let limit = if self.upgrade.has_peer() { limit / 2 } else { limit };
         let callers = descriptors.callers();
         let part = (limit, descriptors.own() - callers, callers);
-        let held = (self.hosts.reserve(), self.hosts.held(), self.control.held());
+        let held = (self.hosts.reserve(), self.hosts.held(), self.control.conn_count());
         self.admission.bound_descriptors(now, part, held).unwrap_or(bounds)
     }
 
@@ -476,41 +476,41 @@
         self.log.line(now, format_args!("admission refused: {}{others}", told.join(", ")));
     }
 
-    pub(super) fn operate_admission(&mut self, now: Micros, call: AdmissionCall) -> Response {
+    pub(super) fn operate_admission(&mut self, now: Micros, call: AdmissionCommand) -> Response {
         if self.admission.gate.is_none() {
             return Response::problem(404, "admission is not set up: the configuration has no [admission]");
         }
         match call {
-            AdmissionCall::Show => Response::json(200, self.show_admission(now)),
+            AdmissionCommand::Show => Response::json(200, self.show_admission(now)),
             call => {
                 let text = serde_json::to_value(&call).unwrap_or_default();
                 if !self.set_prefix(now, &call) {
                     return Response::problem(409, "as many prefixes are set by hand as may be");
                 }
-                self.upgrade.tell(&Message::Admission(call));
+                self.upgrade.send(&Message::Admission(call));
                 Response::json(200, text)
             }
         }
     }
 
     /// Blocks, unblocks or knows a prefix, as an operator said here or at the other process.
-    pub(super) fn set_prefix(&mut self, now: Micros, call: &AdmissionCall) -> bool {
+    pub(super) fn set_prefix(&mut self, now: Micros, call: &AdmissionCommand) -> bool {
         let Some(gate) = &mut self.admission.gate else { return true };
         let (what, prefix, done) = match call {
-            AdmissionCall::Block(prefix) => ("blocked", prefix, gate.block(*prefix)),
-            AdmissionCall::Unblock(prefix) => {
+            AdmissionCommand::Block(prefix) => ("blocked", prefix, gate.block(*prefix)),
+            AdmissionCommand::Unblock(prefix) => {
                 gate.unblock(now, *prefix);
                 ("no longer blocked", prefix, true)
             }
-            AdmissionCall::Know { prefix, known } => {
+            AdmissionCommand::Know { prefix, known } => {
                 (if *known { "known" } else { "no longer known" }, prefix, gate.set_known(*prefix, *known))
             }
-            AdmissionCall::Show => return true,
+            AdmissionCommand::Show => return true,
         };
         if done {
             self.log.line(now, format_args!("admission: {prefix} is {what} by hand"));
         }
-        if let (AdmissionCall::Block(prefix), true) = (call, done) {
+        if let (AdmissionCommand::Block(prefix), true) = (call, done) {
             // Whoever is in stays as long as it is owed an answer.
             let clients = self.admission.clients.iter().filter(|(_, c)| prefix.contains(c.from));
             let mut ids: Vec<_> = clients.map(|(id, _)| *id).collect();
--- a/node/src/node/drafts.rs
+++ b/node/src/node/drafts.rs
@@ -176,7 +176,7 @@
         let (Some(drafting), Some(membership)) = (&mut self.drafting, &self.membership) else { return };
         drafting.names =
             membership.roster().1.map(|(number, name)| (MemberId(number.0), name.into())).collect();
-        let there = membership.there();
+        let there = membership.present_count();
         drafting.drafts.set_members(drafting.names.keys().copied(), there);
         self.share_agreed();
     }
@@ -292,7 +292,7 @@
             return;
         }
         if let Some(membership) = &self.membership {
-            d.drafts.set_members(d.names.keys().copied(), membership.there());
+            d.drafts.set_members(d.names.keys().copied(), membership.present_count());
         }
         d.told.retain(|host, _| self.hosts.knows(host));
         let mut out = Vec::new();
--- a/node/src/node/life.rs
+++ b/node/src/node/life.rs
@@ -4,7 +4,7 @@
 
 impl Node {
     /// Takes over what the process whose place this one takes was told by operators.
-    pub(super) fn inherit(&mut self, state: &State) {
+    pub(super) fn inherit(&mut self, state: &ProcessState) {
         let now = self.clock.now();
         for id in &state.out {
             self.bar_by_hand(now, &id.as_str().into(), true);
@@ -31,7 +31,7 @@
         self.admission.bound_memory(share);
         self.gradual.bound(share);
         let now = self.clock.now();
-        self.control.bound(descriptors.callers());
+        self.control.set_max_callers(descriptors.callers());
         let bounds = self.bound_descriptors(now, bounds);
         self.hosts.bound((bounds.hosts, share));
         let clients = bounds.clients;
@@ -57,13 +57,13 @@
     }
 
     /// What another process of this address says or wants.
-    pub(super) fn hear_peer(&mut self, now: Micros, news: News) {
+    pub(super) fn hear_peer(&mut self, now: Micros, news: PeerEvent) {
         match news {
-            News::Arrived(id, _) if self.gradual.is_busy() => {
+            PeerEvent::Arrived(id, _) if self.gradual.is_busy() => {
                 self.log.line(now, "a further process came during a rollout and was turned away");
-                self.upgrade.turn_away(id, "a rollout is under way");
+                self.upgrade.refuse(id, "a rollout is under way");
             }
-            News::Arrived(id, hail) => {
+            PeerEvent::Arrived(id, hail) => {
                 let hail = hail.and_then(|hail| Some((self.may_be_candidate(&hail)?, hail)));
                 let socket = self.client_listener.as_ref().map(Listener::share);
                 let Some(Ok(socket)) = socket else { return };
@@ -78,7 +78,7 @@
                 self.upgrade.hand_over(id, state, socket);
                 self.resize();
             }
-            News::Said(Message::Ready) => {
+            PeerEvent::Message(Message::Ready) => {
                 // Who is queued is taken by the new process, from the same socket.
                 self.log.line(now, "the new process takes clients");
                 self.succeeded = true;
@@ -87,27 +87,29 @@
                 self.membership.take().into_iter().for_each(Membership::close);
                 self.part(now);
             }
-            News::Said(Message::Host { id, out }) => {
+            PeerEvent::Message(Message::Host { id, out }) => {
                 let way = if out { "out by hand" } else { "back in" };
                 self.log.line(now, format_args!("host {id} is {way}, the other process was told"));
                 self.bar_by_hand(now, &id.as_str().into(), out)
             }
-            News::Said(Message::Standby { on }) => self.stand_by(now, on),
-            News::Said(Message::Admission(call)) => drop(self.set_prefix(now, &call)),
-            News::Said(Message::Learnt { addresses }) => self.admission.inherit(now, addresses),
-            News::Said(Message::Tally { clients, ration }) => {
+            PeerEvent::Message(Message::Standby { on }) => self.stand_by(now, on),
+            PeerEvent::Message(Message::Admission(call)) => drop(self.set_prefix(now, &call)),
+            PeerEvent::Message(Message::Learned { addresses }) => self.admission.inherit(now, addresses),
+            PeerEvent::Message(Message::Tally { clients, tallies }) => {
                 self.peer_clients = clients;
                 self.resize();
-                let legacy = HandoverState { tallies: upgrade::heard(&ration), ..HandoverState::default() };
+                let legacy =
+                    HandoverState { tallies: upgrade::from_rows(&tallies), ..HandoverState::default() };
                 self.run_engine(|engine, out| engine.inherit(now, legacy, out));
             }
-            News::Said(Message::HalfClosed { seq, since }) => {
+            PeerEvent::Message(Message::HalfClosed { seq, since }) => {
                 self.client_of_holder_half_closed(now, seq, since)
             }
-            News::Said(Message::Hello { .. } | Message::State(_) | Message::Busy { .. } | Message::Other) => {
-            }
-            News::Word(word) => self.hear_word(now, *word),
-            News::Left(why) => {
+            PeerEvent::Message(
+                Message::Hello { .. } | Message::State(_) | Message::Busy { .. } | Message::Other,
+            ) => {}
+            PeerEvent::Frame(word) => self.hear_word(now, *word),
+            PeerEvent::Disconnected(why) => {
                 if !self.rollout_peer_left(now, &why) {
                     self.log.line(now, "the other process is gone");
                 }
@@ -129,14 +131,14 @@
 
     /// Tells the successor what this process holds, and what counts for the ration of both.
     pub(super) fn tell_tally(&mut self, now: Micros) {
-        let ration = upgrade::told(self.engine.tallies(self.tallied));
+        let tallies = upgrade::to_rows(self.engine.tallies(self.tallied));
         self.tallied = now;
-        self.upgrade.tell(&Message::Tally { clients: self.clients(), ration });
+        self.upgrade.send(&Message::Tally { clients: self.clients(), tallies });
     }
 
-    pub(super) fn state(&mut self) -> State {
+    pub(super) fn state(&mut self) -> ProcessState {
         self.tallied = self.clock.now();
-        let mut state = State {
+        let mut state = ProcessState {
             out: self.by_hand.iter().map(|h| h.0.to_string()).collect(),
             standby: self.standby,
             admission: self.admission.state(self.tallied),
@@ -145,9 +147,9 @@
                 Side::Platform(_, bus) => Some(bus.place()),
                 Side::Operator { .. } => None,
             },
-            ..State::default()
+            ..ProcessState::default()
         };
-        state.set_legacy(self.engine.handover_state());
+        state.set_engine_state(self.engine.handover_state());
         state
     }
 
@@ -158,7 +160,7 @@
         let listener = Listener::open(&self.handle, listener, Wake::Clients);
         self.client_listener =
             Some(listener.map_err(|e| format!("cannot listen on {}: {e}", self.config.listen))?);
-        self.upgrade.tell(&Message::Ready);
+        self.upgrade.send(&Message::Ready);
         self.log.line(now, "taking clients");
         self.attend_members();
         self.attend_accord(now);
@@ -169,7 +171,7 @@
     /// Is found by a new process from now on. Without that, an upgrade is a restart.
     pub(super) fn announce(&mut self, now: Micros) {
         let address = self.client_listener.as_ref().and_then(Listener::address).unwrap_or(self.config.listen);
-        if let Err(e) = self.upgrade.announce(address) {
+        if let Err(e) = self.upgrade.listen(address) {
             self.log.line(now, format_args!("new processes will not find this one: {e}"));
         }
     }
@@ -263,7 +265,7 @@
     pub fn reload(&mut self, config: Result<Config, String>) {
         let now = self.clock.now();
         let taken = config.and_then(|config| {
-            self.config.may_be_followed_by(&config)?;
+            self.config.check_replacement(&config)?;
             self.may_be_followed(&config)?;
             self.take_up(now, config)
         });
@@ -278,19 +280,19 @@
     pub(super) fn take_up(&mut self, now: Micros, config: Config) -> Result<String, String> {
         let d = &config.deployment;
         let idle = d.transport.conn_idle;
-        let (source, moved) = match (&mut self.side, &config.side) {
-            (Side::Platform(front, bus), config::Side::Platform { bus: address, .. }) => {
+        let (source, moved) = match (&mut self.side, &config.mode) {
+            (Side::Platform(front, bus), config::Mode::Platform { bus: address, .. }) => {
                 front.conn_idle = idle;
                 (format!("bus {address}"), (bus.address != *address).then_some(*address))
             }
             (
                 Side::Operator { front, hosts, classes, .. },
-                config::Side::Operator { resolver, bounds, .. },
+                config::Mode::Operator { resolver, bounds, .. },
             ) => {
                 let failed = |e| format!("no socket for queries to {resolver}: {e}");
                 hosts.moved(*resolver).map_err(failed)?;
                 front.retune(idle, *bounds, (d.classes.clone(), d.tenants.clone()));
-                if let config::Side::Operator { classes: new, .. } = &config.side {
+                if let config::Mode::Operator { classes: new, .. } = &config.mode {
                     classes.clone_from(new);
                 }
                 (format!("resolver {resolver}"), None)
--- a/node/src/node/news.rs
+++ b/node/src/node/news.rs
@@ -213,7 +213,7 @@
             self.attend_drafts(now);
             return self.membership.take().into_iter().for_each(Membership::close);
         };
-        if self.membership.as_mut().is_some_and(|membership| membership.retune(setup)) {
+        if self.membership.as_mut().is_some_and(|membership| membership.reconfigure(setup)) {
             self.attend_drafts(now);
             return self.meet_turns();
         }
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -27,18 +27,18 @@
     }
 
     /// Does what an operator asks for, and says whether that could be done.
-    pub(super) fn operate(&mut self, now: Micros, call: control::Call) -> Response {
+    pub(super) fn operate(&mut self, now: Micros, call: control::Command) -> Response {
         match call {
-            control::Call::Status => self.status(now),
-            control::Call::Metrics => self.show_metrics(),
-            control::Call::Rollout(call) => self.operate_rollout(now, call),
-            control::Call::Admission(call) => self.operate_admission(now, call),
-            control::Call::Drafts => match &self.drafting {
+            control::Command::Status => self.status(now),
+            control::Command::Metrics => self.show_metrics(),
+            control::Command::Rollout(call) => self.operate_rollout(now, call),
+            control::Command::Admission(call) => self.operate_admission(now, call),
+            control::Command::Drafts => match &self.drafting {
                 Some(drafting) => Response::json(200, drafting.show()),
                 None => Response::problem(404, "this activator learns no drafts"),
             },
-            control::Call::Accord(change) => self.operate_accord(now, change.map(|change| *change)),
-            control::Call::Members { leave } => {
+            control::Command::Accord(change) => self.operate_accord(now, change.map(|change| *change)),
+            control::Command::Members { leave } => {
                 if leave {
                     self.leave_members(now);
                 }
@@ -47,8 +47,8 @@
                     None => Response::problem(404, "this activator watches no others"),
                 }
             }
-            control::Call::Turns => self.show_turns(),
-            control::Call::Host { id, out } => {
+            control::Command::Turns => self.show_turns(),
+            control::Command::Host { id, out } => {
                 let host: WorkerId = id.as_str().into();
                 if !self.hosts.knows(&host) {
                     return Response::problem(404, "no script host has this id");
@@ -62,16 +62,16 @@
                         format_args!("host {id} is {}", if out { "out by hand" } else { "back in" }),
                     );
                     self.bar_by_hand(now, &host, out);
-                    self.upgrade.tell(&Message::Host { id: id.clone(), out });
+                    self.upgrade.send(&Message::Host { id: id.clone(), out });
                 }
                 Response::json(200, serde_json::json!({"host": id, "out": out}))
             }
-            control::Call::Standby(on) => {
+            control::Command::Standby(on) => {
                 if self.stopping.is_some() && !on {
                     return Response::problem(409, "the program has been told to end");
                 }
                 self.stand_by(now, on);
-                self.upgrade.tell(&Message::Standby { on });
+                self.upgrade.send(&Message::Standby { on });
                 Response::json(200, serde_json::json!({"standby": on}))
             }
         }
--- a/node/src/node/request_log.rs
+++ b/node/src/node/request_log.rs
@@ -85,7 +85,7 @@
 
     /// Looks whether the wall clock was stepped since the last look.
     pub(super) fn look_for_clock_step(&mut self, now: Micros) {
-        let Some(step) = self.clock_steps.look() else { return };
+        let Some(step) = self.clock_steps.poll() else { return };
         self.metrics.clock_steps.inc_by(self.clock_steps.count() - self.metrics.clock_steps.get());
         self.metrics.clock_stepped.set(seconds(self.clock_steps.total()));
         self.log.line(now, format_args!("the wall clock was stepped by {:+.3} s", seconds(step)));
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -311,7 +311,7 @@
             (Side::Operator { front, .. }, Origin::Invoke(origin)) => {
                 front.reply(now, origin, reply, &mut self.log)
             }
-            (_, Origin::Peer(seq)) => self.answer_holder(*seq, reply, Said::default()),
+            (_, Origin::Peer(seq)) => self.answer_holder(*seq, reply, AnswerFields::default()),
             _ => {}
         }
     }
@@ -326,7 +326,11 @@
                 if let Some(pending) = self.pending.get_mut(&attempt.ticket) {
                     if let Some(passed) = &mut pending.passed {
                         let done = end.outcome == Outcome::Done;
-                        passed.said = if done { Said::of(&fields, end.report) } else { Said::default() };
+                        passed.said = if done {
+                            AnswerFields::from_answer(&fields, end.report)
+                        } else {
+                            AnswerFields::default()
+                        };
                     }
                     pending.answer = (end.outcome == Outcome::Done).then_some((attempt, body));
                 }
--- a/node/src/node/rollout.rs
+++ b/node/src/node/rollout.rs
@@ -13,11 +13,11 @@
 };
 
 use super::*;
-use crate::config::rollout::Begin;
-use crate::control::RolloutCall;
-use crate::ipc::more::{Given, More, Place, Said};
-use crate::ipc::{self, Passed, Word};
-use crate::upgrade::{Hail, Process};
+use crate::config::rollout::StartOn;
+use crate::control::RolloutCommand;
+use crate::ipc::fields::{AnswerFields, CallFields, Fields, Site};
+use crate::ipc::{self, Frame, PassedCall};
+use crate::upgrade::{Process, VersionInfo};
 
 /// Calls that the candidate decides at once: at 30,000 calls a second, those of 17 ms.
 const MOST_PASSED: usize = 512;
@@ -87,7 +87,7 @@
     seq: u64,
     counts: Counts,
     /// The other side's name and classes, what binds both, and where they differ.
-    peer: Hail,
+    peer: VersionInfo,
     bound: Vec<ClassPolicy>,
     differ: Vec<PolicyDifference>,
     heard: Micros,
@@ -119,7 +119,7 @@
             protocol: 0,
             seq: 0,
             counts: Counts::default(),
-            peer: Hail::default(),
+            peer: VersionInfo::default(),
             bound: Vec::new(),
             differ: Vec::new(),
             heard: 0,
@@ -213,7 +213,7 @@
     pub(super) fn rebind(&mut self, now: Micros) {
         if self.gradual.role != Role::Alone {
             let classes = classes(&self.config.deployment);
-            self.upgrade.say(&Word::Classes(classes));
+            self.upgrade.send_frame(&Frame::Classes(classes));
             self.bind(now);
         }
     }
@@ -232,7 +232,7 @@
 }
 
 impl Node {
-    pub(super) fn hear_word(&mut self, now: Micros, word: Word) {
+    pub(super) fn hear_word(&mut self, now: Micros, word: Frame) {
         (self.gradual.heard, self.gradual.looks) = (now, 0);
         let heard = match self.gradual.role {
             Role::Holder => self.holder_hears(now, word),
@@ -265,7 +265,7 @@
     /// What is due; `often` is true a few times a second.
     pub(super) fn tick_rollout(&mut self, now: Micros, often: bool) {
         for seq in self.gradual.ledger.take_overdue(now) {
-            self.upgrade.say(&Word::Left { seq });
+            self.upgrade.send_frame(&Frame::Abandoned { seq });
             self.answer(now, ticket(seq), Verdict::TimedOut);
         }
         match self.gradual.role {
@@ -281,7 +281,7 @@
             Role::Holder => self.tend_candidate(now),
             Role::Candidate | Role::Successor => {
                 let caught_up = self.is_caught_up(now);
-                self.upgrade.say(&Word::Stands { caught_up });
+                self.upgrade.send_frame(&Frame::CandidateAlive { caught_up });
                 if self.gradual.role == Role::Candidate {
                     self.tell_ration(now);
                 }
@@ -297,17 +297,17 @@
     }
 
     pub(super) fn tell_ration(&mut self, now: Micros) {
-        let ration = upgrade::told(self.engine.tallies(self.tallied));
+        let ration = upgrade::to_rows(self.engine.tallies(self.tallied));
         self.tallied = now;
         if !ration.is_empty() {
-            self.upgrade.say(&Word::Ration(ration));
+            self.upgrade.send_frame(&Frame::Tallies(ration));
         }
     }
 
     /// The client of a passed call has ended its side of the connection. False where the call was not passed.
     pub(super) fn passed_half_closed(&mut self, of: Ticket, since: Micros) -> bool {
         let Some(seq) = seq(of) else { return false };
-        self.upgrade.tell(&Message::HalfClosed { seq, since });
+        self.upgrade.send(&Message::HalfClosed { seq, since });
         true
     }
 
@@ -320,7 +320,7 @@
 
     fn tend_candidate(&mut self, now: Micros) {
         let (life, percent) = (self.gradual.machine.phase(), self.gradual.machine.share().percent());
-        self.upgrade.say(&Word::Holds { life: life.as_str().into(), percent });
+        self.upgrade.send_frame(&Frame::HolderAlive { phase: life.as_str().into(), percent });
         let due = if life == Phase::Complete { 0.0 } else { percent / 100.0 };
         self.engine.set_peer_share(due);
         if !self.succeeded {
@@ -332,9 +332,9 @@
         let looked = Micros::from(self.gradual.looks) * HOUSEKEEPING * 2 >= patience;
         if now - self.gradual.heard >= patience && looked {
             // This process may have been held up itself: what waits to be read counts.
-            let before = self.upgrade.news.len();
+            let before = self.upgrade.events.len();
             self.upgrade.poll_peer();
-            if self.upgrade.news.len() == before {
+            if self.upgrade.events.len() == before {
                 return self.give_up(now, "it says nothing");
             }
         }
--- a/node/src/node/rollout/candidate.rs
+++ b/node/src/node/rollout/candidate.rs
@@ -5,45 +5,45 @@
 
 impl Node {
     /// This process begins as a candidate.
-    pub(in crate::node) fn be_candidate(&mut self, now: Micros, holder: Hail, ration: Vec<Tally>) {
+    pub(in crate::node) fn be_candidate(&mut self, now: Micros, holder: VersionInfo, ration: Vec<Tally>) {
         self.log.line(now, format_args!("rollout: a candidate beside version {}", holder.version));
         let g = &mut self.gradual;
         (g.role, g.peer, g.ration, g.heard) = (Role::Candidate, holder, ration, now);
         self.bind(now);
     }
 
-    pub(super) fn candidate_hears(&mut self, now: Micros, word: Word) -> Result<(), String> {
+    pub(super) fn candidate_hears(&mut self, now: Micros, word: Frame) -> Result<(), String> {
         let successor = self.gradual.role == Role::Successor;
         match word {
-            Word::Holds { life, percent } => self.gradual.told = (life, percent),
-            Word::Call(call) => self.take_passed(now, call, None),
-            Word::CallWith(call, more) => self.take_passed(now, call, Some(more)),
-            Word::Left { seq } => {
+            Frame::HolderAlive { phase, percent } => self.gradual.told = (phase, percent),
+            Frame::Call(call) => self.take_passed(now, call, None),
+            Frame::CallExt(call, more) => self.take_passed(now, call, Some(more)),
+            Frame::Abandoned { seq } => {
                 if let Some(ticket) = self.gradual.calls.remove(&seq) {
                     self.client_left(ticket);
                 }
             }
-            Word::Grant { order, granted } => self.granted(now, OrderId(order), granted),
-            Word::Sent { host, at } => self.note_sent(now, host.as_str().into(), at),
-            Word::Ration(told) if successor => {
-                let legacy = HandoverState { tallies: upgrade::heard(&told), ..HandoverState::default() };
+            Frame::OrderReply { order, granted } => self.granted(now, OrderId(order), granted),
+            Frame::ColdSend { host, at } => self.note_sent(now, host.as_str().into(), at),
+            Frame::Tallies(told) if successor => {
+                let legacy = HandoverState { tallies: upgrade::from_rows(&told), ..HandoverState::default() };
                 self.run_engine(|engine, out| engine.inherit(now, legacy, out));
             }
-            Word::Ration(told) => {
+            Frame::Tallies(told) => {
                 let period = self.config.deployment.settings.load_budget.map_or(0, |b| b.period);
-                self.gradual.ration.extend(upgrade::heard(&told));
+                self.gradual.ration.extend(upgrade::from_rows(&told));
                 self.gradual.ration.retain(|t| t.at > now - period);
             }
-            Word::Classes(classes) => {
+            Frame::Classes(classes) => {
                 self.gradual.peer.classes = classes;
                 self.bind(now);
             }
-            Word::TakeOver => {
+            Frame::TakeOver => {
                 self.gradual.role = Role::Successor;
                 self.inherit_ration(now);
                 self.log.line(now, "rollout: complete, this version takes the clients");
             }
-            Word::Dismiss { why } => {
+            Frame::Dismiss { reason: why } => {
                 self.log.line(now, format_args!("rollout: the old version wants this one no more: {why}"));
                 self.gradual.dismissed = Some(why);
             }
@@ -60,7 +60,7 @@
 
     /// A call is passed to this process, with the turn that it carries, what it is to draft and where it is best served.
     /// All that is learnt of it is the holder's: here nothing of it is counted.
-    pub(super) fn take_passed(&mut self, now: Micros, passed: Passed, more: Option<More>) {
+    pub(super) fn take_passed(&mut self, now: Micros, passed: PassedCall, more: Option<Fields>) {
         let seq = passed.seq;
         let d = &self.config.deployment;
         let class = d.class(&passed.class).filter(|_| !self.ids.contains(passed.id.as_str()));
@@ -70,7 +70,7 @@
         let class = class.filter(|_| tenant != Some(None));
         let class = class.filter(|_| self.admission.take_memory(Owner::Others, size));
         let Some(class) = class else {
-            self.upgrade.say(&Word::Return { seq });
+            self.upgrade.send_frame(&Frame::Return { seq });
             return;
         };
         let new = NewRequest {
@@ -85,14 +85,14 @@
             // The holder says so in a word of its own, after the call.
             half_closed: None,
         };
-        let (given, refused) = more.as_ref().map(Given::read).unwrap_or_default();
+        let (given, refused) = more.as_ref().map(CallFields::parse).unwrap_or_default();
         for why in refused {
             self.log.line(now, format_args!("rollout: a field of call {} is refused: {why}", passed.id));
         }
         let draft = given.draft.map_or(String::new(), |draft| format!(",draft={draft}"));
         let blocks = given.turn.as_ref().map_or(String::new(), |(.., prefix)| lines::blocks(prefix));
         let from = FromHolder { line: draft + &blocks, ..FromHolder::default() };
-        let advice = self.follow(now, &given.places, &new);
+        let advice = self.follow(now, &given.sites, &new);
         let call = Call {
             id: passed.id.into(),
             class: passed.class,
@@ -122,14 +122,14 @@
 
     /// The places that the holder advises, as spots of this process's own list; where copies stand there by the file,
     /// the engine is told of them.
-    fn follow(&mut self, now: Micros, places: &[Place], new: &NewRequest) -> Vec<PreferredLocation> {
+    fn follow(&mut self, now: Micros, places: &[Site], new: &NewRequest) -> Vec<PreferredLocation> {
         let zones = &self.config.deployment.zones;
-        let spot = |place: &Place| match place {
-            Place::Cell(cell) => Some(PreferredLocation::Cell(*cell)),
-            Place::Zone(name) => {
+        let spot = |place: &Site| match place {
+            Site::Cell(cell) => Some(PreferredLocation::Cell(*cell)),
+            Site::Zone(name) => {
                 zones.iter().position(|z| z == name).map(|zone| PreferredLocation::Zone(zone as u32))
             }
-            Place::Host(name) => Some(PreferredLocation::Worker(name.as_str().into())),
+            Site::Host(name) => Some(PreferredLocation::Worker(name.as_str().into())),
         };
         let advice = places.iter().filter_map(spot).collect();
         self.stand_at(now, places, &new.function, new.lanes);
@@ -137,7 +137,7 @@
     }
 
     /// Answers a call that was passed to this process.
-    pub(in crate::node) fn answer_holder(&mut self, seq: u64, reply: Reply, said: Said) {
+    pub(in crate::node) fn answer_holder(&mut self, seq: u64, reply: Reply, said: AnswerFields) {
         self.gradual.calls.remove(&seq);
         let (reply, body) = match reply {
             Reply::Served(body) => (ipc::Reply::Served, body),
@@ -147,10 +147,10 @@
             Reply::TimedOut => (ipc::Reply::TimedOut, Vec::new()),
         };
         // Empty for a call that came without further fields: its holder may not know of any.
-        let more = if reply == ipc::Reply::Served { said.more() } else { More::default() };
-        self.upgrade.say(&match more.is_empty() {
-            true => Word::Answer { seq, reply, body },
-            false => Word::AnswerWith { seq, reply, body, more },
+        let more = if reply == ipc::Reply::Served { said.to_fields() } else { Fields::default() };
+        self.upgrade.send_frame(&match more.is_empty() {
+            true => Frame::Answer { seq, reply, body },
+            false => Frame::AnswerExt { seq, reply, body, fields: more },
         });
     }
 
@@ -167,8 +167,8 @@
         };
         if let Origin::Peer(seq) = pending.origin {
             let AttemptId { number, .. } = attempt;
-            let word = Word::Intent { seq, number, host: host.0.to_string(), at: now };
-            let left = match self.upgrade.say(&word) {
+            let word = Frame::Intent { seq, number, host: host.0.to_string(), at: now };
+            let left = match self.upgrade.send_frame(&word) {
                 Some(by) if self.gradual.waiting.len() < MOST_WAITING => by,
                 _ => return self.never_left(now, attempt),
             };
@@ -176,7 +176,7 @@
             return self.send_told(now);
         }
         if self.gradual.role == Role::Holder && self.engine.is_cold(&host) {
-            self.upgrade.say(&Word::Sent { host: host.0.to_string(), at: now });
+            self.upgrade.send_frame(&Frame::ColdSend { host: host.0.to_string(), at: now });
         }
         let more = self.draft_for(attempt, &host) + &self.blocks_of(attempt.ticket);
         if let Some(pending) = self.pending.get(&attempt.ticket) {
@@ -189,7 +189,7 @@
     pub(in crate::node) fn withheld(&mut self, now: Micros, attempt: AttemptId, host: WorkerId) {
         if let Some(Origin::Peer(seq)) = self.pending.get(&attempt.ticket).map(|p| &p.origin) {
             let (seq, number, host) = (*seq, attempt.number, host.0.to_string());
-            self.upgrade.say(&Word::Intent { seq, number, host, at: now });
+            self.upgrade.send_frame(&Frame::Intent { seq, number, host, at: now });
         }
         self.never_left(now, attempt);
     }
@@ -201,7 +201,7 @@
 
     /// Sends the attempts whose words have left by now.
     pub(in crate::node) fn send_told(&mut self, now: Micros) {
-        let taken = self.upgrade.taken();
+        let taken = self.upgrade.sent_bytes();
         while self.gradual.waiting.front().is_some_and(|(by, ..)| *by <= taken) {
             let Some((_, attempt, host, times)) = self.gradual.waiting.pop_front() else { return };
             match self.pending.get(&attempt.ticket) {
@@ -226,8 +226,9 @@
     pub(in crate::node) fn tell_end(&mut self, attempt: AttemptId, end: Outcome) {
         let origin = self.pending.get(&attempt.ticket).map(|p| &p.origin);
         if let (Some(Origin::Peer(seq)), true) = (origin, end != Outcome::Done) {
-            let word = Word::Ended { seq: *seq, number: attempt.number, end: ipc::number(end) };
-            self.upgrade.say(&word);
+            let word =
+                Frame::AttemptEnded { seq: *seq, number: attempt.number, code: ipc::outcome_code(end) };
+            self.upgrade.send_frame(&word);
         }
     }
 
@@ -244,7 +245,7 @@
             return self.hosts.load(now, order, &host, (&function, copies), &mut self.log);
         }
         let may_ask = self.gradual.asked.len() < MOST_ASKED && now >= self.gradual.ask_again;
-        let asked = may_ask && self.upgrade.say(&Word::Ask { order: order.0 }).is_some();
+        let asked = may_ask && self.upgrade.send_frame(&Frame::OrderRequest { order: order.0 }).is_some();
         if asked {
             self.gradual.asked.insert(order, (host, function, copies));
         } else {
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -6,21 +6,21 @@
 use super::*;
 
 /// The highest protocol that both speak.
-fn spoken(hail: &Hail) -> Option<u32> {
+fn spoken(hail: &VersionInfo) -> Option<u32> {
     hail.protocols.iter().copied().filter(|p| ipc::PROTOCOLS.contains(p)).max()
 }
 
 impl Node {
     /// Whether a new process may be a candidate, and what it is answered.
-    pub(in crate::node) fn may_be_candidate(&self, hail: &Hail) -> Option<Hail> {
+    pub(in crate::node) fn may_be_candidate(&self, hail: &VersionInfo) -> Option<VersionInfo> {
         let rollout = self.config.rollout.as_ref()?;
         let protocol = spoken(hail)?;
         let classes = classes(&self.config.deployment);
-        Some(Hail { protocols: vec![protocol], version: rollout.version(), classes })
+        Some(VersionInfo { protocols: vec![protocol], version: rollout.version(), classes })
     }
 
     /// A candidate has been given its state.
-    pub(in crate::node) fn attach(&mut self, now: Micros, hail: Hail) {
+    pub(in crate::node) fn attach(&mut self, now: Micros, hail: VersionInfo) {
         self.log.line(now, format_args!("rollout: version {} is there as a candidate", hail.version));
         let g = &mut self.gradual;
         g.protocol = spoken(&hail).unwrap_or(0);
@@ -63,7 +63,7 @@
         }
         let tenant = pending.new.tenant.and_then(|t| self.config.deployment.tenants.get(t).cloned());
         let seq = self.gradual.seq + 1;
-        let call = Passed {
+        let call = PassedCall {
             seq,
             id: call.id.to_string(),
             class: call.class.clone(),
@@ -75,16 +75,16 @@
             key: call.key.clone(),
             body: call.body.to_vec(),
         };
-        let (mut given, mut offer) = (Given::default(), None);
-        if self.gradual.protocol >= ipc::WITH_MORE {
+        let (mut given, mut offer) = (CallFields::default(), None);
+        if self.gradual.protocol >= ipc::FIELDS_PROTOCOL {
             offer = self.offer_draft(pending);
             given.turn = turn.map(|t| (t.conversation, t.new_blocks, t.prefix.clone()));
             given.draft = offer.as_ref().map(|offer| offer.draft);
-            given.places = advice.iter().filter_map(|spot| self.place(spot)).collect();
+            given.sites = advice.iter().filter_map(|spot| self.place(spot)).collect();
         }
-        let more = given.more();
-        let word = if more.is_empty() { Word::Call(call) } else { Word::CallWith(call, more) };
-        self.upgrade.say(&word)?;
+        let more = given.to_fields();
+        let word = if more.is_empty() { Frame::Call(call) } else { Frame::CallExt(call, more) };
+        self.upgrade.send_frame(&word)?;
         self.offered(ticket(seq), offer);
         let passed = self.gradual.ledger.pass(seq, &terms, pending.new.due, size);
         debug_assert!(passed.is_ok(), "there was room");
@@ -93,19 +93,19 @@
     }
 
     /// A spot as the other version knows it too.
-    fn place(&self, spot: &PreferredLocation) -> Option<Place> {
+    fn place(&self, spot: &PreferredLocation) -> Option<Site> {
         match spot {
-            PreferredLocation::Cell(cell) => Some(Place::Cell(*cell)),
+            PreferredLocation::Cell(cell) => Some(Site::Cell(*cell)),
             PreferredLocation::Zone(zone) => {
-                self.config.deployment.zones.get(*zone as usize).cloned().map(Place::Zone)
+                self.config.deployment.zones.get(*zone as usize).cloned().map(Site::Zone)
             }
-            PreferredLocation::Worker(host) => Some(Place::Host(host.0.to_string())),
+            PreferredLocation::Worker(host) => Some(Site::Host(host.0.to_string())),
         }
     }
 
     /// Whether a call that goes by this ticket has its turn and its draft with it.
     pub(in crate::node) fn carries(&self, of: Ticket) -> bool {
-        seq(of).is_none() || self.gradual.protocol >= ipc::WITH_MORE
+        seq(of).is_none() || self.gradual.protocol >= ipc::FIELDS_PROTOCOL
     }
 
     /// An attempt of a passed call may run from now on: it counts here, as this process's own do.
@@ -136,7 +136,7 @@
     pub(in crate::node) fn passed_left(&mut self, of: Ticket) -> bool {
         let Some(seq) = seq(of) else { return false };
         if self.gradual.ledger.remove(seq) {
-            self.upgrade.say(&Word::Left { seq });
+            self.upgrade.send_frame(&Frame::Abandoned { seq });
         }
         true
     }
@@ -173,10 +173,10 @@
     }
 
     /// What a word says of attempts and answers, which counts up to the last one that is read; other words are given back.
-    fn hear_of_attempt(&mut self, now: Micros, word: Word) -> Result<Option<Word>, String> {
+    fn hear_of_attempt(&mut self, now: Micros, word: Frame) -> Result<Option<Frame>, String> {
         let ledger = &mut self.gradual.ledger;
         match word {
-            Word::Intent { seq, number, host, at } => {
+            Frame::Intent { seq, number, host, at } => {
                 let host: WorkerId = host.as_str().into();
                 // One that cannot be told from a fault may have run all the same: no end will come for it.
                 if ledger.attempt_announced(seq, number, &host, at).map_err(|fault| fault.0)? {
@@ -184,16 +184,18 @@
                 }
                 self.note_sent(now, host, at);
             }
-            Word::Ended { seq, number, end } => {
-                let end = ipc::ENDS.get(usize::from(end)).ok_or("an end that is none")?;
+            Frame::AttemptEnded { seq, number, code: end } => {
+                let end = ipc::OUTCOMES.get(usize::from(end)).ok_or("an end that is none")?;
                 if ledger.attempt_ended(seq, number, *end).map_err(|fault| fault.0)? {
                     self.passed_ends(now, seq, (*end).into(), &[]);
                 }
             }
-            Word::Answer { seq, reply, body } => {
-                self.hear_answer(now, seq, reply, body, &More::default())?;
+            Frame::Answer { seq, reply, body } => {
+                self.hear_answer(now, seq, reply, body, &Fields::default())?;
+            }
+            Frame::AnswerExt { seq, reply, body, fields: more } => {
+                self.hear_answer(now, seq, reply, body, &more)?
             }
-            Word::AnswerWith { seq, reply, body, more } => self.hear_answer(now, seq, reply, body, &more)?,
             other => return Ok(Some(other)),
         }
         Ok(None)
@@ -205,7 +207,7 @@
         seq: u64,
         reply: ipc::Reply,
         body: Vec<u8>,
-        more: &More,
+        more: &Fields,
     ) -> Result<(), String> {
         let refused = matches!(reply, ipc::Reply::Refused(_));
         // A second one, or one that comes late, is of a call that is over: nothing of it counts.
@@ -213,40 +215,40 @@
             return Ok(());
         }
         if reply == ipc::Reply::Served {
-            let (said, refused) = Said::read(more);
+            let (said, refused) = AnswerFields::parse(more);
             for why in refused {
                 self.log.line(now, format_args!("rollout: a field of an answer is refused: {why}"));
             }
-            let end = AttemptEnd { report: said.report(), ..Outcome::Done.into() };
+            let end = AttemptEnd { report: said.load_report(), ..Outcome::Done.into() };
             self.passed_ends(now, seq, end, &said.fields);
         }
         self.answer_passed(now, seq, reply, body);
         Ok(())
     }
 
-    pub(super) fn holder_hears(&mut self, now: Micros, word: Word) -> Result<(), String> {
+    pub(super) fn holder_hears(&mut self, now: Micros, word: Frame) -> Result<(), String> {
         let Some(word) = self.hear_of_attempt(now, word)? else { return Ok(()) };
         let g = &mut self.gradual;
         match word {
-            Word::Stands { caught_up } => {
+            Frame::CandidateAlive { caught_up } => {
                 g.caught_up = caught_up;
                 if caught_up && g.machine.phase() == Phase::Idle {
                     self.begin_by_file(now);
                 }
             }
-            Word::Return { seq } => {
+            Frame::Return { seq } => {
                 if g.ledger.returned(seq).map_err(|fault| fault.0.to_string())? {
                     g.counts.given_back += 1;
                     self.settle_fate(now, seq, Recovery::Rerun(Vec::new()));
                 }
             }
-            Word::Ask { order } => {
+            Frame::OrderRequest { order } => {
                 let granted = self.engine.grant_order(now);
                 self.gradual.counts.granted += u64::from(granted);
                 self.gradual.counts.denied += u64::from(!granted);
-                self.upgrade.say(&Word::Grant { order, granted });
+                self.upgrade.send_frame(&Frame::OrderReply { order, granted });
             }
-            Word::Ration(told) => {
+            Frame::Tallies(told) => {
                 // Its orders were counted when they were granted.
                 let calls = told.into_iter().map(|(at, calls, _)| Tally { at, calls, orders: 0 });
                 let legacy = HandoverState {
@@ -256,11 +258,11 @@
                 };
                 self.run_engine(|engine, out| engine.inherit(now, legacy, out));
             }
-            Word::Classes(classes) => {
+            Frame::Classes(classes) => {
                 g.peer.classes = classes;
                 self.bind(now);
             }
-            Word::Leaving => g.machine.candidate_leaving(now),
+            Frame::Leaving => g.machine.candidate_leaving(now),
             _ => return Err("a word that is the holder's".into()),
         }
         Ok(())
@@ -279,7 +281,9 @@
     }
 
     pub(super) fn begin_by_file(&mut self, now: Micros) {
-        let Some(rollout) = self.config.rollout.as_ref().filter(|r| r.begin == Begin::Ready) else { return };
+        let Some(rollout) = self.config.rollout.as_ref().filter(|r| r.begin == StartOn::Ready) else {
+            return;
+        };
         if let Some(plan) = rollout.plan.clone() {
             if let Err(problem) = self.gradual.machine.begin(now, plan, Cause::SettingsFile) {
                 self.log.line(now, format_args!("rollout: not begun: {}", problem.0));
@@ -296,24 +300,24 @@
         self.log.line(now, format_args!("rollout: the new version is given up: {why}"));
         self.gradual.role = Role::Alone;
         let process = self.upgrade.take_process();
-        self.upgrade.say(&Word::Dismiss { why: why.into() });
-        self.upgrade.cut();
+        self.upgrade.send_frame(&Frame::Dismiss { reason: why.into() });
+        self.upgrade.stop_reading();
         // What was told before the cut counts; what is said besides does not.
         let mut others = VecDeque::new();
-        while let Some(news) = self.upgrade.news.pop_front() {
+        while let Some(news) = self.upgrade.events.pop_front() {
             match news {
-                News::Word(word) => self.hear_last(*word),
-                News::Left(_) | News::Said(_) => {}
+                PeerEvent::Frame(word) => self.hear_last(*word),
+                PeerEvent::Disconnected(_) | PeerEvent::Message(_) => {}
                 arrived => others.push_back(arrived),
             }
         }
-        self.upgrade.news = others;
+        self.upgrade.events = others;
         process.iter().for_each(Process::kill);
         self.bury(now, process, Cause::CandidateLost(why));
     }
 
     /// A word read after its speaker was given up: only what tells of attempts and answers counts.
-    pub(super) fn hear_last(&mut self, word: Word) {
+    pub(super) fn hear_last(&mut self, word: Frame) {
         let now = self.clock.now();
         let _ = self.hear_of_attempt(now, word);
     }
@@ -395,13 +399,13 @@
 
     /// Has the candidate take the clients.
     pub(super) fn hand_clients_over(&mut self, now: Micros) {
-        let ration = upgrade::told(self.engine.tallies(0));
+        let ration = upgrade::to_rows(self.engine.tallies(0));
         self.tallied = now;
-        self.upgrade.say(&Word::Ration(ration));
+        self.upgrade.send_frame(&Frame::Tallies(ration));
         if let Some(addresses) = self.admission.state(now) {
-            self.upgrade.tell(&Message::Learnt { addresses });
+            self.upgrade.send(&Message::Learned { addresses });
         }
-        self.upgrade.say(&Word::TakeOver);
+        self.upgrade.send_frame(&Frame::TakeOver);
     }
 
     /// This process was told to end: a candidate that was not taken back has the clients from now on.
@@ -412,7 +416,7 @@
                 None if self.gradual.machine.phase() == Phase::Complete => {}
                 None => self.give_up(now, "the old version ends, and the new one was taken back"),
             },
-            Role::Candidate => drop(self.upgrade.say(&Word::Leaving)),
+            Role::Candidate => drop(self.upgrade.send_frame(&Frame::Leaving)),
             Role::Successor | Role::Alone => {}
         }
     }
--- a/node/src/node/rollout/operate.rs
+++ b/node/src/node/rollout/operate.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 impl Node {
-    pub(in crate::node) fn operate_rollout(&mut self, now: Micros, call: RolloutCall) -> Response {
+    pub(in crate::node) fn operate_rollout(&mut self, now: Micros, call: RolloutCommand) -> Response {
         let conflict = |why: &str| Response::problem(409, why);
         let Some(setup) = &self.config.rollout else {
             return Response::problem(404, "rollouts are not set up: the configuration has no [rollout]");
         };
-        if call == RolloutCall::Show {
+        if call == RolloutCommand::Show {
             return Response::json(200, self.show_rollout(now));
         }
         if matches!(self.gradual.role, Role::Candidate | Role::Successor) {
@@ -18,7 +18,7 @@
             return conflict("the program has been told to end");
         }
         let done = match call {
-            RolloutCall::Begin(plan) => {
+            RolloutCommand::Begin(plan) => {
                 let Some(plan) = plan.map(|p| *p).or_else(|| setup.plan.clone()) else {
                     return Response::problem(400, "there is no plan: neither in the call nor in the file");
                 };
@@ -27,11 +27,11 @@
                 }
                 self.gradual.machine.begin(now, plan, Cause::Operator("begin")).map(|()| None)
             }
-            RolloutCall::Step(to) => self.gradual.machine.step(now, to).map(|()| None),
-            RolloutCall::Hold => self.gradual.machine.hold(now).map(|()| None),
-            RolloutCall::Back => self.gradual.machine.roll_back(now).map(|()| None),
-            RolloutCall::Complete => self.gradual.machine.complete(now),
-            RolloutCall::Show => Ok(None),
+            RolloutCommand::Step(to) => self.gradual.machine.step(now, to).map(|()| None),
+            RolloutCommand::Hold => self.gradual.machine.hold(now).map(|()| None),
+            RolloutCommand::Back => self.gradual.machine.roll_back(now).map(|()| None),
+            RolloutCommand::Complete => self.gradual.machine.complete(now),
+            RolloutCommand::Show => Ok(None),
         };
         match done {
             Err(refusal) => conflict(&refusal.0),
--- a/node/src/node/together.rs
+++ b/node/src/node/together.rs
@@ -11,7 +11,7 @@
 impl Node {
     /// Hands on what the members' socket brought for other parts. What comes for one that is off is dropped.
     pub(super) fn deliver_envelopes(&mut self, now: Micros) {
-        let envelopes = self.membership.as_mut().map(Membership::envelopes).unwrap_or_default();
+        let envelopes = self.membership.as_mut().map(Membership::take_envelopes).unwrap_or_default();
         for Envelope { from, kind, data } in envelopes {
             match kind {
                 Kind::Accord => self.heard_accord(now, from, &data),
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -14,9 +14,9 @@
 };
 
 use super::*;
-use crate::config::turns::{By, Setup};
+use crate::config::turns::{Setup, SiteKind};
 use crate::hosts::lines;
-use crate::ipc::more::Place as Named;
+use crate::ipc::fields::Site;
 use crate::membership::envelope::Kind;
 
 /// For so long a function that is resident is told to be loaded, and so often it is told again.
@@ -122,12 +122,12 @@
     /// A host's site, by what shares a cache here.
     fn site(&mut self, host: &WorkerId, zone: u32, cell: i64, zones: &[String]) -> SiteId {
         let (label, spot) = match self.setup.site {
-            By::Cell if cell >= 0 => (cell.to_string(), PreferredLocation::Cell(cell)),
-            By::Zone => {
+            SiteKind::Cell if cell >= 0 => (cell.to_string(), PreferredLocation::Cell(cell)),
+            SiteKind::Zone => {
                 let name = zones.get(zone as usize).cloned();
                 (name.unwrap_or_else(|| zone.to_string()), PreferredLocation::Zone(zone))
             }
-            By::Cell | By::Host => (host.0.to_string(), PreferredLocation::Worker(host.clone())),
+            SiteKind::Cell | SiteKind::Host => (host.0.to_string(), PreferredLocation::Worker(host.clone())),
         };
         let site = number(&label);
         if self.labels.len() >= 4 * wheellink_turns::MAX_SITES {
@@ -500,13 +500,13 @@
 
     /// Tells the engine of copies that stand at these places, which the holder of a rollout advises for a call of this
     /// function. Nothing where this file knows of no copies that stand, or tells sites apart by something else.
-    pub(super) fn stand_at(&mut self, now: Micros, places: &[Named], function: &FunctionId, lanes: u32) {
+    pub(super) fn stand_at(&mut self, now: Micros, places: &[Site], function: &FunctionId, lanes: u32) {
         let Some(t) = &mut self.turning else { return };
         let by = t.setup.site;
-        let site = |place: &Named| match (place, by) {
-            (Named::Cell(cell), By::Cell) => Some(number(&cell.to_string())),
-            (Named::Zone(name), By::Zone) => Some(number(name)),
-            (Named::Host(name), By::Cell | By::Host) => Some(number(name)),
+        let site = |place: &Site| match (place, by) {
+            (Site::Cell(cell), SiteKind::Cell) => Some(number(&cell.to_string())),
+            (Site::Zone(name), SiteKind::Zone) => Some(number(name)),
+            (Site::Host(name), SiteKind::Cell | SiteKind::Host) => Some(number(name)),
             _ => None,
         };
         let loaded = t.residents(now, places.iter().filter_map(site), function, lanes);
--- a/node/src/upgrade.rs
+++ b/node/src/upgrade.rs
@@ -1,8 +1,9 @@
-//! A new process takes the place of a running one without losing a client.
+//! Takeover: a new process replaces a running one without losing a client.
 //!
-//! The running one listens on a Unix socket whose name is tied to the clients' address. A new one says hello
-//! there and gets what it cannot learn elsewhere, and the listening socket itself: what is queued on it is
-//! lost by neither. Until the old one is gone, each tells the other what operators say.
+//! The running process listens on a Unix socket whose file name is derived from the clients' address. A new process
+//! sends `hello` there and receives the state that it cannot get elsewhere, together with the listening socket
+//! itself, so that connections queued on that socket are not lost. Until the old process ends, each process forwards
+//! operator commands to the other.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut};
@@ -26,149 +27,143 @@
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, SockAddr, Socket, Type};
 use wheellink::{HandoverState, LoadedFunction, Micros, Tally};
-use wheellink_admission::LearnedState as Learnt;
+use wheellink_admission::LearnedState;
 use wheellink_rollout::ClassPolicy;
 
 use crate::clock::TimeBase;
 use crate::conn::ConnId;
-use crate::control::AdmissionCall;
+use crate::control::AdmissionCommand;
 use crate::descriptors::GUESTS;
-use crate::ipc::{self, Word};
+use crate::ipc::{self, Frame};
 use crate::listener;
 use crate::ring::Ring;
-use crate::startup::{AGAIN, GREETING, LEAVING};
+use crate::startup::{BUSY_TIMEOUT, RETRY_PERIOD, TAKEOVER_TIMEOUT};
 use crate::wake::{Handle, Wake, Wakes};
 
-/// What the two say is told apart by this where it changes.
-const VERSION: u32 = 1;
-/// The shortest time-out that is set: none at all would wait without end.
-const SHORTEST: Duration = Duration::from_millis(1);
-/// Longest message: the state.
-const LONGEST: usize = 2 << 20;
-/// Beliefs that are passed on, most called first.
-const MOST_LOADED: usize = 4000;
-/// What may wait each way between the processes of a rollout.
-const IPC_INBOX: usize = ipc::MOST_FRAME + 4;
-const LANE_OUTBOX: usize = 8 << 20;
-
-/// What the two processes say to each other, as one line of JSON each.
+/// Version of the JSON messages. A `hello` with another version is not answered.
+const PROTOCOL_VERSION: u32 = 1;
+/// Lower bound of socket timeouts: a timeout of zero is rejected by the system, and none would wait forever.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
+/// Longest JSON message, which is the state.
+const MAX_MESSAGE_BYTES: usize = 2 << 20;
+/// Loaded functions that the state lists at most; those with the most calls come first.
+const MAX_LOADED_FUNCTIONS: usize = 4000;
+/// Buffer sizes of the connection between the two processes of a rollout.
+const FRAME_INBOX_BYTES: usize = ipc::MAX_FRAME_BYTES + 4;
+const FRAME_OUTBOX_BYTES: usize = 8 << 20;
+
+/// Messages between the two processes, each one line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum Message {
-    /// New to old: it wants to take its place at this address.
+    /// New process to old: asks to take over this address.
     Hello {
         version: u32,
         listen: SocketAddr,
-        /// It asks to be a candidate beside the old one. Old versions pass over this.
+        /// Present when the new process asks to run as the candidate of a rollout. Older versions ignore this field.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        rollout: Option<Hail>,
+        rollout: Option<VersionInfo>,
     },
-    /// Old to new: not now, for this reason.
-    Busy {
-        why: String,
-    },
-    /// Old to new, with the listening socket.
-    State(Box<State>),
-    /// New to old: it takes clients from now on.
+    /// Old process to new: the takeover is refused, for this reason.
+    Busy { why: String },
+    /// Old process to new: its state. The listening socket is passed along with the first byte.
+    State(Box<ProcessState>),
+    /// New process to old: the new process accepts clients from now on.
     Ready,
-    /// A host was taken out by hand, or back in.
-    Host {
-        id: String,
-        out: bool,
-    },
-    Standby {
-        on: bool,
-    },
-    /// A prefix was blocked, unblocked or made known by hand.
-    Admission(AdmissionCall),
-    /// What is known of addresses, when clients are handed over.
-    Learnt {
-        addresses: Learnt,
-    },
-    /// Old to new: so many connections of clients it still holds, and what it took and ordered since it said
-    /// so last.
+    /// An operator took a host out of service, or put it back in.
+    Host { id: String, out: bool },
+    /// An operator switched standby on or off.
+    Standby { on: bool },
+    /// An operator blocked or unblocked a prefix, or changed whether it is known.
+    Admission(AdmissionCommand),
+    /// Holder of a rollout to its candidate, when it hands over the clients: what admission has learned of addresses.
+    #[serde(rename = "learnt")]
+    Learned { addresses: LearnedState },
+    /// Old process to new: the number of client connections that it still holds, and its calls and load orders since
+    /// its previous message of this kind.
     Tally {
         clients: usize,
-        ration: Ration,
+        #[serde(rename = "ration")]
+        tallies: TallyRows,
     },
-    /// Holder of a rollout to its candidate: the client of a passed call ended its side of the connection then, by the
-    /// time that both go by. Versions that do not know this decide the call as if it had not.
-    HalfClosed {
-        seq: u64,
-        since: Micros,
-    },
-    /// What a later version says besides is passed over.
+    /// Holder of a rollout to its candidate: the client of a passed call closed its sending side at this time, on the
+    /// clock that both processes share. Versions without this message decide the call as if the client had not.
+    HalfClosed { seq: u64, since: Micros },
+    /// A message that only later versions know; ignored.
     #[serde(other)]
     Other,
 }
 
-/// How two versions meet for a rollout.
+/// What two versions exchange before a rollout: each describes itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Hail {
-    /// Protocols that it speaks; in the answer, the one that is spoken.
+pub struct VersionInfo {
+    /// Frame protocols that it supports; in the answer, the one that is used.
     pub protocols: Vec<u32>,
-    /// Its name for operators.
+    /// The version name that operators see.
     pub version: String,
-    /// The classes that it knows, and what they allow.
+    /// The classes in its settings, with their rollout policies.
     pub classes: Vec<ClassPolicy>,
 }
 
-/// What counts for the ration of orders: when, calls, orders.
-pub type Ration = Vec<(Micros, u32, u32)>;
+/// Tallies for the load budget as they are sent: time, calls, load orders.
+pub type TallyRows = Vec<(Micros, u32, u32)>;
 
-pub fn told(tallies: Vec<Tally>) -> Ration {
+pub fn to_rows(tallies: Vec<Tally>) -> TallyRows {
     tallies.into_iter().map(|t| (t.at, t.calls, t.orders)).collect()
 }
 
-pub fn heard(ration: &Ration) -> Vec<Tally> {
-    ration.iter().map(|(at, calls, orders)| Tally { at: *at, calls: *calls, orders: *orders }).collect()
+pub fn from_rows(rows: &TallyRows) -> Vec<Tally> {
+    rows.iter().map(|(at, calls, orders)| Tally { at: *at, calls: *calls, orders: *orders }).collect()
 }
 
-/// What a new process cannot learn elsewhere.
+/// The state that the old process hands to the new one, which cannot get it elsewhere.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct State {
-    /// Hosts that are out by hand.
+pub struct ProcessState {
+    /// Hosts that operators have taken out of service.
     pub out: Vec<String>,
     pub standby: bool,
-    /// The bus that is read, and the last event taken from it.
+    /// The address of the event bus, and the number of the last event read from it.
     pub bus: Option<(SocketAddr, u64)>,
-    /// What is believed loaded: host, function, lanes, copies, until when, calls.
+    /// Functions assumed to be loaded: host, function, lanes, copies, end of that assumption, calls.
     pub loaded: Vec<(String, String, u32, u32, Micros, f64)>,
-    pub ration: Ration,
-    /// Answers a second.
-    pub served: f64,
-    /// Attempts sent to cold hosts lately: host, when.
-    pub sends: Vec<(String, Vec<Micros>)>,
-    /// What all times told are by. Versions of before went by the wall clock and do not tell it.
+    #[serde(rename = "ration")]
+    pub tallies: TallyRows,
+    /// Calls served per second.
+    #[serde(rename = "served")]
+    pub served_per_s: f64,
+    /// Recent attempts that were sent to cold hosts: host, times.
+    #[serde(rename = "sends")]
+    pub cold_sends: Vec<(String, Vec<Micros>)>,
+    /// The time base of all times in the messages. Older versions use the wall clock and send none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub clock: Option<TimeBase>,
-    /// What is known of addresses.
+    /// What admission has learned of client addresses.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub admission: Option<Learnt>,
-    /// The new one is a candidate: it takes no clients, and frames follow on both sides.
+    pub admission: Option<LearnedState>,
+    /// Present when the new process is a candidate: it accepts no clients, and both sides send frames from here on.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub rollout: Option<Hail>,
+    pub rollout: Option<VersionInfo>,
 }
 
-impl State {
-    /// Takes in what the module passes on.
-    pub fn set_legacy(&mut self, legacy: HandoverState) {
-        let HandoverState { mut loaded, tallies, served, sends, .. } = legacy;
+impl ProcessState {
+    /// Stores what the routing engine hands over.
+    pub fn set_engine_state(&mut self, engine: HandoverState) {
+        let HandoverState { mut loaded, tallies, served, sends, .. } = engine;
         loaded.sort_by(|a, b| b.calls.total_cmp(&a.calls));
-        let most = loaded.into_iter().take(MOST_LOADED);
-        self.loaded = most
+        let kept = loaded.into_iter().take(MAX_LOADED_FUNCTIONS);
+        self.loaded = kept
             .map(|l| (l.worker.0.to_string(), l.function.0.to_string(), l.lanes, l.copies, l.until, l.calls))
             .collect();
-        (self.ration, self.served) = (told(tallies), served);
-        self.sends = sends.into_iter().map(|(host, times)| (host.0.to_string(), times)).collect();
+        (self.tallies, self.served_per_s) = (to_rows(tallies), served);
+        self.cold_sends = sends.into_iter().map(|(host, times)| (host.0.to_string(), times)).collect();
     }
 
-    /// ... and gives it out.
-    pub fn legacy(&self) -> HandoverState {
-        let sends = self.sends.iter().map(|(host, times)| (host.as_str().into(), times.clone()));
-        let (tallies, served) = (heard(&self.ration), self.served);
+    /// Returns what the routing engine of the new process takes over.
+    pub fn engine_state(&self) -> HandoverState {
+        let sends = self.cold_sends.iter().map(|(host, times)| (host.as_str().into(), times.clone()));
+        let (tallies, served) = (from_rows(&self.tallies), self.served_per_s);
         HandoverState {
             loaded: self.loaded(),
             tallies,
@@ -179,7 +174,7 @@
     }
 
     fn loaded(&self) -> Vec<LoadedFunction> {
-        let told = self.loaded.iter().map(|(worker, function, lanes, copies, until, calls)| LoadedFunction {
+        let list = self.loaded.iter().map(|(worker, function, lanes, copies, until, calls)| LoadedFunction {
             worker: worker.as_str().into(),
             function: function.as_str().into(),
             lanes: *lanes,
@@ -187,102 +182,104 @@
             until: *until,
             calls: *calls,
         });
-        told.collect()
+        list.collect()
     }
 }
 
-/// What a new process was given by the running one.
-pub struct Inheritance {
-    pub state: State,
+/// The running process that a new one takes over from: its state, and the connection to it.
+pub struct Predecessor {
+    pub state: ProcessState,
     stream: UnixStream,
-    /// Bytes that came behind the state.
+    /// Bytes that arrived after the state.
     rest: Vec<u8>,
     process: Option<Process>,
 }
 
-/// The other process: no other one can be hit or asked about by this, whatever its number is used for later.
+/// The other process, held by a pidfd: signals and queries cannot reach another process that reuses its pid.
 pub struct Process(OwnedFd);
 
 impl Process {
-    /// That at the other end of this connection, if the system tells.
-    fn behind(stream: &UnixStream) -> Option<Self> {
+    /// The process at the other end of this connection, if the system reports it.
+    fn of_peer(stream: &UnixStream) -> Option<Self> {
         let pid = rustix::net::sockopt::socket_peercred(stream).ok()?.pid;
         pidfd_open(pid, PidfdFlags::empty()).ok().map(Self)
     }
 
-    /// Ends it at once.
+    /// Sends SIGKILL.
     pub fn kill(&self) {
         let _ = pidfd_send_signal(&self.0, Signal::KILL);
     }
 
-    /// Whether it has ended, and with it all its connections.
+    /// Whether the process has ended, and all its connections with it.
     pub fn is_dead(&self) -> bool {
         let mut fds = [PollFd::new(&self.0, PollFlags::IN)];
         poll(&mut fds, Some(&Timespec::default())).is_ok_and(|n| n > 0)
     }
 }
 
-/// What a new process wants that is to be a candidate.
-pub struct Wish {
-    pub hail: Hail,
-    /// Where the old version cannot take part, a plain upgrade will do.
+/// A new process's request to become the candidate of a rollout.
+pub struct Candidacy {
+    pub info: VersionInfo,
+    /// Whether to do a plain upgrade when the old version does not support rollouts.
     pub or_upgrade: bool,
 }
 
-/// Why a process did not get another's place.
-enum Unmet {
-    /// Nobody is there who gives it.
-    Nobody(String),
-    /// Somebody is there, and it cannot be.
-    No(String),
+/// Why a takeover failed.
+enum ClaimError {
+    /// No running process handed over its state and socket.
+    NoProcess(String),
+    /// The running process refused.
+    Refused(String),
 }
 
-/// The clients' address, from now on this process's.
-pub struct Place {
+/// The listening socket of the clients' address, which this process now has.
+pub struct Claim {
     pub listener: TcpListener,
-    /// From the process that is there as well, until it ends.
-    pub inheritance: Option<Inheritance>,
+    /// The process that this one takes over from, which runs on until it has ended its work.
+    pub predecessor: Option<Predecessor>,
 }
 
-/// Gets the place of the process that runs at this address, or listens there itself. An address that is taken
-/// by somebody who gives nothing may be one that is just being left.
-pub fn claim(address: SocketAddr, wish: Option<&Wish>) -> Result<Place, String> {
+/// Takes over the address from the process that runs there, or binds it. An address that is in use although no process
+/// hands it over may belong to a process that is just ending, so binding is retried for [`BUSY_TIMEOUT`].
+pub fn claim(address: SocketAddr, request: Option<&Candidacy>) -> Result<Claim, String> {
     let begun = Instant::now();
     loop {
-        match greet(address, wish) {
+        match request_takeover(address, request) {
             Ok(place) => return Ok(place),
-            Err(Unmet::Nobody(problem)) => eprintln!("nobody gives its place: {problem}"),
-            Err(Unmet::No(why)) => return Err(why),
+            Err(ClaimError::NoProcess(problem)) => eprintln!("nobody gives its place: {problem}"),
+            Err(ClaimError::Refused(why)) => return Err(why),
         }
         match listener::listen(address) {
-            Ok(listener) => return Ok(Place { listener, inheritance: None }),
-            Err(e) if e.kind() == ErrorKind::AddrInUse && begun.elapsed() < LEAVING => sleep(AGAIN),
+            Ok(listener) => return Ok(Claim { listener, predecessor: None }),
+            Err(e) if e.kind() == ErrorKind::AddrInUse && begun.elapsed() < BUSY_TIMEOUT => {
+                sleep(RETRY_PERIOD)
+            }
             Err(e) => return Err(format!("cannot listen on {address}: {e}")),
         }
     }
 }
 
-/// Where processes of this clients' address meet.
-pub fn meeting_place(address: SocketAddr) -> PathBuf {
+/// The Unix socket at which the process that serves this clients' address accepts takeovers.
+pub fn socket_path(address: SocketAddr) -> PathBuf {
     let name = format!("wheellink-{}.sock", address.to_string().replace([':', '[', ']'], "-"));
     std::env::temp_dir().join(name)
 }
 
-/// Asks the process that runs at this address, if one does, for its place. A socket that a dead process left
-/// behind takes no connection; whoever answers with another address is not the one.
-fn greet(address: SocketAddr, wish: Option<&Wish>) -> Result<Place, Unmet> {
-    let nobody = |why: &str| Unmet::Nobody(why.into());
-    let problem = |e: io::Error| Unmet::Nobody(e.to_string());
+/// Asks the process that serves this address, if there is one, to hand it over. A socket file that a dead process left
+/// behind accepts no connection. A process that hands over a socket of another address is not the one asked for.
+fn request_takeover(address: SocketAddr, request: Option<&Candidacy>) -> Result<Claim, ClaimError> {
+    let nobody = |why: &str| ClaimError::NoProcess(why.into());
+    let problem = |e: io::Error| ClaimError::NoProcess(e.to_string());
     let begun = Instant::now();
-    // Waited for in all, however it is told: whoever sends a byte now and then is not there either.
-    let left = || Some(GREETING.saturating_sub(begun.elapsed()).max(SHORTEST));
-    let stream = connect(&meeting_place(address)).map_err(problem)?;
+    // One time limit for the whole exchange: a process that only sends a byte now and then must not extend it.
+    let left = || Some(TAKEOVER_TIMEOUT.saturating_sub(begun.elapsed()).max(MIN_TIMEOUT));
+    let stream = connect(&socket_path(address)).map_err(problem)?;
     stream.set_write_timeout(left()).map_err(problem)?;
     if !is_own(&stream) {
         return Err(nobody("it runs for another user"));
     }
-    let rollout = wish.map(|w| w.hail.clone());
-    let mut bytes = line(&Message::Hello { version: VERSION, listen: address, rollout });
+    let rollout = request.map(|r| r.info.clone());
+    let mut bytes = line(&Message::Hello { version: PROTOCOL_VERSION, listen: address, rollout });
     io::Write::write_all(&mut &stream, &bytes).map_err(problem)?;
     bytes.clear();
     let (mut socket, mut piece) = (None, vec![0; 64 << 10]);
@@ -298,8 +295,8 @@
                 socket = sockets.next().or(socket);
             }
         }
-        if got.bytes == 0 || bytes.len() > LONGEST || begun.elapsed() > GREETING {
-            return Err(nobody("it did not tell its state"));
+        if got.bytes == 0 || bytes.len() > MAX_MESSAGE_BYTES || begun.elapsed() > TAKEOVER_TIMEOUT {
+            return Err(nobody("it did not send its state"));
         }
         bytes.extend(&piece[..got.bytes]);
         if let Some(end) = bytes.iter().position(|b| *b == b'\n') {
@@ -309,26 +306,28 @@
     let rest = bytes.split_off(end + 1);
     let state = match serde_json::from_slice(&bytes) {
         Ok(Message::State(state)) => *state,
-        Ok(Message::Busy { why }) => return Err(Unmet::No(format!("the running process says: {why}"))),
-        _ => return Err(nobody("what it told is no state")),
+        Ok(Message::Busy { why }) => {
+            return Err(ClaimError::Refused(format!("the running process says: {why}")))
+        }
+        _ => return Err(nobody("its answer is not a state message")),
     };
-    if wish.is_some_and(|w| state.rollout.is_none() && !w.or_upgrade) {
+    if request.is_some_and(|r| state.rollout.is_none() && !r.or_upgrade) {
         let why = "the running version takes no part in a rollout; with old_cannot = \"upgrade\" a plain upgrade is done";
-        return Err(Unmet::No(why.into()));
+        return Err(ClaimError::Refused(why.into()));
     }
-    let socket: OwnedFd = socket.ok_or_else(|| nobody("it gave no listening socket"))?;
+    let socket: OwnedFd = socket.ok_or_else(|| nobody("it passed no listening socket"))?;
     let listener = TcpListener::from(socket);
     match listener.local_addr() {
         Ok(at) if at == address => {
-            let process = Process::behind(&stream);
-            Ok(Place { listener, inheritance: Some(Inheritance { state, stream, rest, process }) })
+            let process = Process::of_peer(&stream);
+            Ok(Claim { listener, predecessor: Some(Predecessor { state, stream, rest, process }) })
         }
-        at => Err(Unmet::Nobody(format!("it listens elsewhere: {at:?}"))),
+        at => Err(ClaimError::NoProcess(format!("its socket has another address: {at:?}"))),
     }
 }
 
-/// Connects at once or not at all: a blocking connect waits without end for a process that takes nobody in and whose
-/// queue is full.
+/// Connects without blocking: a blocking connect would wait forever for a process that accepts no connections and
+/// whose backlog is full.
 fn connect(path: &Path) -> io::Result<UnixStream> {
     let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
@@ -337,43 +336,44 @@
     Ok(OwnedFd::from(socket).into())
 }
 
-/// Whether the other side runs for the same user: the folder may be shared with others.
+/// Whether the peer process runs as the same user: other users may have access to the directory.
 fn is_own(stream: &UnixStream) -> bool {
     rustix::net::sockopt::socket_peercred(stream).is_ok_and(|peer| peer.uid == rustix::process::geteuid())
 }
 
 fn line(message: &Message) -> Vec<u8> {
-    let mut bytes = serde_json::to_vec(message).expect("a message has a form in JSON");
+    let mut bytes = serde_json::to_vec(message).expect("messages can be encoded as JSON");
     bytes.push(b'\n');
     bytes
 }
 
 /// One connection between two processes.
-struct Wire {
+struct Connection {
     handle: Handle,
     stream: Rc<UnixStream>,
     token: RegistrationToken,
     inbox: Ring,
     outbox: Ring,
-    /// To go with the first byte that leaves.
+    /// The listening socket, to be passed with the first byte that is sent.
     socket: Option<OwnedFd>,
-    /// Frames are spoken instead of lines.
-    channel: bool,
-    /// The other side takes nothing more; what it said before may still be read.
-    deaf: bool,
-    /// Bytes that were given to be written, and bytes that the system has taken.
-    given: u64,
-    taken: u64,
+    /// Whether both sides send frames instead of lines.
+    framed: bool,
+    /// The peer no longer reads; what it sent before can still be received.
+    write_closed: bool,
+    /// Bytes queued for sending since the start.
+    queued_bytes: u64,
+    /// Bytes that the system has accepted for sending since the start.
+    sent_bytes: u64,
 }
 
-/// What came whole.
+/// A complete line or frame.
 #[derive(Debug)]
-enum Heard {
+enum Received {
     Line(Message),
-    Word(Word),
+    Frame(Frame),
 }
 
-impl Wire {
+impl Connection {
     fn new(handle: &Handle, id: ConnId, stream: UnixStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         let stream = Rc::new(stream);
@@ -383,8 +383,8 @@
             Ok(PostAction::Continue)
         });
         let token = token.map_err(|e| io::Error::other(e.error.to_string()))?;
-        let (inbox, outbox) = (Ring::new(64 << 10), Ring::new(LONGEST));
-        let (channel, deaf, given, taken) = (false, false, 0, 0);
+        let (inbox, outbox) = (Ring::new(64 << 10), Ring::new(MAX_MESSAGE_BYTES));
+        let (framed, write_closed, queued_bytes, sent_bytes) = (false, false, 0, 0);
         Ok(Self {
             handle: handle.clone(),
             stream,
@@ -392,38 +392,38 @@
             inbox,
             outbox,
             socket: None,
-            channel,
-            deaf,
-            given,
-            taken,
+            framed,
+            write_closed,
+            queued_bytes,
+            sent_bytes,
         })
     }
 
-    /// Frames from now on, both ways: what came behind the last line is one already.
-    fn speak_frames(&mut self) {
+    /// Switches both directions to frames; bytes that arrived after the last line belong to frames already.
+    fn switch_to_frames(&mut self) {
         let rest = self.inbox.copy(0, self.inbox.len()).unwrap_or_default();
-        self.inbox = Ring::new(IPC_INBOX);
+        self.inbox = Ring::new(FRAME_INBOX_BYTES);
         self.inbox.push(&rest);
         let rest = self.outbox.copy(0, self.outbox.len()).unwrap_or_default();
-        self.outbox = Ring::new(LANE_OUTBOX);
+        self.outbox = Ring::new(FRAME_OUTBOX_BYTES);
         self.outbox.push(&rest);
-        self.channel = true;
+        self.framed = true;
     }
 
-    /// Gives bytes to be written; where the other side is not seen to take them, they are dropped.
-    fn give(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if self.deaf {
+    /// Queues bytes for sending. Drops them when the peer no longer reads.
+    fn queue(&mut self, bytes: &[u8]) -> io::Result<()> {
+        if self.write_closed {
             return Ok(());
         }
         if !self.outbox.push(bytes) {
             return Err(ErrorKind::OutOfMemory.into());
         }
-        self.given += bytes.len() as u64;
+        self.queued_bytes += bytes.len() as u64;
         self.flush()
     }
 
     fn send(&mut self, message: &Message) -> io::Result<()> {
-        self.give(&line(message))
+        self.queue(&line(message))
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -445,14 +445,14 @@
                     sent.map(drop).map_err(io::Error::from)
                 }
             };
-            self.taken += (before - self.outbox.len()) as u64;
+            self.sent_bytes += (before - self.outbox.len()) as u64;
             match sent {
                 Ok(()) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Whoever shuts its ear may have something to say before it goes.
-                Err(_) if self.channel => {
-                    self.deaf = true;
+                // A peer that has stopped reading may still send data before it ends.
+                Err(_) if self.framed => {
+                    self.write_closed = true;
                     self.outbox.consume(usize::MAX);
                 }
                 Err(e) => return Err(e),
@@ -461,42 +461,42 @@
         Ok(())
     }
 
-    /// What has come whole, and why nothing more will where that is so.
-    fn read(&mut self) -> (Vec<Heard>, Option<String>) {
-        let mut heard = Vec::new();
+    /// Returns complete lines and frames, and the reason if the connection has failed or ended.
+    fn read(&mut self) -> (Vec<Received>, Option<String>) {
+        let mut received = Vec::new();
         loop {
             match self.inbox.read_from(&mut &*self.stream) {
-                Ok(0) => return (heard, Some("its connection has ended".into())),
+                Ok(0) => return (received, Some("the connection has ended".into())),
                 Ok(_) => {
-                    if let Err(problem) = self.take(&mut heard) {
-                        return (heard, Some(problem));
+                    if let Err(problem) = self.parse(&mut received) {
+                        return (received, Some(problem));
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return (heard, None),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return (received, None),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return (heard, Some(format!("its connection broke: {e}"))),
+                Err(e) => return (received, Some(format!("the connection failed: {e}"))),
             }
         }
     }
 
-    fn take(&mut self, heard: &mut Vec<Heard>) -> Result<(), String> {
-        while self.channel {
-            match ipc::next(&mut self.inbox)? {
-                Some(word) => heard.push(Heard::Word(word)),
+    fn parse(&mut self, received: &mut Vec<Received>) -> Result<(), String> {
+        while self.framed {
+            match ipc::decode_next(&mut self.inbox)? {
+                Some(frame) => received.push(Received::Frame(frame)),
                 None => return Ok(()),
             }
         }
-        // One line at a time: frames may follow the next.
+        // One line at a time: frames may follow it.
         let bytes = self.inbox.copy(0, self.inbox.len()).unwrap_or_default();
         let mut rest = &bytes[..];
         while let Some(end) = rest.iter().position(|b| *b == b'\n') {
             let message = serde_json::from_slice(&rest[..end]);
-            heard.push(Heard::Line(message.map_err(|e| format!("a line that is no message: {e}"))?));
+            received.push(Received::Line(message.map_err(|e| format!("an invalid message line: {e}"))?));
             rest = &rest[end + 1..];
         }
         self.inbox.consume(bytes.len() - rest.len());
         if self.inbox.room() == 0 {
-            return Err("a line that does not end".into());
+            return Err("a line longer than the receive buffer".into());
         }
         Ok(())
     }
@@ -506,65 +506,66 @@
     }
 }
 
-/// What happened at the meeting place.
+/// What happened on the connections to other processes.
 #[derive(Debug, PartialEq)]
-pub enum News {
-    /// A new process wants this one's place: it is to be told the state. Or it wants to be a candidate.
-    Arrived(ConnId, Option<Hail>),
-    /// The peer said so.
-    Said(Message),
-    /// The peer of a rollout said so.
-    Word(Box<Word>),
-    /// The peer is gone or cannot be understood, for this reason.
-    Left(String),
+pub enum PeerEvent {
+    /// A new process asks to take over, or to become a candidate if it sends its version info.
+    Arrived(ConnId, Option<VersionInfo>),
+    /// A JSON message from the peer.
+    Message(Message),
+    /// A frame from the peer of a rollout.
+    Frame(Box<Frame>),
+    /// The connection to the peer was dropped, for this reason.
+    Disconnected(String),
 }
 
-/// See the module's page.
+/// The connections to other processes of the clients' address: at most one peer, and new ones that have not sent a
+/// complete `hello` yet.
 pub struct Upgrade {
     handle: Handle,
     address: SocketAddr,
     path: PathBuf,
-    announcement: Option<(Rc<UnixListener>, RegistrationToken)>,
-    wires: BTreeMap<ConnId, Wire>,
+    listener: Option<(Rc<UnixListener>, RegistrationToken)>,
+    conns: BTreeMap<ConnId, Connection>,
     peer: Option<ConnId>,
     process: Option<Process>,
-    pub news: VecDeque<News>,
+    pub events: VecDeque<PeerEvent>,
 }
 
 impl Upgrade {
-    /// With the connection to the process whose place this one takes, if there is one.
-    pub fn new(handle: &Handle, address: SocketAddr, inheritance: Option<Inheritance>) -> io::Result<Self> {
+    /// Starts with the connection to the process that this one takes over from, if there is one.
+    pub fn new(handle: &Handle, address: SocketAddr, predecessor: Option<Predecessor>) -> io::Result<Self> {
         let mut upgrade = Self {
             handle: handle.clone(),
             address,
-            path: meeting_place(address),
-            announcement: None,
-            wires: BTreeMap::new(),
+            path: socket_path(address),
+            listener: None,
+            conns: BTreeMap::new(),
             peer: None,
             process: None,
-            news: VecDeque::new(),
+            events: VecDeque::new(),
         };
-        if let Some(Inheritance { stream, rest, process, state }) = inheritance {
+        if let Some(Predecessor { stream, rest, process, state }) = predecessor {
             let id = crate::conn::fresh_id();
-            let mut wire = Wire::new(handle, id, stream)?;
+            let mut conn = Connection::new(handle, id, stream)?;
             if state.rollout.is_some() {
-                wire.speak_frames();
+                conn.switch_to_frames();
             }
-            wire.inbox.push(&rest);
-            let mut heard = Vec::new();
-            let fault = wire.take(&mut heard).err();
-            upgrade.wires.insert(id, wire);
+            conn.inbox.push(&rest);
+            let mut received = Vec::new();
+            let fault = conn.parse(&mut received).err();
+            upgrade.conns.insert(id, conn);
             (upgrade.peer, upgrade.process) = (Some(id), process);
-            upgrade.hear(id, heard, fault);
+            upgrade.handle_received(id, received, fault);
         }
         Ok(upgrade)
     }
 
-    /// Is found from now on by those that come, instead of whoever was before. The socket is made under
-    /// another name first, so that there is one at any time.
-    pub fn announce(&mut self, address: SocketAddr) -> io::Result<()> {
-        self.fade();
-        (self.address, self.path) = (address, meeting_place(address));
+    /// Accepts takeovers for this address from now on, instead of the process that did so before. The socket is bound
+    /// under another name and renamed, so that the path exists at any time.
+    pub fn listen(&mut self, address: SocketAddr) -> io::Result<()> {
+        self.stop_listening();
+        (self.address, self.path) = (address, socket_path(address));
         let fresh = self.path.with_extension(format!("{}", std::process::id()));
         let _ = std::fs::remove_file(&fresh);
         let listener = UnixListener::bind(&fresh)?;
@@ -573,161 +574,162 @@
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
         let token = self.handle.insert_source(source, |_, _, wakes: &mut Wakes| {
-            wakes.push(Wake::Guests);
+            wakes.push(Wake::PeerArrival);
             Ok(PostAction::Continue)
         });
         let token = token.map_err(|e| io::Error::other(e.error.to_string()))?;
-        self.announcement = Some((listener, token));
+        self.listener = Some((listener, token));
         Ok(())
     }
 
-    /// Is found no longer; the file stays, as it may be another's by now.
-    fn fade(&mut self) {
-        if let Some((_, token)) = self.announcement.take() {
+    /// Stops accepting takeovers. Keeps the socket file, which another process may have replaced by now.
+    fn stop_listening(&mut self) {
+        if let Some((_, token)) = self.listener.take() {
             self.handle.remove(token);
         }
     }
 
     pub fn accept(&mut self) {
-        let Some((listener, _)) = &self.announcement else { return };
+        let Some((listener, _)) = &self.listener else { return };
         let Ok((stream, _)) = listener.accept() else { return };
         if !is_own(&stream) {
             return;
         }
         let id = crate::conn::fresh_id();
-        if let Ok(wire) = Wire::new(&self.handle, id, stream) {
-            self.wires.insert(id, wire);
-            let guests: Vec<_> = self.wires.keys().copied().filter(|id| Some(*id) != self.peer).collect();
-            if guests.len() > GUESTS {
-                self.drop_wire(guests[0], "it said nothing");
+        if let Ok(conn) = Connection::new(&self.handle, id, stream) {
+            self.conns.insert(id, conn);
+            let pending: Vec<_> = self.conns.keys().copied().filter(|id| Some(*id) != self.peer).collect();
+            if pending.len() > GUESTS {
+                self.drop_conn(pending[0], "it sent no hello");
             }
             self.ready(id);
         }
     }
 
-    /// The connection has something to say, or may take more.
+    /// Handles a connection that is ready to be read or written.
     pub fn ready(&mut self, id: ConnId) {
-        let Some(wire) = self.wires.get_mut(&id) else { return };
-        let failed = wire.flush().err().map(|e| format!("it takes nothing: {e}"));
-        let (heard, end) = wire.read();
-        self.hear(id, heard, failed.or(end));
+        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let failed = conn.flush().err().map(|e| format!("sending failed: {e}"));
+        let (received, end) = conn.read();
+        self.handle_received(id, received, failed.or(end));
     }
 
-    fn hear(&mut self, id: ConnId, heard: Vec<Heard>, end: Option<String>) {
-        for heard in heard {
+    fn handle_received(&mut self, id: ConnId, received: Vec<Received>, end: Option<String>) {
+        for received in received {
             let is_peer = self.peer == Some(id);
-            match heard {
-                Heard::Line(Message::Hello { version: VERSION, listen, rollout })
+            match received {
+                Received::Line(Message::Hello { version: PROTOCOL_VERSION, listen, rollout })
                     if listen == self.address =>
                 {
-                    self.news.push_back(News::Arrived(id, rollout))
+                    self.events.push_back(PeerEvent::Arrived(id, rollout))
                 }
-                Heard::Line(message) if is_peer => self.news.push_back(News::Said(message)),
-                Heard::Word(Word::Say(text)) if is_peer => match serde_json::from_str(&text) {
-                    Ok(message) => self.news.push_back(News::Said(message)),
-                    Err(e) => return self.drop_wire(id, &format!("a message that cannot be read: {e}")),
+                Received::Line(message) if is_peer => self.events.push_back(PeerEvent::Message(message)),
+                Received::Frame(Frame::Json(text)) if is_peer => match serde_json::from_str(&text) {
+                    Ok(message) => self.events.push_back(PeerEvent::Message(message)),
+                    Err(e) => return self.drop_conn(id, &format!("a message that cannot be decoded: {e}")),
                 },
-                Heard::Word(word) if is_peer => self.news.push_back(News::Word(Box::new(word))),
-                _ => return self.drop_wire(id, "it spoke out of turn"),
+                Received::Frame(frame) if is_peer => self.events.push_back(PeerEvent::Frame(Box::new(frame))),
+                _ => return self.drop_conn(id, "an unexpected message"),
             }
         }
         if let Some(why) = end {
-            self.drop_wire(id, &why);
+            self.drop_conn(id, &why);
         }
     }
 
-    fn drop_wire(&mut self, id: ConnId, why: &str) {
-        if let Some(wire) = self.wires.remove(&id) {
-            wire.close();
+    fn drop_conn(&mut self, id: ConnId, why: &str) {
+        if let Some(conn) = self.conns.remove(&id) {
+            conn.close();
         }
         if self.peer == Some(id) {
             self.peer = None;
-            self.news.push_back(News::Left(why.into()));
+            self.events.push_back(PeerEvent::Disconnected(why.into()));
         }
     }
 
-    /// Looks whether the peer has said anything that the loop has not told of yet.
+    /// Reads what the peer has sent and the event loop has not reported yet.
     pub fn poll_peer(&mut self) {
         if let Some(id) = self.peer {
             self.ready(id);
         }
     }
 
-    /// The peer's process, where the system told of it: whoever takes it asks whether it has ended.
+    /// Returns the peer's process, if the system reported it. The caller then checks whether it has ended.
     pub fn take_process(&mut self) -> Option<Process> {
         self.process.take()
     }
 
-    /// Tells one that arrived why it cannot be, and lets it go.
-    pub fn turn_away(&mut self, id: ConnId, why: &str) {
-        if let Some(wire) = self.wires.get_mut(&id) {
-            let _ = wire.send(&Message::Busy { why: why.into() });
+    /// Sends a new process the reason why it is refused, and closes its connection.
+    pub fn refuse(&mut self, id: ConnId, why: &str) {
+        if let Some(conn) = self.conns.get_mut(&id) {
+            let _ = conn.send(&Message::Busy { why: why.into() });
         }
         if self.peer != Some(id) {
-            self.drop_wire(id, why);
+            self.drop_conn(id, why);
         }
     }
 
-    fn channel(&mut self) -> Option<&mut Wire> {
-        self.peer.and_then(|id| self.wires.get_mut(&id)).filter(|wire| wire.channel)
+    /// The connection to the peer, if it carries frames.
+    fn framed_peer(&mut self) -> Option<&mut Connection> {
+        self.peer.and_then(|id| self.conns.get_mut(&id)).filter(|conn| conn.framed)
     }
 
-    /// Says a word to the peer of a rollout. By which byte it will have left, for [`Upgrade::taken`]; `None`
-    /// where it never will.
-    pub fn say(&mut self, word: &Word) -> Option<u64> {
-        let bytes = ipc::frame(word);
-        let wire = self.channel().filter(|wire| !wire.deaf)?;
-        if wire.give(&bytes?).is_err() {
+    /// Sends a frame to the peer of a rollout. Returns the byte count that [`Upgrade::sent_bytes`] reaches once the frame
+    /// is sent; `None` if it is never sent.
+    pub fn send_frame(&mut self, frame: &Frame) -> Option<u64> {
+        let bytes = ipc::encode(frame);
+        let conn = self.framed_peer().filter(|conn| !conn.write_closed)?;
+        if conn.queue(&bytes?).is_err() {
             let id = self.peer?;
-            self.drop_wire(id, "it does not read what it is told");
+            self.drop_conn(id, "its send queue is full");
             return None;
         }
-        Some(wire.given)
+        Some(conn.queued_bytes)
     }
 
-    /// Bytes that the system has taken for the peer: from then on they reach it, even if this process ends.
-    pub fn taken(&mut self) -> u64 {
-        self.channel().map_or(0, |wire| wire.taken)
+    /// Bytes that the system has accepted for the peer: these reach it even if this process ends.
+    pub fn sent_bytes(&mut self) -> u64 {
+        self.framed_peer().map_or(0, |conn| conn.sent_bytes)
     }
 
-    /// Bytes that the peer has not made room for yet.
+    /// Bytes that are queued because the peer's socket buffer is full.
     pub fn backlog(&mut self) -> usize {
-        self.channel().map_or(0, |wire| wire.outbox.len())
+        self.framed_peer().map_or(0, |conn| conn.outbox.len())
     }
 
-    /// Ends what the peer can tell: what the system has taken by now can be read, and nothing more will be
-    /// taken (unix(7): a write fails with EPIPE once the reader has shut down). Then reads all of it.
-    pub fn cut(&mut self) {
+    /// Shuts down the receiving side: what the system has accepted from the peer so far can be read, and nothing more
+    /// is accepted (unix(7): a write fails with EPIPE once the reader has shut down). Then reads all of it.
+    pub fn stop_reading(&mut self) {
         let Some(id) = self.peer else { return };
-        if let Some(wire) = self.wires.get(&id) {
-            let _ = wire.stream.shutdown(Shutdown::Read);
+        if let Some(conn) = self.conns.get(&id) {
+            let _ = conn.stream.shutdown(Shutdown::Read);
         }
         self.ready(id);
     }
 
-    /// The peer is not wanted any more.
+    /// Closes the connection to the peer.
     pub fn drop_peer(&mut self, why: &str) {
         if let Some(id) = self.peer {
-            self.drop_wire(id, why);
+            self.drop_conn(id, why);
         }
     }
 
-    /// Gives the one that arrived the state and the listening socket: it is the peer from now on.
-    pub fn hand_over(&mut self, id: ConnId, state: State, socket: OwnedFd) {
-        let Some(wire) = self.wires.get_mut(&id) else { return };
-        wire.socket = Some(socket);
-        let channel = state.rollout.is_some();
-        let sent = wire.send(&Message::State(Box::new(state)));
-        if channel {
-            wire.speak_frames();
+    /// Sends the state and the listening socket to a new process, which is the peer from now on.
+    pub fn hand_over(&mut self, id: ConnId, state: ProcessState, socket: OwnedFd) {
+        let Some(conn) = self.conns.get_mut(&id) else { return };
+        conn.socket = Some(socket);
+        let framed = state.rollout.is_some();
+        let sent = conn.send(&Message::State(Box::new(state)));
+        if framed {
+            conn.switch_to_frames();
         }
-        self.process = Process::behind(&wire.stream);
+        self.process = Process::of_peer(&conn.stream);
         let before = self.peer.replace(id).filter(|before| *before != id);
-        if let Some(wire) = before.and_then(|id| self.wires.remove(&id)) {
-            wire.close();
+        if let Some(conn) = before.and_then(|id| self.conns.remove(&id)) {
+            conn.close();
         }
         if sent.is_err() {
-            self.drop_wire(id, "it does not take the state");
+            self.drop_conn(id, "the state could not be sent");
         }
     }
 
@@ -735,28 +737,29 @@
         self.peer.is_some()
     }
 
-    /// Tells the peer, if there is one.
-    pub fn tell(&mut self, message: &Message) {
-        let Some((id, wire)) = self.peer.and_then(|id| self.wires.get_mut(&id).map(|wire| (id, wire))) else {
+    /// Sends a message to the peer, if there is one.
+    pub fn send(&mut self, message: &Message) {
+        let Some((id, conn)) = self.peer.and_then(|id| self.conns.get_mut(&id).map(|conn| (id, conn))) else {
             return;
         };
-        if wire.channel {
-            let text = serde_json::to_string(message).expect("a message has a form in JSON");
-            self.say(&Word::Say(text));
-        } else if wire.send(message).is_err() {
-            self.drop_wire(id, "it does not read what it is told");
+        if conn.framed {
+            let text = serde_json::to_string(message).expect("messages can be encoded as JSON");
+            self.send_frame(&Frame::Json(text));
+        } else if conn.send(message).is_err() {
+            self.drop_conn(id, "its send queue is full");
         }
     }
 
-    /// The process ends: whoever comes later is not to find what it leaves behind.
+    /// Closes all connections when the process ends, and removes its socket file, so that later processes do not find
+    /// it. The file stays if there is a peer, which owns it.
     pub fn shut_down(&mut self) {
-        let own = self.announcement.is_some() && self.peer.is_none();
-        self.fade();
+        let own = self.listener.is_some() && self.peer.is_none();
+        self.stop_listening();
         if own {
             let _ = std::fs::remove_file(&self.path);
         }
-        let ids: Vec<_> = self.wires.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.drop_wire(id, "this process ends"));
+        let ids: Vec<_> = self.conns.keys().copied().collect();
+        ids.into_iter().for_each(|id| self.drop_conn(id, "this process ends"));
     }
 }
 
--- a/node/src/upgrade/tests.rs
+++ b/node/src/upgrade/tests.rs
@@ -14,16 +14,16 @@
     });
     let tallies = vec![Tally { at: 100_000, calls: 7, orders: 2 }];
     let sends = vec![("s-2".into(), vec![5, 6])];
-    let mut legacy =
+    let mut engine =
         HandoverState { loaded: loaded.collect(), tallies, served: 12.5, sends, sender_keeps_running: false };
-    let mut state = State { out: vec!["s-9".into()], ..State::default() };
-    state.set_legacy(legacy.clone());
+    let mut state = ProcessState { out: vec!["s-9".into()], ..ProcessState::default() };
+    state.set_engine_state(engine.clone());
     let Message::State(heard) = serde_json::from_slice(&line(&Message::State(Box::new(state)))).unwrap()
     else {
         panic!("no state")
     };
-    legacy.loaded.reverse();
-    assert_eq!((heard.legacy(), heard.out), (legacy, vec!["s-9".to_string()]), "most called first");
+    engine.loaded.reverse();
+    assert_eq!((heard.engine_state(), heard.out), (engine, vec!["s-9".to_string()]), "most called first");
 }
 
 /// What the fence rests on: up to the reader's shutdown what the system took can be read, and nothing is
--- a/node/src/wake.rs
+++ b/node/src/wake.rs
@@ -29,13 +29,13 @@
     /// Other activators have sent word of who is alive.
     Members,
     /// A document of the agreed settings was read beside the loop.
-    Prepared,
+    AccordPrepared,
     /// Connections of clients wait to be accepted.
     Clients,
     /// Connections of operators wait to be accepted.
     Callers,
     /// Another process of this address has come to the meeting place.
-    Guests,
+    PeerArrival,
     /// The program is to end (SIGTERM).
     Stop,
     /// The configuration was replaced (SIGHUP).
--- a/node/tests/passing.rs
+++ b/node/tests/passing.rs
@@ -526,7 +526,7 @@
     let refused = |why: &str| duo.old.logged(&format!("a field of an answer is refused: {why}"));
     let wanted = if protocol == 1 { (0, 0, 0) } else { (8, 8, 8) };
     let unread = drafts["unread"].as_u64().unwrap() as usize;
-    assert_eq!((refused("found: no number"), refused("held: no number of calls"), unread), wanted);
+    assert_eq!((refused("found: not a number"), refused("held: not a number of calls"), unread), wanted);
     assert_eq!(duo.old.operate("POST", "/rollout/back", ""), 200);
     let own: Vec<Took> = talks.iter_mut().map(|t| t.turn(&duo.old, CLASS)).collect();
     assert!(own.iter().all(|t| t.status == 200 && t.found.is_some()));
@@ -630,7 +630,7 @@
     assert!(!line().contains("draft=") && !line().contains("blocks="), "{}", line());
     passed(&mut stream, 4, Some(&[("turn", "7;3;1,ff,a,b")]));
     assert!(line().contains(",blocks=1;ff;a;b ") && !line().contains("draft="), "{}", line());
-    for (id, why) in [(2, "turn: a hash is"), (2, "cell: no number"), (3, "2 fields of 3014 bytes")] {
+    for (id, why) in [(2, "turn: a hash is"), (2, "cell: not a number"), (3, "2 fields of 3014 bytes")] {
         assert_eq!(new.logged(&format!("a field of call {id:016x} is refused: {why}")), 1, "{why}");
     }
     let turns = new.ask("GET", "/turns", "").1;
--- a/node/tests/startup.rs
+++ b/node/tests/startup.rs
@@ -11,12 +11,15 @@
 
 #[test]
 fn all_waits_of_a_start_together_are_shorter_than_what_is_owed() {
-    let claimed = startup::LEAVING + startup::AGAIN + startup::GREETING;
-    assert!(claimed + startup::LOOK < OWED, "alone, clients are taken as soon as the address is claimed");
-    assert!(startup::longest() < OWED);
-    assert!(startup::longest() >= claimed && startup::longest() >= startup::LATEST);
+    let claimed = startup::BUSY_TIMEOUT + startup::RETRY_PERIOD + startup::TAKEOVER_TIMEOUT;
     assert!(
-        startup::GREETING + startup::CATCH_UP < startup::LATEST,
+        claimed + startup::POLL_PERIOD < OWED,
+        "alone, clients are taken as soon as the address is claimed"
+    );
+    assert!(startup::max_time_to_ready() < OWED);
+    assert!(startup::max_time_to_ready() >= claimed && startup::max_time_to_ready() >= startup::MAX_STARTUP);
+    assert!(
+        startup::TAKEOVER_TIMEOUT + startup::CATCH_UP_TIMEOUT < startup::MAX_STARTUP,
         "one slow greeting leaves the whole time"
     );
 }
