--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -1,9 +1,9 @@
-//! The program's time: microseconds by the monotonic clock, which nobody sets.
+//! The process's clock: microseconds, advanced by the monotonic clock.
 //!
-//! Deadlines, windows, waits and graces are spans of real time, so the machine's wall clock must not be part of them: it
-//! may be stepped, forward or back, by seconds or by an hour. It is read once, when the clock is made, so that times
-//! in the log can be laid beside others', and never again. A process that takes another's place goes on with the other's
-//! time, since it is handed times by it.
+//! Deadlines, windows and timeouts are spans of real time, so they must not depend on the machine's wall clock, which may be
+//! stepped forward or back by seconds or by an hour. The wall clock is read only once, when the clock is created, so that
+//! times in the log can be compared with other logs. A process that takes over from another continues with that process's
+//! clock, because it receives times on that clock.
 
 pub mod steps;
 
@@ -13,29 +13,29 @@
 use serde::{Deserialize, Serialize};
 use wheellink::Micros;
 
-/// Two readings no further apart than this count as made at the same time.
+/// Two readings no further apart than this count as simultaneous.
 const MAX_READING_GAP_US: Micros = 200;
-/// A machine on which no two readings are that close is not waited for any longer.
+/// Attempts to get two simultaneous readings; after that the last ones are used.
 const MAX_READINGS: u32 = 100;
 
-/// What another process on the same machine needs to go by this one's time.
+/// What another process on the same machine needs to continue with this process's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimeBase {
-    /// The program's time less the machine's monotonic clock, in microseconds.
+    /// The process's clock minus the machine's monotonic clock, in microseconds.
     difference: Micros,
 }
 
-/// See the module's page.
+/// The process's clock.
 pub struct Clock {
     origin: Instant,
     /// The time at `origin`.
     began: Micros,
-    /// While it is held, what it stands at.
+    /// The frozen time, while the clock is frozen.
     frozen: Option<Micros>,
 }
 
 impl Default for Clock {
-    /// Begins at what the wall clock says.
+    /// Starts at the time of the wall clock.
     fn default() -> Self {
         let origin = Instant::now();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -44,43 +44,43 @@
 }
 
 impl Clock {
-    /// Goes on with the time of another process of this machine.
+    /// Continues with the clock of another process on this machine.
     pub fn from_base(base: TimeBase) -> Self {
         let (origin, monotonic) = read_together(Instant::now);
         Self { origin, began: base.difference + monotonic, frozen: None }
     }
 
-    /// What another process of this machine goes on by.
+    /// The base from which another process on this machine continues with this clock.
     pub fn base(&self) -> TimeBase {
         let (time, monotonic) = read_together(|| self.running());
         TimeBase { difference: time - monotonic }
     }
 
-    /// Now.
+    /// The current time, or the frozen time.
     pub fn now(&self) -> Micros {
         self.frozen.unwrap_or_else(|| self.running())
     }
 
-    /// Now, also while the clock is held.
+    /// The current time, even while the clock is frozen.
     pub fn running(&self) -> Micros {
         self.began + self.origin.elapsed().as_micros() as Micros
     }
 
-    /// Now, and for all who ask until [`Clock::unfreeze`]: whatever is found to be due is due by one time, from before
-    /// what has come was looked at, however long that took.
+    /// Freezes the clock at the current time until [`Clock::unfreeze`]. So all timers of one pass are compared with the same
+    /// time, taken before the pass handled its input, however long that takes.
     pub fn freeze(&mut self) -> Micros {
         let now = self.running();
         self.frozen = Some(now);
         now
     }
 
-    /// It goes on.
+    /// Lets the clock run again.
     pub fn unfreeze(&mut self) {
         self.frozen = None;
     }
 }
 
-/// Reads a clock and the machine's monotonic one at the same time: read anew where the process was held up between them.
+/// Reads a clock and the machine's monotonic clock simultaneously; reads again if the process was delayed in between.
 fn read_together<T>(read: impl Fn() -> T) -> (T, Micros) {
     let mut tries = 0;
     loop {
--- a/node/src/clock/steps.rs
+++ b/node/src/clock/steps.rs
@@ -1,20 +1,20 @@
-//! Notices that the machine's wall clock was set, by comparing it with the monotonic clock.
+//! Detects steps of the machine's wall clock by comparing it with the monotonic clock.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use wheellink::Micros;
 
-/// A change of the difference between the two clocks above this is a step; daemons that discipline a clock slew it by
-/// less between two looks.
+/// Smallest change of the difference between the two clocks that counts as a step. A time daemon slews the wall clock by
+/// less than this between two polls.
 const MIN_STEP_US: Micros = 50_000;
-/// Two readings that are further apart say nothing: the process was held up between them.
+/// Readings of the two clocks that take longer than this are discarded, because the process was delayed in between.
 const MAX_READING_TIME: Duration = Duration::from_millis(5);
 
-/// What was seen of steps so far.
+/// Detects and counts steps of the wall clock.
 #[derive(Debug)]
 pub struct StepDetector {
     origin: Instant,
-    /// Wall clock less monotonic clock, in microseconds, when last looked at.
+    /// Wall clock minus monotonic clock at the last poll, in microseconds.
     difference: Option<Micros>,
     count: u64,
     total: Micros,
@@ -27,7 +27,7 @@
 }
 
 impl StepDetector {
-    /// Reads both clocks: by how much the wall clock was stepped since the last look, if it was.
+    /// Reads both clocks. Returns by how much the wall clock was stepped since the previous poll, if it was.
     pub fn poll(&mut self) -> Option<Micros> {
         let before = Instant::now();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -38,7 +38,7 @@
         self.compare(wall.as_micros() as Micros - (before - self.origin).as_micros() as Micros)
     }
 
-    /// Takes in a reading of the difference between the clocks.
+    /// Compares the difference between the clocks with the previous one.
     fn compare(&mut self, difference: Micros) -> Option<Micros> {
         let step = difference - self.difference.replace(difference)?;
         if step.abs() < MIN_STEP_US {
@@ -49,12 +49,12 @@
         Some(step)
     }
 
-    /// How many steps were seen.
+    /// The number of steps so far.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// All steps together.
+    /// The sum of all steps so far.
     pub fn total(&self) -> Micros {
         self.total
     }
--- a/node/src/clock/tests.rs
+++ b/node/src/clock/tests.rs
@@ -3,26 +3,26 @@
 use super::*;
 
 #[test]
-fn time_stands_still_while_it_is_held_and_never_runs_backwards() {
+fn a_frozen_clock_stands_still_and_time_never_runs_backwards() {
     let mut clock = Clock::default();
     let before = clock.now();
-    let held = clock.freeze();
+    let frozen = clock.freeze();
     std::thread::sleep(Duration::from_millis(2));
-    assert_eq!(clock.now(), held);
+    assert_eq!(clock.now(), frozen);
     let again = clock.freeze();
-    assert!(before <= held && held < again, "held anew, by the time of then");
+    assert!(before <= frozen && frozen < again, "freezing again takes the current time");
     std::thread::sleep(Duration::from_millis(2));
     clock.unfreeze();
     assert!(clock.now() > again);
 }
 
 #[test]
-fn two_clocks_of_one_base_show_one_time() {
+fn a_clock_from_another_clocks_base_shows_the_same_time() {
     let first = Clock::default();
     std::thread::sleep(Duration::from_millis(2));
     let second = Clock::from_base(first.base());
     let (before, between, after) = (first.now(), second.now(), first.now());
-    // Each base is as exact as its two readings.
-    let exact = 2 * MAX_READING_GAP_US;
-    assert!(before - exact <= between && between <= after + exact, "{before} {between} {after}");
+    // Each of the two simultaneous readings adds its own error.
+    let error = 2 * MAX_READING_GAP_US;
+    assert!(before - error <= between && between <= after + error, "{before} {between} {after}");
 }
--- a/node/src/faults.rs
+++ b/node/src/faults.rs
@@ -1,25 +1,26 @@
-//! Faults of the system, made common on purpose: in debug builds `WHEELLINK_FAULTS` names calls that make a
-//! descriptor and what they return instead. Release builds have none of it.
+//! Fault injection for tests: in debug builds `WHEELLINK_FAULTS` names system calls that create a descriptor, and the errors
+//! that they return instead. Release builds ignore it.
 //!
-//! The form is `call:error:from:count`, several with commas: `accept:EMFILE:3:5` has the 3rd to 7th `accept` fail.
+//! The format is `call:error:from:count`, with commas between several rules: `accept:EMFILE:3:5` makes the 3rd to 7th
+//! `accept` fail.
 
 use std::io;
 
-/// A call that makes a descriptor.
+/// An operation that can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Taking a connection in.
+    /// Accepting a connection.
     Accept,
-    /// A socket for a connection to somebody else.
+    /// Opening a connection.
     Connect,
-    /// No call of the system: an attempt is withheld, as if the terms that it was decided by were not obeyed any more.
+    /// Not a system call: the attempt is not sent, as if the agreed settings by which it was decided had expired.
     Attempt,
 }
 
 /// The error that this call is to inject instead of being made.
-pub fn inject(call: Fault) -> io::Result<()> {
+pub fn inject(fault: Fault) -> io::Result<()> {
     if cfg!(debug_assertions) {
-        plan::inject(call)
+        plan::inject(fault)
     } else {
         Ok(())
     }
@@ -32,32 +33,32 @@
     use super::Fault;
 
     struct Rule {
-        call: Fault,
+        fault: Fault,
         error: i32,
         from: u32,
         until: u32,
     }
 
     struct Plan {
-        faults: Vec<Rule>,
-        made: [u32; 3],
+        rules: Vec<Rule>,
+        calls: [u32; 3],
     }
 
     thread_local!(static PLAN: RefCell<Plan> = RefCell::new(Plan {
-        faults: read(&std::env::var("WHEELLINK_FAULTS").unwrap_or_default()),
-        made: [0; 3],
+        rules: parse(&std::env::var("WHEELLINK_FAULTS").unwrap_or_default()),
+        calls: [0; 3],
     }));
 
-    fn read(text: &str) -> Vec<Rule> {
-        let fault = |part: &str| {
-            let mut words = part.split(':');
-            let call = match words.next()? {
+    fn parse(text: &str) -> Vec<Rule> {
+        let rule = |part: &str| {
+            let mut parts = part.split(':');
+            let fault = match parts.next()? {
                 "accept" => Fault::Accept,
                 "connect" => Fault::Connect,
                 "attempt" => Fault::Attempt,
                 _ => return None,
             };
-            let error = match words.next()? {
+            let error = match parts.next()? {
                 "EAGAIN" => 11,
                 "EMFILE" => 24,
                 "ENFILE" => 23,
@@ -65,21 +66,21 @@
                 "ECONNABORTED" => 103,
                 _ => return None,
             };
-            let from = words.next()?.parse().ok()?;
-            Some(Rule { call, error, from, until: words.next()?.parse::<u32>().ok()?.saturating_add(from) })
+            let from = parts.next()?.parse().ok()?;
+            Some(Rule { fault, error, from, until: parts.next()?.parse::<u32>().ok()?.saturating_add(from) })
         };
-        text.split(',').filter_map(fault).collect()
+        text.split(',').filter_map(rule).collect()
     }
 
-    pub fn inject(call: Fault) -> io::Result<()> {
+    pub fn inject(fault: Fault) -> io::Result<()> {
         PLAN.with_borrow_mut(|plan| {
-            if plan.faults.is_empty() {
+            if plan.rules.is_empty() {
                 return Ok(());
             }
-            let made = &mut plan.made[call as usize];
-            *made += 1;
-            let now = *made;
-            let hit = plan.faults.iter().find(|f| f.call == call && (f.from..f.until).contains(&now));
+            let calls = &mut plan.calls[fault as usize];
+            *calls += 1;
+            let number = *calls;
+            let hit = plan.rules.iter().find(|f| f.fault == fault && (f.from..f.until).contains(&number));
             hit.map_or(Ok(()), |f| Err(io::Error::from_raw_os_error(f.error)))
         })
     }
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -1,53 +1,54 @@
-//! The log: lines on standard error, bounded in rate, since the log shares the machine's memory.
+//! The log: lines on standard error, limited in rate because the log shares the machine's memory.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
 
 use wheellink::Micros;
 
-/// Lines of one kind that may come at once, and then each second.
+/// Lines of one kind that may be written at once.
 const BURST_LINES: f64 = 400.0;
+/// Lines of one kind that may be written per second after a burst.
 const LINES_PER_S: f64 = 50.0;
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The other side ended it and nothing was open.
+    /// The peer closed the connection while nothing was open on it.
     PeerClosed,
-    /// The other side broke it off.
+    /// The peer broke off the connection.
     PeerReset,
-    /// It lay idle for the settings' time.
+    /// The connection was idle for the configured time.
     Idle,
-    /// It made room for a new one.
+    /// The connection was closed to make room for a new one.
     Evicted,
-    /// No connection came about in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// It was turned away.
+    /// The connection attempt was refused.
     ConnectRefused,
-    /// What came could not be read.
+    /// The peer sent invalid data.
     Protocol,
-    /// The other side does not take what is sent to it.
+    /// The peer reads too slowly.
     SlowReader,
-    /// Admission turned its client away.
+    /// Admission refused the client.
     TurnedAway,
-    /// Its client had been asked to leave.
+    /// The client had been asked to leave.
     Drained,
-    /// Its host was taken out by hand.
+    /// An operator took the host out of service.
     Barred,
-    /// The host list says that its host has gone, or that another process holds the place.
+    /// According to the host list the host has gone, or another process has replaced it.
     HostGone,
     /// The configuration names another address.
     Moved,
-    /// Nothing was heard for too long.
+    /// Nothing was received for too long.
     Silent,
-    /// Its last answer has been given.
+    /// The last answer has been sent.
     Finished,
-    /// The program ends.
+    /// The process ends.
     Shutdown,
 }
 
 impl Reason {
-    /// The code in the log.
+    /// The code in log lines.
     pub fn code(self) -> &'static str {
         match self {
             Self::PeerClosed => "peer_closed",
@@ -70,7 +71,7 @@
     }
 }
 
-/// Lines of one kind as long as they are not too many; the others are counted.
+/// Token bucket that limits the lines of one kind, and counts those that are left out.
 struct TokenBucket {
     tokens: f64,
     at: Micros,
@@ -78,7 +79,7 @@
 }
 
 impl TokenBucket {
-    /// Whether a line may be written now; how many were left out before it.
+    /// If a line may be written now, returns how many were left out before it.
     fn take(&mut self, now: Micros) -> Option<u64> {
         self.tokens = (self.tokens + (now - self.at) as f64 * LINES_PER_S / 1e6).min(BURST_LINES);
         self.at = now;
@@ -91,13 +92,13 @@
     }
 }
 
-/// The log. Clients can end connections by the thousand, and send thousands of things that cannot be read:
-/// the lines of connections and of requests have allowances of their own, so that they drown nothing else.
+/// The log. Clients can cause thousands of lines by ending connections and by sending invalid data, so the lines of
+/// connections and of requests have token buckets of their own and do not displace other lines.
 pub struct Log {
     connections: TokenBucket,
     requests: TokenBucket,
     others: TokenBucket,
-    /// Connections that ended, by the code of the reason: those whose lines were left out as well.
+    /// Connections that have ended, by reason code; includes those whose lines were left out.
     ended: BTreeMap<&'static str, u64>,
 }
 
@@ -107,28 +108,29 @@
         Self { connections: full(), requests: full(), others: full(), ended: BTreeMap::new() }
     }
 
-    /// The one line of a connection that has ended.
+    /// Logs the end of a connection.
     pub fn ended(&mut self, now: Micros, what: impl Display, reason: Reason, detail: impl Display) {
         let text = format_args!("conn {what} ended reason={} {detail}", reason.code());
         *self.ended.entry(reason.code()).or_default() += 1;
         write(now, self.connections.take(now), text);
     }
 
-    /// How many connections have ended, by the code of the reason.
+    /// How many connections have ended, by reason code.
     pub fn ended_by_reason(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         self.ended.iter().map(|(code, count)| (*code, *count))
     }
 
-    /// What became of a request.
+    /// Logs the result of a request.
     pub fn request(&mut self, now: Micros, text: impl Display) {
         write(now, self.requests.take(now), text);
     }
 
-    /// What a connection brought that cannot be read.
+    /// Logs invalid data from a connection.
     pub fn bad_input(&mut self, now: Micros, text: impl Display) {
         write(now, self.connections.take(now), text);
     }
 
+    /// Logs any other line.
     pub fn line(&mut self, now: Micros, text: impl Display) {
         write(now, self.others.take(now), text);
     }
--- a/node/src/log/tests.rs
+++ b/node/src/log/tests.rs
@@ -2,9 +2,10 @@
 
 use super::*;
 
-/// Found on a day of resets: the module's word of a resting host was left out among ended connections.
+/// Many ended connections must not displace other lines: with one common limit, the line that a host rests was left out
+/// while connections were reset.
 #[test]
-fn ended_connections_drown_no_other_line() {
+fn lines_of_ended_connections_displace_no_other_line() {
     let mut log = Log::new();
     let taken = (0..1000).filter(|_| log.connections.take(1_000_000).is_some()).count();
     assert_eq!((taken, log.others.take(1_000_000)), (BURST_LINES as usize, Some(0)));
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The real activator: the wheellink engine on sockets.
+//! The activator process: the wheellink routing engine on sockets.
 #![forbid(unsafe_code)]
 
 mod accords;
@@ -53,21 +53,21 @@
     let (path, operator) = match (arguments.next(), arguments.next()) {
         (Some(path), None) => (path, true),
         (None, None) => {
-            (std::env::var("EDGE_CONFIG").map_err(|_| "give an operator's file, or set EDGE_CONFIG")?, false)
+            (std::env::var("EDGE_CONFIG").map_err(|_| "give a settings file, or set EDGE_CONFIG")?, false)
         }
-        _ => return Err("one operator's file at most".into()),
+        _ => return Err("at most one settings file".into()),
     };
     let read = move || {
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{path} cannot be read: {e}"))?;
         let config = if operator {
             config::operator(&text)
         } else {
-            let told = |name| std::env::var(name).ok();
-            let additions = told("WHEELLINK_ADDITIONS").map(|path| {
+            let env = |name| std::env::var(name).ok();
+            let additions = env("WHEELLINK_ADDITIONS").map(|path| {
                 std::fs::read_to_string(&path).map_err(|e| format!("{path} cannot be read: {e}"))
             });
             let additions = additions.transpose()?;
-            let (listen, control) = (told("EDGE_LISTEN"), told("EDGE_CONTROL"));
+            let (listen, control) = (env("EDGE_LISTEN"), env("EDGE_CONTROL"));
             config::platform(&text, listen.as_deref(), control.as_deref(), additions.as_deref())
         };
         config.and_then(Config::within_system_limit).map_err(|e| format!("{path}: {e}"))
@@ -75,22 +75,22 @@
     let config = read()?;
 
     let failed = |what: &'static str| move |e: calloop::Error| format!("{what}: {e}");
-    let mut events = EventLoop::<Wakes>::try_new().map_err(failed("no event loop"))?;
+    let mut events = EventLoop::<Wakes>::try_new().map_err(failed("cannot create the event loop"))?;
     let handle = events.handle();
-    // Signals not named here would end the process: SIGHUP says that the file has been replaced.
-    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP]).map_err(|e| format!("no signals: {e}"))?;
-    let told = |event: calloop::signals::Event, _: &mut (), wakes: &mut Wakes| match event.signal() {
+    // Without a handler these signals would end the process. SIGHUP asks it to read the configuration again.
+    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP]).map_err(|e| format!("signals: {e}"))?;
+    let on_signal = |event: calloop::signals::Event, _: &mut (), wakes: &mut Wakes| match event.signal() {
         Signal::SIGHUP => wakes.push(Wake::Reload),
         _ => wakes.push(Wake::Stop),
     };
-    handle.insert_source(signals, told).map_err(|e| format!("no signals: {e}"))?;
+    handle.insert_source(signals, on_signal).map_err(|e| format!("signals: {e}"))?;
 
-    let place = upgrade::claim(config.listen, node::wish(&config).as_ref())?;
-    let mut node = Node::new(handle.clone(), config, place, began)?;
+    let claim = upgrade::claim(config.listen, node::wish(&config).as_ref())?;
+    let mut node = Node::new(handle.clone(), config, claim, began)?;
     node.open_listeners()?;
 
     let mut wakes = Wakes::default();
-    let mut look = |node: &mut Node, wait: Duration| {
+    let mut dispatch = |node: &mut Node, wait: Duration| {
         events.dispatch(Some(wait), &mut wakes).map_err(failed("the event loop failed"))?;
         node.looked(wait);
         while let Some(wake) = wakes.next() {
@@ -102,13 +102,14 @@
         Ok::<(), String>(())
     };
     while !node.is_done() {
-        // What has come counts before what is due: the process may have been held up, and its wait broken off.
+        // Input that has arrived is handled before due timers: the process may have been stopped, and its wait interrupted,
+        // before it read that input.
         let due = node.is_due();
         if due {
-            look(&mut node, Duration::ZERO)?;
+            dispatch(&mut node, Duration::ZERO)?;
         }
         let wait = node.turn(due);
-        look(&mut node, wait)?;
+        dispatch(&mut node, wait)?;
     }
     node.shut_down();
     Ok(())
--- a/node/src/membership/checksum.rs
+++ b/node/src/membership/checksum.rs
@@ -1,11 +1,12 @@
-//! A sum over each datagram, so that one that was spoilt on its way is dropped rather than believed: a flipped bit can make
-//! a record of one that was never chosen, and a fleet that learns of a version that nobody has stays on its floor.
+//! Checksums of datagrams, so that a corrupted datagram is dropped and not acted on: a flipped bit can turn a record into
+//! one that was never chosen, and a fleet that learns of a version that no member has stays on its floor.
 //!
-//! It guards against chance, not against who can forge an address: the sum has no key. Programs of before do not know it and
-//! drop what carries it. So each is first spoken to as before, with a short word in between that carries a sum and nothing
-//! else and is answered; from whoever carries sums itself nothing without one is taken, until it said nothing with one for a
-//! while, as it may have been replaced by a program of before. The answer matters: one that starts anew may be spoken to by
-//! nobody, and what it says without a sum is dropped by all who heard its word.
+//! A checksum protects against accidental corruption, not against forgery: it has no key. Older versions do not know
+//! checksums and drop datagrams that carry one. Therefore a member is first sent datagrams without a checksum, and from
+//! time to time a probe: a short datagram that carries only a checksum and is answered by a probe reply. Once a member has
+//! sent a datagram with a checksum, its datagrams without one are dropped, until it has sent none with one for a while,
+//! because an older version may have replaced it. The probe reply is needed because a restarted member may receive nothing
+//! else: all members that have received its probe drop what it sends without a checksum.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,55 +14,55 @@
 use siphasher::sip::SipHasher13;
 use wheellink_members::MemberId;
 
-/// Between two short words to one that is not known to read them.
+/// Time between two probes to a member that is not known to use checksums.
 const PROBE_PERIOD: Duration = Duration::from_millis(100);
-/// Who said nothing with a sum for so long may have been replaced by a program that knows none.
+/// A member that has sent no checksum for this time may have been replaced by a version without checksums.
 const PLAIN_ACCEPT_DELAY: Duration = Duration::from_secs(1);
 
-/// The sum of these bytes, of that kind.
+/// The checksum of a datagram's kind and data.
 pub fn sum(kind: u8, data: &[u8]) -> [u8; 8] {
     SipHasher13::new_with_keys(u64::from(kind), data.len() as u64).hash(data).to_le_bytes()
 }
 
-/// How something is to be sent.
+/// How a datagram is to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Encoding {
-    /// With a sum.
+    /// With a checksum.
     Checked,
-    /// Without, and before it a word that carries one.
+    /// Without a checksum, and after a probe.
     PlainAfterProbe,
-    /// Without.
+    /// Without a checksum.
     Plain,
 }
 
 #[derive(Clone, Copy, Default)]
 struct Peer {
-    /// When it last said something with a sum, if it is held to that.
+    /// When it last sent a checksum; set while a checksum is required from it.
     checked: Option<Duration>,
-    /// When it was last sent a word.
+    /// When it was last sent a probe.
     probed: Option<Duration>,
-    /// When its word was last answered.
+    /// When its probe was last answered.
     replied: Option<Duration>,
 }
 
-/// Who carries sums. Times are of a clock that nobody sets.
+/// Which members use checksums. Times are on the monotonic clock.
 #[derive(Default)]
 pub struct ChecksumState {
     peers: HashMap<MemberId, Peer>,
 }
 
 impl ChecksumState {
-    /// Forgets all but these.
-    pub fn retain(&mut self, roster: impl Fn(MemberId) -> bool) {
-        self.peers.retain(|name, _| roster(*name));
+    /// Forgets all members but these.
+    pub fn retain(&mut self, in_roster: impl Fn(MemberId) -> bool) {
+        self.peers.retain(|id, _| in_roster(*id));
     }
 
-    /// It said something whose sum is right.
+    /// Records a datagram with a valid checksum.
     pub fn record_checked(&mut self, now: Duration, from: MemberId) {
         self.peers.entry(from).or_default().checked = Some(now);
     }
 
-    /// Whether its word is answered now: not each of a flood is.
+    /// Whether to answer a probe of this member now; in a flood of probes most are not answered.
     pub fn should_reply(&mut self, now: Duration, from: MemberId) -> bool {
         let peer = self.peers.entry(from).or_default();
         let due = peer.replied.is_none_or(|at| now.saturating_sub(at) >= PROBE_PERIOD / 2);
@@ -71,7 +72,7 @@
         due
     }
 
-    /// Whether something without a sum is taken from it.
+    /// Whether a datagram without a checksum is accepted from this member.
     pub fn accepts_plain(&mut self, now: Duration, from: MemberId) -> bool {
         let Some(peer) = self.peers.get_mut(&from) else { return true };
         if peer.checked.is_some_and(|at| now.saturating_sub(at) > PLAIN_ACCEPT_DELAY) {
@@ -80,7 +81,7 @@
         peer.checked.is_none()
     }
 
-    /// How the next datagram goes to it.
+    /// How to send the next datagram to this member.
     pub fn next_encoding(&mut self, now: Duration, to: MemberId) -> Encoding {
         let peer = self.peers.entry(to).or_default();
         if peer.checked.is_some() {
@@ -93,9 +94,8 @@
         Encoding::PlainAfterProbe
     }
 
-    /// Whether it is known to carry sums.
-    pub fn uses_checksums(&self, name: MemberId) -> bool {
-        self.peers.get(&name).is_some_and(|peer| peer.checked.is_some())
+    pub fn uses_checksums(&self, id: MemberId) -> bool {
+        self.peers.get(&id).is_some_and(|peer| peer.checked.is_some())
     }
 }
 
--- a/node/src/membership/envelope.rs
+++ b/node/src/membership/envelope.rs
@@ -1,37 +1,38 @@
-//! What other parts say to their like at the other activators, on the socket of the members: four bytes with which
-//! no datagram of the members' protocol begins, a byte of kind, and the part's own bytes. Checked, there is a sum before
-//! those, and the members' own datagrams are of a kind as well.
+//! Envelopes: messages of other parts on the socket of the membership protocol. An envelope is a prefix of four bytes with
+//! which no datagram of the membership protocol begins, a kind (one byte), and the part's message. With another prefix a
+//! checksum stands before the message; datagrams of the membership protocol then have a kind as well.
 
 use wheellink_members::MemberId;
 
 use super::checksum;
 
-/// As a number of the members' protocol this would be a name, a start 76 ms after 1970, and one renewal.
+/// Prefix of an envelope without a checksum. Read by the membership protocol, it would be a member id, a start 76 ms after
+/// 1970, and incarnation 1.
 const PLAIN_PREFIX: [u8; 4] = [0xff, 0x57, 0x4c, 0x01];
-/// The same of what is checked.
+/// Prefix of a datagram with a checksum.
 const CHECKED_PREFIX: [u8; 4] = [0xff, 0x57, 0x4c, 0x02];
-/// The members' own datagrams, checked. One with nothing in it says that its sender reads what is checked, and asks for the
-/// answer that the other one does.
+/// Kind of a datagram of the membership protocol with a checksum. An empty one is a probe: its sender reads checksums, and
+/// asks for a probe reply.
 const KIND_MEMBERS: u8 = 0;
+/// Kind of a probe reply.
 const KIND_PROBE_REPLY: u8 = 255;
-/// Bytes of a sum.
 const SUM_BYTES: usize = 8;
-/// The one name whose datagrams could begin like that: as a number of variable length it is `FF 57`.
+/// The one member id whose datagrams could begin with a prefix: as a varint it is `FF 57`.
 const RESERVED_ID: MemberId = MemberId(0x7f | 0x57 << 7);
-/// Bytes of one datagram, all in all: no network splits it.
+/// Longest envelope without a checksum; short enough that networks do not fragment the datagram.
 const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Bytes that a part may say at once.
+/// Longest message of a part.
 pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - PLAIN_PREFIX.len() - 1;
 
-/// Whose bytes they are.
+/// The part to which a message belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Kind {
-    /// Settings with versions (`crates/accord`).
+    /// Agreed settings (`crates/accord`).
     Accord = 1,
     /// Accepted drafts (`crates/drafts`).
     Drafts = 2,
-    /// Where prefixes are held (`crates/turns`).
+    /// Prefixes held by sites (`crates/turns`).
     Turns = 3,
 }
 
@@ -39,7 +40,7 @@
     const ALL: [Self; 3] = [Self::Accord, Self::Drafts, Self::Turns];
 }
 
-/// Something heard.
+/// A received message.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Envelope {
     pub from: MemberId,
@@ -47,34 +48,34 @@
     pub data: Vec<u8>,
 }
 
-/// A datagram.
+/// A decoded datagram.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Decoded<'a> {
-    /// Its sum is right.
+    /// With a valid checksum.
     Checked(Content<'a>),
-    /// It has none.
+    /// Without a checksum.
     Plain(Content<'a>),
-    /// Its sum is wrong.
+    /// The checksum is wrong or incomplete.
     Corrupt,
 }
 
-/// What a datagram is.
+/// What a datagram contains.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Content<'a> {
-    /// One of the members' protocol, or nothing that makes sense.
+    /// A datagram of the membership protocol, or an invalid one.
     Members(&'a [u8]),
-    /// Its sender reads what is checked, and asks whether this one does.
+    /// The sender reads checksums, and asks for a probe reply.
     Probe,
-    /// Its sender does, too.
+    /// The sender reads checksums.
     ProbeReply,
-    /// For a part that this program does not have, or longer than any may be.
+    /// A message of an unknown kind, or one that is too long.
     Unknown,
     Envelope(Kind, &'a [u8]),
 }
 
-/// Whether no datagram of a member of this name can be taken for a envelope.
-pub fn is_distinguishable(name: MemberId) -> bool {
-    name != RESERVED_ID
+/// Whether no membership datagram of this member can be mistaken for an envelope.
+pub fn is_distinguishable(id: MemberId) -> bool {
+    id != RESERVED_ID
 }
 
 pub fn decode(datagram: &[u8]) -> Decoded<'_> {
@@ -103,7 +104,8 @@
     })
 }
 
-/// A datagram of a part, or of the members' protocol if of none; none if it is too long.
+/// Encodes a message of a part, or a datagram of the membership protocol if `kind` is `None`. Returns `None` if the message
+/// is too long.
 pub fn encode(kind: Option<Kind>, data: &[u8], checked: bool) -> Option<Vec<u8>> {
     if kind.is_some() && data.len() > MAX_PAYLOAD_BYTES {
         return None;
@@ -116,12 +118,12 @@
     })
 }
 
-/// Says that its sender reads what is checked, and asks for an answer.
+/// A datagram that announces that its sender reads checksums, and asks for a probe reply.
 pub fn probe() -> Vec<u8> {
     [&CHECKED_PREFIX, &[KIND_MEMBERS][..], &checksum::sum(KIND_MEMBERS, &[])].concat()
 }
 
-/// The answer to a word. It asks for none.
+/// The reply to a probe. It is not answered.
 pub fn probe_reply() -> Vec<u8> {
     [&CHECKED_PREFIX, &[KIND_PROBE_REPLY][..], &checksum::sum(KIND_PROBE_REPLY, &[])].concat()
 }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters that operators read at `GET /metrics`, in the text format of OpenMetrics.
 //!
-//! Labels come from the settings (classes) and from fixed words of this program, so that their number is bounded.
+//! Label values are classes of the settings and fixed strings of this program, so that their number is limited.
 
 use prometheus_client::encoding::{text, EncodeLabelSet};
 use prometheus_client::metrics::counter::Counter;
@@ -8,7 +8,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::{Registry, Unit};
 
-/// How requests of a class ended.
+/// Labels of requests that have ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     /// The class, as in the settings.
@@ -17,10 +17,10 @@
     pub outcome: &'static str,
 }
 
-/// Something that happened for this reason.
+/// Label for the reason of an event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabels {
-    /// A fixed word.
+    /// A fixed string.
     pub reason: &'static str,
 }
 
@@ -31,21 +31,21 @@
     pub requests: Family<RequestLabels, Counter>,
     /// Attempts that were sent.
     pub attempts: Counter,
-    /// Attempts after a request's first, by the end of the one before.
+    /// Attempts after a request's first, by the outcome of the previous attempt.
     pub retries: Family<ReasonLabels, Counter>,
-    /// Attempts that ended without an answer that serves, by their outcome.
+    /// Attempts that did not serve their request, by outcome.
     pub failed_attempts: Family<ReasonLabels, Counter>,
-    /// Connections that ended, by reason.
+    /// Connections that have ended, by reason.
     pub connections_ended: Family<ReasonLabels, Counter>,
-    /// Orders to load copies.
+    /// Orders to load copies of functions.
     pub load_orders: Counter,
     /// Steps of the machine's wall clock.
     pub clock_steps: Counter,
     /// The sum of these steps, in seconds.
     pub clock_stepped: Gauge<f64, std::sync::atomic::AtomicU64>,
-    /// Times that the process was stopped, or without a processor.
+    /// Times that the process was stopped or had no processor.
     pub hold_ups: Counter,
-    /// Requests that are owed an answer.
+    /// Requests that have not been answered yet.
     pub open_requests: Gauge,
 }
 
@@ -105,7 +105,7 @@
         registry.register("open_requests", "Requests that are owed an answer", self.open_requests.clone());
     }
 
-    /// All of them as text.
+    /// All metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut page = String::new();
         text::encode(&mut page, &self.registry).expect("writing to a string cannot fail");
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -1,28 +1,28 @@
-//! The waits between a process's start and the moment when it says that it is ready. Whatever stands around it may be
-//! silent; the sum of the waits is bounded here, in one place.
+//! Timeouts between the start of a process and the moment when it reports that it is ready. All processes that it depends
+//! on may fail to answer; the sum of the timeouts is limited here, in one place.
 
 use std::time::Duration;
 
-/// Another process of the address answers within this, its whole answer, or is taken for nobody; under load its loop
-/// may be late.
+/// Time limit for the whole answer of a running process to `hello`. It allows for a loaded machine, on which the event
+/// loop of that process may be late.
 pub const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// For so long an address may still be taken by a process that leaves it.
+/// How long an address may be in use by a process that is ending.
 pub const BUSY_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often a taken address is looked at.
+/// Time between two attempts to claim an address that is in use.
 pub const RETRY_PERIOD: Duration = Duration::from_millis(100);
-/// Beside another process: clients are taken after this, even if the bus cannot be reached. The configuration's list
-/// will do.
+/// With another process running, clients are accepted after this time even if the bus cannot be reached. The host list of
+/// the configuration is used then.
 pub const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(2500);
-/// ... and at the latest so long after the process began, however long it waited for its address.
+/// Latest time after the process start at which [`CATCH_UP_TIMEOUT`] ends, however long the process waited for its address.
 pub const MAX_STARTUP: Duration = Duration::from_millis(5000);
-/// What is due is looked at as often as this.
+/// Time between two checks for due work.
 pub const POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// Within this a restarted process must be ready, where the day ends sooner than ten seconds later.
+/// A restarted process must be ready within this time if the run ends less than ten seconds later.
 const READY_LIMIT: Duration = Duration::from_secs(6);
 
-/// The max_time_to_ready that any process takes until it says that it is ready, but for the work itself: one that waits for its
-/// address until the last moment, is told nothing by whoever is there, and has a bus that says nothing.
+/// The longest time until a process reports that it is ready, without the work itself: it claims its address in the last
+/// attempt, the running process does not answer, and the bus sends nothing.
 pub const fn max_time_to_ready() -> Duration {
     let claimed = BUSY_TIMEOUT.as_millis() + RETRY_PERIOD.as_millis() + TAKEOVER_TIMEOUT.as_millis();
     let caught_up = if claimed > MAX_STARTUP.as_millis() { claimed } else { MAX_STARTUP.as_millis() };
--- a/node/src/wake.rs
+++ b/node/src/wake.rs
@@ -1,5 +1,5 @@
-//! What the event loop found ready. Callbacks do nothing but say so here; the hub takes it up after each
-//! dispatch, in the order in which it came. So no part below the hub knows the hub.
+//! Wake-ups: what the event loop has found ready. Callbacks only queue a wake-up; the node handles the queue after each
+//! dispatch, in order. So no other module depends on the node.
 
 use std::collections::VecDeque;
 
@@ -7,57 +7,57 @@
 
 use crate::conn::ConnId;
 
-/// Something that is ready to be looked at.
+/// A source that is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    /// A client's connection can be read, or takes more.
+    /// A client's connection is readable or writable.
     Client(ConnId),
-    /// A connection to a script host can be read, or takes more.
+    /// A connection to a script host is readable or writable.
     Host(ConnId),
-    /// A connection of an operator can be read, or takes more.
+    /// An operator's connection is readable or writable.
     Caller(ConnId),
-    /// The connection to another process of this address, likewise.
+    /// A connection to another process of this address is readable or writable.
     Peer(ConnId),
-    /// The connection to the event bus, likewise.
+    /// The connection to the event bus is readable or writable.
     Bus,
-    /// The resolver has answered by datagram.
+    /// A datagram of the resolver has arrived.
     Resolver,
-    /// A connection to the resolver can be read, or takes more.
+    /// A connection to the resolver is readable or writable.
     ResolverConn(ConnId),
-    /// Other activators of the tier have told something.
+    /// Datagrams of other activators have arrived.
     Peers,
-    /// Other activators have sent word of who is alive.
+    /// Datagrams on the membership socket have arrived.
     Members,
-    /// A document of the agreed settings was read beside the loop.
+    /// Another thread has finished reading a document of the agreed settings.
     AccordPrepared,
-    /// Connections of clients wait to be accepted.
+    /// Client connections are waiting to be accepted.
     Clients,
-    /// Connections of operators wait to be accepted.
+    /// Operator connections are waiting to be accepted.
     Callers,
-    /// Another process of this address has come to the meeting place.
+    /// Another process has connected to take over this address.
     PeerArrival,
-    /// The program is to end (SIGTERM).
+    /// The process is to end (SIGTERM).
     Stop,
-    /// The configuration was replaced (SIGHUP).
+    /// The configuration is to be read again (SIGHUP).
     Reload,
 }
 
-/// The loop's own data: what is ready and not looked at yet. A source is named once a dispatch, so it holds as
-/// many as there are descriptors at most.
+/// The event loop's shared data: queued wake-ups. A source is queued once per dispatch, so the length is limited by the
+/// number of descriptors.
 #[derive(Default)]
 pub struct Wakes(VecDeque<Wake>);
 
 impl Wakes {
-    /// Says that something is ready.
+    /// Queues a wake-up.
     pub fn push(&mut self, wake: Wake) {
         self.0.push_back(wake);
     }
 
-    /// The next to be looked at.
+    /// Removes the next wake-up.
     pub fn next(&mut self) -> Option<Wake> {
         self.0.pop_front()
     }
 }
 
-/// Where sockets are put into the loop.
+/// The handle with which sockets are registered with the event loop.
 pub type Handle = LoopHandle<'static, Wakes>;
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -185,7 +185,7 @@
 
 #[rstest]
 #[case::nameless("name = \"\"", "a name is 1 to 64 bytes")]
-#[case::twice("name = \"b\"", "b and b cannot be told apart")]
+#[case::twice("name = \"b\"", "b and b have the same id")]
 #[case::hasty("name = \"a\"\nperiod_ms = 5", "members.period_ms is 20 to 60000")]
 #[case::word("name = \"a\"\nperiods = 5", "unknown field")]
 fn a_setup_that_makes_no_sense_is_turned_down(#[case] setup: &str, #[case] wanted: &str) {
--- a/node/tests/startup.rs
+++ b/node/tests/startup.rs
@@ -1,4 +1,4 @@
-//! The longest wait until a process says that it is ready.
+//! The timeouts of a start, until a process reports that it is ready.
 
 #[path = "../src/startup.rs"]
 #[allow(dead_code)]
@@ -6,20 +6,20 @@
 
 use std::time::Duration;
 
-/// Where the day ends sooner, an activator must be ready within this.
-const OWED: Duration = Duration::from_secs(6);
+use startup::{max_time_to_ready, BUSY_TIMEOUT, MAX_STARTUP, TAKEOVER_TIMEOUT};
+
+/// An activator must be ready within this time if the run ends sooner than usual.
+const READY_LIMIT: Duration = Duration::from_secs(6);
 
 #[test]
-fn all_waits_of_a_start_together_are_shorter_than_what_is_owed() {
-    let claimed = startup::BUSY_TIMEOUT + startup::RETRY_PERIOD + startup::TAKEOVER_TIMEOUT;
-    assert!(
-        claimed + startup::POLL_PERIOD < OWED,
-        "alone, clients are taken as soon as the address is claimed"
-    );
-    assert!(startup::max_time_to_ready() < OWED);
-    assert!(startup::max_time_to_ready() >= claimed && startup::max_time_to_ready() >= startup::MAX_STARTUP);
+fn all_timeouts_of_a_start_together_stay_below_the_limit() {
+    let claimed = BUSY_TIMEOUT + startup::RETRY_PERIOD + TAKEOVER_TIMEOUT;
     assert!(
-        startup::TAKEOVER_TIMEOUT + startup::CATCH_UP_TIMEOUT < startup::MAX_STARTUP,
-        "one slow greeting leaves the whole time"
+        claimed + startup::POLL_PERIOD < READY_LIMIT,
+        "alone, clients are accepted as soon as the address is claimed"
     );
+    assert!(max_time_to_ready() < READY_LIMIT);
+    assert!(max_time_to_ready() >= claimed && max_time_to_ready() >= MAX_STARTUP);
+    let slow = TAKEOVER_TIMEOUT + startup::CATCH_UP_TIMEOUT;
+    assert!(slow < MAX_STARTUP, "one slow takeover leaves the whole catch-up time");
 }
