--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What the program is started with: the platform's configuration, or an operator's file.
+//! The configuration: the platform's JSON configuration, or an operator's TOML file.
 
 pub mod drafts;
 mod operator;
@@ -23,58 +23,58 @@
 use crate::membership::Setup;
 use crate::peers::Addresses;
 
-/// What the program needs to know.
+/// A checked configuration.
 pub struct Config {
     pub listen: SocketAddr,
-    /// Where operators call, if they do.
+    /// The address for operators' calls, if there is one.
     pub control: Option<SocketAddr>,
     pub seed: u64,
-    /// Descriptors that the process may hold, and whose they are.
+    /// Descriptors that the process may hold, and how they are divided.
     pub descriptors: Ledger,
-    /// Bytes of memory that it may take.
-    pub memory: usize,
+    /// Bytes of memory that the process may use.
+    pub memory_bytes: usize,
     pub deployment: Deployment,
-    /// Where the activators of the tier hear one another, where they may; else why they do not.
+    /// The addresses at which the activators of the tier exchange datagrams, or why they do not.
     pub peers: Result<Addresses, String>,
     pub mode: Mode,
-    /// Gradual versions, where they are set up.
+    /// Settings of rollouts, if present.
     pub rollout: Option<rollout::Setup>,
-    /// Who is let in, where that is set up.
+    /// Admission rules, if present.
     pub admission: Option<Rules>,
-    /// Which activators watch each other, where that is set up.
+    /// Membership of the activators, if present.
     pub members: Option<Setup>,
-    /// What is learnt of drafts, where that is set up.
+    /// Settings for learning draft lengths, if present.
     pub drafts: Option<drafts::Setup>,
-    /// How turns of conversations are routed, where that is set up.
+    /// Settings for routing conversation turns, if present.
     pub turns: Option<turns::Setup>,
-    /// The settings on which activators agree, where that is set up.
+    /// Settings on which the activators agree, if present.
     pub accord: Option<crate::accords::Setup>,
-    /// The file as it was read, but for the host list: what a new file must not lack.
-    form: Value,
+    /// The configuration as it was read, without the host list; used to check a replacement. Null for an operator's file.
+    source: Value,
 }
 
 impl Config {
-    /// Holds to the system's limit of descriptors as well, where that is lower than the file's.
+    /// Lowers the number of descriptors to the system's limit if that is lower.
     pub fn within_system_limit(mut self) -> Result<Self, String> {
-        let system = getrlimit(Resource::Nofile).current.and_then(|most| usize::try_from(most).ok());
+        let system = getrlimit(Resource::Nofile).current.and_then(|max| usize::try_from(max).ok());
         if let Some(system) = system.filter(|system| *system < self.descriptors.limit()) {
             self.descriptors = Ledger::new(system).map_err(|e| format!("limit of the system: {e}"))?;
         }
         Ok(self)
     }
 
-    /// Whether a file may take this one's place: what stood in this one must not be missing there. A file that
-    /// lost a part would else be taken with defaults in its place.
+    /// Checks that a new configuration has all keys of this one. Otherwise defaults would silently replace a part that the
+    /// new file has lost.
     pub fn check_replacement(&self, next: &Config) -> Result<(), String> {
-        match missing(&self.form, &next.form) {
+        match missing(&self.source, &next.source) {
             Some(key) => Err(format!("{key} is missing")),
             None => Ok(()),
         }
     }
 }
 
-/// A key of the old form that the new one lacks. Lists may become longer or shorter; what all their old
-/// entries had, their new ones must have.
+/// Returns a key of the old configuration that the new one lacks. Lists may become longer or shorter, but a key that all
+/// old entries of a list have must be in all new ones.
 fn missing(old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old)| match new.get(key) {
@@ -92,12 +92,12 @@
     }
 }
 
-/// Who speaks with clients, and who tells of hosts.
+/// Where clients and the host list come from.
 pub enum Mode {
-    /// The platform's front and its event bus, with the events known and the number of the last of them.
-    Platform { bus: SocketAddr, offset: u64, known: Vec<Event> },
-    /// The invoke front, and hosts by DNS-SD. By class: how long a deferred call is tried, and the lanes of a
-    /// copy where a call does not tell them.
+    /// The platform's protocol and its event bus, with the events known so far and the number of the last one.
+    Platform { bus: SocketAddr, offset: u64, events: Vec<Event> },
+    /// HTTP calls, and hosts from DNS-SD. For each class: how long a deferred call is tried, and the lanes of a copy if the
+    /// call does not state them.
     Operator { resolver: SocketAddr, service: Name, bounds: Bounds, classes: Vec<(Micros, u32)> },
 }
 
@@ -108,7 +108,7 @@
     seed: Value,
     limits: Option<Limits>,
     bus: String,
-    known: Known,
+    known: KnownEvents,
     peer_listen: Option<String>,
     peers: Option<Vec<String>>,
     peers_all: Option<String>,
@@ -124,17 +124,17 @@
 }
 
 #[derive(Deserialize)]
-struct Known {
+struct KnownEvents {
     offset: u64,
     batch: Vec<Value>,
 }
 
-/// Descriptors on a scored day, where the configuration tells none.
-const SOCKETS: usize = 1024;
-/// Megabytes there at most.
-const MEMORY: f64 = 192.0;
+/// Descriptors if the configuration gives no number.
+const DEFAULT_SOCKETS: usize = 1024;
+/// Megabytes of memory if the configuration gives no number.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
 
-/// What an installation adds to a platform's configuration that it cannot change itself.
+/// What an installation adds to the platform's configuration, which it cannot change itself.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Additions {
@@ -142,8 +142,8 @@
     admission: Option<Rules>,
 }
 
-/// Reads the platform's configuration, with `listen` and `control` from the environment where they are set
-/// there, and with the additions of an operator's file where there is one, which win.
+/// Reads the platform's configuration. `listen` and `control` from the environment replace its values; so do the parts in
+/// the file of additions.
 pub fn platform(
     text: &str,
     listen: Option<&str>,
@@ -153,20 +153,20 @@
     let added = additions.map(|text| toml::from_str::<Additions>(text).map_err(|e| e.message().to_string()));
     let added = added.transpose().map_err(|e| format!("additions: {e}"))?.unwrap_or_default();
     let mut file: File = read(text)?;
-    let mut form: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    let mut source: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
     (file.rollout, file.admission) = (added.rollout.or(file.rollout), added.admission.or(file.admission));
-    if let Some(known) = form.get_mut("known") {
+    if let Some(known) = source.get_mut("known") {
         *known = Value::Bool(true);
     }
-    let address = |what: &str, text: &str| {
-        text.parse::<SocketAddr>().map_err(|_| format!("{what} is no address with a port: {text:?}"))
+    let address = |key: &str, text: &str| {
+        text.parse::<SocketAddr>().map_err(|_| format!("{key} is no address with a port: {text:?}"))
     };
     let mut deployment = Deployment::try_from(file.settings).map_err(|e| format!("settings.{e}"))?;
-    // Refused clients are told when to come back even where the settings say that they do not heed it: the
-    // wire has a field for it, and it costs nothing.
+    // Refused clients are sent a retry time even if the settings say that they ignore it: the protocol has a field for it,
+    // and it costs nothing.
     deployment.settings.max_retry_after = deployment.transport.retry_after;
     deployment.settings.check().map_err(|e| e.to_string())?;
-    let known: Result<_, _> = file
+    let events: Result<_, _> = file
         .known
         .batch
         .iter()
@@ -174,12 +174,12 @@
         .collect();
     file.rollout.as_ref().map_or(Ok(()), rollout::Setup::check)?;
     let limits = file.limits.unwrap_or_default();
-    let sockets = limits.sockets.unwrap_or(SOCKETS);
+    let sockets = limits.sockets.unwrap_or(DEFAULT_SOCKETS);
     let descriptors = Ledger::new(sockets).map_err(|e| format!("limits.sockets: {e}"))?;
-    check(file.admission.as_ref(), sockets)?;
+    check_admission(file.admission.as_ref(), sockets)?;
     let control = control.or(file.control.as_deref());
-    let one = |what: &str, text: &Option<String>| {
-        text.as_ref().map_or(Err(format!("{what} is not told")), |text| address(what, text))
+    let one = |key: &str, text: &Option<String>| {
+        text.as_ref().map_or(Err(format!("{key} is missing")), |text| address(key, text))
     };
     let peers = || {
         let each = file.peers.iter().flatten().map(|text| address("peers", text));
@@ -193,27 +193,27 @@
         listen: address("listen", listen.unwrap_or(&file.listen))?,
         seed: seed(&file.seed)?,
         descriptors,
-        memory: (limits.memory_mb.unwrap_or(MEMORY).max(16.0) * f64::from(1 << 20)) as usize,
+        memory_bytes: (limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).max(16.0) * f64::from(1 << 20)) as usize,
         deployment,
-        form,
+        source,
         rollout: file.rollout,
         admission: file.admission,
         members: None,
         drafts: None,
         turns: None,
         accord: None,
-        mode: Mode::Platform { bus: address("bus", &file.bus)?, offset: file.known.offset, known: known? },
+        mode: Mode::Platform { bus: address("bus", &file.bus)?, offset: file.known.offset, events: events? },
     })
 }
 
-/// Reads a whole object of JSON; what cannot be read is told by its key.
+/// Reads a whole JSON document; errors name the key.
 fn read<T: DeserializeOwned>(text: &str) -> Result<T, String> {
     let mut source = serde_json::Deserializer::from_str(text);
     let whole = serde_path_to_error::deserialize(&mut source).map_err(|e| {
         let (key, problem) = (e.path().to_string(), e.inner().to_string());
-        // The key that is missing is named by the message, its place by the path.
-        let lacks = problem.strip_prefix("missing field `").and_then(|rest| rest.split_once('`'));
-        match (key.as_str(), lacks) {
+        // The message names the missing key, and the path the object that lacks it.
+        let missing = problem.strip_prefix("missing field `").and_then(|rest| rest.split_once('`'));
+        match (key.as_str(), missing) {
             (".", Some((name, _))) => format!("{name}: is missing"),
             (key, Some((name, _))) => format!("{key}.{name}: is missing"),
             (".", None) => problem,
@@ -224,8 +224,8 @@
     Ok(whole)
 }
 
-/// Checks who is let in, for a process with so many descriptors.
-fn check(rules: Option<&Rules>, sockets: usize) -> Result<(), String> {
+/// Checks the admission rules of a process with this number of descriptors.
+fn check_admission(rules: Option<&Rules>, sockets: usize) -> Result<(), String> {
     rules.map_or(Ok(()), |rules| rules.check(sockets)).map_err(|e| format!("admission: {e}"))
 }
 
--- a/node/src/config/operator.rs
+++ b/node/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: the invoke front, where its hosts are found, classes and bounds. In TOML.
+//! The operator's file, in TOML: listen addresses, host discovery, classes, tenants and limits.
 
 mod ranges;
 
@@ -54,50 +54,50 @@
     zone: Option<String>,
     #[serde(default = "one")]
     activators: u32,
-    #[serde(default = "misses")]
+    #[serde(default = "on_miss")]
     on_miss: String,
     keep_ms: Micros,
-    #[serde(default = "attempts")]
+    #[serde(default = "max_attempts")]
     max_attempts: u32,
-    #[serde(default = "second")]
+    #[serde(default = "retry_after_ms")]
     retry_after_ms: Micros,
     orders: Option<Orders>,
     cold_from: f64,
     cold_ms: Micros,
     fall_multiple: f64,
     fall_ms: Micros,
-    #[serde(default = "connect")]
+    #[serde(default = "connect_timeout_ms")]
     connect_timeout_ms: Micros,
-    #[serde(default = "idle")]
+    #[serde(default = "idle_ms")]
     idle_ms: Micros,
     #[serde(default = "streams")]
     streams: usize,
-    #[serde(default = "order")]
+    #[serde(default = "order_timeout_ms")]
     order_timeout_ms: Micros,
 }
 
 fn one() -> u32 {
     1
 }
-fn misses() -> String {
+fn on_miss() -> String {
     "miss".into()
 }
-fn attempts() -> u32 {
+fn max_attempts() -> u32 {
     5
 }
-fn second() -> Micros {
+fn retry_after_ms() -> Micros {
     1_000
 }
-fn connect() -> Micros {
+fn connect_timeout_ms() -> Micros {
     250
 }
-fn idle() -> Micros {
+fn idle_ms() -> Micros {
     30_000
 }
 fn streams() -> usize {
     32
 }
-fn order() -> Micros {
+fn order_timeout_ms() -> Micros {
     10_000
 }
 
@@ -134,7 +134,7 @@
     aim_ms: Micros,
     give_up_ms: Micros,
     deferred_give_up_ms: Option<Micros>,
-    #[serde(default = "whole")]
+    #[serde(default = "worth")]
     worth: f64,
     #[serde(default)]
     late_worth: f64,
@@ -142,7 +142,7 @@
     lanes: u32,
 }
 
-fn whole() -> f64 {
+fn worth() -> f64 {
     1.0
 }
 
@@ -153,22 +153,25 @@
     quota_per_s: f64,
 }
 
-/// Reads the file. What is wrong with it is told in one line.
+/// Reads the file.
+///
+/// # Errors
+/// The first problem, in one line.
 pub fn parse(text: &str, seed: u64) -> Result<Config, String> {
     let file: File = toml::from_str(text).map_err(|e| {
         let line = e.span().map_or(1, |span| 1 + text[..span.start.min(text.len())].matches('\n').count());
         format!("line {line}: {}", e.message().trim().replace('\n', " "))
     })?;
     let hosts = &file.hosts;
-    let wrong = |wrong: bool, what: &str| if wrong { Err(what.to_string()) } else { Ok(()) };
-    wrong(!hosts.resolver.ip().is_loopback(), "hosts.resolver must be a loopback address")?;
-    wrong(file.sockets < 64, "sockets must be 64 at least")?;
-    wrong(!(16..=1 << 20).contains(&file.memory_mb), "memory_mb must be 16 at least")?;
-    wrong(hosts.streams == 0 || hosts.activators == 0, "hosts.streams and hosts.activators begin at 1")?;
+    let deny = |wrong: bool, problem: &str| if wrong { Err(problem.to_string()) } else { Ok(()) };
+    deny(!hosts.resolver.ip().is_loopback(), "hosts.resolver must be a loopback address")?;
+    deny(file.sockets < 64, "sockets must be at least 64")?;
+    deny(!(16..=1 << 20).contains(&file.memory_mb), "memory_mb must be 16 to 1048576")?;
+    deny(hosts.streams == 0 || hosts.activators == 0, "hosts.streams, hosts.activators: at least 1")?;
     ranges::check(&file)?;
-    wrong(file.results.most == 0 || file.results.megabytes == 0, "results must leave room for one")?;
+    deny(file.results.most == 0 || file.results.megabytes == 0, "results must allow at least one")?;
     file.rollout.as_ref().map_or(Ok(()), super::rollout::Setup::check)?;
-    super::check(file.admission.as_ref(), file.sockets)?;
+    super::check_admission(file.admission.as_ref(), file.sockets)?;
     file.members.as_ref().map_or(Ok(()), crate::membership::Setup::check)?;
     if let Some(drafts) = &file.drafts {
         let classes: Vec<&str> = file.class.iter().map(|c| c.name.as_str()).collect();
@@ -177,9 +180,9 @@
     file.turns.as_ref().map_or(Ok(()), super::turns::Setup::check)?;
     let mut names: Vec<_> = file.class.iter().map(|c| &c.name).collect();
     names.sort();
-    wrong(names.windows(2).any(|w| w[0] == w[1]), "two classes of one name")?;
+    deny(names.windows(2).any(|w| w[0] == w[1]), "two classes have the same name")?;
     for c in &file.class {
-        wrong(c.give_up_ms < c.aim_ms, &format!("class {}: aim_ms and give_up_ms", c.name))?;
+        deny(c.give_up_ms < c.aim_ms, &format!("class {}: give_up_ms must not be below aim_ms", c.name))?;
     }
     let settings = Settings {
         routers: hosts.activators,
@@ -241,21 +244,21 @@
         transport,
     };
     if let Some(accord) = &file.accord {
-        // Two versions of the program would have to vote as one.
-        wrong(file.rollout.is_some(), "accord: it does not go beside [rollout]")?;
+        // In a rollout two processes would have to vote as one member.
+        deny(file.rollout.is_some(), "accord: it cannot be combined with [rollout]")?;
         let (settings, classes) = (deployment.settings.clone(), deployment.classes.clone());
         let base = crate::accords::terms::Base { settings, classes, tenants: deployment.tenants.clone() };
         accord.check(file.members.as_ref(), &base)?;
     }
     Ok(Config {
-        form: serde_json::Value::Null,
+        source: serde_json::Value::Null,
         control: file.control,
         listen: file.listen,
         seed,
         descriptors: Ledger::new(file.sockets).map_err(|e| format!("sockets: {e}"))?,
-        memory: file.memory_mb << 20,
+        memory_bytes: file.memory_mb << 20,
         deployment,
-        peers: Err("an operator's file names none".into()),
+        peers: Err("an operator's file names no peers".into()),
         mode,
         rollout: file.rollout,
         admission: file.admission,
--- a/node/src/config/operator/ranges.rs
+++ b/node/src/config/operator/ranges.rs
@@ -1,13 +1,13 @@
-//! Numbers of an operator's file that make no sense, told by their keys.
+//! Range checks of an operator's file. Errors name the key.
 
 use wheellink::Micros;
 
 use super::{ClassTable, File, Hosts};
 
-/// The longest time that is taken, three decades, in milliseconds.
-const LONGEST: Micros = 1_000_000_000_000;
-/// The most that any share, rate, worth or multiple may be.
-const MOST: f64 = 1e12;
+/// Longest time that is accepted, about three decades, in milliseconds.
+const MAX_TIME_MS: Micros = 1_000_000_000_000;
+/// Largest share, rate, worth or multiple that is accepted.
+const MAX_NUMBER: f64 = 1e12;
 
 fn refuse(wrong: bool, key: &str, wanted: &str) -> Result<(), String> {
     if wrong {
@@ -16,14 +16,14 @@
     Ok(())
 }
 
-fn time(key: &str, least: Micros, time: Micros) -> Result<(), String> {
-    let wanted = format!("must be {least} to {LONGEST}, not {time}");
-    refuse(!(least..=LONGEST).contains(&time), key, &wanted)
+fn time(key: &str, min: Micros, time: Micros) -> Result<(), String> {
+    let wanted = format!("must be {min} to {MAX_TIME_MS}, not {time}");
+    refuse(!(min..=MAX_TIME_MS).contains(&time), key, &wanted)
 }
 
 fn number(key: &str, number: f64) -> Result<(), String> {
-    let wanted = format!("must be 0 to {MOST:e}, not {number}");
-    refuse(!(0.0..=MOST).contains(&number), key, &wanted)
+    let wanted = format!("must be 0 to {MAX_NUMBER:e}, not {number}");
+    refuse(!(0.0..=MAX_NUMBER).contains(&number), key, &wanted)
 }
 
 fn above_zero(key: &str, value: f64) -> Result<(), String> {
@@ -31,7 +31,7 @@
     refuse(value <= 0.0, key, "must be above 0, not 0")
 }
 
-/// Looks at all times, shares and rates.
+/// Checks all times, shares and rates.
 pub(super) fn check(file: &File) -> Result<(), String> {
     check_hosts(&file.hosts)?;
     refuse(file.class.is_empty(), "class", "is missing: there must be one [[class]]")?;
@@ -49,7 +49,7 @@
     time("hosts.connect_timeout_ms", 1, hosts.connect_timeout_ms)?;
     time("hosts.idle_ms", 1, hosts.idle_ms)?;
     time("hosts.order_timeout_ms", 1, hosts.order_timeout_ms)?;
-    // Hosts may be warm at once.
+    // 0: hosts are warm as soon as they start.
     time("hosts.cold_ms", 0, hosts.cold_ms)?;
     time("hosts.fall_ms", 1, hosts.fall_ms)?;
     time("hosts.keep_ms", 0, hosts.keep_ms)?;
--- a/node/src/config/rollout.rs
+++ b/node/src/config/rollout.rs
@@ -1,41 +1,41 @@
-//! The part of a configuration that sets gradual versions up: `[rollout]` of an operator's file, `rollout` of the
-//! platform's. Where it does not stand, they are off.
+//! Settings of rollouts: `[rollout]` of an operator's file, `rollout` of the platform's configuration. Without them there
+//! are no rollouts.
 
 use serde::Deserialize;
 use wheellink_rollout::Plan;
 
-/// Longest name of a version, in bytes.
-const LONGEST_VERSION: usize = 64;
+/// Longest name of a version.
+const MAX_NAME_BYTES: usize = 64;
 
 /// When a rollout begins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StartOn {
-    /// With an operator's call.
+    /// On an operator's call.
     #[default]
     Call,
-    /// When the new version's host list is as new as can be told; the old version's file has the plan.
+    /// When the host list of the new version is up to date. The plan is in the old version's file.
     Ready,
 }
 
-/// What a new process does where the old version takes no part in rollouts.
+/// What a new process does if the old version does not support rollouts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IfUnsupported {
-    /// It ends with an error: the old one serves on.
+    /// It ends with an error; the old process keeps serving.
     #[default]
     Stop,
-    /// A plain upgrade: it takes all clients at once.
+    /// A plain upgrade: it takes over all clients at once.
     Upgrade,
 }
 
-/// See the module's page.
+/// Settings of rollouts.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Setup {
     pub begin: StartOn,
     pub old_cannot: IfUnsupported,
-    /// Its name for operators, instead of the package's version.
+    /// The version name that operators see, instead of the package version.
     version: Option<String>,
     pub plan: Option<Plan>,
 }
@@ -46,12 +46,11 @@
         self.version.clone().unwrap_or_else(|| env!("CARGO_PKG_VERSION").into())
     }
 
-    /// Checks it as a whole.
     pub fn check(&self) -> Result<(), String> {
-        let long = |v: &String| v.is_empty() || v.len() > LONGEST_VERSION || v.chars().any(char::is_control);
-        if self.version.as_ref().is_some_and(long) {
+        let bad = |v: &String| v.is_empty() || v.len() > MAX_NAME_BYTES || v.chars().any(char::is_control);
+        if self.version.as_ref().is_some_and(bad) {
             return Err(format!(
-                "rollout.version must be 1 to {LONGEST_VERSION} bytes without control characters"
+                "rollout.version must be 1 to {MAX_NAME_BYTES} bytes without control characters"
             ));
         }
         if self.begin == StartOn::Ready && self.plan.is_none() {
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -10,7 +10,7 @@
 #[case::members(include_str!("../../../deploy/members.toml"), false)]
 #[case::together(include_str!("../../../deploy/together.toml"), false)]
 #[case::rollout(include_str!("../../../deploy/rollout.toml"), true)]
-fn the_files_under_deploy_are_taken(#[case] text: &str, #[case] rollout: bool) {
+fn the_files_under_deploy_are_valid(#[case] text: &str, #[case] rollout: bool) {
     let config = operator(text).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(config.rollout.is_some(), rollout);
 }
@@ -21,7 +21,7 @@
 #[case::word("[rollout]\nbegin = \"soon\"", "unknown variant")]
 #[case::key("[rollout]\nstart = \"call\"", "unknown field")]
 #[case::version("[rollout]\nversion = \"\"", "rollout.version must be")]
-fn a_rollout_that_makes_no_sense_is_turned_down(#[case] part: &str, #[case] wanted: &str) {
+fn an_invalid_rollout_is_refused(#[case] part: &str, #[case] wanted: &str) {
     let text = format!("{}\n{part}\n", include_str!("../../../deploy/invoke.toml"));
     let problem = operator(&text).err().expect("a problem");
     assert!(problem.contains(wanted), "{problem}");
@@ -34,7 +34,7 @@
 #[case::no_key(json!({"b": [{"x": 1}]}), Some("a"))]
 #[case::null(json!({"a": null, "b": []}), Some("a"))]
 #[case::entry_without(json!({"a": 1, "b": [{"x": 1}, {"y": 1}]}), Some("b.x"))]
-fn a_key_that_stood_is_missed(#[case] new: Value, #[case] wanted: Option<&str>) {
+fn a_missing_key_is_named(#[case] new: Value, #[case] wanted: Option<&str>) {
     let old = json!({"a": 1, "b": [{"x": 1}, {"x": 2, "z": 3}]});
     assert_eq!(missing(&old, &new).as_deref(), wanted);
 }
--- a/node/src/config/turns.rs
+++ b/node/src/config/turns.rs
@@ -1,87 +1,89 @@
-//! The part of an operator's file that has turns routed to the site that holds their prefix: `[turns]`. Where it does
-//! not stand, that is off, and turns that calls carry are passed over.
+//! `[turns]` of an operator's file: conversation turns are routed to the site that holds their prefix. Without it this is
+//! off, and turns in calls are ignored.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use wheellink_turns::Settings;
 
-/// What shares a cache.
+/// What makes up a site: hosts that share a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SiteKind {
-    /// The hosts of one cell; a host of no cell is a site of its own.
+    /// The hosts of a cell; a host without a cell is a site of its own.
     Cell,
-    /// The hosts of one zone.
+    /// The hosts of a zone.
     Zone,
-    /// Each host by itself.
+    /// Each host.
     Host,
 }
 
-/// See the module's page. Defaults are those of the crate, but for what an installation must know.
+/// `[turns]`. Keys without a default depend on the installation.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Setup {
     pub site: SiteKind,
-    /// Price of computing one block anew.
+    /// Cost of computing a block again.
     block_us: u64,
-    /// Every host holds every function that carries turns, loaded for as long as it runs, as a model server does.
+    /// Whether every host has every function with turns loaded as long as it runs, as a model server does.
     #[serde(default)]
     pub resident: bool,
-    /// Turns that a host of size 1 runs at once.
+    /// Number of turns that a host of size 1 runs at once.
     #[serde(default = "lanes")]
     pub lanes: u32,
-    /// What a call across zones costs.
-    #[serde(default = "cross")]
+    /// Cost of a call to another zone.
+    #[serde(default = "cross_us")]
     cross_us: u64,
-    /// A site's load over the mean, at most, for what it holds.
+    /// Highest load of a site, relative to the mean, at which turns still go to it because it holds their prefix.
     #[serde(default = "bound")]
     bound: f64,
-    #[serde(default = "memory")]
+    #[serde(default = "memory_mb")]
     memory_mb: usize,
-    /// Between two tellings to other activators, and the bytes of one.
-    #[serde(default = "period")]
+    /// Time between two messages to other activators.
+    #[serde(default = "period_ms")]
     period_ms: u64,
-    #[serde(default = "told")]
+    /// Longest such message.
+    #[serde(default = "told_bytes")]
     told_bytes: usize,
-    /// Share of sites' capacity for computing anew what a lost site held.
-    #[serde(default = "third")]
+    /// Share of the sites' capacity for computing again what a lost site held.
+    #[serde(default = "share")]
     anew: f64,
-    /// Share of its time left that a turn may wait for that.
-    #[serde(default = "third")]
+    /// Share of its remaining time that a turn may wait for that.
+    #[serde(default = "share")]
     hold: f64,
 }
 
 fn lanes() -> u32 {
     4
 }
-fn cross() -> u64 {
+fn cross_us() -> u64 {
     2_000
 }
 fn bound() -> f64 {
     1.2
 }
-fn memory() -> usize {
+fn memory_mb() -> usize {
     16
 }
-fn period() -> u64 {
+fn period_ms() -> u64 {
     500
 }
-fn told() -> usize {
+fn told_bytes() -> usize {
     9_600
 }
-fn third() -> f64 {
+fn share() -> f64 {
     0.3
 }
 
 impl Setup {
-    /// What is wrong with it, in one line.
+    /// # Errors
+    /// The first problem, in one line.
     pub fn check(&self) -> Result<(), String> {
         if !(1..=4_096).contains(&self.lanes) {
-            return Err("turns.lanes: turns that a host runs at once are 1 to 4096".into());
+            return Err("turns.lanes: must be 1 to 4096".into());
         }
         if !(1..=4_096).contains(&self.memory_mb) {
-            return Err("turns.memory_mb: memory is 1 to 4096 megabytes".into());
+            return Err("turns.memory_mb: must be 1 to 4096".into());
         }
         self.settings().check().map_err(|e| format!("turns: {e}"))
     }
--- a/node/src/config/turns/tests.rs
+++ b/node/src/config/turns/tests.rs
@@ -14,12 +14,12 @@
 #[case::told("site = 'zone'\nblock_us = 9\ntold_bytes = 100", Some("bytes told"))]
 #[case::anew("site = 'zone'\nblock_us = 9\nanew = 1.5", Some("computing anew"))]
 #[case::hold("site = 'zone'\nblock_us = 9\nhold = -1.0", Some("holding a turn"))]
-fn a_table_is_taken_or_told_what_is_wrong(#[case] text: &str, #[case] wrong: Option<&str>) {
+fn a_table_is_accepted_or_refused_with_the_reason(#[case] text: &str, #[case] wrong: Option<&str>) {
     let setup: Setup = toml::from_str(text).unwrap();
     match (setup.check(), wrong) {
         (Ok(()), None) => {}
-        (Err(told), Some(wrong)) => assert!(told.contains(wrong) && told.starts_with("turns"), "{told}"),
-        (told, wrong) => panic!("{told:?}, not {wrong:?}"),
+        (Err(error), Some(wrong)) => assert!(error.contains(wrong) && error.starts_with("turns"), "{error}"),
+        (result, wrong) => panic!("{result:?}, not {wrong:?}"),
     }
 }
 
@@ -27,6 +27,6 @@
 #[case::unknown_key("site = 'cell'\nblock_us = 1\nblocks = 2")]
 #[case::unknown_site("site = 'rack'\nblock_us = 1")]
 #[case::no_site("block_us = 1")]
-fn what_is_no_table_is_refused(#[case] text: &str) {
+fn invalid_keys_and_values_are_refused(#[case] text: &str) {
     assert!(toml::from_str::<Setup>(text).is_err());
 }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -227,11 +227,11 @@
         let transport = config.deployment.transport.clone();
         let descriptors = config.descriptors;
         let Bounds { clients, hosts: most } = descriptors.alone(Held::default());
-        let share = config.memory / MEMORY_SHARE;
+        let share = config.memory_bytes / MEMORY_SHARE;
         let router = config.deployment.router(config.seed).map_err(|e| e.to_string())?;
         let mut known = Vec::new();
         let side = match &mut config.mode {
-            config::Mode::Platform { bus, offset, known: events } => {
+            config::Mode::Platform { bus, offset, events } => {
                 // Only the start needs them.
                 known = std::mem::take(events);
                 let front = Box::new(Platform::new(handle.clone(), (clients, share), transport.conn_idle));
@@ -267,7 +267,7 @@
             control_listener: None,
             control: Control::new(handle.clone(), descriptors.callers()),
             upgrade,
-            gradual: Gradual::new(config.memory),
+            gradual: Gradual::new(config.memory_bytes),
             admission: AdmissionControl::new(config.admission.as_ref(), descriptors.limit(), share),
             bound_socket: Some(listener),
             succeeded: false,
--- a/node/src/node/life.rs
+++ b/node/src/node/life.rs
@@ -21,7 +21,7 @@
     /// What this process may hold: all of the limits, or its part of them while two processes run.
     pub(super) fn resize(&mut self) {
         let descriptors = self.config.descriptors;
-        let share = self.config.memory / MEMORY_SHARE;
+        let share = self.config.memory_bytes / MEMORY_SHARE;
         let held = Held { clients: self.clients(), hosts: self.hosts.held(), listed: self.hosts.reserve() };
         let (share, bounds) = if self.upgrade.has_peer() {
             (share / 2, descriptors.beside(self.peer_clients))
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -104,8 +104,8 @@
 
 /// What the configuration lacks or says oddly is told in the log, or is passed over; calls are served all the same.
 #[rstest]
-#[case::no_listen(|c: &mut Value| c["peer_listen"] = Value::Null, "peer_listen is not told")]
-#[case::no_all(|c: &mut Value| c["peers_all"] = Value::Null, "peers_all is not told")]
+#[case::no_listen(|c: &mut Value| c["peer_listen"] = Value::Null, "peer_listen is missing")]
+#[case::no_all(|c: &mut Value| c["peers_all"] = Value::Null, "peers_all is missing")]
 #[case::bad_all(|c: &mut Value| c["peers_all"] = json!("nobody"), "peers_all is no address")]
 #[case::no_peers(|c: &mut Value| c["peers"] = Value::Null, "")]
 #[case::short_peers(|c: &mut Value| c["peers"] = json!([]), "")]
