--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -1,5 +1,5 @@
-//! The operators' address: HTTP/1.1 with one call to a connection. It reads commands and writes answers; what
-//! they do is the node's affair.
+//! The control address for operators: HTTP/1.1, one request per connection. This module parses commands and writes
+//! answers; the node carries the commands out.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
@@ -16,41 +16,42 @@
 use crate::log::{Log, Reason};
 use crate::wake::{Handle, Wake};
 
-/// The longest change of agreed settings: some thousand entries, which are read within a few milliseconds.
+/// Longest request body: a change of the agreed settings with some thousand entries, which takes a few milliseconds to
+/// parse.
 const MAX_BODY_BYTES: usize = 256 << 10;
 const INBOX_BYTES: usize = MAX_BODY_BYTES + http::LONGEST_HEAD;
 const OUTBOX_BYTES: usize = 256 << 10;
-/// A call must be whole within this time.
-const CALL_TIMEOUT_US: Micros = 5_000_000;
-/// How long a caller is given to take its answer and end the connection.
+/// Time limit for receiving a complete request.
+const REQUEST_TIMEOUT_US: Micros = 5_000_000;
+/// Time limit for a caller to read its answer and close the connection.
 const LINGER_US: Micros = 1_000_000;
 
-/// What an operator asks for.
+/// A command of an operator.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Whether this process is ready to serve.
+    /// Show whether this process is ready to serve.
     Status,
-    /// All counters.
+    /// Show all metrics.
     Metrics,
-    /// Nothing new to this host; or it may be used again.
+    /// Take this host out of service, or put it back in. A host out of service receives nothing new.
     Host { id: String, out: bool },
-    /// No new clients; or they are welcome again.
+    /// Switch standby on or off. In standby the process accepts no new clients.
     Standby(bool),
-    /// Of a change of versions.
+    /// Control a rollout.
     Rollout(RolloutCommand),
-    /// Of who is let in.
+    /// Control admission.
     Admission(AdmissionCommand),
-    /// Which other activators are alive; or that this one leaves them.
+    /// Show which other activators are alive, or leave them.
     Members { leave: bool },
-    /// What is learnt of drafts, and which are in force.
+    /// Show what has been learned of drafts, and which drafts are in force.
     Drafts,
-    /// Where prefixes of conversations are held, and how turns were routed.
+    /// Show which sites hold prefixes of conversations, and how turns were routed.
     Turns,
-    /// What is agreed among activators; or a change of it.
+    /// Show the agreed settings, or propose a change.
     Accord(Option<Box<Change>>),
 }
 
-/// What an operator asks of admission.
+/// A command on admission. Also sent to the other process of this address, as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdmissionCommand {
@@ -60,14 +61,14 @@
     Know { prefix: Prefix, known: bool },
 }
 
-/// What an operator asks of a rollout.
+/// A command on a rollout.
 #[derive(Debug, PartialEq)]
 pub enum RolloutCommand {
-    /// Where it is.
+    /// Show its state.
     Show,
-    /// Begin this plan, or the file's.
+    /// Start this plan, or the one of the configuration.
     Begin(Option<Box<Plan>>),
-    /// To the next step, or to this one, counted from 1.
+    /// Go to the next step, or to this step, counted from 1.
     Step(Option<usize>),
     Hold,
     Back,
@@ -75,13 +76,13 @@
 }
 
 #[derive(Deserialize)]
-struct Named {
+struct HostBody {
     host: String,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Target {
+struct StepBody {
     to: Option<usize>,
 }
 
@@ -110,7 +111,7 @@
     })
 }
 
-/// Reads a body that may be empty, which stands for nothing said.
+/// Parses the body; `None` if it is empty.
 fn optional_body<T: DeserializeOwned>(request: &Request) -> Result<Option<T>, Response> {
     if request.body.iter().all(u8::is_ascii_whitespace) {
         return Ok(None);
@@ -130,16 +131,19 @@
             }
             RolloutCommand::Begin(plan.map(Box::new))
         }
-        "/rollout/step" => RolloutCommand::Step(optional_body::<Target>(request)?.unwrap_or_default().to),
+        "/rollout/step" => RolloutCommand::Step(optional_body::<StepBody>(request)?.unwrap_or_default().to),
         "/rollout/hold" => RolloutCommand::Hold,
         "/rollout/back" => RolloutCommand::Back,
         "/rollout/complete" => RolloutCommand::Complete,
-        _ => return Err(Response::problem(404, "no such call")),
+        _ => return Err(Response::problem(404, "no such path")),
     };
     Ok(call)
 }
 
-/// Reads a call; else the answer that says what is wrong with it.
+/// Parses a request.
+///
+/// # Errors
+/// The answer that says what is wrong with the request.
 pub fn parse_command(request: &Request) -> Result<Command, Response> {
     let path = request.path.split('?').next().unwrap_or_default();
     let wanted = match (path, request.method.as_str()) {
@@ -164,14 +168,14 @@
         "/admission" | "/admission/block" | "/admission/unblock" | "/admission/known" => {
             Command::Admission(AdmissionCommand::Show)
         }
-        _ => return Err(Response::problem(404, "no such call")),
+        _ => return Err(Response::problem(404, "no such path")),
     };
     if request.method != wanted && (wanted, request.method.as_str()) != ("GET", "HEAD") {
-        return Err(Response::problem(405, "this call is made another way").with("Allow", wanted));
+        return Err(Response::problem(405, "wrong method for this path").with("Allow", wanted));
     }
     match call {
-        Command::Host { out, .. } => match serde_json::from_slice::<Named>(&request.body) {
-            Ok(Named { host }) if !host.is_empty() => Ok(Command::Host { id: host, out }),
+        Command::Host { out, .. } => match serde_json::from_slice::<HostBody>(&request.body) {
+            Ok(HostBody { host }) if !host.is_empty() => Ok(Command::Host { id: host, out }),
             _ => Err(Response::problem(400, "the body must be {\"host\":\"ID\"}")),
         },
         Command::Rollout(_) => rollout(request, path).map(Command::Rollout),
@@ -188,16 +192,17 @@
     conn: Conn,
     peer: SocketAddr,
     begun: Micros,
-    /// Its answer was given then.
+    /// When its answer was queued.
     answered: Option<Micros>,
     head_only: bool,
 }
 
+/// The connections of operators.
 pub struct Control {
     handle: Handle,
     callers: BTreeMap<ConnId, Caller>,
-    /// Callers at once. Who is not done makes room for a new one, longest first: commands are answered in the turn
-    /// in which they are whole, so nobody who has called waits among them.
+    /// Connections at once. A new one displaces the oldest; the command of a complete request is carried out at once, so
+    /// the displaced ones are done or have not sent a complete request.
     max_callers: usize,
     pub commands: Vec<(ConnId, Command)>,
 }
@@ -207,19 +212,17 @@
         Self { handle, callers: BTreeMap::new(), max_callers, commands: Vec::new() }
     }
 
-    /// Holds so many at once from now on.
     pub fn set_max_callers(&mut self, max_callers: usize) {
         self.max_callers = max_callers;
     }
 
-    /// Connections that are held.
     pub fn conn_count(&self) -> usize {
         self.callers.len()
     }
 
     pub fn accept(&mut self, now: Micros, stream: TcpStream, peer: SocketAddr, log: &mut Log) {
         if self.callers.len() >= self.max_callers {
-            // Those that have had their answer go first, then those that came first.
+            // Answered callers are closed first, then the oldest.
             let first =
                 self.callers.iter().min_by_key(|(id, c)| (c.answered.is_none(), **id)).map(|(id, _)| *id);
             first.into_iter().for_each(|id| self.end(now, id, Reason::Evicted, log));
@@ -231,11 +234,11 @@
                 self.callers.insert(id, caller);
                 self.ready(now, id, log);
             }
-            Err(e) => log.line(now, format_args!("control caller {peer} cannot be taken in: {e}")),
+            Err(e) => log.line(now, format_args!("control caller {peer} cannot be accepted: {e}")),
         }
     }
 
-    /// The socket has something to say, or may take more.
+    /// Handles a connection that is readable or writable.
     pub fn ready(&mut self, now: Micros, id: ConnId, log: &mut Log) {
         if let Err(reason) = self.serve(now, id, log) {
             self.end(now, id, reason, log);
@@ -269,7 +272,7 @@
             Ok(Parsed::Whole(request)) => {
                 c.head_only = request.method == "HEAD";
                 match parse_command(&request) {
-                    Ok(call) => self.commands.push((id, call)),
+                    Ok(command) => self.commands.push((id, command)),
                     Err(problem) => self.answer(now, id, problem, log),
                 }
                 Ok(())
@@ -281,7 +284,7 @@
         }
     }
 
-    /// Answers a call; its connection ends with that.
+    /// Queues the answer; the connection is closed after it.
     pub fn answer(&mut self, now: Micros, id: ConnId, response: Response, log: &mut Log) {
         let Some(c) = self.callers.get_mut(&id).filter(|c| c.answered.is_none()) else { return };
         c.answered = Some(now);
@@ -291,7 +294,7 @@
 
     fn end(&mut self, now: Micros, id: ConnId, reason: Reason, log: &mut Log) {
         if let Some(c) = self.callers.remove(&id) {
-            // Answered callers come many times a second and need no line.
+            // No line for answered callers: there may be many in a second.
             if c.answered.is_none() {
                 log.ended(now, format_args!("control {}", c.peer), reason, "");
             }
@@ -299,15 +302,15 @@
         }
     }
 
-    /// Gives up callers that do not come to an end.
+    /// Closes connections that have exceeded their time limits.
     pub fn tick(&mut self, now: Micros, log: &mut Log) {
         let over = |c: &Caller| c.answered.is_some_and(|at| now - at >= LINGER_US);
-        let stuck = |c: &Caller| c.answered.is_none() && now - c.begun >= CALL_TIMEOUT_US;
+        let stuck = |c: &Caller| c.answered.is_none() && now - c.begun >= REQUEST_TIMEOUT_US;
         let over: Vec<_> = self.callers.iter().filter(|(_, c)| over(c)).map(|(id, _)| *id).collect();
         over.into_iter().for_each(|id| self.end(now, id, Reason::Finished, log));
         let stuck: Vec<_> = self.callers.iter().filter(|(_, c)| stuck(c)).map(|(id, _)| *id).collect();
         for id in stuck {
-            self.answer(now, id, Response::problem(408, "the call did not come whole in time"), log);
+            self.answer(now, id, Response::problem(408, "the request was not complete in time"), log);
         }
     }
 
--- a/node/src/control/tests.rs
+++ b/node/src/control/tests.rs
@@ -57,7 +57,7 @@
 #[case::change("POST", "/accord", r#"{"base":7}"#, Ok(Command::Accord(Some(Box::new(Change { base: 7, ..Change::default() })))))]
 #[case::no_base("POST", "/accord", r#"{"set":{}}"#, Err(400))]
 #[case::cut("POST", "/maintenance/exit", r#"{"host":"a"#, Err(400))]
-fn a_call_is_read_or_turned_down(
+fn a_request_is_parsed_or_refused(
     #[case] method: &str,
     #[case] path: &str,
     #[case] body: &str,
--- a/node/src/ipc/fields/tests.rs
+++ b/node/src/ipc/fields/tests.rs
@@ -1,39 +1,39 @@
-//! Tests of `more` that need its private state.
+//! Tests of `fields` that need its private state.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-fn more(fields: &[(&str, &str)]) -> Fields {
+fn make(fields: &[(&str, &str)]) -> Fields {
     Fields(fields.iter().map(|(n, t)| (n.to_string(), t.to_string())).collect())
 }
 
-fn wire(more: &Fields) -> usize {
-    postcard::to_stdvec(more).unwrap().len()
+fn encoded_len(fields: &Fields) -> usize {
+    postcard::to_stdvec(fields).unwrap().len()
 }
 
 #[test]
-fn a_call_goes_by_these_names() {
+fn call_fields_have_these_names() {
     let given = CallFields {
         turn: Some((0xab, 2, vec![1, 0xff])),
         draft: Some(Draft { drafter: 1, length: 4 }),
         sites: vec![Site::Cell(-3), Site::Zone("b".into()), Site::Host("s-1".into())],
     };
     let wanted = [("turn", "ab;2;1,ff"), ("draft", "1:4"), ("cell", "-3"), ("zone", "b"), ("host", "s-1")];
-    assert_eq!(given.to_fields(), more(&wanted));
-    assert_eq!(CallFields::parse(&more(&wanted)), (given, vec![]));
+    assert_eq!(given.to_fields(), make(&wanted));
+    assert_eq!(CallFields::parse(&make(&wanted)), (given, vec![]));
     assert!(CallFields::default().to_fields().is_empty());
 }
 
 #[test]
-fn an_answer_goes_by_these_names() {
+fn answer_fields_have_these_names() {
     let host = [("tell", "warm"), ("found", "3"), ("accepted", "2;1;3;900")];
     let host: Vec<(String, String)> = host.map(|(n, t)| (n.to_string(), t.to_string())).to_vec();
-    let said = AnswerFields::from_answer(&host, LoadReport::new(7.25, 2.0));
+    let answer = AnswerFields::from_answer(&host, LoadReport::new(7.25, 2.0));
     let wanted = [("found", "3"), ("accepted", "2;1;3;900"), ("held", "7.250")];
-    assert_eq!(said.to_fields(), more(&wanted));
-    assert_eq!(AnswerFields::parse(&more(&wanted)), (said, vec![]));
+    assert_eq!(answer.to_fields(), make(&wanted));
+    assert_eq!(AnswerFields::parse(&make(&wanted)), (answer, vec![]));
     assert!(AnswerFields::from_answer(&[], None).to_fields().is_empty());
 }
 
@@ -43,50 +43,45 @@
 #[case::draft_word("draft", "one", "draft: not DRAFTER:LENGTH")]
 #[case::draft_long("draft", "1:9", "draft: not DRAFTER:LENGTH")]
 #[case::cell("cell", "x", "cell: not a number")]
-fn a_field_that_cannot_be_is_refused_and_the_others_stand(
+fn an_invalid_field_is_refused_and_the_others_are_kept(
     #[case] name: &str,
     #[case] text: &str,
     #[case] why: &str,
 ) {
-    let (given, faults) = CallFields::parse(&more(&[(name, text), ("host", "s-1")]));
+    let (given, faults) = CallFields::parse(&make(&[(name, text), ("host", "s-1")]));
     assert_eq!(given, CallFields { sites: vec![Site::Host("s-1".into())], ..CallFields::default() });
     assert_eq!(faults, [why]);
 }
 
 #[test]
-fn what_stands_twice_or_beyond_a_bound_is_refused() {
+fn duplicate_and_oversized_fields_are_refused() {
     let long = "a".repeat(MAX_NAME_BYTES + 1);
     let fields = [("draft", "1:4"), ("draft", "1:5"), ("turn", "1;1;"), ("turn", "2;1;")];
-    let (given, faults) = CallFields::parse(&more(&fields));
+    let (given, faults) = CallFields::parse(&make(&fields));
     assert_eq!((given.draft, given.turn), (Some(Draft { drafter: 1, length: 4 }), Some((1, 1, vec![]))));
     assert_eq!(faults, ["draft: duplicate field", "turn: duplicate field"]);
-    let (given, faults) = CallFields::parse(&more(&[
-        ("host", &long),
-        ("cell", "1"),
-        ("cell", "2"),
-        ("cell", "3"),
-        ("cell", "4"),
-    ]));
+    let cells = [("host", &long[..]), ("cell", "1"), ("cell", "2"), ("cell", "3"), ("cell", "4")];
+    let (given, faults) = CallFields::parse(&make(&cells));
     assert_eq!((given.sites.len(), faults.len()), (3, 2));
     let blank = format!("1;1;{}a", " ".repeat(MAX_TURN_BYTES));
-    assert!(Turn::parse(&blank).is_ok(), "a front would take it, in another form");
-    assert_eq!(CallFields::parse(&more(&[("turn", &blank)])).1.len(), 1);
-    // As a whole: not one of them is looked at.
+    assert!(Turn::parse(&blank).is_ok(), "a client may send it with blank space");
+    assert_eq!(CallFields::parse(&make(&[("turn", &blank)])).1.len(), 1);
+    // Beyond the limits of a frame none of the fields is parsed.
     let many = vec![("cell", "1"); MAX_FIELDS + 1];
     let huge = "9".repeat(MAX_TEXT_BYTES);
     for fields in [&many[..], &[("cell", "1"), ("later", &huge)]] {
-        let (given, faults) = CallFields::parse(&more(fields));
+        let (given, faults) = CallFields::parse(&make(fields));
         assert_eq!((given, faults.len()), (CallFields::default(), 1));
     }
 }
 
 #[test]
-fn what_a_later_version_says_besides_is_passed_over() {
+fn unknown_fields_of_later_versions_are_ignored() {
     let (given, faults) =
-        CallFields::parse(&more(&[("colour", "blue"), ("draft", "1:4"), ("colour", "red")]));
+        CallFields::parse(&make(&[("colour", "blue"), ("draft", "1:4"), ("colour", "red")]));
     assert_eq!((given.draft.is_some(), faults.len()), (true, 0));
-    let (said, faults) = AnswerFields::parse(&more(&[("colour", "blue"), ("found", "3")]));
-    assert_eq!((said.fields.len(), faults.len()), (1, 0));
+    let (answer, faults) = AnswerFields::parse(&make(&[("colour", "blue"), ("found", "3")]));
+    assert_eq!((answer.fields.len(), faults.len()), (1, 0));
 }
 
 #[rstest]
@@ -94,40 +89,40 @@
 #[case::negative("found", "-1", "found: not a number")]
 #[case::load("held", "-1", "held: not a number of calls")]
 #[case::no_load("held", "NaN", "held: not a number of calls")]
-fn what_a_host_cannot_have_said_is_refused(#[case] name: &str, #[case] text: &str, #[case] why: &str) {
-    let (said, faults) = AnswerFields::parse(&more(&[("accepted", "1;1;5"), (name, text)]));
-    assert_eq!((said.fields.len(), said.in_flight, faults), (1, None, vec![why.to_string()]));
+fn invalid_numbers_of_a_host_are_refused(#[case] name: &str, #[case] text: &str, #[case] why: &str) {
+    let (answer, faults) = AnswerFields::parse(&make(&[("accepted", "1;1;5"), (name, text)]));
+    assert_eq!((answer.fields.len(), answer.in_flight, faults), (1, None, vec![why.to_string()]));
 }
 
-/// The most that this version writes is within the bounds that it reads by, and in a frame beside the longest body.
+/// The longest fields that this version writes must be within the limits that it accepts, and fit in a frame with the
+/// longest body.
 #[test]
-fn the_longest_is_within_its_bound() {
+fn the_longest_fields_are_within_the_limits() {
     let name = "z".repeat(MAX_NAME_BYTES);
     let given = CallFields {
         turn: Some((u64::MAX, u16::MAX, vec![u64::MAX; wheellink_turns::MAX_HASHES])),
         draft: Some(Draft { drafter: 255, length: 8 }),
         sites: vec![Site::Host(name.clone()), Site::Zone(name.clone()), Site::Host(name)],
     };
-    let more = given.to_fields();
-    assert_eq!(more.0[0].1.len(), MAX_TURN_BYTES);
-    assert_eq!((more.0.len(), more.size()), (5, 1_114 + 10 + 3 * 259));
-    assert!(wire(&more) <= MAX_ENCODED_BYTES && more.size() <= MAX_TEXT_BYTES);
-    assert_eq!(CallFields::parse(&more), (given, vec![]));
+    let fields = given.to_fields();
+    assert_eq!(fields.0[0].1.len(), MAX_TURN_BYTES);
+    assert_eq!((fields.0.len(), fields.size()), (5, 1_114 + 10 + 3 * 259));
+    assert!(encoded_len(&fields) <= MAX_ENCODED_BYTES && fields.size() <= MAX_TEXT_BYTES);
+    assert_eq!(CallFields::parse(&fields), (given, vec![]));
     let figures = "1".repeat(MAX_FIGURES_BYTES);
     let fields = vec![("found".to_string(), figures.clone()), ("accepted".into(), figures)];
-    let said = AnswerFields { fields, in_flight: Some(1e6) };
-    assert_eq!(said.to_fields().size(), 5 + 8 + 2 * MAX_FIGURES_BYTES + 4 + 11);
-    let endless = vec![("accepted".to_string(), "1".repeat(MAX_FIGURES_BYTES + 1))];
-    let told = AnswerFields { fields: endless, in_flight: None }.to_fields();
-    assert_eq!(told.0, [("accepted".to_string(), String::new())], "not cut short");
+    let answer = AnswerFields { fields, in_flight: Some(1e6) };
+    assert_eq!(answer.to_fields().size(), 5 + 8 + 2 * MAX_FIGURES_BYTES + 4 + 11);
+    let oversized = vec![("accepted".to_string(), "1".repeat(MAX_FIGURES_BYTES + 1))];
+    let sent = AnswerFields { fields: oversized, in_flight: None }.to_fields();
+    assert_eq!(sent.0, [("accepted".to_string(), String::new())], "not cut short");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(34), ..ProptestConfig::default() })]
 
-    /// Whatever is given comes as it left.
     #[test]
-    fn what_is_given_comes_as_it_left(
+    fn call_fields_survive_encoding(
         turn in prop::option::of((any::<u64>(), any::<u16>(), prop::collection::vec(any::<u64>(), 0..=64))),
         draft in prop::option::of((1u8.., 1u8..=8)),
         cells in prop::collection::vec((any::<i64>(), 0u8..3, "[ -~]{0,255}"), 0..=3),
@@ -139,27 +134,27 @@
             _ => Site::Host(name),
         });
         let given = CallFields { turn, draft, sites: sites.collect() };
-        let more = given.to_fields();
-        let bytes = postcard::to_stdvec(&more).unwrap();
+        let fields = given.to_fields();
+        let bytes = postcard::to_stdvec(&fields).unwrap();
         prop_assert!(bytes.len() <= MAX_ENCODED_BYTES);
         let back: Fields = postcard::from_bytes(&bytes).unwrap();
         prop_assert_eq!(CallFields::parse(&back), (given, vec![]));
     }
 
-    /// Whatever fields come: what is taken is within its bounds, and each that is not is named.
+    /// Random fields: what is accepted is within the limits, and a frame beyond them is refused as a whole.
     #[test]
-    fn any_fields_are_survived(fields in prop::collection::vec(
+    fn random_fields_are_parsed_within_the_limits(fields in prop::collection::vec(
         ("turn|draft|cell|zone|host|found|accepted|held|other", "[0-9a-f:;,. -]{0,40}"), 0..24)) {
-        let more = Fields(fields);
-        let (given, faults) = CallFields::parse(&more);
+        let fields = Fields(fields);
+        let (given, faults) = CallFields::parse(&fields);
         prop_assert!(given.sites.len() <= MAX_CHOICES);
-        if more.0.len() > MAX_FIELDS {
+        if fields.0.len() > MAX_FIELDS {
             prop_assert_eq!((&given, faults.len()), (&CallFields::default(), 1));
         }
-        // What was taken is told on as it was taken.
+        // Accepted fields survive being encoded again.
         prop_assert_eq!(CallFields::parse(&given.to_fields()), (given, vec![]));
-        let (said, _) = AnswerFields::parse(&more);
-        prop_assert!(said.fields.len() <= 2 && said.load_report().is_some() == said.in_flight.is_some());
-        prop_assert_eq!(AnswerFields::parse(&said.to_fields()).0.fields, said.fields);
+        let (answer, _) = AnswerFields::parse(&fields);
+        prop_assert!(answer.fields.len() <= 2 && answer.load_report().is_some() == answer.in_flight.is_some());
+        prop_assert_eq!(AnswerFields::parse(&answer.to_fields()).0.fields, answer.fields);
     }
 }
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -9,7 +9,7 @@
 /// How long an address may be in use by a process that is ending.
 pub const BUSY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time between two attempts to claim an address that is in use.
-pub const RETRY_PERIOD: Duration = Duration::from_millis(100);
+pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// With another process running, clients are accepted after this time even if the bus cannot be reached. The host list of
 /// the configuration is used then.
 pub const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -24,7 +24,7 @@
 /// The longest time until a process reports that it is ready, without the work itself: it claims its address in the last
 /// attempt, the running process does not answer, and the bus sends nothing.
 pub const fn max_time_to_ready() -> Duration {
-    let claimed = BUSY_TIMEOUT.as_millis() + RETRY_PERIOD.as_millis() + TAKEOVER_TIMEOUT.as_millis();
+    let claimed = BUSY_TIMEOUT.as_millis() + RETRY_DELAY.as_millis() + TAKEOVER_TIMEOUT.as_millis();
     let caught_up = if claimed > MAX_STARTUP.as_millis() { claimed } else { MAX_STARTUP.as_millis() };
     Duration::from_millis((caught_up + POLL_PERIOD.as_millis()) as u64)
 }
--- a/node/src/upgrade.rs
+++ b/node/src/upgrade.rs
@@ -37,7 +37,7 @@
 use crate::ipc::{self, Frame};
 use crate::listener;
 use crate::ring::Ring;
-use crate::startup::{BUSY_TIMEOUT, RETRY_PERIOD, TAKEOVER_TIMEOUT};
+use crate::startup::{BUSY_TIMEOUT, RETRY_DELAY, TAKEOVER_TIMEOUT};
 use crate::wake::{Handle, Wake, Wakes};
 
 /// Version of the JSON messages. A `hello` with another version is not answered.
@@ -245,14 +245,14 @@
     let begun = Instant::now();
     loop {
         match request_takeover(address, request) {
-            Ok(place) => return Ok(place),
+            Ok(claim) => return Ok(claim),
             Err(ClaimError::NoProcess(problem)) => eprintln!("nobody gives its place: {problem}"),
             Err(ClaimError::Refused(why)) => return Err(why),
         }
         match listener::listen(address) {
             Ok(listener) => return Ok(Claim { listener, predecessor: None }),
             Err(e) if e.kind() == ErrorKind::AddrInUse && begun.elapsed() < BUSY_TIMEOUT => {
-                sleep(RETRY_PERIOD)
+                sleep(RETRY_DELAY)
             }
             Err(e) => return Err(format!("cannot listen on {address}: {e}")),
         }
@@ -268,37 +268,37 @@
 /// Asks the process that serves this address, if there is one, to hand it over. A socket file that a dead process left
 /// behind accepts no connection. A process that hands over a socket of another address is not the one asked for.
 fn request_takeover(address: SocketAddr, request: Option<&Candidacy>) -> Result<Claim, ClaimError> {
-    let nobody = |why: &str| ClaimError::NoProcess(why.into());
+    let no_process = |why: &str| ClaimError::NoProcess(why.into());
     let problem = |e: io::Error| ClaimError::NoProcess(e.to_string());
     let begun = Instant::now();
     // One time limit for the whole exchange: a process that only sends a byte now and then must not extend it.
-    let left = || Some(TAKEOVER_TIMEOUT.saturating_sub(begun.elapsed()).max(MIN_TIMEOUT));
+    let remaining = || Some(TAKEOVER_TIMEOUT.saturating_sub(begun.elapsed()).max(MIN_TIMEOUT));
     let stream = connect(&socket_path(address)).map_err(problem)?;
-    stream.set_write_timeout(left()).map_err(problem)?;
+    stream.set_write_timeout(remaining()).map_err(problem)?;
     if !is_own(&stream) {
-        return Err(nobody("it runs for another user"));
+        return Err(no_process("it runs for another user"));
     }
     let rollout = request.map(|r| r.info.clone());
     let mut bytes = line(&Message::Hello { version: PROTOCOL_VERSION, listen: address, rollout });
     io::Write::write_all(&mut &stream, &bytes).map_err(problem)?;
     bytes.clear();
-    let (mut socket, mut piece) = (None, vec![0; 64 << 10]);
+    let (mut socket, mut chunk) = (None, vec![0; 64 << 10]);
     let end = loop {
-        stream.set_read_timeout(left()).map_err(problem)?;
+        stream.set_read_timeout(remaining()).map_err(problem)?;
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut passed = RecvAncillaryBuffer::new(&mut space);
-        let taken = &mut [IoSliceMut::new(&mut piece)];
+        let chunks = &mut [IoSliceMut::new(&mut chunk)];
         let got =
-            recvmsg(&stream, taken, &mut passed, RecvFlags::CMSG_CLOEXEC).map_err(|e| problem(e.into()))?;
+            recvmsg(&stream, chunks, &mut passed, RecvFlags::CMSG_CLOEXEC).map_err(|e| problem(e.into()))?;
         for message in passed.drain() {
             if let RecvAncillaryMessage::ScmRights(mut sockets) = message {
                 socket = sockets.next().or(socket);
             }
         }
         if got.bytes == 0 || bytes.len() > MAX_MESSAGE_BYTES || begun.elapsed() > TAKEOVER_TIMEOUT {
-            return Err(nobody("it did not send its state"));
+            return Err(no_process("it did not send its state"));
         }
-        bytes.extend(&piece[..got.bytes]);
+        bytes.extend(&chunk[..got.bytes]);
         if let Some(end) = bytes.iter().position(|b| *b == b'\n') {
             break end;
         }
@@ -309,13 +309,13 @@
         Ok(Message::Busy { why }) => {
             return Err(ClaimError::Refused(format!("the running process says: {why}")))
         }
-        _ => return Err(nobody("its answer is not a state message")),
+        _ => return Err(no_process("its answer is not a state message")),
     };
     if request.is_some_and(|r| state.rollout.is_none() && !r.or_upgrade) {
         let why = "the running version takes no part in a rollout; with old_cannot = \"upgrade\" a plain upgrade is done";
         return Err(ClaimError::Refused(why.into()));
     }
-    let socket: OwnedFd = socket.ok_or_else(|| nobody("it passed no listening socket"))?;
+    let socket: OwnedFd = socket.ok_or_else(|| no_process("it passed no listening socket"))?;
     let listener = TcpListener::from(socket);
     match listener.local_addr() {
         Ok(at) if at == address => {
@@ -566,10 +566,10 @@
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<()> {
         self.stop_listening();
         (self.address, self.path) = (address, socket_path(address));
-        let fresh = self.path.with_extension(format!("{}", std::process::id()));
-        let _ = std::fs::remove_file(&fresh);
-        let listener = UnixListener::bind(&fresh)?;
-        std::fs::rename(&fresh, &self.path)?;
+        let temporary = self.path.with_extension(format!("{}", std::process::id()));
+        let _ = std::fs::remove_file(&temporary);
+        let listener = UnixListener::bind(&temporary)?;
+        std::fs::rename(&temporary, &self.path)?;
         listener.set_nonblocking(true)?;
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
--- a/node/src/upgrade/tests.rs
+++ b/node/src/upgrade/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_passed_on_arrives_as_it_left() {
+fn the_engine_state_survives_encoding() {
     let loaded = (0..3).map(|i| LoadedFunction {
         worker: "s-1".into(),
         function: format!("f{i}").as_str().into(),
@@ -26,10 +26,10 @@
     assert_eq!((heard.engine_state(), heard.out), (engine, vec!["s-9".to_string()]), "most called first");
 }
 
-/// What the fence rests on: up to the reader's shutdown what the system took can be read, and nothing is
-/// taken after it.
+/// The holder of a rollout relies on this when it dismisses a candidate: everything that the system has accepted before
+/// the reader's shutdown can be read, and nothing is accepted after it.
 #[test]
-fn a_reader_that_shuts_down_has_all_that_was_taken_and_nothing_more() {
+fn after_its_shutdown_a_reader_gets_all_accepted_bytes_and_no_more() {
     let (reader, writer) = UnixStream::pair().unwrap();
     writer.set_nonblocking(true).unwrap();
     let mut taken = 0;
@@ -44,19 +44,19 @@
     assert_eq!((read.len(), read.iter().all(|b| *b == 7)), (taken, true));
 }
 
-/// The same if the writer has died meanwhile.
+/// The same if the writer has ended in the meantime.
 #[test]
-fn what_was_taken_outlives_its_writer() {
+fn accepted_bytes_can_be_read_after_the_writer_has_ended() {
     let (reader, writer) = UnixStream::pair().unwrap();
-    io::Write::write_all(&mut &writer, b"told").unwrap();
+    io::Write::write_all(&mut &writer, b"data").unwrap();
     drop(writer);
     let mut read = Vec::new();
     io::Read::read_to_end(&mut &reader, &mut read).unwrap();
-    assert_eq!(read, b"told");
+    assert_eq!(read, b"data");
 }
 
 #[test]
-fn a_later_version_may_say_more() {
+fn unknown_messages_and_fields_of_later_versions_are_ignored() {
     let read = |text: &str| serde_json::from_str::<Message>(text).unwrap();
     assert_eq!(read(r#"{"say":"weather","sun":1}"#), Message::Other);
     assert_eq!(read(r#"{"say":"state","moon":1}"#), Message::State(Box::default()));
--- a/node/tests/startup.rs
+++ b/node/tests/startup.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn all_timeouts_of_a_start_together_stay_below_the_limit() {
-    let claimed = BUSY_TIMEOUT + startup::RETRY_PERIOD + TAKEOVER_TIMEOUT;
+    let claimed = BUSY_TIMEOUT + startup::RETRY_DELAY + TAKEOVER_TIMEOUT;
     assert!(
         claimed + startup::POLL_PERIOD < READY_LIMIT,
         "alone, clients are accepted as soon as the address is claimed"
