--- a/node/src/ipc/tests.rs
+++ b/node/src/ipc/tests.rs
@@ -68,9 +68,9 @@
     assert!(decode_next(&mut ring).is_err());
 }
 
-/// Whatever bytes come: a frame, a wait or a fault, and never a panic or storage beyond the bound.
+/// Random bytes give a frame, an incomplete frame or an error; never a panic, nor memory beyond the limit.
 #[test]
-fn noise_is_survived() {
+fn random_bytes_do_not_cause_a_panic() {
     let mut rng = fastrand::Rng::with_seed(3);
     for _ in 0..20_000 {
         let mut bytes: Vec<u8> = (0..rng.usize(1..60)).map(|_| rng.u8(..)).collect();
--- a/node/tests/measure.rs
+++ b/node/tests/measure.rs
@@ -1,5 +1,5 @@
-//! Measurements, one ignored test each: `make measure WHAT=name` runs one and prints `name value unit` lines.
-//! They take long and tell of this machine; nothing here is asserted but what must be 0.
+//! Measurements, each an ignored test: `make measure WHAT=name` runs one, which prints lines `measure NAME VALUE UNIT`.
+//! They take long, and their results depend on the machine. Assertions cover only the test setup and counts that must be 0.
 
 mod common;
 #[path = "../../crates/members/tests/net/mod.rs"]
@@ -11,7 +11,7 @@
 use common::*;
 use wheellink_rollout::{CallOutcome, GateSettings, Gates, Share, Split, Verdict, Version};
 
-fn tell(name: &str, value: impl std::fmt::Display, unit: &str) {
+fn emit(name: &str, value: impl std::fmt::Display, unit: &str) {
     println!("measure {name} {value} {unit}");
 }
 
@@ -20,7 +20,8 @@
     times.get(((times.len() as f64 - 1.0) * q) as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// Calls of mixed classes, so many open at once: each one's number, time in microseconds, and code.
+/// Makes calls of mixed classes, `at_once` of them open at a time. Returns the number, time in microseconds and answer code
+/// of each.
 fn load(client: &mut Client, calls: u32, at_once: usize) -> Vec<(u32, f64, u8)> {
     let (mut open, mut done) = (std::collections::BTreeMap::new(), Vec::new());
     let mut left = calls;
@@ -57,12 +58,12 @@
     gates();
 }
 
-/// Hosts enough that no call waits for a lane: what is measured is the activator.
+/// Enough hosts that no call waits for a lane, so that the activator is what is measured.
 fn fleet() -> Vec<Host> {
     (0..8).map(|_| Host::warm()).collect()
 }
 
-/// Share seen against share stated, over 20,000 calls each.
+/// The share of calls that the new version gets, compared with the configured share, over 20,000 calls each.
 fn shares() {
     let hosts = fleet();
     let hosts: Vec<&Host> = hosts.iter().collect();
@@ -74,18 +75,18 @@
         assert_eq!(p.call("step", &format!("{{\"to\":{}}}", step + 1)), 200);
         all.extend(load(&mut client, 20_000, 8));
         let now = p.count("passed");
-        tell(&format!("rollout.share_seen_at_{percent}"), (now - passed) as f64 / 200.0, "percent");
+        emit(&format!("rollout.share_seen_at_{percent}"), (now - passed) as f64 / 200.0, "percent");
         passed = now;
     }
-    tell("rollout.share_calls", 20_000, "calls");
-    tell("rollout.share_calls_without_one_answer", lost(&client), "calls");
-    tell("rollout.share_calls_run_twice", run_twice(&hosts, &all), "calls");
+    emit("rollout.share_calls", 20_000, "calls");
+    emit("rollout.share_calls_without_one_answer", lost(&client), "calls");
+    emit("rollout.share_calls_run_twice", run_twice(&hosts, &all), "calls");
     let served = all.iter().filter(|(.., code)| *code == 79).count();
-    tell("rollout.share_calls_served", served, "calls of 60000");
+    emit("rollout.share_calls_served", served, "calls of 60000");
 }
 
-/// What a passed call costs against an own one, in one run: half and half for the times, then each alone for the
-/// processor.
+/// The cost of a passed call compared with one that the holder decides itself, in one run: times at a share of 50 percent,
+/// then processor time with all calls of one kind.
 fn costs() {
     let hosts = fleet();
     let p = pair(&hosts.iter().collect::<Vec<_>>());
@@ -96,25 +97,25 @@
     load(&mut client, 500, 1);
     let first = client.next;
     let mut times = [Vec::new(), Vec::new()];
-    // One at a time: where several are open, waits for lanes hide what passing adds.
+    // One at a time: with several open, waits for lanes would hide what passing adds.
     for (n, time, _) in load(&mut client, 6_000, 1) {
-        // Classes go round by what is left, 6,000 at the first.
+        // `load` chooses the class by the number of calls left, which is 6,000 at the first.
         let keyed = (6_000 - (n - first)) % 3 == 1;
         let name = if keyed { key(n) } else { id(n) };
         let version = split.decide(0, None, &name);
         times[usize::from(version == Version::New)].push(time);
     }
     for (who, times) in ["own", "passed"].into_iter().zip(&mut times) {
-        tell(&format!("rollout.{who}_p50"), quantile(times, 0.5).round(), "us");
-        tell(&format!("rollout.{who}_p99"), quantile(times, 0.99).round(), "us");
+        emit(&format!("rollout.{who}_p50"), quantile(times, 0.5).round(), "us");
+        emit(&format!("rollout.{who}_p99"), quantile(times, 0.99).round(), "us");
     }
     let mut used = |percent: u32| {
         let before = (p.old.program.used(), p.new.used());
         load(&mut client, 10_000, 8);
         let per_call = |ticks: u64| ticks as f64 * 10_000.0 / 10_000.0;
         let (old, new) = (p.old.program.used() - before.0, p.new.used() - before.1);
-        tell(&format!("rollout.cpu_a_call_at_{percent}_old"), per_call(old), "us");
-        tell(&format!("rollout.cpu_a_call_at_{percent}_new"), per_call(new), "us");
+        emit(&format!("rollout.cpu_a_call_at_{percent}_old"), per_call(old), "us");
+        emit(&format!("rollout.cpu_a_call_at_{percent}_new"), per_call(new), "us");
     };
     assert_eq!(p.call("step", "{\"to\":2}"), 200);
     used(100);
@@ -128,7 +129,7 @@
     costs();
 }
 
-/// From the call back to the last call begun on the new version, which alone has one of the hosts.
+/// Time from the command `back` to the last call that the new version begins. Only the new version knows one of the hosts.
 fn back() {
     let mut times = Vec::new();
     for round in 0..20 {
@@ -155,16 +156,16 @@
         let last = b.seen.lock().unwrap().last.unwrap();
         times.push(last.saturating_duration_since(asked).as_secs_f64() * 1e3);
         if round == 0 {
-            tell("rollout.back_answered_after", (answered - asked).as_secs_f64() * 1e3, "ms");
+            emit("rollout.back_answered_after", (answered - asked).as_secs_f64() * 1e3, "ms");
         }
     }
-    tell("rollout.back_to_last_call_begun_p50", quantile(&mut times, 0.5), "ms");
-    tell("rollout.back_to_last_call_begun_max", quantile(&mut times, 1.0), "ms");
+    emit("rollout.back_to_last_call_begun_p50", quantile(&mut times, 0.5), "ms");
+    emit("rollout.back_to_last_call_begun_max", quantile(&mut times, 1.0), "ms");
 }
 
-/// The candidate is killed or stopped in the middle of a load, again and again.
+/// Candidates are killed or paused under load, one per round.
 fn losses() {
-    let (mut calls, mut lost_calls, mut mails_twice, mut served, mut anew, mut failed) = (0, 0, 0, 0, 0, 0);
+    let (mut calls, mut lost_calls, mut mails_twice, mut served, mut rerun, mut failed) = (0, 0, 0, 0, 0, 0);
     let mut longest: f64 = 0.0;
     for round in 0..20u64 {
         let host =
@@ -189,37 +190,38 @@
         let (client, done) = flood.join().unwrap();
         calls += done.len();
         lost_calls += lost(&client);
-        // Classes go round by what is left of 1,000: mails have a remainder of 2.
+        // `load` chooses the class by the number of calls left of 1,000; for mails the remainder is 2.
         let mail = |n: u32| (1_000 - n) % 3 == 2;
         mails_twice += done.iter().filter(|(n, ..)| mail(*n) && runs(&[&a, &b], *n) > 1).count();
         served += done.iter().filter(|(.., code)| *code == 79).count();
         longest = done.iter().map(|(_, time, _)| time / 1e3).fold(longest, f64::max);
-        anew += p.count("run_anew");
+        rerun += p.count("run_anew");
         failed += p.count("failed_by_loss");
     }
-    tell("rollout.loss_rounds", 20, "candidates killed or stopped");
-    tell("rollout.loss_calls", calls, "calls");
-    tell("rollout.loss_calls_without_one_answer", lost_calls, "calls");
-    tell("rollout.loss_mails_run_twice", mails_twice, "calls");
-    tell("rollout.loss_calls_served", served, "calls");
-    tell("rollout.loss_calls_run_anew", anew, "calls");
-    tell("rollout.loss_calls_failed", failed, "calls");
-    tell("rollout.loss_longest_answer", longest.round(), "ms");
+    emit("rollout.loss_rounds", 20, "candidates killed or stopped");
+    emit("rollout.loss_calls", calls, "calls");
+    emit("rollout.loss_calls_without_one_answer", lost_calls, "calls");
+    emit("rollout.loss_mails_run_twice", mails_twice, "calls");
+    emit("rollout.loss_calls_served", served, "calls");
+    emit("rollout.loss_calls_run_anew", rerun, "calls");
+    emit("rollout.loss_calls_failed", failed, "calls");
+    emit("rollout.loss_longest_answer", longest.round(), "ms");
     assert_eq!((lost_calls, mails_twice), (0, 0));
 }
 
-/// Simulated rollouts: calls of the new version until the gates fail, if they do.
-fn simulate(seed: u64, share: f64, (old, new): (f64, f64), most: u64) -> Option<u64> {
+/// Simulates a rollout with these failure rates. Returns after how many calls of the new version the gates fail, if they
+/// do within `max` calls.
+fn simulate(seed: u64, share: f64, (old, new): (f64, f64), max: u64) -> Option<u64> {
     let (mut rng, mut gates, mut passed, mut n) =
         (fastrand::Rng::with_seed(seed), Gates::new(GateSettings::default()), 0, 0u64);
-    while passed < most {
+    while passed < max {
         n += 1;
         let version = if rng.f64() < share { Version::New } else { Version::Old };
         passed += u64::from(version == Version::New);
         let fails = rng.f64() < if version == Version::New { new } else { old };
         let outcome = if fails { CallOutcome::Failed } else { CallOutcome::Served };
         let class = CLASSES[rng.usize(0..3)];
-        // Exponential times, as the platform's work is.
+        // Exponentially distributed, as the platform's work is.
         let took = (-rng.f64().max(1e-9).ln() * 250_000.0) as i64;
         gates.record(version, class, outcome, took, 1_500_000);
         if n.is_multiple_of(25) {
@@ -234,7 +236,7 @@
 
 fn gates() {
     let false_alarms = (0..1_000).filter(|s| simulate(*s, 0.25, (0.02, 0.02), 2_000).is_some()).count();
-    tell("rollout.gate_false_roll_backs_of_1000_equal", false_alarms, "rollouts of 2000 new calls");
+    emit("rollout.gate_false_roll_backs_of_1000_equal", false_alarms, "rollouts of 2000 new calls");
     for (name, rates, share) in [
         ("1_to_6", (0.01, 0.06), 0.25),
         ("5_to_10", (0.05, 0.10), 0.25),
@@ -242,10 +244,10 @@
     ] {
         let caught: Vec<_> = (0..200).map(|s| simulate(s, share, rates, 5_000)).collect();
         let mut calls: Vec<f64> = caught.iter().flatten().map(|c| *c as f64).collect();
-        tell(&format!("rollout.gate_caught_{name}"), calls.len(), "of 200");
-        tell(&format!("rollout.gate_calls_until_caught_{name}_p50"), quantile(&mut calls, 0.5), "new calls");
-        tell(&format!("rollout.gate_calls_until_caught_{name}_p95"), quantile(&mut calls, 0.95), "new calls");
-        tell(&format!("rollout.gate_calls_until_caught_{name}_max"), quantile(&mut calls, 1.0), "new calls");
+        emit(&format!("rollout.gate_caught_{name}"), calls.len(), "of 200");
+        emit(&format!("rollout.gate_calls_until_caught_{name}_p50"), quantile(&mut calls, 0.5), "new calls");
+        emit(&format!("rollout.gate_calls_until_caught_{name}_p95"), quantile(&mut calls, 0.95), "new calls");
+        emit(&format!("rollout.gate_calls_until_caught_{name}_max"), quantile(&mut calls, 1.0), "new calls");
     }
 }
 
@@ -259,7 +261,7 @@
     flood(false);
 }
 
-/// Nanoseconds for a connection's decisions and the table's size, with so many addresses seen.
+/// Time of the admission decisions for a connection and a request, and size of the tables, by the number of addresses.
 fn decisions() {
     use wheellink_admission::{Admission, RequestInfo, Rules};
     let address = |n: u32| std::net::IpAddr::from(std::net::Ipv4Addr::from(0x0a00_0000 + n));
@@ -295,12 +297,12 @@
             }
         }
         let request = begun.elapsed().as_nanos() as f64 / f64::from(rounds);
-        tell(&format!("admission.connect_and_gone_at_{seen}"), connect.round(), "ns");
-        tell(&format!("admission.request_and_done_at_{seen}"), request.round(), "ns");
+        emit(&format!("admission.connect_and_gone_at_{seen}"), connect.round(), "ns");
+        emit(&format!("admission.request_and_done_at_{seen}"), request.round(), "ns");
         let (near, wide) = gate.tables();
         let entry = std::mem::size_of::<wheellink_admission::Entry>() + 2 * 32 + 16;
-        tell(&format!("admission.entries_at_{seen}"), near.len() + wide.len(), "entries");
-        tell(
+        emit(&format!("admission.entries_at_{seen}"), near.len() + wide.len(), "entries");
+        emit(
             &format!("admission.memory_at_{seen}"),
             (near.len() + wide.len()) * entry / 1024,
             "KiB, by size of entries",
@@ -308,7 +310,7 @@
     }
 }
 
-/// Known clients' calls, each on a connection of its own, calm and in a flood of 10,000 connections from one
+/// Calls of known clients, each on its own connection, without other load and during a flood of 10,000 connections from one
 /// address; with admission and without.
 fn flood(gate: bool) {
     let name = |what: &str| format!("admission.{}_{what}", if gate { "on" } else { "off" });
@@ -339,14 +341,14 @@
         (times, failed)
     };
     let (mut calm, _) = calls(1_000);
-    tell(&name("calm_p50"), quantile(&mut calm, 0.5).round(), "us");
-    tell(&name("calm_p99"), quantile(&mut calm, 0.99).round(), "us");
+    emit(&name("calm_p50"), quantile(&mut calm, 0.5).round(), "us");
+    emit(&name("calm_p99"), quantile(&mut calm, 0.99).round(), "us");
     let address = p.address;
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let ended = stop.clone();
     let used = p.used();
     let begun = Instant::now();
-    // Who is closed comes back at once; 10,000 at the most, 200 held at a time.
+    // Reconnects at once when closed; 10,000 connections at most, 200 open at a time.
     let flood = std::thread::spawn(move || {
         let (mut held, mut opened) = (std::collections::VecDeque::new(), 0u32);
         while opened < 10_000 && !ended.load(std::sync::atomic::Ordering::Relaxed) {
@@ -366,29 +368,29 @@
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     let opened = flood.join().unwrap();
     let took = begun.elapsed().as_secs_f64();
-    tell(&name("flood_connections"), opened, "connections from one address");
-    tell(&name("flood_rate"), (f64::from(opened) / took).round(), "connections a second");
-    tell(&name("flood_known_served"), busy.len(), "of 300 known connects");
-    tell(&name("flood_known_failed"), failed, "of 300 known connects");
-    tell(&name("flood_p50"), quantile(&mut busy, 0.5).round(), "us");
-    tell(&name("flood_p99"), quantile(&mut busy, 0.99).round(), "us");
+    emit(&name("flood_connections"), opened, "connections from one address");
+    emit(&name("flood_rate"), (f64::from(opened) / took).round(), "connections a second");
+    emit(&name("flood_known_served"), busy.len(), "of 300 known connects");
+    emit(&name("flood_known_failed"), failed, "of 300 known connects");
+    emit(&name("flood_p50"), quantile(&mut busy, 0.5).round(), "us");
+    emit(&name("flood_p99"), quantile(&mut busy, 0.99).round(), "us");
     let per = (p.used() - used) as f64 * 10_000.0 / f64::from(opened + 300);
-    tell(&name("flood_cpu_a_connection"), per.round(), "us");
+    emit(&name("flood_cpu_a_connection"), per.round(), "us");
 }
 
-// ------------------------------------------------------------------------------------------ the path
+// ----------------------------------------------------------------------- routing decisions
 
 #[test]
 #[ignore = "a measurement"]
 fn path() {
     for rate in [100u32, 1_000, 3_000, 10_000] {
-        tell(&format!("path.decide_at_{rate}"), decide(rate, 8, 40).round(), "ns a call");
+        emit(&format!("path.decide_at_{rate}"), decide(rate, 8, 40).round(), "ns a call");
     }
     for hosts in [16, 100, 1_000] {
-        tell(&format!("path.decide_with_{hosts}_hosts"), decide(1_000, hosts, 40).round(), "ns a call");
+        emit(&format!("path.decide_with_{hosts}_hosts"), decide(1_000, hosts, 40).round(), "ns a call");
     }
     for functions in [20, 1_000, 20_000] {
-        tell(
+        emit(
             &format!("path.decide_with_{functions}_functions"),
             decide(1_000, 8, functions).round(),
             "ns a call",
@@ -396,8 +398,8 @@
     }
 }
 
-/// What engine and module cost a call, with time passed in: at so many calls a second for six seconds, of functions
-/// whose popularity falls with the cube, each answered by its host after 2 ms. The first second is not counted.
+/// Time that the routing engine needs per call, on simulated time: `rate` calls per second for six seconds, of functions
+/// chosen by the cube of a uniform random number, each answered by its host after 2 ms. The first second is not counted.
 fn decide(rate: u32, hosts: usize, functions: usize) -> f64 {
     use wheellink::engine::{AttemptEnd, Command, NewRequest};
     use wheellink::{Condition, Engine, FunctionId, ListEntry, ListKind, Outcome};
@@ -469,7 +471,7 @@
     spent.as_nanos() as f64 / f64::from(counted)
 }
 
-/// Simulated fleets that watch each other: a calm minute, then a death, for each size and share of lost datagrams.
+/// Simulated membership: a minute without deaths, then one death, for each fleet size and share of lost datagrams.
 #[test]
 #[ignore = "a measurement"]
 fn members() {
@@ -503,17 +505,17 @@
                 }
             }
             let name = |what: &str| format!("members.{what}_{n}_lost_{}", (loss * 100.0) as u32);
-            tell(&name("notice_median"), format!("{:.2}", quantile(&mut times, 0.5)), "s");
-            tell(&name("notice_p99"), format!("{:.2}", quantile(&mut times, 0.99)), "s");
-            tell(&name("false_deaths"), wrong as f64 / (calm / 3_600.0) * 1_000.0, "per_1000_member_hours");
-            tell(&name("sent"), format!("{:.0}", bytes as f64 / calm), "bytes_a_second_and_member");
-            tell(&name("changes_at_a_death"), changes, "most_at_a_member");
+            emit(&name("notice_median"), format!("{:.2}", quantile(&mut times, 0.5)), "s");
+            emit(&name("notice_p99"), format!("{:.2}", quantile(&mut times, 0.99)), "s");
+            emit(&name("false_deaths"), wrong as f64 / (calm / 3_600.0) * 1_000.0, "per_1000_member_hours");
+            emit(&name("sent"), format!("{:.0}", bytes as f64 / calm), "bytes_a_second_and_member");
+            emit(&name("changes_at_a_death"), changes, "most_at_a_member");
         }
     }
 }
 
-/// Longest pauses of the loop while a document of 100,000 entries is prepared, beside it and in it: as calls of the front
-/// see them that no host serves.
+/// Longest pauses of the event loop while a document of 100,000 entries is prepared, in another thread (`beside`) and in
+/// the loop (`within`). Measured by requests that need no host.
 #[test]
 #[ignore = "a measurement"]
 fn handoff() {
@@ -539,7 +541,7 @@
         let calm: Vec<f64> = (0..3_000).map(|_| ask()).collect();
         let (mut longest, mut all, mut took) = (Vec::new(), Vec::new(), Vec::new());
         for n in 0..CHANGES {
-            // Asked elsewhere: the questions themselves are not what is measured.
+            // Ask another activator, so that these requests do not disturb the measured one.
             let base = version(0).expect("a version");
             let body = format!("{{\"base\":{base},\"set\":{{\"list/addresses/b{n}\":true}}}}");
             let begun = Instant::now();
@@ -555,17 +557,17 @@
             all.extend(times);
         }
         let (mut calm, worst) = (calm, longest.iter().copied().fold(0.0, f64::max));
-        tell(&format!("handoff.{way}_calm_99th"), quantile(&mut calm, 0.99), "ms");
-        tell(&format!("handoff.{way}_99th"), quantile(&mut all, 0.99), "ms");
-        tell(&format!("handoff.{way}_longest_of_a_change_median"), quantile(&mut longest, 0.5), "ms");
-        tell(&format!("handoff.{way}_longest"), worst, "ms");
-        tell(&format!("handoff.{way}_change_with_500_calls"), quantile(&mut took, 0.5), "ms");
+        emit(&format!("handoff.{way}_calm_99th"), quantile(&mut calm, 0.99), "ms");
+        emit(&format!("handoff.{way}_99th"), quantile(&mut all, 0.99), "ms");
+        emit(&format!("handoff.{way}_longest_of_a_change_median"), quantile(&mut longest, 0.5), "ms");
+        emit(&format!("handoff.{way}_longest"), worst, "ms");
+        emit(&format!("handoff.{way}_change_with_500_calls"), quantile(&mut took, 0.5), "ms");
     }
 }
 
-// ---------------------------------------------------------------------- drafts and turns, a whole call of the program
+// -------------------------------------------------------------- drafts and turns: processor time of whole calls
 
-/// A host that answers at once, and says of drafts and blocks what it is asked about.
+/// A host that answers at once, with the fields on drafts and blocks that a call asks for.
 fn answering() -> std::net::SocketAddr {
     use std::io::{BufRead, BufReader, Read, Write};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -582,7 +584,7 @@
                             body.resize(words[3].parse::<usize>().unwrap() + 2, 0);
                             lines.read_exact(&mut body).unwrap();
                             let has = |field: &str| words[2].contains(field);
-                            // Off is what runs without a table; 20 rounds of it.
+                            // Without a table calls run with drafting off; the answer reports 20 rounds of it.
                             let accepted = if has("draft=0:0") { ",accepted=20;20;400000" } else { "" };
                             let found = if has("blocks=") { ",found=8" } else { "" };
                             format!("{} 200 tell=warm{accepted}{found} 0\r\n\r\n", words[1])
@@ -602,8 +604,8 @@
     address
 }
 
-/// Calls on eight connections at once, each with a turn of one of 512 conversations where that is wanted; microseconds of
-/// the program's processor time a call.
+/// Makes calls on eight connections in parallel, with `turn` each with a turn of one of 512 conversations. Returns the
+/// program's processor time per call in microseconds.
 fn cost(program: &Program, calls: usize, turn: bool) -> f64 {
     use std::io::Write;
     const AT_ONCE: usize = 8;
@@ -613,7 +615,7 @@
             s.spawn(move || {
                 let mut stream = program.connect();
                 for n in 0..calls / AT_ONCE {
-                    // Its prefix grows by a block with each of eight turns, from eight blocks on.
+                    // The prefix starts with eight blocks and grows by one with each of eight turns.
                     let (talk, depth) = (lane * 64 + n / 8 % 64, 8 + n % 8);
                     let hashes: Vec<String> =
                         (1..=depth).map(|d| format!("{:016x}", talk << 32 | d)).collect();
@@ -628,11 +630,11 @@
     (program.ran() - before) as f64 / 1e3 / calls as f64
 }
 
-/// Short ones, next to each other: what else runs on the machine changes within seconds.
+/// Many short rounds, because other load on the machine changes within seconds.
 const ROUNDS: usize = 101;
 
-/// Processor time of a call of the program with a table of its file and without, both in one run: in turn, the first one
-/// changing from round to round, by the median. Both get the same calls from the same hosts.
+/// Processor time of a call with a table in the program's file and without it; median over the rounds of one run. The two
+/// programs take turns, and the first one alternates between rounds. Both make the same calls to the same hosts.
 fn on_and_off(name: &str, table: &str, turn: bool) {
     let resolver = Resolver::start(&[]);
     let instances = (0..12).map(|i| (format!("h{i}"), answering().port(), vec![format!("cell={i}")]));
@@ -641,7 +643,7 @@
     let programs = [off.clone(), format!("{off}\n{table}")].map(|text| Program::start(&text, true));
     for p in &programs {
         wait_for("hosts", || p.http(&request("GET", "/healthz", &[], "")).status == 200);
-        // Neither the first beliefs nor the first connections are measured.
+        // Warm-up: loading functions and opening connections are not measured.
         cost(p, 2_000, turn);
     }
     let (mut times, mut ratios) = ([Vec::new(), Vec::new()], Vec::new());
@@ -655,19 +657,19 @@
         ratios.push(took[1] / took[0]);
     }
     for (which, times) in ["off", "on"].iter().zip(&mut times) {
-        tell(&format!("{name}.cpu_a_call_{which}"), (quantile(times, 0.5) * 100.0).round() / 100.0, "us");
+        emit(&format!("{name}.cpu_a_call_{which}"), (quantile(times, 0.5) * 100.0).round() / 100.0, "us");
     }
-    tell(
+    emit(
         &format!("{name}.cpu_a_call_on_over_off"),
         (quantile(&mut ratios, 0.5) * 1e3).round() / 1e3,
         "median",
     );
-    tell(
+    emit(
         &format!("{name}.cpu_a_call_on_over_off_quarter"),
         (quantile(&mut ratios, 0.25) * 1e3).round() / 1e3,
         "quartile",
     );
-    tell(
+    emit(
         &format!("{name}.cpu_a_call_on_over_off_three_quarters"),
         (quantile(&mut ratios, 0.75) * 1e3).round() / 1e3,
         "quartile",
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -1,4 +1,4 @@
-//! Several activators that watch each other, as processes of their own, with faults between and in them.
+//! Membership of several activators, each a process, with faults in the processes and on the links between them.
 
 mod common;
 
@@ -10,21 +10,21 @@
 use rstest::rstest;
 
 #[test]
-fn one_that_is_killed_is_gone_for_all_and_back_as_another_life() {
+fn a_killed_member_is_gone_for_all_and_returns_as_a_new_instance() {
     let mut fleet = Fleet::met(4);
     let first = fleet.said(1, 0, "start_ms").as_u64().unwrap();
     fleet.process(0).kill();
     fleet.each[0] = None;
     fleet.agree(&[1, 2, 3]);
-    assert!((1..4).all(|i| fleet.deaths(i, 0) == 1), "each says so once");
+    assert!((1..4).all(|i| fleet.deaths(i, 0) == 1), "each logs it once");
     fleet.start(0);
     fleet.agree(&[0, 1, 2, 3]);
     assert!(fleet.said(1, 0, "start_ms").as_u64().unwrap() > first);
-    assert!((0..4).all(|i| (1..4).all(|j| fleet.deaths(i, j) == 0)), "nobody else");
+    assert!((0..4).all(|i| (1..4).all(|j| fleet.deaths(i, j) == 0)), "no other member");
 }
 
 #[test]
-fn one_that_was_stopped_accuses_nobody_and_comes_back_by_itself() {
+fn a_paused_member_suspects_no_other_and_rejoins_by_itself() {
     let fleet = Fleet::met(4);
     let stopped = fleet.each[0].as_ref().unwrap();
     stopped.stop(true);
@@ -32,13 +32,13 @@
     sleep(ms(20 * PERIOD));
     stopped.stop(false);
     fleet.agree(&[0, 1, 2, 3]);
-    wait_for("its own word", || stopped.logged("held this activator for gone; it is back") > 0);
-    assert!((1..4).all(|j| fleet.deaths(0, j) == 0), "it held nobody for gone");
-    assert!((1..4).all(|i| (1..4).all(|j| fleet.deaths(i, j) == 0)), "nor did the others each other");
+    wait_for("its own log line", || stopped.logged("held this activator for gone; it is back") > 0);
+    assert!((1..4).all(|j| fleet.deaths(0, j) == 0), "it declared no other member dead");
+    assert!((1..4).all(|i| (1..4).all(|j| fleet.deaths(i, j) == 0)), "nor did the others");
 }
 
 #[test]
-fn all_that_were_stopped_at_once_hold_nobody_for_gone() {
+fn members_that_were_all_paused_at_once_declare_none_dead() {
     let fleet = Fleet::met(4);
     fleet.each.iter().flatten().for_each(|p| p.stop(true));
     sleep(ms(40 * PERIOD));
@@ -47,27 +47,27 @@
     sleep(ms(20 * PERIOD));
     assert!((0..4).all(|i| (0..4).all(|j| fleet.deaths(i, j) == 0)));
     let pauses = |p: &Program| p.ask("GET", "/members", "").1["pauses"].as_u64().unwrap();
-    assert!(fleet.each.iter().flatten().all(|p| pauses(p) > 0), "each noticed that it was away");
+    assert!(fleet.each.iter().flatten().all(|p| pauses(p) > 0), "each noticed its own pause");
 }
 
 #[test]
-fn one_that_is_told_to_end_takes_its_leave() {
+fn a_terminated_member_leaves() {
     let mut fleet = Fleet::met(3);
     fleet.process(0).terminate();
     for i in 1..3 {
-        wait_for("its leave", || fleet.said(i, 0, "state") == "left");
-        assert_eq!(fleet.deaths(i, 0), 0, "a leave is no death");
+        wait_for("the leave", || fleet.said(i, 0, "state") == "left");
+        assert_eq!(fleet.deaths(i, 0), 0, "a member that left is not dead");
     }
     assert!(fleet.process(0).ended().success());
-    // An operator may have one leave while it serves on.
+    // An operator may make a member leave while it keeps serving.
     assert_eq!(fleet.process(1).operate("POST", "/members/leave", ""), 200);
-    wait_for("its leave", || fleet.said(2, 1, "state") == "left");
+    wait_for("the leave", || fleet.said(2, 1, "state") == "left");
 }
 
 #[rstest]
 #[case::both_ways(&[(0, 1), (1, 0)])]
 #[case::one_way(&[(0, 1)])]
-fn two_that_do_not_hear_each_other_stay_there_for_all(#[case] cuts: &[(usize, usize)]) {
+fn two_members_without_a_link_between_them_stay_present_for_all(#[case] cuts: &[(usize, usize)]) {
     let fleet = Fleet::met(4);
     cuts.iter().for_each(|(from, to)| fleet.lose(*from, *to, 255));
     sleep(ms(40 * PERIOD));
@@ -76,13 +76,13 @@
 }
 
 #[rstest]
-#[case::hears_nobody(false)]
-#[case::heard_by_nobody(true)]
-fn one_that_is_cut_one_way_costs_the_others_nothing(#[case] hears: bool) {
+#[case::receives_nothing(false)]
+#[case::sends_nothing(true)]
+fn a_member_cut_off_in_one_direction_does_not_affect_the_others(#[case] receives: bool) {
     let fleet = Fleet::met(4);
-    let lives: Vec<_> = (1..4).map(|i| fleet.said(1 + i % 3, i, "start_ms")).collect();
+    let starts: Vec<_> = (1..4).map(|i| fleet.said(1 + i % 3, i, "start_ms")).collect();
     for i in 1..4 {
-        let (from, to) = if hears { (0, i) } else { (i, 0) };
+        let (from, to) = if receives { (0, i) } else { (i, 0) };
         fleet.lose(from, to, 255);
     }
     fleet.agree(&[1, 2, 3]);
@@ -93,11 +93,11 @@
     sleep(ms(20 * PERIOD));
     assert!((1..4).all(|i| (1..4).all(|j| fleet.deaths(i, j) == 0)));
     let after: Vec<_> = (1..4).map(|i| fleet.said(1 + i % 3, i, "start_ms")).collect();
-    assert_eq!(lives, after, "no other began a new life");
+    assert_eq!(starts, after, "no other member started a new instance");
 }
 
 #[test]
-fn with_a_third_of_all_lost_only_the_dead_are_gone() {
+fn with_a_third_of_all_datagrams_lost_only_dead_members_are_gone() {
     let mut fleet = Fleet::met(4);
     fleet.lose_everywhere(77);
     sleep(ms(40 * PERIOD));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn halves_that_are_cut_apart_know_it_and_find_back() {
+fn partitioned_halves_lose_the_majority_and_reunite() {
     let fleet = Fleet::met(4);
     for (a, b) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
         fleet.lose(a, b, 255);
@@ -117,30 +117,30 @@
     fleet.agree(&[0, 1]);
     fleet.agree(&[2, 3]);
     let majority = |p: &Program| p.ask("GET", "/members", "").1["majority"].as_bool().unwrap();
-    assert!(!fleet.each.iter().flatten().any(majority), "two of four are none");
+    assert!(!fleet.each.iter().flatten().any(majority), "two of four are no majority");
     fleet.lose_everywhere(0);
     fleet.agree(&[0, 1, 2, 3]);
     assert!(fleet.each.iter().flatten().all(majority));
 }
 
 #[test]
-fn a_list_that_changes_is_taken_up_without_a_new_life() {
+fn a_changed_member_list_is_applied_without_a_new_instance() {
     let mut fleet = Fleet::met(3);
     let start = fleet.said(1, 0, "start_ms");
-    let whole = fleet.file(0);
-    let cut = whole.rfind("[[members.other]]").unwrap();
-    let short = whole[..cut].to_string();
+    let full = fleet.file(0);
+    let cut = full.rfind("[[members.other]]").unwrap();
+    let short = full[..cut].to_string();
     fleet.process(0).reload(&short);
     let known = |p: &Program| p.ask("GET", "/members", "").1["members"].as_array().unwrap().len();
     wait_for("the shorter list", || known(fleet.each[0].as_ref().unwrap()) == 1);
-    fleet.process(0).reload(&whole);
+    fleet.process(0).reload(&full);
     wait_for("the longer list", || known(fleet.each[0].as_ref().unwrap()) == 2);
     fleet.agree(&[0, 1, 2]);
     assert_eq!(fleet.said(1, 0, "start_ms"), start);
 }
 
 #[test]
-fn in_an_upgrade_the_name_passes_without_a_death() {
+fn in_an_upgrade_the_name_passes_to_the_new_process_without_a_death() {
     let mut fleet = Fleet::met(3);
     let start = |fleet: &Fleet| fleet.said(1, 0, "start_ms").as_u64().unwrap();
     let first = start(&fleet);
@@ -148,13 +148,13 @@
     let here = format!("listen = \"{}\"", old.address);
     let text = fleet.file(0).replacen("listen = \"127.0.0.1:0\"", &here, 1);
     fleet.each[0] = Some(Program::start(&text, true));
-    wait_for("the new life", || start(&fleet) > first);
+    wait_for("the new instance", || start(&fleet) > first);
     sleep(ms(20 * PERIOD));
     fleet.agree(&[0, 1, 2]);
-    assert!((1..3).all(|i| fleet.deaths(i, 0) == 0), "nobody missed it");
+    assert!((1..3).all(|i| fleet.deaths(i, 0) == 0), "no member declared it dead");
     assert!(
         (0..3).all(|j| old.logged(&format!("activator m{j} is gone")) == 0),
-        "nor did the old one accuse"
+        "nor did the old process declare any dead"
     );
     let client = call("f", "check-score", &[], "x");
     assert_eq!(fleet.process(0).http(&client).status, 200, "and it serves");
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn what_comes_for_a_part_that_is_not_known_is_dropped_and_counted() {
+fn datagrams_of_unknown_kinds_are_dropped_and_counted() {
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let listen = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -170,7 +170,7 @@
     let file = operator_file("127.0.0.1:9".parse().unwrap());
     let address = other.local_addr().unwrap();
     let program = Program::start(&format!("{file}\n{setup}\naddress = \"{address}\"\n"), true);
-    assert_eq!(program.operate("GET", "/members", ""), 200, "it listens by now");
+    assert_eq!(program.operate("GET", "/members", ""), 200, "it is listening");
     for kind in [0, 1, 9] {
         for from in [&other, &stranger] {
             from.send_to(&[0xff, 0x57, 0x4c, 0x01, kind, b'x'], listen).unwrap();
@@ -178,9 +178,9 @@
     }
     other.send_to(b"no datagram of any kind", listen).unwrap();
     let dropped = || program.ask("GET", "/members", "").1["dropped"].as_u64().unwrap();
-    wait_for("its count", || dropped() == 2);
+    wait_for("the count", || dropped() == 2);
     sleep(ms(100));
-    assert_eq!(dropped(), 2, "of a stranger nothing is read at all");
+    assert_eq!(dropped(), 2, "datagrams from unknown addresses are not counted");
 }
 
 #[rstest]
@@ -188,7 +188,7 @@
 #[case::twice("name = \"b\"", "b and b have the same id")]
 #[case::hasty("name = \"a\"\nperiod_ms = 5", "members.period_ms is 20 to 60000")]
 #[case::word("name = \"a\"\nperiods = 5", "unknown field")]
-fn a_setup_that_makes_no_sense_is_turned_down(#[case] setup: &str, #[case] wanted: &str) {
+fn an_invalid_setup_is_refused(#[case] setup: &str, #[case] wanted: &str) {
     let other = "[[members.other]]\nname = \"b\"\naddress = \"127.0.0.1:9\"";
     let file = operator_file("127.0.0.1:9".parse().unwrap());
     let text = format!("{file}\n[members]\nlisten = \"127.0.0.1:0\"\n{setup}\n{other}\n");
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn without_a_setup_nobody_is_watched() {
+fn without_a_setup_there_is_no_membership() {
     let program = Program::start(&operator_file("127.0.0.1:9".parse().unwrap()), true);
     assert_eq!(program.operate("GET", "/members", ""), 404);
     assert_eq!(program.operate("POST", "/members/leave", ""), 404);
--- a/node/tests/other_settings.rs
+++ b/node/tests/other_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of other deployments, on real sockets: the program starts with each and serves a call of each class.
+//! Other deployments' settings, on real sockets: with each the program starts and serves a call of each class.
 
 mod common;
 
@@ -22,7 +22,7 @@
     (0..n).map(|i| class(&format!("class-{i}"), effects[i % 3], "cell")).collect()
 }
 
-/// A request as a client of this class and tenant sends it.
+/// A request frame of this class and tenant.
 fn request(stream: u32, class: &str, tenant: Option<&str>) -> Vec<u8> {
     let id = format!("{stream:016x}");
     let mut fields = vec![
@@ -41,10 +41,10 @@
     entries.iter().map(|entry| entry["Name"].as_str().unwrap().to_string()).collect()
 }
 
-/// What a deployment's settings have in place of the usual.
+/// Settings that differ from the usual ones: path and value.
 type Edits = Vec<(&'static str, Value)>;
 
-/// One call of each class, by each tenant in turn: each is served.
+/// Sends one call of each class, with the tenants in turn, and checks that each is served.
 fn serves_each_class(edits: Edits, load: Option<u64>) {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(1), load: load.map(ms) });
     let bus = Bus::start();
@@ -66,7 +66,7 @@
 }
 
 #[rstest]
-fn any_number_of_classes(#[values(1, 2, 3, 7, 16)] n: usize) {
+fn any_number_of_classes_is_served(#[values(1, 2, 3, 7, 16)] n: usize) {
     serves_each_class(vec![("settings/Profiles", classes(n))], None);
 }
 
@@ -79,7 +79,7 @@
 #[case::utf_8(json!([class("prüfung-größe", "safe", "all"), class("保存", "keyed", "zone")]))]
 #[case::long(json!([class(&"x".repeat(64), "safe", "all"), class(&"ü".repeat(60), "unsafe", "all")]))]
 #[case::signs(json!([class("a;b:c/d\"e'f\\g{h}", "safe", "all"), class("-", "unsafe", "all")]))]
-fn any_classes(#[case] profiles: Value) {
+fn any_class_names_and_effects_are_served(#[case] profiles: Value) {
     serves_each_class(vec![("settings/Profiles", profiles)], None);
 }
 
@@ -90,7 +90,7 @@
 #[case::odd_names(json!([{"Name": "a b, c=d", "Portion": 0.5, "QuotaPerS": 0.1},
     {"Name": "schule.größe", "Portion": 0.25, "QuotaPerS": 9.0},
     {"Name": "y".repeat(300), "Portion": 0.25, "QuotaPerS": 9.0}]))]
-fn any_tenants(#[case] customers: Value) {
+fn any_tenants_are_served(#[case] customers: Value) {
     serves_each_class(vec![("settings/Customers", customers)], None);
 }
 
@@ -104,21 +104,21 @@
 #[case::no_family(vec![("settings/FamilyInfo", json!({}))], None)]
 #[case::no_load_rule(vec![("settings/FamilyInfo/LoadPeriodUs", json!(0))], Some(30))]
 #[case::no_probes(vec![("settings/Limits/Probes", json!(false))], None)]
-#[case::tells_nobody(vec![("settings/Limits/MayTell", json!(false))], None)]
-#[case::may_tell_and_has_no_peers(vec![("settings/Limits/MayTell", json!(true)), ("settings/GroupSize", json!(9))], None)]
+#[case::no_gossip(vec![("settings/Limits/MayTell", json!(false))], None)]
+#[case::gossip_without_peers(vec![("settings/Limits/MayTell", json!(true)), ("settings/GroupSize", json!(9))], None)]
 #[case::no_cancel(vec![("settings/Limits/Cancel", json!(false))], None)]
 #[case::one_stream(vec![("settings/Limits/StreamsPerConn", json!(1))], None)]
 #[case::low_multiple(vec![("settings/Rules/FallMultiple", json!(2)), ("settings/Rules/ColdFrom", json!(0.0))], None)]
 #[case::short_window(vec![("settings/Profiles/1/WindowUs", json!(1000))], None)]
 #[case::no_zones(vec![("settings/Zones", json!(null)), ("settings/Zone", json!(null))], None)]
 #[case::subscribes(vec![("settings/Discovery", json!("subscribe"))], None)]
-fn any_limits(#[case] edits: Edits, #[case] load: Option<u64>) {
+fn any_limits_are_served(#[case] edits: Edits, #[case] load: Option<u64>) {
     serves_each_class(edits, load);
 }
 
-/// A name that no line to a host can hold ends its own calls, and nobody else's: the others are served.
+/// A class name that cannot be written in a line to a host makes calls of this class fail; other classes are served.
 #[rstest]
-fn a_name_that_no_line_can_hold_costs_its_own_class(
+fn a_class_name_that_no_line_can_hold_fails_only_its_own_calls(
     #[values("check score", "a,b", "a=b", "a\u{a0}b", "a\nb")] name: &str,
 ) {
     let host = Host::warm();
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new process takes the place of a running one, on real sockets, one test a rule.
+//! A new process takes over from a running one, on real sockets; one test per rule.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 const SERVED: u8 = 79;
 
-/// The configuration of a process that listens there.
+/// The configuration with this listen address.
 fn at(address: SocketAddr, config: String) -> String {
     config.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{address}\""))
 }
@@ -20,14 +20,14 @@
 fn call(p: &Program, stream: u32, class: &str) -> u8 {
     let mut client = p.connect();
     client.write_all(&call_frame(stream, class, 4000, b"")).unwrap();
-    // It may have been taken by a process that just asks its clients to move.
+    // The process that accepted the connection may ask its clients to move before it answers.
     std::iter::from_fn(|| read_frame(&mut client)).find(|f| f.kind == 2).expect("an answer").code
 }
 
-/// Clients are served throughout, hosts out by hand stay out, what is loaded is known, and the old process
-/// answers what it has taken.
+/// During a takeover clients are served throughout, hosts out of service stay out, loaded functions are not loaded again,
+/// and the old process answers the calls that it has accepted.
 #[test]
-fn a_new_process_takes_the_place_of_a_running_one() {
+fn a_new_process_takes_over_from_a_running_one() {
     let loads = || Host::start(Ways { does: Does::Answer("200"), work: ms(1), load: Some(ms(5)) });
     let (a, b, c) = (loads(), loads(), loads());
     let hosts = [&a, &b, &c];
@@ -52,13 +52,13 @@
     let mut stream = 10;
     wait_for("readiness", || {
         stream += 1;
-        assert_eq!(call(&new, stream, "check-score"), SERVED, "whoever takes it");
+        assert_eq!(call(&new, stream, "check-score"), SERVED, "by either process");
         new.status() == 200
     });
     assert_eq!(read_frame(&mut open).unwrap().kind, 6, "clients are asked to move");
-    // What operators say reaches both, whoever hears it.
+    // An operator's command reaches both processes, whichever of them receives it.
     assert_eq!(old.program.maintain("enter", loaded as u32), 200);
-    wait_for("word of it", || {
+    wait_for("the operator's command", || {
         call(&new, 9000, "check-score") == SERVED && orders(hosts[3 - loaded - out]) > 0
     });
     assert_eq!(new.maintain("exit", loaded as u32), 200);
@@ -70,14 +70,14 @@
     for stream in 100..110 {
         assert_eq!(call(&new, stream, "check-score"), SERVED);
     }
-    assert_eq!([hosts[out].calls(), orders(hosts[out])], before, "the ban holds");
-    assert!(ordered <= 2, "what was loaded is not ordered again: {ordered}");
+    assert_eq!([hosts[out].calls(), orders(hosts[out])], before, "the host stays out of service");
+    assert!(ordered <= 2, "a loaded function is not ordered again: {ordered}");
     assert_eq!(new.maintain("exit", out as u32), 200);
 }
 
-/// A new process that fails leaves the old one to serve on, and to be found by the next.
+/// If the new process fails, the old one keeps serving, and the next new process finds it.
 #[test]
-fn if_the_new_process_fails_the_old_one_serves_on() {
+fn if_the_new_process_fails_the_old_one_keeps_serving() {
     let host = Host::warm();
     let mut old = platform(&[&host]);
     let text = at(old.program.address, config(old.bus.address, &[&host]));
@@ -88,16 +88,17 @@
         assert_eq!(call(&new, round, "send-mail"), SERVED);
         new.kill();
         assert_eq!((call(&old.program, 10 + round, "send-mail"), old.program.status()), (SERVED, 200));
-        wait_for("word of it", || old.program.logged("the other process is gone") == round as usize);
+        wait_for("the loss", || old.program.logged("the other process is gone") == round as usize);
     }
     old.program.terminate();
     assert!(old.program.ended().success());
 }
 
-/// What is found at the meeting place may be a dead process's, or nobody's: then it starts alone.
+/// The socket at the takeover path may be left over from a dead process, or belong to another program: then the new
+/// process starts alone.
 #[rstest]
 #[case::dead(false)]
-#[case::not_one_of_ours(true)]
+#[case::another_program(true)]
 fn a_process_that_finds_no_peer_starts_alone(#[case] alive: bool) {
     let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let listener = UnixListener::bind(meeting_place(address)).unwrap();
@@ -111,23 +112,23 @@
     assert_eq!(call(&program, 1, "send-mail"), SERVED);
 }
 
-/// Drained is drained, whichever process is told.
+/// Standby applies to both processes, whichever of them receives the command.
 #[test]
-fn a_drain_goes_over_to_the_new_process() {
+fn standby_passes_to_the_new_process() {
     let host = Host::warm();
     let old = platform(&[&host]);
     assert_eq!(old.program.operate("POST", "/standby", ""), 200);
     let new = Program::start(&at(old.program.address, config(old.bus.address, &[&host])), false);
     let (_, _feed) = old.bus.greeted();
-    wait_for("the new one", || new.logged("taking clients") == 1);
+    wait_for("the new process", || new.logged("taking clients") == 1);
     assert_eq!((old.program.status(), new.status()), (503, 503));
     assert_eq!(new.operate("POST", "/active", ""), 200);
-    wait_for("word of it", || (old.program.status(), new.status()) == (200, 200));
+    wait_for("the command", || (old.program.status(), new.status()) == (200, 200));
 }
 
-/// Found on an upgrade day: half a second of nothing but work while an old process waited for its last answer.
+/// Guards against a busy loop: an old process that waited for its last answer used a processor for half a second.
 #[test]
-fn to_wait_for_the_last_answer_costs_no_work() {
+fn waiting_for_the_last_answer_uses_no_processor_time() {
     let host = Host::start(Ways { does: Does::Answer("200"), work: ms(2500), load: None });
     let mut old = platform(&[&host]);
     let mut open = old.program.connect();
--- a/node/tests/wall_clock.rs
+++ b/node/tests/wall_clock.rs
@@ -1,5 +1,5 @@
-//! The machine's wall clock is stepped under a running activator, by seconds and by an hour, forward and back: windows,
-//! deadlines, rations and starts of hosts are spans of real time. Real processes over loopback, one test a rule.
+//! The machine's wall clock is stepped while an activator runs, by seconds and by an hour, forward and back. Windows,
+//! deadlines, the load budget and slow start must follow real time. Real processes over loopback; one test per rule.
 
 mod common;
 
@@ -12,14 +12,14 @@
 
 const SERVED: u8 = 79;
 const FAILED: u8 = 69;
-/// Steps of the wall clock in seconds; none is the control.
-const STEPS: [f64; 7] = [0.0, -3.0, -20.0, -3600.0, 3.0, 20.0, 3600.0];
-/// Calls of one round, each of another function.
+/// Steps of the wall clock in seconds; 0 is the control.
+const STEPS_SECS: [f64; 7] = [0.0, -3.0, -20.0, -3600.0, 3.0, 20.0, 3600.0];
+/// Calls in a round, each of another function.
 const CALLS: u32 = 10;
-/// A step shows within this: the activator looks at its clock as often as 50 ms.
-const NOTICED: Duration = Duration::from_millis(120);
+/// The activator detects a step within this time: it polls the clock every 50 ms.
+const DETECTION_TIME: Duration = Duration::from_millis(120);
 
-/// An activator on a machine with a wall clock of its own.
+/// An activator with its own simulated wall clock.
 struct Machine {
     clock: WallClock,
     program: Program,
@@ -28,7 +28,7 @@
 }
 
 impl Machine {
-    /// It knows these hosts from its start, when its clock was off by so many seconds.
+    /// Starts an activator that knows these hosts, with its wall clock off by `offset` seconds.
     fn start(offset: f64, hosts: &[&Host], edit: impl Fn(String) -> String) -> Self {
         let clock = WallClock::offset_by(offset);
         let bus = Bus::start();
@@ -38,7 +38,7 @@
         Self { clock, program, bus, feed }
     }
 
-    /// Calls as many functions that nobody called before, a round's own.
+    /// Calls [`CALLS`] functions that only this round calls.
     fn call_functions(&self, round: u32) {
         let mut client = self.program.connect();
         for n in 1..=CALLS {
@@ -49,15 +49,15 @@
         (0..CALLS).for_each(|_| drop(read_frame(&mut client).expect("an answer")));
     }
 
-    /// Tells it this event.
-    fn tell(&mut self, event: &[u8]) {
-        // Only once the list is known to be whole is a start news.
-        wait_for("the whole list", || self.program.status() == 200);
+    /// Sends the activator this event.
+    fn send_event(&mut self, event: &[u8]) {
+        // A host counts as newly started only if it appears after the host list was complete.
+        wait_for("the complete list", || self.program.status() == 200);
         sleep(ms(400));
         self.feed.write_all(event).unwrap();
     }
 
-    /// Has a new process take the place of the one that runs.
+    /// Starts a new process that takes over from the running one.
     fn upgrade(&mut self, hosts: &[&Host]) {
         let listen = format!("\"listen\":\"{}\"", self.program.address);
         let text = config(self.bus.address, hosts).replace("\"listen\":\"127.0.0.1:0\"", &listen);
@@ -71,28 +71,28 @@
     }
 }
 
-/// By the settings: two orders to load, and a fifth of the calls taken.
-fn assert_within_ration(host: &Host, rounds: u32) {
-    let ration = 2 + (rounds * CALLS) as usize / 5;
+/// The load budget of the settings: two load orders, and a fifth of the calls.
+fn assert_within_load_budget(host: &Host, rounds: u32) {
+    let budget = 2 + (rounds * CALLS) as usize / 5;
     let orders = host.seen.lock().unwrap().orders.len();
-    assert!(orders <= ration, "{orders} orders to load, {ration} are allowed");
-    assert!(orders > ration / 2, "{orders} orders to load, so that the ration was never met");
+    assert!(orders <= budget, "{orders} load orders, {budget} are allowed");
+    assert!(orders > budget / 2, "{orders} load orders: the test did not reach the budget");
 }
 
-/// Runs this for each step at once, as most of the time is spent waiting.
+/// Runs the test for all steps in parallel, because it spends most of its time waiting.
 fn for_each_step(test: impl Fn(f64) + Sync) {
     scope(|threads| {
         let test = &test;
-        let running: Vec<_> = STEPS.map(|step| (step, threads.spawn(move || test(step)))).into();
+        let running: Vec<_> = STEPS_SECS.map(|step| (step, threads.spawn(move || test(step)))).into();
         let failed = running.into_iter().filter_map(|(step, thread)| thread.join().err().map(|_| step));
         let failed: Vec<f64> = failed.collect();
         assert!(failed.is_empty(), "fails where the wall clock is stepped by {failed:?} s");
     });
 }
 
-/// A keyed call whose host breaks off when the window is over is not sent again; within the window it is.
+/// A keyed call whose host resets the connection is retried within the deduplication window, and not after it.
 #[test]
-fn a_keyed_call_is_repeated_within_its_window_only() {
+fn a_keyed_call_is_retried_only_within_its_window() {
     const WINDOW: Duration = Duration::from_millis(1000);
     let repeats = |step: f64, breaks_after: Duration| {
         let host = Host::start(Ways { does: Does::Nothing, work: ms(1), load: None });
@@ -110,20 +110,20 @@
         (host.calls() - 1, answer.code)
     };
     for_each_step(|step| {
-        assert_eq!(repeats(step, WINDOW + ms(300)), (0, FAILED), "repeated outside the window");
-        assert_eq!(repeats(step, NOTICED), (1, SERVED), "not repeated within the window");
+        assert_eq!(repeats(step, WINDOW + ms(300)), (0, FAILED), "retried outside the window");
+        assert_eq!(repeats(step, DETECTION_TIME), (1, SERVED), "not retried within the window");
     });
 }
 
-/// A call to a silent host is answered before its client gives up, and not long before.
+/// A call to a host that does not answer is answered shortly before its client gives up.
 #[test]
-fn deadlines_are_spans_of_real_time() {
+fn deadlines_follow_real_time() {
     const TIMEOUT: u64 = 1500;
     for_each_step(|step| {
         let host = Host::start(Ways { does: Does::Nothing, work: ms(1), load: None });
         let machine = Machine::start(0.0, &[&host], |text| text);
         let mut client = machine.program.connect();
-        // Less than the shortest step later, and long enough for a busy machine.
+        // Shorter than the smallest step, and long enough for a loaded machine.
         client.set_read_timeout(Some(ms(TIMEOUT + 1400))).unwrap();
         let sent = Instant::now();
         client.write_all(&call_frame(1, "send-mail", TIMEOUT as u32, b"")).unwrap();
@@ -136,25 +136,25 @@
     });
 }
 
-/// Orders to load stay within their ration of the last ten seconds, also when the clock is stepped again and again.
+/// Load orders stay within the budget of the last ten seconds, also if the clock is stepped repeatedly.
 #[test]
-fn the_ration_of_loads_is_counted_in_real_time() {
+fn the_load_budget_is_counted_in_real_time() {
     const ROUNDS: u32 = 3;
     for_each_step(|step| {
         let host = Host::start(Ways { does: Does::Answer("200"), work: ms(1), load: Some(ms(1)) });
         let machine = Machine::start(0.0, &[&host], |text| text);
         for round in 0..ROUNDS {
             machine.clock.set(step * f64::from(round));
-            sleep(NOTICED);
+            sleep(DETECTION_TIME);
             machine.call_functions(round);
         }
-        assert_within_ration(&host, ROUNDS);
+        assert_within_load_budget(&host, ROUNDS);
     });
 }
 
-/// A process that takes another's place after a step counts the other's orders by the same time.
+/// A process that takes over after a step counts the old process's load orders at the times at which they were given.
 #[test]
-fn a_new_process_goes_on_with_the_time_of_the_one_before() {
+fn a_new_process_continues_with_the_clock_of_the_old_one() {
     for_each_step(|step| {
         let host = Host::start(Ways { does: Does::Answer("200"), work: ms(1), load: Some(ms(1)) });
         let mut machine = Machine::start(0.0, &[&host], |text| text);
@@ -162,26 +162,27 @@
         machine.clock.set(step);
         machine.upgrade(&[&host]);
         machine.call_functions(1);
-        assert_within_ration(&host, 2);
+        assert_within_load_budget(&host, 2);
     });
 }
 
-/// A host that starts while the activator's clock is wrong is in slow start nevertheless: the activator began by that clock.
+/// A host that starts while the activator's wall clock is wrong must be in slow start nevertheless. The activator's clock
+/// starts from that wall clock, so the host's start time does not match it.
 #[test]
-fn a_host_that_starts_is_in_slow_start_whatever_the_wall_clock_says() {
+fn a_starting_host_is_in_slow_start_whatever_the_wall_clock_shows() {
     const CALLS: u32 = 60;
-    /// A host that runs for long would get half of the calls.
-    const MOST_TO_STARTING: usize = 12;
+    /// A host that has run for long would get half of the calls.
+    const MAX_CALLS_TO_STARTING: usize = 12;
     for_each_step(|step| {
         let (old, starting) = (Host::warm(), Host::warm());
-        let delicate = |text: String| {
+        let strict = |text: String| {
             text.replace("\"ColdFrom\":0.17", "\"ColdFrom\":0.01")
                 .replace("\"FallMultiple\":4.0", "\"FallMultiple\":1.0")
         };
-        let mut machine = Machine::start(step, &[&old], delicate);
+        let mut machine = Machine::start(step, &[&old], strict);
         let started = puppet::unix_ms();
-        machine.tell(&puppet::event_of(2, false, &[(1, starting.address, puppet::READY, started)]));
-        wait_for("news of it", || machine.program.logged("s-00000001=Up") > 0);
+        machine.send_event(&puppet::event_of(2, false, &[(1, starting.address, puppet::READY, started)]));
+        wait_for("the event", || machine.program.logged("s-00000001=Up") > 0);
         let mut client = machine.program.connect();
         for n in 1..=CALLS {
             let function = format!("{n:016x}");
@@ -190,6 +191,6 @@
             assert_eq!(read_frame(&mut client).expect("an answer").code, SERVED);
         }
         let calls = starting.calls();
-        assert!(calls <= MOST_TO_STARTING, "{calls} calls of {CALLS} to a host that has just started");
+        assert!(calls <= MAX_CALLS_TO_STARTING, "{calls} calls of {CALLS} to a host that has just started");
     });
 }
