--- a/node/src/config/operator.rs
+++ b/node/src/config/operator.rs
@@ -101,7 +101,7 @@
     10_000
 }
 
-/// At most `free + share * calls` orders to load within `period_ms`.
+/// The load budget: at most `free + share * calls` load orders within `period_ms`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Orders {
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -18,7 +18,7 @@
 #[rstest]
 #[case::plan("[rollout.plan]\nname = \"x\"\nstep = []", "a plan needs a step")]
 #[case::ready("[rollout]\nbegin = \"ready\"", "needs a rollout.plan")]
-#[case::word("[rollout]\nbegin = \"soon\"", "unknown variant")]
+#[case::begin("[rollout]\nbegin = \"soon\"", "unknown variant")]
 #[case::key("[rollout]\nstart = \"call\"", "unknown field")]
 #[case::version("[rollout]\nversion = \"\"", "rollout.version must be")]
 fn an_invalid_rollout_is_refused(#[case] part: &str, #[case] wanted: &str) {
--- a/node/src/ipc.rs
+++ b/node/src/ipc.rs
@@ -78,7 +78,9 @@
     /// When the answer must have reached the holder, in Unix microseconds: both processes run on one machine.
     pub due: Micros,
     pub lanes: u32,
+    /// Whether it is a client's retry of a failed request.
     pub repeat: bool,
+    /// The idempotency key.
     pub key: Option<String>,
     pub body: Vec<u8>,
 }
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -290,7 +290,7 @@
         lines
     }
 
-    /// Closes the socket without an announcement, because another process goes on under this name.
+    /// Closes the socket without an announcement, because another process continues under this name.
     pub fn close(self) {
         self.handle.remove(self.token);
     }
--- a/node/src/upgrade.rs
+++ b/node/src/upgrade.rs
@@ -40,13 +40,13 @@
 use crate::startup::{BUSY_TIMEOUT, RETRY_DELAY, TAKEOVER_TIMEOUT};
 use crate::wake::{Handle, Wake, Wakes};
 
-/// Version of the JSON messages. A `hello` with another version is not answered.
+/// Version of the JSON messages; it changes with their meaning. A connection with another version in its `hello` is closed.
 const PROTOCOL_VERSION: u32 = 1;
-/// Lower bound of socket timeouts: a timeout of zero is rejected by the system, and none would wait forever.
+/// Lower bound of socket timeouts. Without a timeout, a call could block forever, and a timeout of zero is an error.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 /// Longest JSON message, which is the state.
 const MAX_MESSAGE_BYTES: usize = 2 << 20;
-/// Loaded functions that the state lists at most; those with the most calls come first.
+/// Limit of the loaded functions in the state; those with the most calls are kept.
 const MAX_LOADED_FUNCTIONS: usize = 4000;
 /// Buffer sizes of the connection between the two processes of a rollout.
 const FRAME_INBOX_BYTES: usize = ipc::MAX_FRAME_BYTES + 4;
@@ -109,10 +109,12 @@
 /// Tallies for the load budget as they are sent: time, calls, load orders.
 pub type TallyRows = Vec<(Micros, u32, u32)>;
 
+/// Converts tallies to the format of the messages.
 pub fn to_rows(tallies: Vec<Tally>) -> TallyRows {
     tallies.into_iter().map(|t| (t.at, t.calls, t.orders)).collect()
 }
 
+/// Converts tallies from the format of the messages.
 pub fn from_rows(rows: &TallyRows) -> Vec<Tally> {
     rows.iter().map(|(at, calls, orders)| Tally { at: *at, calls: *calls, orders: *orders }).collect()
 }
@@ -205,7 +207,7 @@
         pidfd_open(pid, PidfdFlags::empty()).ok().map(Self)
     }
 
-    /// Sends SIGKILL.
+    /// Ends the process at once, with SIGKILL.
     pub fn kill(&self) {
         let _ = pidfd_send_signal(&self.0, Signal::KILL);
     }
@@ -519,8 +521,8 @@
     Disconnected(String),
 }
 
-/// The connections to other processes of the clients' address: at most one peer, and new ones that have not sent a
-/// complete `hello` yet.
+/// The connections to other processes of the clients' address: at most one to the peer, and new ones that have not become
+/// the peer yet.
 pub struct Upgrade {
     handle: Handle,
     address: SocketAddr,
@@ -589,6 +591,7 @@
         }
     }
 
+    /// Accepts a connection of another process of the same user. Too many new ones displace the oldest.
     pub fn accept(&mut self) {
         let Some((listener, _)) = &self.listener else { return };
         let Ok((stream, _)) = listener.accept() else { return };
@@ -746,12 +749,12 @@
             let text = serde_json::to_string(message).expect("messages can be encoded as JSON");
             self.send_frame(&Frame::Json(text));
         } else if conn.send(message).is_err() {
-            self.drop_conn(id, "its send queue is full");
+            self.drop_conn(id, "a message could not be sent");
         }
     }
 
     /// Closes all connections when the process ends, and removes its socket file, so that later processes do not find
-    /// it. The file stays if there is a peer, which owns it.
+    /// it. Keeps the file if there is a peer, which may own it by now.
     pub fn shut_down(&mut self) {
         let own = self.listener.is_some() && self.peer.is_none();
         self.stop_listening();
--- a/node/src/upgrade/tests.rs
+++ b/node/src/upgrade/tests.rs
@@ -18,12 +18,12 @@
         HandoverState { loaded: loaded.collect(), tallies, served: 12.5, sends, sender_keeps_running: false };
     let mut state = ProcessState { out: vec!["s-9".into()], ..ProcessState::default() };
     state.set_engine_state(engine.clone());
-    let Message::State(heard) = serde_json::from_slice(&line(&Message::State(Box::new(state)))).unwrap()
+    let Message::State(read) = serde_json::from_slice(&line(&Message::State(Box::new(state)))).unwrap()
     else {
         panic!("no state")
     };
     engine.loaded.reverse();
-    assert_eq!((heard.engine_state(), heard.out), (engine, vec!["s-9".to_string()]), "most called first");
+    assert_eq!((read.engine_state(), read.out), (engine, vec!["s-9".to_string()]), "most called first");
 }
 
 /// The holder of a rollout relies on this when it dismisses a candidate: everything that the system has accepted before
--- a/node/tests/measure.rs
+++ b/node/tests/measure.rs
@@ -578,19 +578,19 @@
                 let (mut lines, mut out) = (BufReader::new(stream.try_clone().unwrap()), stream);
                 let (mut line, mut body) = (String::new(), Vec::new());
                 while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
-                    let words: Vec<&str> = line.trim_end().split(' ').collect();
-                    let answer = match words[0] {
+                    let parts: Vec<&str> = line.trim_end().split(' ').collect();
+                    let answer = match parts[0] {
                         "FN" => {
-                            body.resize(words[3].parse::<usize>().unwrap() + 2, 0);
+                            body.resize(parts[3].parse::<usize>().unwrap() + 2, 0);
                             lines.read_exact(&mut body).unwrap();
-                            let has = |field: &str| words[2].contains(field);
+                            let has = |field: &str| parts[2].contains(field);
                             // Without a table calls run with drafting off; the answer reports 20 rounds of it.
                             let accepted = if has("draft=0:0") { ",accepted=20;20;400000" } else { "" };
                             let found = if has("blocks=") { ",found=8" } else { "" };
-                            format!("{} 200 tell=warm{accepted}{found} 0\r\n\r\n", words[1])
+                            format!("{} 200 tell=warm{accepted}{found} 0\r\n\r\n", parts[1])
                         }
-                        "SPAWN" => format!("{} 200 copies=1 0\r\n\r\n", words[1]),
-                        "HELO" => format!("{} alive - 0\r\n\r\n", words[1]),
+                        "SPAWN" => format!("{} 200 copies=1 0\r\n\r\n", parts[1]),
+                        "HELO" => format!("{} alive - 0\r\n\r\n", parts[1]),
                         _ => String::new(),
                     };
                     line.clear();
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -186,14 +186,14 @@
 #[rstest]
 #[case::nameless("name = \"\"", "a name is 1 to 64 bytes")]
 #[case::twice("name = \"b\"", "b and b have the same id")]
-#[case::hasty("name = \"a\"\nperiod_ms = 5", "members.period_ms is 20 to 60000")]
-#[case::word("name = \"a\"\nperiods = 5", "unknown field")]
+#[case::short_period("name = \"a\"\nperiod_ms = 5", "members.period_ms is 20 to 60000")]
+#[case::key("name = \"a\"\nperiods = 5", "unknown field")]
 fn an_invalid_setup_is_refused(#[case] setup: &str, #[case] wanted: &str) {
     let other = "[[members.other]]\nname = \"b\"\naddress = \"127.0.0.1:9\"";
     let file = operator_file("127.0.0.1:9".parse().unwrap());
     let text = format!("{file}\n[members]\nlisten = \"127.0.0.1:0\"\n{setup}\n{other}\n");
-    let (status, said) = turned_down(&text, true);
-    assert!(!status.success() && said.contains(wanted), "{said}");
+    let (status, output) = turned_down(&text, true);
+    assert!(!status.success() && output.contains(wanted), "{output}");
 }
 
 #[test]
