--- a/node/src/faults.rs
+++ b/node/src/faults.rs
@@ -13,7 +13,7 @@
     Accept,
     /// Opening a connection.
     Connect,
-    /// Not a system call: the attempt is not sent, as if the agreed settings by which it was decided had expired.
+    /// Not a system call: the attempt is not sent, as if the agreed settings by which it was decided were no longer in force.
     Attempt,
 }
 
