--- a/node/src/hosts/pool/answers.rs
+++ b/node/src/hosts/pool/answers.rs
@@ -48,7 +48,7 @@
                     Ok(Some(answer)) => self.answer_received(now, id, answer),
                     Ok(None) => break,
                     Err(problem) => {
-                        log.bad(now, format_args!("host {} sent {problem}", c.host.0));
+                        log.bad_input(now, format_args!("host {} sent {problem}", c.host.0));
                         return Err(Reason::Protocol);
                     }
                 }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -30,28 +30,28 @@
 use wheellink_turns::Turn;
 
 use crate::bus::{self, Bus, Frame, Gap};
-use crate::clock::steps::Steps;
+use crate::clock::steps::StepDetector;
 use crate::clock::Clock;
 use crate::config::{self, Config};
 use crate::conn::{fresh_id, Conn, ConnId};
 use crate::control::{self, Control};
 use crate::descriptors::{Bounds, Usage};
 use crate::dnssd::{Browser, DnsSd};
-use crate::faults::{meet, Call as Faulty};
+use crate::faults::{inject, Fault};
 use crate::front::invoke::{self, Invoke};
 use crate::front::platform::frames::Request;
 use crate::front::platform::{self, Platform};
 use crate::front::Reply;
 use crate::hosts::{self, Call, CallTimes, HostPool, StartTimes};
 use crate::http::Response;
-use crate::ipc::more::Said;
+use crate::ipc::fields::AnswerFields;
 use crate::listener::{self, Listener};
 use crate::log::{Log, Reason};
 use crate::membership::Membership;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::startup;
-use crate::upgrade::{self, Message, News, Place, State, Upgrade};
+use crate::upgrade::{self, Claim, Message, PeerEvent, ProcessState, Upgrade};
 use crate::wake::{Handle, Wake};
 
 use admission::AdmissionControl;
@@ -85,7 +85,7 @@
 /// host leaves the list.
 const MAX_MANUAL_OUT: usize = 4096;
 /// Interval between checks for idle connections and for connections that are not established in time.
-const HOUSEKEEPING_US: Micros = startup::LOOK.as_micros() as Micros;
+const HOUSEKEEPING_US: Micros = startup::POLL_PERIOD.as_micros() as Micros;
 
 /// A request that has no answer yet.
 struct Pending {
@@ -113,7 +113,7 @@
     /// Fields that are added to the request line to a host.
     request: String,
     /// Fields of the last successful answer of a host.
-    reply: Said,
+    reply: AnswerFields,
 }
 
 /// Where the answer to a request goes.
@@ -154,21 +154,21 @@
 
 /// What a process with this configuration asks of the process that runs at its address: to take part in a rollout.
 /// `None` if it only replaces that process.
-pub fn rollout_request(config: &Config) -> Option<upgrade::Wish> {
+pub fn rollout_request(config: &Config) -> Option<upgrade::Candidacy> {
     let setup = config.rollout.as_ref()?;
-    let hail = upgrade::Hail {
+    let info = upgrade::VersionInfo {
         protocols: crate::ipc::PROTOCOLS.to_vec(),
         version: setup.version(),
         classes: rollout::classes(&config.deployment),
     };
-    Some(upgrade::Wish { hail, or_upgrade: setup.old_cannot == config::rollout::OldCannot::Upgrade })
+    Some(upgrade::Candidacy { info, or_upgrade: setup.old_cannot == config::rollout::IfUnsupported::Upgrade })
 }
 
 /// The hub. The event loop in `main` calls it after each poll and in each iteration.
 pub struct Node {
     handle: Handle,
     clock: Clock,
-    clock_steps: Steps,
+    clock_steps: StepDetector,
     stalls: StallDetector,
     metrics: Metrics,
     log: Log,
@@ -230,25 +230,25 @@
 impl Node {
     /// Creates the hub of a process that started at `began`, with the listening socket and the state that a previous
     /// process at this address hands over.
-    pub fn new(handle: Handle, mut config: Config, place: Place, began: Instant) -> Result<Self, String> {
-        let Place { listener, inheritance } = place;
-        let state = inheritance.as_ref().map(|i| i.state.clone());
-        let upgrade = Upgrade::new(&handle, config.listen, inheritance)
+    pub fn new(handle: Handle, mut config: Config, place: Claim, began: Instant) -> Result<Self, String> {
+        let Claim { listener, predecessor } = place;
+        let state = predecessor.as_ref().map(|p| p.state.clone());
+        let upgrade = Upgrade::new(&handle, config.listen, predecessor)
             .map_err(|e| format!("cannot communicate with the other process at this address: {e}"))?;
         let transport = config.deployment.transport.clone();
         let descriptors = config.descriptors;
         let Bounds { clients, hosts: most } = descriptors.bounds(Usage::default());
-        let share = config.memory / MEMORY_PARTS;
+        let share = config.memory_bytes / MEMORY_PARTS;
         let router = config.deployment.router(config.seed).map_err(|e| e.to_string())?;
         let mut known = Vec::new();
-        let mode = match &mut config.side {
-            config::Side::Platform { bus, offset, known: events } => {
+        let mode = match &mut config.mode {
+            config::Mode::Platform { bus, offset, events } => {
                 // The events of the configuration are used only at the start.
                 known = std::mem::take(events);
                 let front = Box::new(Platform::new(handle.clone(), (clients, share), transport.conn_idle));
                 Mode::Platform(front, Box::new(Bus::new(*bus, *offset)))
             }
-            config::Side::Operator { resolver, service, bounds, classes } => {
+            config::Mode::Operator { resolver, service, bounds, classes } => {
                 let d = &config.deployment;
                 let names = (d.classes.clone(), d.tenants.clone());
                 let front = Box::new(Invoke::new(
@@ -272,13 +272,13 @@
         let base = state.as_ref().and_then(|state| state.clock);
         let clock = base.map_or_else(Clock::default, Clock::from_base);
         let started = clock.now();
-        let max_wait = startup::CATCH_UP.min(startup::LATEST.saturating_sub(began.elapsed()));
+        let max_wait = startup::CATCH_UP_TIMEOUT.min(startup::MAX_STARTUP.saturating_sub(began.elapsed()));
         let mut node = Self {
             client_listener: None,
             control_listener: None,
             control: Control::new(handle.clone(), descriptors.operators()),
             upgrade,
-            gradual: Gradual::new(config.memory),
+            gradual: Gradual::new(config.memory_bytes),
             admission: AdmissionControl::new(config.admission.as_ref(), descriptors.limit(), share),
             bound_socket: Some(listener),
             superseded: false,
@@ -306,7 +306,7 @@
             manual_out: BTreeSet::new(),
             config,
             clock,
-            clock_steps: Steps::default(),
+            clock_steps: StepDetector::default(),
             stalls: StallDetector::default(),
             metrics: Metrics::default(),
             log: Log::new(),
@@ -332,7 +332,7 @@
         if let Some(state) = &state {
             // After the host list, because a full list resets the engine's estimates of hosts.
             let now = node.clock.now();
-            let mut legacy = state.legacy();
+            let mut legacy = state.engine_state();
             if let Some(holder) = state.rollout.clone() {
                 // The holder keeps the load budget.
                 let tallies = std::mem::take(&mut legacy.tallies);
@@ -413,10 +413,10 @@
             Wake::ResolverConn(id) => self.dns_tcp_ready(id),
             Wake::Clients => self.accept(),
             Wake::Callers => self.accept_callers(),
-            Wake::Guests => self.guests_ready(),
+            Wake::PeerArrival => self.guests_ready(),
             Wake::Peers => self.peers_ready(),
             Wake::Members => self.members_ready(),
-            Wake::Prepared => self.prepared(),
+            Wake::AccordPrepared => self.prepared(),
             Wake::Stop => self.stop(),
             Wake::Reload => {}
         }
@@ -425,7 +425,7 @@
     /// Whether a timer is due. Holds the clock until the end of the iteration: if the process is stopped between a poll
     /// and the iteration, no further timer becomes due before the input that arrived meanwhile is read.
     pub fn is_due(&mut self) -> bool {
-        let now = self.clock.hold();
+        let now = self.clock.freeze();
         self.next_tick(now) <= now
     }
 
@@ -492,7 +492,7 @@
             }
             self.process_events();
         }
-        self.clock.release();
+        self.clock.unfreeze();
         if more || self.has_more() {
             return Duration::ZERO;
         }
@@ -516,10 +516,10 @@
                 self.execute(command);
             } else if let Some(notice) = self.hosts.events.pop_front() {
                 self.handle_host_notice(notice);
-            } else if let Some(event) = self.upgrade.news.pop_front() {
+            } else if let Some(event) = self.upgrade.events.pop_front() {
                 let now = self.clock.now();
                 self.handle_peer_event(now, event);
-            } else if let Some((caller, call)) = self.control.calls.pop() {
+            } else if let Some((caller, call)) = self.control.commands.pop() {
                 let now = self.clock.now();
                 let answer = self.operate(now, call);
                 self.control.answer(now, caller, answer, &mut self.log);
@@ -537,7 +537,7 @@
         let now = self.clock.now();
         match command {
             // The agreed settings by which the attempt was decided are no longer in force: the engine decides again.
-            Command::Send { attempt, host, .. } if self.mind_accord() || meet(Faulty::Attempt).is_err() => {
+            Command::Send { attempt, host, .. } if self.mind_accord() || inject(Fault::Attempt).is_err() => {
                 self.withheld(now, attempt, host)
             }
             // The process has stalled since the attempt was decided.
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -12,7 +12,7 @@
 
 use super::*;
 use crate::conn::is_exhaustion;
-use crate::control::AdmissionCall;
+use crate::control::AdmissionCommand;
 use crate::front::{AcceptedClient, Rejection};
 
 /// Queued connections that are accepted and closed at once when there is no descriptor for them.
@@ -163,7 +163,7 @@
         let limit = if self.upgrade.has_peer() { limit / 2 } else { limit };
         let callers = descriptors.operators();
         let part = (limit, descriptors.reserved() - callers, callers);
-        let held = (self.hosts.reserve(), self.hosts.conns(), self.control.held());
+        let held = (self.hosts.reserve(), self.hosts.conns(), self.control.conn_count());
         self.admission.set_descriptor_limits(now, part, held).unwrap_or(bounds)
     }
 
@@ -485,18 +485,18 @@
         self.log.line(now, format_args!("admission refused: {}{others}", top.join(", ")));
     }
 
-    pub(super) fn operate_admission(&mut self, now: Micros, call: AdmissionCall) -> Response {
+    pub(super) fn operate_admission(&mut self, now: Micros, call: AdmissionCommand) -> Response {
         if self.admission.policy.is_none() {
             return Response::problem(404, "admission is not set up: the configuration has no [admission]");
         }
         match call {
-            AdmissionCall::Show => Response::json(200, self.show_admission(now)),
+            AdmissionCommand::Show => Response::json(200, self.show_admission(now)),
             call => {
                 let text = serde_json::to_value(&call).unwrap_or_default();
                 if !self.set_prefix(now, &call) {
                     return Response::problem(409, "as many prefixes are set by hand as may be");
                 }
-                self.upgrade.tell(&Message::Admission(call));
+                self.upgrade.send(&Message::Admission(call));
                 Response::json(200, text)
             }
         }
@@ -504,23 +504,23 @@
 
     /// Blocks or unblocks a prefix, or sets whether it is known, by an operator's call here or at the other process.
     /// Returns false if the manual lists are full.
-    pub(super) fn set_prefix(&mut self, now: Micros, call: &AdmissionCall) -> bool {
+    pub(super) fn set_prefix(&mut self, now: Micros, call: &AdmissionCommand) -> bool {
         let Some(policy) = &mut self.admission.policy else { return true };
         let (what, prefix, done) = match call {
-            AdmissionCall::Block(prefix) => ("blocked", prefix, policy.block(*prefix)),
-            AdmissionCall::Unblock(prefix) => {
+            AdmissionCommand::Block(prefix) => ("blocked", prefix, policy.block(*prefix)),
+            AdmissionCommand::Unblock(prefix) => {
                 policy.unblock(now, *prefix);
                 ("no longer blocked", prefix, true)
             }
-            AdmissionCall::Know { prefix, known } => {
+            AdmissionCommand::Know { prefix, known } => {
                 (if *known { "known" } else { "no longer known" }, prefix, policy.set_known(*prefix, *known))
             }
-            AdmissionCall::Show => return true,
+            AdmissionCommand::Show => return true,
         };
         if done {
             self.log.line(now, format_args!("admission: {prefix} is {what} by hand"));
         }
-        if let (AdmissionCall::Block(prefix), true) = (call, done) {
+        if let (AdmissionCommand::Block(prefix), true) = (call, done) {
             // Connections are closed once their open requests are answered.
             let clients = self.admission.clients.iter().filter(|(_, c)| prefix.contains(c.from));
             let mut ids: Vec<_> = clients.map(|(id, _)| *id).collect();
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -5,7 +5,7 @@
 impl Node {
     /// Takes over the state that operators have set in the process that this one replaces, what its admission has
     /// learnt, and how far it has read the bus.
-    pub(super) fn inherit(&mut self, state: &State) {
+    pub(super) fn inherit(&mut self, state: &ProcessState) {
         let now = self.clock.now();
         for id in &state.out {
             self.set_manual_out(now, &id.as_str().into(), true);
@@ -22,7 +22,7 @@
     /// Sets the limits of memory and descriptors: all of them, or this process's part while two processes run.
     pub(super) fn update_limits(&mut self) {
         let descriptors = self.config.descriptors;
-        let share = self.config.memory / MEMORY_PARTS;
+        let share = self.config.memory_bytes / MEMORY_PARTS;
         let held = Usage { clients: self.clients(), hosts: self.hosts.conns(), listed: self.hosts.reserve() };
         let (share, bounds) = if self.upgrade.has_peer() {
             (share / 2, descriptors.shared_bounds(self.peer_clients))
@@ -32,7 +32,7 @@
         self.admission.set_memory_limit(share);
         self.gradual.bound(share);
         let now = self.clock.now();
-        self.control.bound(descriptors.operators());
+        self.control.set_max_callers(descriptors.operators());
         let bounds = self.descriptor_bounds(now, bounds);
         self.hosts.set_limits((bounds.hosts, share));
         let clients = bounds.clients;
@@ -58,13 +58,13 @@
     }
 
     /// Handles a message of another process at this address, or the end of its connection.
-    pub(super) fn handle_peer_event(&mut self, now: Micros, event: News) {
+    pub(super) fn handle_peer_event(&mut self, now: Micros, event: PeerEvent) {
         match event {
-            News::Arrived(id, _) if self.gradual.is_busy() => {
+            PeerEvent::Arrived(id, _) if self.gradual.is_busy() => {
                 self.log.line(now, "another process connected during a rollout and was refused");
-                self.upgrade.turn_away(id, "a rollout is under way");
+                self.upgrade.refuse(id, "a rollout is under way");
             }
-            News::Arrived(id, hail) => {
+            PeerEvent::Arrived(id, hail) => {
                 let hail = hail.and_then(|hail| Some((self.may_be_candidate(&hail)?, hail)));
                 let socket = self.client_listener.as_ref().map(Listener::share);
                 let Some(Ok(socket)) = socket else { return };
@@ -79,7 +79,7 @@
                 self.upgrade.hand_over(id, state, socket);
                 self.update_limits();
             }
-            News::Said(Message::Ready) => {
+            PeerEvent::Message(Message::Ready) => {
                 // Queued connections are accepted by the new process, from the same socket.
                 self.log.line(now, "the new process takes clients");
                 self.superseded = true;
@@ -89,27 +89,29 @@
                 self.membership.take().into_iter().for_each(Membership::close);
                 self.update_draining(now);
             }
-            News::Said(Message::Host { id, out }) => {
+            PeerEvent::Message(Message::Host { id, out }) => {
                 let state = if out { "out by hand" } else { "back in" };
                 self.log.line(now, format_args!("host {id} is {state}, reported by the other process"));
                 self.set_manual_out(now, &id.as_str().into(), out)
             }
-            News::Said(Message::Standby { on }) => self.set_standby(now, on),
-            News::Said(Message::Admission(call)) => drop(self.set_prefix(now, &call)),
-            News::Said(Message::Learnt { addresses }) => self.admission.inherit(now, addresses),
-            News::Said(Message::Tally { clients, ration }) => {
+            PeerEvent::Message(Message::Standby { on }) => self.set_standby(now, on),
+            PeerEvent::Message(Message::Admission(call)) => drop(self.set_prefix(now, &call)),
+            PeerEvent::Message(Message::Learned { addresses }) => self.admission.inherit(now, addresses),
+            PeerEvent::Message(Message::Tally { clients, tallies }) => {
                 self.peer_clients = clients;
                 self.update_limits();
-                let legacy = HandoverState { tallies: upgrade::heard(&ration), ..HandoverState::default() };
+                let legacy =
+                    HandoverState { tallies: upgrade::from_rows(&tallies), ..HandoverState::default() };
                 self.run_engine(|engine, out| engine.inherit(now, legacy, out));
             }
-            News::Said(Message::HalfClosed { seq, since }) => {
+            PeerEvent::Message(Message::HalfClosed { seq, since }) => {
                 self.client_of_holder_half_closed(now, seq, since)
             }
-            News::Said(Message::Hello { .. } | Message::State(_) | Message::Busy { .. } | Message::Other) => {
-            }
-            News::Word(word) => self.hear_word(now, *word),
-            News::Left(why) => {
+            PeerEvent::Message(
+                Message::Hello { .. } | Message::State(_) | Message::Busy { .. } | Message::Other,
+            ) => {}
+            PeerEvent::Frame(word) => self.hear_word(now, *word),
+            PeerEvent::Disconnected(why) => {
                 if !self.rollout_peer_left(now, &why) {
                     self.log.line(now, "the other process is gone");
                 }
@@ -132,15 +134,15 @@
 
     /// Sends the successor the number of client connections, and the tallies for the load budget of both processes.
     pub(super) fn send_tally(&mut self, now: Micros) {
-        let ration = upgrade::told(self.engine.tallies(self.tallied_until));
+        let tallies = upgrade::to_rows(self.engine.tallies(self.tallied_until));
         self.tallied_until = now;
-        self.upgrade.tell(&Message::Tally { clients: self.clients(), ration });
+        self.upgrade.send(&Message::Tally { clients: self.clients(), tallies });
     }
 
     /// The state that a new process takes over.
-    pub(super) fn state(&mut self) -> State {
+    pub(super) fn state(&mut self) -> ProcessState {
         self.tallied_until = self.clock.now();
-        let mut state = State {
+        let mut state = ProcessState {
             out: self.manual_out.iter().map(|h| h.0.to_string()).collect(),
             standby: self.standby,
             admission: self.admission.state(self.tallied_until),
@@ -149,9 +151,9 @@
                 Mode::Platform(_, bus) => Some(bus.position()),
                 Mode::Operator { .. } => None,
             },
-            ..State::default()
+            ..ProcessState::default()
         };
-        state.set_legacy(self.engine.handover_state());
+        state.set_engine_state(self.engine.handover_state());
         state
     }
 
@@ -163,7 +165,7 @@
         let listener = Listener::open(&self.handle, listener, Wake::Clients);
         self.client_listener =
             Some(listener.map_err(|e| format!("cannot listen on {}: {e}", self.config.listen))?);
-        self.upgrade.tell(&Message::Ready);
+        self.upgrade.send(&Message::Ready);
         self.log.line(now, "taking clients");
         self.configure_members();
         self.attend_accord(now);
@@ -174,7 +176,7 @@
     /// Makes this process known to new processes at its address. Without that, an upgrade is a restart.
     pub(super) fn announce(&mut self, now: Micros) {
         let address = self.client_listener.as_ref().and_then(Listener::address).unwrap_or(self.config.listen);
-        if let Err(e) = self.upgrade.announce(address) {
+        if let Err(e) = self.upgrade.listen(address) {
             self.log.line(now, format_args!("cannot announce this process to new ones at its address: {e}"));
         }
     }
@@ -269,7 +271,7 @@
     pub fn reload(&mut self, config: Result<Config, String>) {
         let now = self.clock.now();
         let applied = config.and_then(|config| {
-            self.config.may_be_followed_by(&config)?;
+            self.config.check_replacement(&config)?;
             self.may_be_followed(&config)?;
             self.apply_config(now, config)
         });
@@ -284,19 +286,19 @@
     pub(super) fn apply_config(&mut self, now: Micros, config: Config) -> Result<String, String> {
         let d = &config.deployment;
         let idle = d.transport.conn_idle;
-        let (source, moved) = match (&mut self.mode, &config.side) {
-            (Mode::Platform(front, bus), config::Side::Platform { bus: address, .. }) => {
+        let (source, moved) = match (&mut self.mode, &config.mode) {
+            (Mode::Platform(front, bus), config::Mode::Platform { bus: address, .. }) => {
                 front.conn_idle = idle;
                 (format!("bus {address}"), (bus.address != *address).then_some(*address))
             }
             (
                 Mode::Operator { front, hosts, classes, .. },
-                config::Side::Operator { resolver, bounds, .. },
+                config::Mode::Operator { resolver, bounds, .. },
             ) => {
                 let failed = |e| format!("no socket for queries to {resolver}: {e}");
                 hosts.set_resolver(*resolver).map_err(failed)?;
                 front.update(idle, *bounds, (d.classes.clone(), d.tenants.clone()));
-                if let config::Side::Operator { classes: new, .. } = &config.side {
+                if let config::Mode::Operator { classes: new, .. } = &config.mode {
                     classes.clone_from(new);
                 }
                 (format!("resolver {resolver}"), None)
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -312,7 +312,7 @@
             (Mode::Operator { front, .. }, Origin::Invoke(origin)) => {
                 front.reply(now, origin, reply, &mut self.log)
             }
-            (_, Origin::Peer(seq)) => self.answer_holder(*seq, reply, Said::default()),
+            (_, Origin::Peer(seq)) => self.answer_holder(*seq, reply, AnswerFields::default()),
             _ => {}
         }
     }
@@ -327,7 +327,11 @@
                 if let Some(pending) = self.pending.get_mut(&attempt.ticket) {
                     if let Some(passed) = &mut pending.passed {
                         let done = end.outcome == Outcome::Done;
-                        passed.reply = if done { Said::of(&fields, end.report) } else { Said::default() };
+                        passed.reply = if done {
+                            AnswerFields::from_answer(&fields, end.report)
+                        } else {
+                            AnswerFields::default()
+                        };
                     }
                     pending.answer = (end.outcome == Outcome::Done).then_some((attempt, body));
                 }
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -106,8 +106,8 @@
 
 /// Missing or invalid settings of the tier are logged or ignored, and calls are served.
 #[rstest]
-#[case::no_listen(|c: &mut Value| c["peer_listen"] = Value::Null, "peer_listen is not told")]
-#[case::no_all(|c: &mut Value| c["peers_all"] = Value::Null, "peers_all is not told")]
+#[case::no_listen(|c: &mut Value| c["peer_listen"] = Value::Null, "peer_listen is missing")]
+#[case::no_all(|c: &mut Value| c["peers_all"] = Value::Null, "peers_all is missing")]
 #[case::bad_all(|c: &mut Value| c["peers_all"] = json!("nobody"), "peers_all is no address")]
 #[case::no_peers(|c: &mut Value| c["peers"] = Value::Null, "")]
 #[case::empty_peers(|c: &mut Value| c["peers"] = json!([]), "")]
