--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -28,7 +28,7 @@
 fn tier(hosts: &[&Host], edit: impl Fn(&mut Value)) -> Tier {
     let bus = Bus::start();
     let (broadcast, others) = (udp(), (0..15).map(|_| udp()).collect::<Vec<_>>());
-    // This port is released here and bound by the program; no other process is expected to bind it in between.
+    // This port is released here, and bound again by the program when it starts.
     let listen = udp().local_addr().unwrap().to_string();
     let mut config: Value = serde_json::from_str(&config(bus.address, hosts)).unwrap();
     let each = others.iter().map(|s| s.local_addr().unwrap().to_string());
