--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -286,7 +286,7 @@
             return Ok(());
         }
         if to < current {
-            return Err(Rejection(format!("step {to} is not ahead; roll back to lower the share")));
+            return Err(Rejection(format!("step {to} is behind; roll back to lower the share")));
         }
         if to > step_count {
             return Err(Rejection(format!("the plan has no step {to}; complete it after its last step")));
