--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -19,9 +19,11 @@
 /// Calls a second without a flood.
 const USUAL_RATE: f64 = 0.5 * CAPACITY;
 const TENANTS: usize = 3;
-/// Minimum share of a class or tenant that is served in time in each phase, as a part of the same share of all calls.
+/// Minimum share of the calls of a class or tenant that is served in time in each phase, as a part of that share of all
+/// calls.
 const MIN_PART_OF_ALL: f64 = 0.5;
-/// Minimum share of a class or tenant that is served in time in each phase: a fleet of this capacity can serve as many.
+/// Minimum share of the calls of a class or tenant that is served in time in each phase. A fleet of this capacity could
+/// serve that many.
 const MIN_SHARE: f64 = 0.2;
 
 #[derive(Clone, Copy, Debug)]
