--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -21,8 +21,8 @@
     fleet
 }
 
-/// Replaces hosts, `step` at once: these drain, new ones start after half of `time`, and the old ones are gone after the
-/// other half.
+/// Replaces hosts, `step` at once: these drain, new ones start after half of `time`, and the old ones are gone after
+/// the other half.
 fn replace(fleet: &mut Fleet, hosts: std::ops::Range<usize>, step: usize, time: Micros) {
     let all: Vec<_> = hosts.map(|i| format!("h{i}")).collect();
     for old in all.chunks(step) {
