--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -164,8 +164,8 @@
 /// stay within the limit of cold hosts.
 #[test]
 fn routers_that_know_of_a_start_overload_no_cold_host_whenever_each_learns_of_it() {
-    for (renamed, max_gossip_bytes) in [(true, 256), (false, 0)] {
-        let mut fleet = Fleet::new(ROUTERS, HOSTS, 400, max_gossip_bytes);
+    for (renamed, gossip) in [(true, 256), (false, 0)] {
+        let mut fleet = Fleet::new(ROUTERS, HOSTS, 400, gossip);
         fleet.set_cold_limits(0.1, 1.5);
         fleet.advance(3 * S, RATE);
         for i in (0..HOSTS).filter(|i| i % 5 < 3) {
@@ -179,11 +179,8 @@
         fleet.advance(7 * S, RATE);
         let (overloaded, max) = fleet.overloaded_hosts();
         let sent: usize = fleet.hosts.values().filter(|h| h.started > 0).map(|h| h.arrivals.len()).sum();
-        println!("renamed {renamed}, gossip {max_gossip_bytes}: {max:.2} of the limit, {sent} sends");
-        assert!(
-            overloaded.is_empty(),
-            "renamed {renamed}, gossip {max_gossip_bytes}: {overloaded:?}, {max:.2}"
-        );
+        println!("renamed {renamed}, gossip {gossip}: {max:.2} of the limit, {sent} sends");
+        assert!(overloaded.is_empty(), "renamed {renamed}, gossip {gossip}: {overloaded:?}, {max:.2}");
         assert!(sent > 40, "the started hosts are hardly used: {sent} sends");
         fleet.settle();
     }
