--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -164,7 +164,7 @@
     let mut deployment = Deployment::try_from(file.settings).map_err(|e| format!("settings.{e}"))?;
     // Refused clients are sent a retry time even if the settings say that they ignore it: the protocol has a field for it,
     // and it costs nothing.
-    deployment.settings.max_retry_after = deployment.transport.retry_after;
+    deployment.settings.max_retry_after = deployment.transport.max_retry_after;
     deployment.settings.check().map_err(|e| e.to_string())?;
     let events: Result<_, _> = file
         .known
--- a/node/src/config/operator.rs
+++ b/node/src/config/operator.rs
@@ -221,9 +221,9 @@
         streams: hosts.streams,
         probes: true,
         order_timeout: hosts.order_timeout_ms * 1000,
-        says_warm: true,
-        counts_alike: true,
-        retry_after: settings.max_retry_after,
+        reports_found: true,
+        reports_overlap: true,
+        max_retry_after: settings.max_retry_after,
     };
     let deferred = |c: &ClassTable| c.deferred_give_up_ms.unwrap_or(c.give_up_ms) * 1000;
     let mode = Mode::Operator {
--- a/node/src/hosts/pool/answers.rs
+++ b/node/src/hosts/pool/answers.rs
@@ -85,7 +85,7 @@
         // A queued KILL of this call is obsolete.
         c.queue.retain(|i| !matches!(i, Command::Kill { attempt: a, .. } if *a == attempt));
         self.attempts.remove(&attempt);
-        let end = answer.attempt_end(self.transport.says_warm, self.transport.counts_alike);
+        let end = answer.attempt_end(self.transport.reports_found, self.transport.reports_overlap);
         if end.outcome == Outcome::Done {
             self.probe_delay.record(now - since);
         }
--- a/node/src/hosts/pool/tests.rs
+++ b/node/src/hosts/pool/tests.rs
@@ -44,9 +44,9 @@
             streams: 1_000,
             probes: false,
             order_timeout: 2 * SECOND,
-            says_warm: false,
-            counts_alike: false,
-            retry_after: 0,
+            reports_found: false,
+            reports_overlap: false,
+            max_retry_after: 0,
         };
         let events: EventLoop<'static, Wakes> = EventLoop::try_new().unwrap();
         let mut rig = Self {
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -11,7 +11,7 @@
 use crate::wake::{Handle, Wake};
 
 /// Maximum length of datagrams that are sent or accepted.
-pub const MAX_DATAGRAM_BYTES: usize = wheellink_settings::LONGEST_WORD;
+pub const MAX_DATAGRAM_BYTES: usize = wheellink_settings::MAX_GOSSIP_BYTES;
 /// Maximum number of datagrams read per wake-up, so that a flood of them does not block the event loop.
 const MAX_DATAGRAMS_PER_WAKE: usize = 64;
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,18 +1,18 @@
-//! The settings object of a deployment. The simulator sends it in its first message and a real activator
-//! finds it in its configuration, under the same names; both read it here.
+//! The platform's settings object of a deployment. The simulator sends it in its first message, and the activator
+//! process reads it from its configuration, with the same keys. Both use this crate to decode and validate it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod check;
 
-pub use check::Refused;
+pub use check::InvalidSetting;
 
 use serde::Deserialize;
 use wheellink::{
     Class, Discovery, Effect, LoadBudget, Micros, Router, Scope, Settings, SettingsError, Tenant, WhenCold,
 };
 
-/// The keys that are read; others are skipped.
+/// The settings object as decoded from JSON. Unknown keys are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Options {
@@ -92,131 +92,132 @@
     fall_us: i64,
 }
 
-/// Bytes that one activator may tell another at once, where it may.
-pub const LONGEST_WORD: usize = 256;
+/// Maximum size of a gossip datagram between activators, if `Limits.MayTell` allows gossip.
+pub const MAX_GOSSIP_BYTES: usize = 256;
 
-/// What the settings say of connections and answers: nothing that decides.
+/// Settings of connections, orders and answers. The adapters use them; the decision module does not.
 #[derive(Clone, Debug)]
 pub struct Transport {
-    /// Idle connections are closed after this.
+    /// Time after which an idle connection is closed.
     pub conn_idle: Micros,
-    /// A connection that is not up by then has failed.
+    /// Time within which a connection must be established.
     pub connect_timeout: Micros,
-    /// Activators that share the hosts, this one included.
+    /// Number of activators that share the hosts, this one included.
     pub activators: usize,
-    /// Attempts that one connection carries at once.
+    /// Maximum number of concurrent attempts per connection.
     pub streams: usize,
-    /// Hosts may be asked whether they are well.
+    /// Whether hosts may be sent health probes.
     pub probes: bool,
-    /// An order that was not answered by then has ended.
+    /// Time after which a load order without an answer has ended.
     pub order_timeout: Micros,
-    /// Answers tell what they found.
-    pub says_warm: bool,
-    /// Answers tell how many requests for the function the host held.
-    pub counts_alike: bool,
-    /// The longest time that refused clients would stay away, whether they are told on this wire or not.
-    pub retry_after: Micros,
+    /// Whether answers report the state of the function's copy; see [`wheellink::Found`].
+    pub reports_found: bool,
+    /// Whether answers report how many requests for the same function the host held.
+    pub reports_overlap: bool,
+    /// Maximum wait that a refused client honours, set even if the platform's wire gives clients no retry time
+    /// (`Limits.RetryAfter` is false).
+    pub max_retry_after: Micros,
 }
 
-/// The settings in the library's terms, with the names that the wires use for its indexes.
+/// The settings as the library's types, with the names that the wire formats use for the library's indexes.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of the classes.
+    /// Names of the classes, by index.
     pub classes: Vec<String>,
-    /// Names of the tenants.
+    /// Names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// What the adapters are told.
+    /// Settings of the adapters.
     pub transport: Transport,
 }
 
 impl Deployment {
-    /// A router for this deployment.
+    /// Creates a router for this deployment.
     pub fn router(&self, seed: u64) -> Result<Router, SettingsError> {
         Router::new(self.settings.clone(), seed)
     }
 
     /// Index of a class.
     pub fn class(&self, name: &str) -> Option<usize> {
-        self.classes.iter().position(|c| c == name)
+        self.classes.iter().position(|class| class == name)
     }
 
     /// Index of a tenant.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        self.tenants.iter().position(|t| t == name)
+        self.tenants.iter().position(|tenant| tenant == name)
     }
 
-    /// Number of a zone; one that is not told is nobody's.
+    /// Index of a zone; `u32::MAX`, which is the index of no listed zone, if the name is absent or unknown.
     pub fn zone(&self, name: Option<&str>) -> u32 {
         zone(&self.zones, name)
     }
 }
 
 fn zone(zones: &[String], name: Option<&str>) -> u32 {
-    let index = zones.iter().position(|z| Some(z.as_str()) == name);
+    let index = zones.iter().position(|zone| Some(zone.as_str()) == name);
     index.map_or(u32::MAX, |i| i as u32)
 }
 
 impl TryFrom<Options> for Deployment {
-    type Error = Refused;
+    type Error = InvalidSetting;
 
-    fn try_from(o: Options) -> Result<Self, Refused> {
-        check::check(&o)?;
-        let tenants: Vec<Customer> = o.customers.unwrap_or_default();
-        let zones = o.zones.unwrap_or_default();
+    fn try_from(options: Options) -> Result<Self, InvalidSetting> {
+        check::check(&options)?;
+        let tenants: Vec<Customer> = options.customers.unwrap_or_default();
+        let zones = options.zones.unwrap_or_default();
         let budget = LoadBudget {
-            free: o.family_info.free_loads,
-            share: o.family_info.load_share,
-            period: o.family_info.load_period_us,
+            free: options.family_info.free_loads,
+            share: options.family_info.load_share,
+            period: options.family_info.load_period_us,
         };
         let settings = Settings {
-            routers: o.group_size,
-            classes: o.profiles.iter().enumerate().map(class).collect::<Result<_, _>>()?,
+            routers: options.group_size,
+            classes: options.profiles.iter().enumerate().map(class).collect::<Result<_, _>>()?,
             tenants: tenants.iter().map(|t| Tenant { quota: t.quota_per_s }).collect(),
-            over_share_worth: o.over_share_worth.unwrap_or(1.0),
-            zone: zone(&zones, o.zone.as_deref()),
-            discovery: match o.discovery.as_str() {
+            over_share_worth: options.over_share_worth.unwrap_or(1.0),
+            zone: zone(&zones, options.zone.as_deref()),
+            discovery: match options.discovery.as_str() {
                 "automatic" => Discovery::Pushed,
                 "subscribe" => Discovery::OnRequest,
-                other => return Err(Refused::new("Discovery", format!("unknown Discovery {other:?}"))),
+                name => return Err(InvalidSetting::new("Discovery", format!("unknown Discovery {name:?}"))),
             },
-            when_cold: match o.family_info.if_cold.as_deref() {
+            when_cold: match options.family_info.if_cold.as_deref() {
                 None | Some("load") => WhenCold::Loads,
                 Some("miss") => WhenCold::Misses,
                 Some(other) => {
-                    return Err(Refused::new("FamilyInfo.IfCold", format!("unknown IfCold {other:?}")))
+                    return Err(InvalidSetting::new("FamilyInfo.IfCold", format!("unknown IfCold {other:?}")))
                 }
             },
-            keep: o.family_info.keep_us.unwrap_or(0),
-            orders: o.family_info.placement_calls,
+            keep: options.family_info.keep_us.unwrap_or(0),
+            orders: options.family_info.placement_calls,
             load_budget: (budget.period != 0).then_some(budget),
-            cancel: o.limits.cancel,
-            max_attempts: o.limits.max_attempts,
-            max_retry_after: if o.limits.retry_after { o.limits.max_retry_after_us } else { 0 },
-            cold_from: o.rules.cold_from,
-            cold_for: o.rules.cold_us,
-            fall_multiple: o.rules.fall_multiple,
-            fall_window: o.rules.fall_us,
-            router_index: o.ordinal,
-            max_gossip_bytes: if o.limits.may_tell { LONGEST_WORD } else { 0 },
+            cancel: options.limits.cancel,
+            max_attempts: options.limits.max_attempts,
+            max_retry_after: if options.limits.retry_after { options.limits.max_retry_after_us } else { 0 },
+            cold_from: options.rules.cold_from,
+            cold_for: options.rules.cold_us,
+            fall_multiple: options.rules.fall_multiple,
+            fall_window: options.rules.fall_us,
+            router_index: options.ordinal,
+            max_gossip_bytes: if options.limits.may_tell { MAX_GOSSIP_BYTES } else { 0 },
         };
         let transport = Transport {
-            conn_idle: o.limits.conn_idle_us.unwrap_or(30_000_000),
-            connect_timeout: o.limits.connect_timeout_us.unwrap_or(250_000),
-            activators: o.group_size as usize,
-            streams: o.limits.streams_per_conn.unwrap_or(32),
-            probes: o.limits.probes,
-            order_timeout: o.family_info.order_timeout_us.unwrap_or(10_000_000),
-            says_warm: o.family_info.says_warm,
-            counts_alike: o.family_info.counts_alike,
-            retry_after: o.limits.max_retry_after_us,
+            conn_idle: options.limits.conn_idle_us.unwrap_or(30_000_000),
+            connect_timeout: options.limits.connect_timeout_us.unwrap_or(250_000),
+            activators: options.group_size as usize,
+            streams: options.limits.streams_per_conn.unwrap_or(32),
+            probes: options.limits.probes,
+            order_timeout: options.family_info.order_timeout_us.unwrap_or(10_000_000),
+            reports_found: options.family_info.says_warm,
+            reports_overlap: options.family_info.counts_alike,
+            max_retry_after: options.limits.max_retry_after_us,
         };
         Ok(Self {
             settings,
-            classes: o.profiles.into_iter().map(|p| p.name).collect(),
+            classes: options.profiles.into_iter().map(|p| p.name).collect(),
             tenants: tenants.into_iter().map(|t| t.name).collect(),
             zones,
             transport,
@@ -224,30 +225,30 @@
     }
 }
 
-fn class((i, p): (usize, &Profile)) -> Result<Class, Refused> {
-    let refused = |key: &str, reason: String| Refused::new(format!("Profiles[{i}].{key}"), reason);
-    let effect = match p.effect.as_str() {
+fn class((index, profile): (usize, &Profile)) -> Result<Class, InvalidSetting> {
+    let invalid = |key: &str, reason: String| InvalidSetting::new(format!("Profiles[{index}].{key}"), reason);
+    let effect = match profile.effect.as_str() {
         "safe" => Effect::Safe,
         "unsafe" => Effect::Unsafe,
         "keyed" => {
-            let scope = match p.dedup_scope.as_deref() {
+            let scope = match profile.dedup_scope.as_deref() {
                 Some("all") => Scope::All,
                 Some("zone") => Scope::Zone,
                 Some("cell") => Scope::Cell,
                 Some(other) => {
-                    return Err(refused("DedupScope", format!("unknown DedupScope {other:?}")));
+                    return Err(invalid("DedupScope", format!("unknown DedupScope {other:?}")));
                 }
-                None => return Err(refused("DedupScope", "is missing: a keyed class needs it".into())),
+                None => return Err(invalid("DedupScope", "is missing: a keyed class needs it".into())),
             };
-            Effect::Keyed { scope, window: p.window_us.unwrap_or(0) }
+            Effect::Keyed { scope, window: profile.window_us.unwrap_or(0) }
         }
-        other => return Err(refused("Effect", format!("unknown Effect {other:?}"))),
+        other => return Err(invalid("Effect", format!("unknown Effect {other:?}"))),
     };
     Ok(Class {
-        aim: p.aim_us,
-        give_up: p.give_up_us,
-        worth: p.importance,
-        late_worth: p.late_worth.unwrap_or(0.0),
+        aim: profile.aim_us,
+        give_up: profile.give_up_us,
+        worth: profile.importance,
+        late_worth: profile.late_worth.unwrap_or(0.0),
         effect,
         attempts: None,
     })
--- a/settings/tests/common/mod.rs
+++ b/settings/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! A deployment's settings as the platform gives them, and ways to change them.
+//! The settings object of a test deployment as the platform sends it, and a function that changes one value of it.
 
 use serde_json::{json, Value};
 
-/// Of a deployment with three classes and two tenants.
-pub fn good() -> Value {
+/// Valid settings of a deployment with three classes and two tenants.
+pub fn valid() -> Value {
     json!({
         "Customers": [{"Name": "kouterzorg", "Portion": 0.79, "QuotaPerS": 94.0},
             {"Name": "scholen-leieland", "Portion": 0.21, "QuotaPerS": 25.0}],
@@ -30,9 +30,9 @@
         "Zones": ["gent-dc1"]})
 }
 
-/// The settings with this at a place, or without the key there.
+/// The valid settings with the value at a JSON pointer replaced, or with the key removed if there is no value.
 pub fn edited(pointer: &str, value: Option<Value>) -> Value {
-    let mut settings = good();
+    let mut settings = valid();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     let parent = settings.pointer_mut(parent).unwrap();
     match (parent, value) {
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -269,13 +269,13 @@
                 let told = &self.deployment.transport;
                 if let Event::Answer { found, overlap, .. } = &mut event {
                     *found = match (info & 7, ending) {
-                        (1, Outcome::Done) if told.says_warm => Some(Found::Warm),
-                        (2, Outcome::Done) if told.says_warm => Some(Found::BeganLoad),
-                        (3, Outcome::Done) if told.says_warm => Some(Found::AwaitedLoad),
+                        (1, Outcome::Done) if told.reports_found => Some(Found::Warm),
+                        (2, Outcome::Done) if told.reports_found => Some(Found::BeganLoad),
+                        (3, Outcome::Done) if told.reports_found => Some(Found::AwaitedLoad),
                         (4, Outcome::Miss | Outcome::Error) => Some(Found::LoadFailed),
                         _ => None,
                     };
-                    let counted = told.counts_alike && matches!(ending, Outcome::Done | Outcome::Full);
+                    let counted = told.reports_overlap && matches!(ending, Outcome::Done | Outcome::Full);
                     *overlap = counted.then_some((info >> 3).max(0) as u32);
                 }
                 event
