--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts wheellink routers on the marsh-74f8 wire: decodes, calls, encodes. Decides nothing.
+//! Runs wheellink routers in the simulator: reads events as JSON lines of its protocol, marsh-74f8, from standard input,
+//! passes them to the routers and writes the routers' actions to standard output. Makes no decisions itself.
 
 mod wire;
 
@@ -7,27 +8,29 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use wire::{Host, Line};
+use wire::{Instance, Line};
 
 fn main() -> ExitCode {
+    // A router's panic is reported to the simulator instead of on standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match run(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("wheellink-simhost: {problem}");
+        Err(error) => {
+            eprintln!("wheellink-simhost: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut hosts: BTreeMap<i64, Host> = BTreeMap::new();
+    let mut instances: BTreeMap<i64, Instance> = BTreeMap::new();
+    // Time and number of the current batch.
     let mut batch: Option<(i64, i64)> = None;
     let mut reply = String::new();
     for (number, text) in input.lines().enumerate() {
-        let at = |what: String| format!("line {}: {what}", number + 1);
-        let text = text.map_err(|e| at(format!("cannot be read: {e}")))?;
-        match (wire::decode(&text).map_err(at)?, batch) {
+        let at_line = |message: String| format!("line {}: {message}", number + 1);
+        let text = text.map_err(|e| at_line(format!("cannot be read: {e}")))?;
+        match (wire::decode(&text).map_err(at_line)?, batch) {
             (Line::Mark { now, n }, None) => {
                 batch = Some((now, n));
                 reply.clear();
@@ -35,39 +38,39 @@
             (Line::Flush, Some((_, n))) => {
                 wire::encode_yield(n, &mut reply);
                 let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-                sent.map_err(|e| format!("the reply cannot be written: {e}"))?;
+                sent.map_err(|e| format!("cannot write the reply: {e}"))?;
                 batch = None;
             }
-            (Line::Create { instance, seed, options }, Some(_)) => {
-                let host = Host::new(seed, options).map_err(|e| at(format!("CREATE: {e}")))?;
-                hosts.insert(instance, host);
+            (Line::Create { id, seed, options }, Some(_)) => {
+                let instance = Instance::new(seed, options).map_err(|e| at_line(format!("CREATE: {e}")))?;
+                instances.insert(id, instance);
             }
-            (Line::Event { instance, name, event }, Some((now, _))) => {
-                let unknown = || at(format!("{name}: no instance {instance}"));
-                let host = hosts.get_mut(&instance).ok_or_else(unknown)?;
+            (Line::Event { id, name, event }, Some((now, _))) => {
+                let unknown = || at_line(format!("{name}: no instance {id}"));
+                let instance = instances.get_mut(&id).ok_or_else(unknown)?;
                 let mut actions = Vec::new();
-                let handled = catch_unwind(AssertUnwindSafe(|| host.handle(now, event, &mut actions)));
-                match handled {
-                    Ok(decoded) => decoded.map_err(|e| at(format!("{name}: {e}")))?,
+                let result = catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, &mut actions)));
+                match result {
+                    Ok(handled) => handled.map_err(|e| at_line(format!("{name}: {e}")))?,
                     Err(panic) => {
-                        let told = panic.downcast_ref::<String>().cloned();
-                        let told = told.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()));
-                        let text = told.unwrap_or_else(|| "the decision module panicked".into());
-                        wire::encode_bail_out(instance, &text, &mut reply);
-                        hosts.remove(&instance);
+                        let text = panic.downcast_ref::<String>().cloned();
+                        let text = text.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()));
+                        let text = text.unwrap_or_else(|| "the decision module panicked".into());
+                        wire::encode_bail_out(id, &text, &mut reply);
+                        instances.remove(&id);
                         continue;
                     }
                 }
-                actions.iter().for_each(|a| wire::encode(instance, a, &mut reply));
+                actions.iter().for_each(|a| wire::encode(id, a, &mut reply));
             }
-            (Line::Ignored { instance, name }, Some(_)) => {
-                hosts.get(&instance).ok_or_else(|| at(format!("{name}: no instance {instance}")))?;
+            (Line::Ignored { id, name }, Some(_)) => {
+                instances.get(&id).ok_or_else(|| at_line(format!("{name}: no instance {id}")))?;
             }
-            (Line::Destroy { instance }, Some(_)) => {
-                hosts.remove(&instance).ok_or_else(|| at(format!("DESTROY: no instance {instance}")))?;
+            (Line::Destroy { id }, Some(_)) => {
+                instances.remove(&id).ok_or_else(|| at_line(format!("DESTROY: no instance {id}")))?;
             }
-            (Line::Mark { .. }, Some(_)) => return Err(at("MARK: the last batch has no FLUSH".into())),
-            (_, None) => return Err(at("an event outside a batch".into())),
+            (Line::Mark { .. }, Some(_)) => return Err(at_line("MARK: the last batch has no FLUSH".into())),
+            (_, None) => return Err(at_line("event outside a batch".into())),
         }
     }
     Ok(())
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The marsh-74f8 wire: JSON lines to and from the library's types.
+//! Decodes and encodes the JSON lines of the simulator's protocol, marsh-74f8, from and to the library's types.
 
 use std::fmt::Write;
 
@@ -7,16 +7,23 @@
 use wheellink::*;
 use wheellink_settings::{Deployment, Options};
 
-/// One line of input.
+/// A decoded line of input. The simulator sends events in batches; the adapter writes one reply per batch.
 pub enum Line {
+    /// Begins batch `n`, whose events are handled at the time `now`.
     Mark { now: i64, n: i64 },
+    /// Ends the batch; the adapter then writes the reply.
     Flush,
-    Create { instance: i64, seed: u64, options: Box<Options> },
-    Destroy { instance: i64 },
-    Event { instance: i64, name: &'static str, event: Raw },
-    Ignored { instance: i64, name: &'static str },
+    /// Creates an instance.
+    Create { id: i64, seed: u64, options: Box<Options> },
+    /// Removes an instance.
+    Destroy { id: i64 },
+    /// An event for an instance.
+    Event { id: i64, name: &'static str, event: WireEvent },
+    /// An event that is not passed to the router, such as the result of a probe.
+    Ignored { id: i64, name: &'static str },
 }
 
+/// A line of input as JSON. Unknown keys are ignored.
 #[derive(Deserialize)]
 #[serde(tag = "event_type", rename_all_fields = "PascalCase")]
 enum Message {
@@ -86,6 +93,7 @@
     },
 }
 
+/// An entry of the host list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Member {
@@ -97,27 +105,31 @@
     ready_at_us: Option<i64>,
 }
 
-/// An event whose names are not resolved yet.
-pub enum Raw {
-    Ready(Event),
+/// An event as decoded, before an instance completes it with the indexes and rules of its settings.
+pub enum WireEvent {
+    /// Needs no settings.
+    Complete(Event),
+    /// A host list; the zones and conditions of its entries are still names.
     List { kind: ListKind, members: Vec<Member> },
+    /// `event` still lacks the indexes of its class and tenant.
     Arrival { class: String, tenant: Option<String>, event: Event },
+    /// `event` still lacks the values reported in `info`; the settings say which of them are reported.
     Answer { info: i64, ending: Outcome, event: Event },
 }
 
 /// Decodes one line.
 pub fn decode(text: &str) -> Result<Line, String> {
-    let message: Message = serde_json::from_str(text).map_err(|e| describe(text, &e))?;
-    let ready = |instance, name, event| Ok(Line::Event { instance, name, event: Raw::Ready(event) });
+    let message: Message = serde_json::from_str(text).map_err(|e| decode_error(text, &e))?;
+    let complete = |id, name, event| Ok(Line::Event { id, name, event: WireEvent::Complete(event) });
     match message {
         Message::Mark { ts_us, n } => Ok(Line::Mark { now: ts_us, n }),
         Message::Flush => Ok(Line::Flush),
         Message::Create { i, rng_seed, options } => {
             let seed = rng_seed.as_u64().or_else(|| rng_seed.as_i64().map(|s| s as u64));
-            let seed = seed.ok_or("CREATE: rng_seed is no integer")?;
-            Ok(Line::Create { instance: i, seed, options })
+            let seed = seed.ok_or("CREATE: rng_seed is not an integer")?;
+            Ok(Line::Create { id: i, seed, options })
         }
-        Message::Destroy { i } => Ok(Line::Destroy { instance: i }),
+        Message::Destroy { i } => Ok(Line::Destroy { id: i }),
         Message::Sync { i, scope, members } => {
             let kind = match scope.as_str() {
                 "cached" => ListKind::Cached,
@@ -126,8 +138,8 @@
                 "failed" => ListKind::Failed,
                 other => return Err(format!("SYNC: unknown Scope {other:?}")),
             };
-            let event = Raw::List { kind, members: members.unwrap_or_default() };
-            Ok(Line::Event { instance: i, name: "SYNC", event })
+            let event = WireEvent::List { kind, members: members.unwrap_or_default() };
+            Ok(Line::Event { id: i, name: "SYNC", event })
         }
         Message::Ingress {
             i,
@@ -143,8 +155,9 @@
             let tenant = match client_group {
                 None | Some(Value::Null) | Some(Value::Number(_)) => None,
                 Some(Value::String(name)) => Some(name),
-                Some(_) => return Err("INGRESS: client_group is no name".into()),
+                Some(_) => return Err("INGRESS: client_group is not a name".into()),
             };
+            // Bit 0 of `opts`: the hint is valid; bit 1: the request is a client's retry.
             let event = Event::Arrival {
                 request: request_id.as_str().into(),
                 class: 0,
@@ -156,13 +169,13 @@
                 hint: weight_hint_us.filter(|_| opts.unwrap_or(0) & 1 != 0).unwrap_or(0).max(0),
             };
             Ok(Line::Event {
-                instance: i,
+                id: i,
                 name: "INGRESS",
-                event: Raw::Arrival { class: cls, tenant, event },
+                event: WireEvent::Arrival { class: cls, tenant, event },
             })
         }
         Message::Dropped { i, request_id } => {
-            ready(i, "DROPPED", Event::ClientLeft { request: request_id.as_str().into() })
+            complete(i, "DROPPED", Event::ClientLeft { request: request_id.as_str().into() })
         }
         Message::Answer { i, request_id, over, info, ending, leg, server, duration_us, pressure } => {
             let ending = outcome(&ending).map_err(|e| format!("ANSWER: {e}"))?;
@@ -176,45 +189,45 @@
                 found: None,
                 overlap: None,
                 report: pressure.as_ref().and_then(|p| {
-                    let figure = |name| p.get(name).and_then(Value::as_f64);
-                    LoadReport::new(figure("outstanding")?, figure("backlog").unwrap_or(0.0))
+                    let number = |name| p.get(name).and_then(Value::as_f64);
+                    LoadReport::new(number("outstanding")?, number("backlog").unwrap_or(0.0))
                 }),
             };
-            let event = Raw::Answer { info: info.unwrap_or(0), ending, event };
-            Ok(Line::Event { instance: i, name: "ANSWER", event })
+            let event = WireEvent::Answer { info: info.unwrap_or(0), ending, event };
+            Ok(Line::Event { id: i, name: "ANSWER", event })
         }
         Message::Started { i, request_id } => {
-            ready(i, "STARTED", Event::StreamStarted { request: request_id.as_str().into() })
+            complete(i, "STARTED", Event::StreamStarted { request: request_id.as_str().into() })
         }
-        Message::Due { i, .. } => ready(i, "DUE", Event::Woken),
+        Message::Due { i, .. } => complete(i, "DUE", Event::Woken),
         Message::BroughtUp { i, server, callee, ending, units_held } => {
             let outcome = outcome(&ending).map_err(|e| format!("BROUGHT_UP: {e}"))?;
             let (worker, function) = (server.as_str().into(), callee.as_str().into());
             let event = Event::LoadEnded { worker, function, outcome, copies: units_held.unwrap_or(0) };
-            ready(i, "BROUGHT_UP", event)
+            complete(i, "BROUGHT_UP", event)
         }
         Message::NoteFrom { i, who, octets } => {
             let octets = octets.as_ref().and_then(Value::as_str).unwrap_or_default();
             let data = octets.chars().map(u8::try_from).collect::<Result<_, _>>();
             match (u32::try_from(who), data) {
-                (Ok(from), Ok(data)) => ready(i, "NOTE_FROM", Event::GossipReceived { from, data }),
-                _ => Ok(Line::Ignored { instance: i, name: "NOTE_FROM" }),
+                (Ok(from), Ok(data)) => complete(i, "NOTE_FROM", Event::GossipReceived { from, data }),
+                _ => Ok(Line::Ignored { id: i, name: "NOTE_FROM" }),
             }
         }
         Message::Checked { i, ending, .. } => {
             outcome(&ending).map_err(|e| format!("CHECKED: {e}"))?;
-            Ok(Line::Ignored { instance: i, name: "CHECKED" })
+            Ok(Line::Ignored { id: i, name: "CHECKED" })
         }
     }
 }
 
-/// Names the event of a line that cannot be decoded, where it has one.
-fn describe(text: &str, problem: &serde_json::Error) -> String {
+/// Error message for a line that cannot be decoded, with the name of its event if it has one.
+fn decode_error(text: &str, error: &serde_json::Error) -> String {
     let value: Option<Value> = serde_json::from_str(text).ok();
     match value.as_ref().map(|v| v.get("event_type").and_then(Value::as_str)) {
-        Some(Some(name)) => format!("{name}: {problem}"),
-        Some(None) => format!("no event_type: {problem}"),
-        None => format!("not JSON: {problem}"),
+        Some(Some(name)) => format!("{name}: {error}"),
+        Some(None) => format!("no event_type: {error}"),
+        None => format!("not JSON: {error}"),
     }
 }
 
@@ -233,49 +246,50 @@
     })
 }
 
-/// One instance: a router and the names that its events use.
-pub struct Host {
+/// An instance that the simulator created: a router and its deployment, which holds the names that events use.
+pub struct Instance {
     router: Router,
     deployment: Deployment,
 }
 
-impl Host {
-    /// Reads the settings.
+impl Instance {
+    /// Creates a router from the settings object.
     pub fn new(seed: u64, options: Box<Options>) -> Result<Self, String> {
         let mut deployment = Deployment::try_from(*options).map_err(|e| format!("settings: {e}"))?;
-        // A byte above 127 takes two on this wire.
+        // The protocol carries a byte as a character; one above 127 takes two bytes in UTF-8, so the maximum is halved.
         deployment.settings.max_gossip_bytes /= 2;
         Ok(Self { router: deployment.router(seed).map_err(|e| e.to_string())?, deployment })
     }
 
-    /// Resolves names and hands the event on.
-    pub fn handle(&mut self, now: i64, raw: Raw, actions: &mut Vec<Action>) -> Result<(), String> {
-        let event = match raw {
-            Raw::Ready(event) => event,
-            Raw::List { kind, members } => {
+    /// Completes the event and passes it to the router.
+    pub fn handle(&mut self, now: i64, event: WireEvent, actions: &mut Vec<Action>) -> Result<(), String> {
+        let event = match event {
+            WireEvent::Complete(event) => event,
+            WireEvent::List { kind, members } => {
                 let entries =
                     members.into_iter().map(|m| entry(&self.deployment, m)).collect::<Result<_, _>>()?;
                 Event::List { kind, entries }
             }
-            Raw::Arrival { class: name, tenant: group, mut event } => {
-                let known = self.deployment.class(&name).ok_or_else(|| format!("unknown Cls {name:?}"))?;
+            WireEvent::Arrival { class: name, tenant: tenant_name, mut event } => {
+                let index = self.deployment.class(&name).ok_or_else(|| format!("unknown Cls {name:?}"))?;
                 if let Event::Arrival { class, tenant, .. } = &mut event {
-                    *class = known;
-                    *tenant = group.and_then(|g| self.deployment.tenant(&g));
+                    *class = index;
+                    *tenant = tenant_name.and_then(|name| self.deployment.tenant(&name));
                 }
                 event
             }
-            Raw::Answer { info, ending, mut event } => {
-                let told = &self.deployment.transport;
+            WireEvent::Answer { info, ending, mut event } => {
+                let wire = &self.deployment.transport;
                 if let Event::Answer { found, overlap, .. } = &mut event {
+                    // The low 3 bits of `info` report the copy, the bits above count requests for the same function.
                     *found = match (info & 7, ending) {
-                        (1, Outcome::Done) if told.reports_found => Some(Found::Warm),
-                        (2, Outcome::Done) if told.reports_found => Some(Found::BeganLoad),
-                        (3, Outcome::Done) if told.reports_found => Some(Found::AwaitedLoad),
+                        (1, Outcome::Done) if wire.reports_found => Some(Found::Warm),
+                        (2, Outcome::Done) if wire.reports_found => Some(Found::BeganLoad),
+                        (3, Outcome::Done) if wire.reports_found => Some(Found::AwaitedLoad),
                         (4, Outcome::Miss | Outcome::Error) => Some(Found::LoadFailed),
                         _ => None,
                     };
-                    let counted = told.reports_overlap && matches!(ending, Outcome::Done | Outcome::Full);
+                    let counted = wire.reports_overlap && matches!(ending, Outcome::Done | Outcome::Full);
                     *overlap = counted.then_some((info >> 3).max(0) as u32);
                 }
                 event
@@ -286,26 +300,26 @@
     }
 }
 
-fn entry(deployment: &Deployment, m: Member) -> Result<ListEntry, String> {
+fn entry(deployment: &Deployment, member: Member) -> Result<ListEntry, String> {
     Ok(ListEntry {
-        worker: m.server.as_str().into(),
-        zone: deployment.zone(m.locality.as_deref()),
-        cell: m.pod.unwrap_or(-1),
-        condition: match m.condition.as_str() {
+        worker: member.server.as_str().into(),
+        zone: deployment.zone(member.locality.as_deref()),
+        cell: member.pod.unwrap_or(-1),
+        condition: match member.condition.as_str() {
             "U" => Condition::Up,
             "L" => Condition::Draining,
             "D" => Condition::Gone,
             other => return Err(format!("unknown Condition {other:?}")),
         },
-        size: m.size.unwrap_or(1.0),
-        ready_at: m.ready_at_us.unwrap_or(0),
+        size: member.size.unwrap_or(1.0),
+        ready_at: member.ready_at_us.unwrap_or(0),
     })
 }
 
 /// Writes one action as a line.
 pub fn encode(i: i64, action: &Action, reply: &mut String) {
     let line = match action {
-        // The simulator sends at once.
+        // The simulator sends attempts at once, so `leave_by` is not needed.
         Action::Send { request, worker, timeout, .. } => json!({"event_type": "ATTEMPT", "I": i,
             "RequestId": &*request.0, "TimeoutUs": timeout.unwrap_or(0), "Server": &*worker.0}),
         Action::Refuse { request, retry_after } => json!({"event_type": "OVERLOAD_REPLY", "I": i,
@@ -317,24 +331,24 @@
             "Server": &*worker.0, "Callee": &*function.0, "UnitsHeld": copies}),
         Action::Subscribe => json!({"event_type": "SUBSCRIBE", "I": i, "On": true}),
         Action::Wake { at } => json!({"event_type": "WAKE_ME", "I": i, "AlarmTimeUs": at, "Tag": "wake"}),
-        // A byte a character, as what is told there is text.
+        // The protocol carries text: each byte is sent as the character with that code.
         Action::Broadcast { data } => json!({"event_type": "SAY", "I": i, "Addressee": "*",
             "Octets": data.iter().map(|b| char::from(*b)).collect::<String>()}),
         Action::Log { text } => json!({"event_type": "WRITE_LOG", "I": i, "Text": text}),
     };
-    push(&line, reply);
+    write_line(&line, reply);
 }
 
-/// Writes that an instance's decision code failed.
+/// Reports that the decision module of an instance panicked.
 pub fn encode_bail_out(i: i64, text: &str, reply: &mut String) {
-    push(&json!({"event_type": "BAIL_OUT", "I": i, "Text": text}), reply);
+    write_line(&json!({"event_type": "BAIL_OUT", "I": i, "Text": text}), reply);
 }
 
-/// Ends a reply.
+/// Ends the reply to batch `n`.
 pub fn encode_yield(n: i64, reply: &mut String) {
-    push(&json!({"event_type": "YIELD", "n": n}), reply);
+    write_line(&json!({"event_type": "YIELD", "n": n}), reply);
 }
 
-fn push(line: &Value, reply: &mut String) {
+fn write_line(line: &Value, reply: &mut String) {
     writeln!(reply, "{line}").expect("writing to a string cannot fail");
 }
--- a/simhost/tests/wire.rs
+++ b/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Golden exchanges with the adapter's binary.
+//! Runs the adapter's binary and compares its output with the expected lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -10,6 +10,7 @@
 "Effect":"unsafe","Importance":2.0,"Name":"once"}],"Rules":{"AnswerSlackUs":8000,"ColdFrom":0.2,"ColdUs":9000000,
 "DrainGraceUs":1000000,"FallMultiple":2.0,"FallUs":2000000},"Unheard":{"of":1}}"#;
 
+/// Runs the adapter on this input until it exits.
 fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_wheellink-simhost"))
         .stdin(Stdio::piped())
@@ -17,11 +18,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may stop reading at a bad line.
+    // The write may fail, as the adapter exits at an invalid line.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
 
+/// Lines that create an instance and give it a list of one host.
 fn create(i: u32) -> String {
     let options = OPTIONS.replace('\n', "");
     format!(
@@ -31,6 +33,7 @@
     )
 }
 
+/// Lines of a batch.
 fn batch(n: u32, events: &str) -> String {
     format!(
         "{{\"event_type\":\"MARK\",\"TsUs\":{},\"n\":{n}}}\n{events}{{\"event_type\":\"FLUSH\"}}\n",
@@ -38,6 +41,7 @@
     )
 }
 
+/// Line of an arriving request, r1.
 fn ingress(i: u32, class: &str) -> String {
     format!(
         "{{\"event_type\":\"INGRESS\",\"I\":{i},\"RequestId\":\"r1\",\"Cls\":\"{class}\",\"Callee\":\"00ff\",\
@@ -45,28 +49,29 @@
     )
 }
 
+/// Output of a run that must succeed.
 fn out(input: &str) -> String {
-    let o = run(input);
-    assert!(o.status.success(), "{}", String::from_utf8_lossy(&o.stderr));
-    String::from_utf8(o.stdout).unwrap()
+    let run = run(input);
+    assert!(run.status.success(), "{}", String::from_utf8_lossy(&run.stderr));
+    String::from_utf8(run.stdout).unwrap()
 }
 
 #[test]
-fn an_empty_batch_is_echoed() {
+fn empty_batch_is_answered_with_its_number() {
     assert_eq!(out(&batch(7, "")), "{\"event_type\":\"YIELD\",\"n\":7}\n");
 }
 
 #[test]
-fn end_of_input_is_a_good_end() {
+fn empty_input_succeeds_without_output() {
     assert_eq!(out(""), "");
 }
 
 #[test]
-fn a_request_is_sent_and_its_failure_answered() {
+fn request_is_sent_and_its_failure_is_answered() {
     let answer = "{\"event_type\":\"ANSWER\",\"I\":3,\"RequestId\":\"r1\",\"Ending\":\"overdue\",\"Leg\":0,\
                   \"Server\":\"s_a\",\"DurationUs\":10,\"NewField\":1}\n";
     let input = batch(1, &create(3)) + &batch(2, &ingress(3, "once")) + &batch(3, answer);
-    let wanted = [
+    let expected = [
         r#"{"AlarmTimeUs":110000,"I":3,"Tag":"wake","event_type":"WAKE_ME"}"#,
         r#"{"event_type":"YIELD","n":1}"#,
         r#"{"I":3,"RequestId":"r1","Server":"s_a","TimeoutUs":0,"event_type":"ATTEMPT"}"#,
@@ -75,28 +80,28 @@
         r#"{"event_type":"YIELD","n":3}"#,
         "",
     ];
-    assert_eq!(out(&input), wanted.join("\n"));
+    assert_eq!(out(&input), expected.join("\n"));
 }
 
 #[test]
-fn destroy_and_create_within_one_batch_start_afresh() {
-    let again = "{\"event_type\":\"DESTROY\",\"I\":3}\n".to_string() + &create(3);
-    let input = batch(1, &create(3)) + &batch(2, &ingress(3, "quick")) + &batch(3, &again);
+fn instance_recreated_within_one_batch_has_no_state() {
+    let recreate = "{\"event_type\":\"DESTROY\",\"I\":3}\n".to_string() + &create(3);
+    let input = batch(1, &create(3)) + &batch(2, &ingress(3, "quick")) + &batch(3, &recreate);
     let text = out(&(input + &batch(4, &ingress(3, "quick"))));
-    assert_eq!(text.matches("ATTEMPT").count(), 2, "the fresh instance knows nothing of r1:\n{text}");
+    assert_eq!(text.matches("ATTEMPT").count(), 2, "the new instance must not know r1:\n{text}");
 }
 
 #[test]
-fn instances_act_as_alone() {
+fn instances_do_not_affect_each_other() {
     let alone = out(&(batch(1, &create(1)) + &batch(2, &ingress(1, "quick"))));
     let both =
         out(&(batch(1, &(create(1) + &create(2))) + &batch(2, &(ingress(2, "once") + &ingress(1, "quick")))));
-    let of_one: Vec<_> = both.lines().filter(|l| l.contains("\"I\":1") || l.contains("YIELD")).collect();
-    assert_eq!(of_one, alone.lines().collect::<Vec<_>>());
+    let of_first: Vec<_> = both.lines().filter(|l| l.contains("\"I\":1") || l.contains("YIELD")).collect();
+    assert_eq!(of_first, alone.lines().collect::<Vec<_>>());
 }
 
 #[test]
-fn what_is_not_used_is_read_and_skipped() {
+fn unused_events_are_ignored() {
     let events = "{\"event_type\":\"NOTE_FROM\",\"I\":3,\"Who\":1,\"Octets\":\"x\"}\n\
                   {\"event_type\":\"CHECKED\",\"I\":3,\"Server\":\"s_a\",\"Ending\":\"completed\",\"DurationUs\":5}\n";
     let text = out(&(batch(1, &create(3)) + &batch(2, events)));
@@ -104,7 +109,7 @@
 }
 
 #[test]
-fn bad_input_gets_one_plain_message() {
+fn invalid_input_gets_a_message_of_one_line() {
     let started = batch(1, &create(3));
     let cases = [
         ("nonsense\n".to_string(), vec!["line 1", "not JSON"]),
@@ -131,10 +136,10 @@
         ),
     ];
     for (input, parts) in cases {
-        let o = run(&input);
-        let told = String::from_utf8(o.stderr).unwrap();
-        assert!(!o.status.success(), "{parts:?}");
-        assert_eq!(told.lines().count(), 1, "{told}");
-        parts.iter().for_each(|p| assert!(told.contains(p), "{p:?} not in {told}"));
+        let run = run(&input);
+        let error = String::from_utf8(run.stderr).unwrap();
+        assert!(!run.status.success(), "{parts:?}");
+        assert_eq!(error.lines().count(), 1, "{error}");
+        parts.iter().for_each(|p| assert!(error.contains(p), "{p:?} not in {error}"));
     }
 }
