--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -59,7 +59,7 @@
 /// Checks a number that may be 0.
 fn check_number(key: &str, number: f64) -> Result<(), InvalidSetting> {
     reject(!number.is_finite(), key, || format!("must be a finite number, not {number}"))?;
-    reject(number < 0.0, key, || format!("must be 0 or more, not {number}"))?;
+    reject(number < 0.0, key, || format!("must not be negative, not {number}"))?;
     reject(number > MAX_NUMBER, key, || format!("must be {MAX_NUMBER:e} at most, not {number:e}"))
 }
 
@@ -92,7 +92,7 @@
         let name = &profile.name;
         reject(name.is_empty(), &key("Name"), || "must not be empty".into())?;
         let duplicate = profiles[..i].iter().any(|other| other.name == *name);
-        reject(duplicate, &key("Name"), || format!("is also the name of another class: {name:?}"))?;
+        reject(duplicate, &key("Name"), || format!("is another class's name: {name:?}"))?;
         check_positive_time(&key("AimUs"), profile.aim_us)?;
         check_positive_time(&key("GiveUpUs"), profile.give_up_us)?;
         check_number(&key("Importance"), profile.importance)?;
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -126,7 +126,7 @@
         Message::Flush => Ok(Line::Flush),
         Message::Create { i, rng_seed, options } => {
             let seed = rng_seed.as_u64().or_else(|| rng_seed.as_i64().map(|s| s as u64));
-            let seed = seed.ok_or("CREATE: rng_seed is not an integer")?;
+            let seed = seed.ok_or("CREATE: rng_seed is no integer")?;
             Ok(Line::Create { id: i, seed, options })
         }
         Message::Destroy { i } => Ok(Line::Destroy { id: i }),
@@ -155,7 +155,7 @@
             let tenant = match client_group {
                 None | Some(Value::Null) | Some(Value::Number(_)) => None,
                 Some(Value::String(name)) => Some(name),
-                Some(_) => return Err("INGRESS: client_group is not a name".into()),
+                Some(_) => return Err("INGRESS: client_group is no name".into()),
             };
             // Bit 0 of `opts`: the hint is valid; bit 1: the request is a client's retry.
             let event = Event::Arrival {
