--- a/node/tests/accord.rs
+++ b/node/tests/accord.rs
@@ -112,11 +112,7 @@
         assert!(acts.contains(&both), "{acts:?}");
         assert!(acts.last().is_some_and(|last| last.starts_with(&format!("{number} "))), "{acts:?}");
         let refused = fleet.programs[at].as_ref().unwrap().http(&call("gone", "check-score", &[], "x"));
-        assert_eq!(
-            (refused.status, call_status(&fleet, at)),
-            (503, 200),
-            "the function on the list is refused, other functions are served"
-        );
+        assert_eq!((refused.status, call_status(&fleet, at)), (503, 200), "only listed functions fail");
     }
 }
 
@@ -185,10 +181,7 @@
     for at in 0..3 {
         wait_for("hosts", || call_status(&fleet, at) == 200);
         let acts = acting_log(&fleet, at);
-        assert!(
-            acts[0].starts_with("the floor of "),
-            "without state and grants it must act on the floor: {acts:?}"
-        );
+        assert!(acts[0].starts_with("the floor of "), "not on the floor at first: {acts:?}");
     }
     wait_agreed(&fleet, &[0, 1, 2], 0);
 }
@@ -206,11 +199,7 @@
     assert!((0..3).all(|at| call_status(&fleet, at) != 200), "there is no other host");
     let program = fleet.programs[0].as_ref().unwrap();
     assert_eq!(program.operate("POST", "/maintenance/exit", &format!(r#"{{"host":"{id}"}}"#)), 200);
-    assert_ne!(
-        call_status(&fleet, 0),
-        200,
-        "the agreed exclusion holds after an operator ends the maintenance"
-    );
+    assert_ne!(call_status(&fleet, 0), 200, "the agreed exclusion still holds");
 }
 
 #[test]
@@ -274,11 +263,7 @@
         Some(true)
     );
     apply(&fleet, 1, r#"{"limit/open":2}"#);
-    assert_eq!(
-        (served(1), call_status(&fleet, 0)),
-        (0, 503),
-        "a limit of two among three activators rounds down to zero for each"
-    );
+    assert_eq!((served(1), call_status(&fleet, 0)), (0, 503), "2 / 3 rounds down to 0");
 }
 
 #[test]
@@ -377,11 +362,7 @@
 #[case::class(r#"{"base":BASE,"set":{"class/check-scores/attempts":1}}"#, 400, "no class check-scores")]
 #[case::empty(r#"{"base":BASE,"set":{}}"#, 400, "changes nothing")]
 #[case::not_json("a change", 400, "the body")]
-fn an_invalid_change_is_refused_and_changes_nothing(
-    #[case] body: &str,
-    #[case] wanted: u16,
-    #[case] reason: &str,
-) {
+fn an_invalid_change_changes_nothing(#[case] body: &str, #[case] wanted: u16, #[case] reason: &str) {
     let fleet = fleet();
     let before = view(&fleet, 0)["acting"].clone();
     let base = before["version"]["number"].to_string();
@@ -487,12 +468,8 @@
     assert!(calls > 40);
     for at in 0..3 {
         let program = fleet.programs[at].as_ref().expect("it runs");
-        for function in ["a000007", "a099999", "gone"] {
-            assert_eq!(
-                program.http(&call(function, "check-score", &[], "x")).status,
-                503,
-                "m{at} must refuse functions on the list"
-            );
+        for name in ["a000007", "a099999", "gone"] {
+            assert_eq!(program.http(&call(name, "check-score", &[], "x")).status, 503, "m{at} serves {name}");
         }
     }
 }
--- a/node/tests/common/rollout.rs
+++ b/node/tests/common/rollout.rs
@@ -1,4 +1,4 @@
-//! Two versions side by side, and a client that counts what it is answered.
+//! An old version and a candidate of a rollout, and a client that records the answers to its calls.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -10,7 +10,7 @@
 
 pub const CLASSES: [&str; 3] = ["check-score", "save-answers", "send-mail"];
 
-/// A configuration with this in place of what it had: keys as paths.
+/// Returns the configuration `text` with these values replaced. The path of a value is its keys, separated by `/`.
 pub fn edited(text: &str, edits: &[(&str, Value)]) -> String {
     let mut value: Value = serde_json::from_str(text).unwrap();
     for (path, new) in edits {
@@ -22,25 +22,27 @@
     value.to_string()
 }
 
+/// A rollout plan with these percentages as steps.
 pub fn plan(steps: &[f64]) -> String {
-    // No step is done by itself while a test runs.
+    // Steps last 10 minutes at least, so that none ends by itself during a test.
     let steps: Vec<_> = steps.iter().map(|p| json!({"percent": p, "least_ms": 600_000})).collect();
     json!({"name": "v2", "step": steps, "on_fail": "hold", "silent_ms": 1500}).to_string()
 }
 
-/// An old version and a candidate beside it.
+/// An old version that holds the clients, and the candidate of a rollout.
 pub struct Pair {
     pub old: Platform,
     pub new: Program,
-    /// The bus's connection of the new one.
+    /// The bus connection of the candidate.
     pub feed: TcpStream,
 }
 
+/// Starts an old version with `edits` to its settings, and a candidate with `edits` and `new_edits`.
 pub fn pair_of(hosts: &[&Host], edits: &[(&str, Value)], new_edits: &[(&str, Value)]) -> Pair {
     pair_with(hosts, edits, |text| Program::start(&edited(text, new_edits), false))
 }
 
-/// The candidate is started by this, with what its file says.
+/// Starts an old version with `edits` to its settings, and a candidate with `start`, which takes the candidate's settings.
 pub fn pair_with(hosts: &[&Host], edits: &[(&str, Value)], start: impl Fn(&str) -> Program) -> Pair {
     let bus = Bus::start();
     let text = edited(&config(bus.address, hosts), &[("rollout", json!({"version": "one"}))]);
@@ -53,7 +55,7 @@
     let new = start(&text);
     let (_, feed) = old.bus.greeted();
     let pair = Pair { old, new, feed };
-    wait_for("the candidate", || pair.show()["candidate"]["caught_up"] == json!(true));
+    wait_for("the candidate", || pair.view()["candidate"]["caught_up"] == json!(true));
     pair
 }
 
@@ -62,34 +64,38 @@
 }
 
 impl Pair {
-    pub fn show(&self) -> Value {
+    /// The old version's answer to `GET /rollout`.
+    pub fn view(&self) -> Value {
         self.old.program.ask("GET", "/rollout", "").1
     }
 
-    pub fn call(&self, what: &str, body: &str) -> u16 {
+    /// Sends `POST /rollout/{what}` to the old version, or `POST /rollout` if `what` is empty, and returns the status.
+    pub fn post(&self, what: &str, body: &str) -> u16 {
         let path = if what.is_empty() { "/rollout".to_string() } else { format!("/rollout/{what}") };
         self.old.program.operate("POST", &path, body)
     }
 
-    /// Everything is decided by the candidate.
-    pub fn whole(self) -> Self {
-        assert_eq!(self.call("", &plan(&[100.0])), 200);
+    /// Begins a rollout in which the candidate decides all calls.
+    pub fn with_full_share(self) -> Self {
+        assert_eq!(self.post("", &plan(&[100.0])), 200);
         self
     }
 
     pub fn count(&self, what: &str) -> u64 {
-        self.show()["counts"][what].as_u64().unwrap()
+        self.view()["counts"][what].as_u64().unwrap()
     }
 
     pub fn wait_life(&self, life: &str) {
-        wait_for(life, || self.show()["life"] == json!(life));
+        wait_for(life, || self.view()["life"] == json!(life));
     }
 }
 
-/// A client that numbers its calls. Call `n` has id, key and body made of it.
+/// A client that numbers its calls. The id, key and body of call `n` are made from `n`.
 pub struct Client {
     pub stream: TcpStream,
+    /// Number of the next call.
     pub next: u32,
+    /// Codes of the final answers to each call.
     pub answers: BTreeMap<u32, Vec<u8>>,
 }
 
@@ -122,7 +128,7 @@
         self.send_frame(class, "7f3a9c21e0b4d655")
     }
 
-    /// One of each class.
+    /// Sends a call of each class.
     pub fn send_each(&mut self) -> [u32; 3] {
         CLASSES.map(|class| self.send(class))
     }
@@ -134,12 +140,12 @@
         }
     }
 
-    /// The code of a call's answer, which must be its only one.
+    /// Waits for the answer to a call, which must be its only one, and returns the code.
     pub fn code(&mut self, n: u32) -> u8 {
         while !self.answers.contains_key(&n) {
             self.read();
         }
-        assert_eq!(self.answers[&n].len(), 1, "one final answer");
+        assert_eq!(self.answers[&n].len(), 1, "more than one answer");
         self.answers[&n][0]
     }
 
@@ -148,28 +154,30 @@
     }
 
     /// Sends a call and waits for its answer.
-    pub fn one(&mut self, class: &str) -> u8 {
+    pub fn call(&mut self, class: &str) -> u8 {
         let n = self.send(class);
         self.code(n)
     }
 
-    /// No call has had a second answer.
-    pub fn end(mut self) {
+    /// Checks that no call got a second answer.
+    pub fn finish(mut self) {
         std::thread::sleep(ms(100));
         self.stream.set_nonblocking(true).unwrap();
-        let mut more = [0; 1];
-        if matches!(self.stream.read(&mut more), Ok(n) if n > 0) {
+        let mut byte = [0; 1];
+        if matches!(self.stream.read(&mut byte), Ok(n) if n > 0) {
             self.stream.set_nonblocking(false).unwrap();
-            panic!("a further answer");
+            panic!("an additional answer");
         }
         assert!(self.answers.values().all(|a| a.len() == 1));
     }
 }
 
-pub fn slow(work: u64) -> Host {
-    Host::start(Ways { does: Does::Answer("200"), work: ms(work), load: None })
+/// A host whose calls take `work_ms`.
+pub fn slow_host(work_ms: u64) -> Host {
+    Host::start(Ways { does: Does::Answer("200"), work: ms(work_ms), load: None })
 }
 
+/// How often call `n` ran on these hosts.
 pub fn runs(hosts: &[&Host], n: u32) -> u32 {
     hosts.iter().map(|h| h.runs(&body(n))).sum()
 }
--- a/node/tests/endings_client.rs
+++ b/node/tests/endings_client.rs
@@ -180,7 +180,7 @@
 fn a_half_close_is_passed_to_the_candidate_that_decides_the_call() {
     let host = ManualHost::start();
     let known = [("known/batch/0/topology/members", host_entries(&[host.address]))];
-    let pair = common::rollout::pair_of(&[], &known, &[]).whole();
+    let pair = common::rollout::pair_of(&[], &known, &[]).with_full_share();
     let mut client = client_past_grace(&host, &pair.old, MAIL);
     assert_eq!(pair.count("passed"), 2);
     host.finish_load(0);
--- a/node/tests/measure.rs
+++ b/node/tests/measure.rs
@@ -68,11 +68,11 @@
     let hosts = fleet();
     let hosts: Vec<&Host> = hosts.iter().collect();
     let p = pair(&hosts);
-    assert_eq!(p.call("", &plan(&[1.0, 10.0, 50.0])), 200);
+    assert_eq!(p.post("", &plan(&[1.0, 10.0, 50.0])), 200);
     let mut client = Client::new(&p.old.program, 0);
     let (mut passed, mut all) = (0, Vec::new());
     for (step, percent) in [1, 10, 50].into_iter().enumerate() {
-        assert_eq!(p.call("step", &format!("{{\"to\":{}}}", step + 1)), 200);
+        assert_eq!(p.post("step", &format!("{{\"to\":{}}}", step + 1)), 200);
         all.extend(load(&mut client, 20_000, 8));
         let now = p.count("passed");
         emit(&format!("rollout.share_seen_at_{percent}"), (now - passed) as f64 / 200.0, "percent");
@@ -90,7 +90,7 @@
 fn costs() {
     let hosts = fleet();
     let p = pair(&hosts.iter().collect::<Vec<_>>());
-    assert_eq!(p.call("", &plan(&[50.0, 100.0])), 200);
+    assert_eq!(p.post("", &plan(&[50.0, 100.0])), 200);
     let mut split = Split::new("v2");
     split.set_share(Share::from_percent(50.0));
     let mut client = Client::new(&p.old.program, 0);
@@ -117,9 +117,9 @@
         emit(&format!("rollout.cpu_a_call_at_{percent}_old"), per_call(old), "us");
         emit(&format!("rollout.cpu_a_call_at_{percent}_new"), per_call(new), "us");
     };
-    assert_eq!(p.call("step", "{\"to\":2}"), 200);
+    assert_eq!(p.post("step", "{\"to\":2}"), 200);
     used(100);
-    assert_eq!(p.call("back", ""), 200);
+    assert_eq!(p.post("back", ""), 200);
     used(0);
 }
 
@@ -138,9 +138,9 @@
         let mut feed = p.feed.try_clone().unwrap();
         std::io::Write::write_all(&mut feed, &event(2, false, &[(0, a.address, 2), (7, b.address, 0)]))
             .unwrap();
-        assert_eq!(p.call("", &plan(&[100.0])), 200);
+        assert_eq!(p.post("", &plan(&[100.0])), 200);
         let mut client = Client::new(&p.old.program, 0);
-        client.one("check-score");
+        client.call("check-score");
         let address = p.old.program.address;
         let flood = std::thread::spawn(move || {
             let stream = std::net::TcpStream::connect(address).unwrap();
@@ -150,7 +150,7 @@
         });
         wait_for("the flood", || b.calls() > 200);
         let asked = Instant::now();
-        assert_eq!(p.call("back", ""), 200);
+        assert_eq!(p.post("back", ""), 200);
         let answered = Instant::now();
         flood.join().unwrap();
         let last = b.seen.lock().unwrap().last.unwrap();
@@ -172,7 +172,7 @@
             || Host::start(Ways { does: Does::Answer("200"), work: ms(5 + round % 7 * 10), load: None });
         let (a, b) = (host(), host());
         let mut p = pair(&[&a, &b]);
-        assert_eq!(p.call("", &plan(&[50.0])), 200);
+        assert_eq!(p.post("", &plan(&[50.0])), 200);
         let address = p.old.program.address;
         let flood = std::thread::spawn(move || {
             let stream = std::net::TcpStream::connect(address).unwrap();
