--- a/node/tests/passing.rs
+++ b/node/tests/passing.rs
@@ -586,7 +586,7 @@
 }
 
 /// Passes a call with these fields to a candidate, and returns the body and the fields of the answer.
-fn pass_call(
+fn pass(
     stream: &mut UnixStream,
     seq: u64,
     more: Option<&[(&str, &str)]>,
@@ -604,19 +604,15 @@
         key: None,
         body: format!("call {seq} a,b").into_bytes(),
     };
-    let owned =
-        |fields: &[(&str, &str)]| fields.iter().map(|(n, t)| (n.to_string(), t.to_string())).collect();
+    let copy = |fields: &[(&str, &str)]| fields.iter().map(|(n, t)| (n.to_string(), t.to_string())).collect();
     send(
         stream,
-        &more
-            .map_or_else(|| Message::Call(clone(&call)), |more| Message::CallWith(clone(&call), owned(more))),
+        &more.map_or_else(|| Message::Call(clone(&call)), |more| Message::CallWith(clone(&call), copy(more))),
     );
     loop {
         match receive(stream).expect("an answer") {
-            Message::Answer { seq: answered, reply: Reply::Served, body } if answered == seq => {
-                return (body, Vec::new())
-            }
-            Message::AnswerWith { seq: answered, reply: Reply::Served, body, more } if answered == seq => {
+            Message::Answer { seq: s, reply: Reply::Served, body } if s == seq => return (body, Vec::new()),
+            Message::AnswerWith { seq: s, reply: Reply::Served, body, more } if s == seq => {
                 return (body, more)
             }
             Message::Answer { reply, .. } | Message::AnswerWith { reply, .. } => panic!("{reply:?}"),
@@ -643,20 +639,19 @@
     wait_for("the site", || new.ask("GET", "/turns", "").1["sites"].as_array().is_some_and(|s| s.len() == 1));
     let fields =
         [("turn", "7;2;1,00ff"), ("draft", "1:4"), ("cell", "0"), ("host", "nobody"), ("colour", "blue")];
-    let (body, more) = pass_call(&mut stream, 1, Some(&fields));
+    let (body, more) = pass(&mut stream, 1, Some(&fields));
     assert!(line().contains(",draft=1:4,blocks=1;ff "), "{}", line());
     let fields = [("found", "0"), ("accepted", "40;30;30;30;30;160;400000"), ("held", "3.000")];
     let fields: Vec<(String, String)> = fields.iter().map(|(n, t)| (n.to_string(), t.to_string())).collect();
     assert_eq!((body, more), (b"call 1 a,b".to_vec(), fields));
-    // Each malformed field is refused separately, and the other fields of the call apply.
-    let (body, more) =
-        pass_call(&mut stream, 2, Some(&[("turn", "7;2;xyz"), ("draft", "1:3"), ("cell", "x")]));
+    // Each malformed field is refused separately. If all fields together are too long, all are refused.
+    let (body, more) = pass(&mut stream, 2, Some(&[("turn", "7;2;xyz"), ("draft", "1:3"), ("cell", "x")]));
     assert!(line().contains(",draft=1:3 ") && !line().contains("blocks="), "{}", line());
     assert_eq!((body, more.len()), (b"call 2 a,b".to_vec(), 2));
     let long = "1".repeat(3_000);
-    pass_call(&mut stream, 3, Some(&[("turn", "7;2;1"), ("draft", &long)]));
+    pass(&mut stream, 3, Some(&[("turn", "7;2;1"), ("draft", &long)]));
     assert!(!line().contains("draft=") && !line().contains("blocks="), "{}", line());
-    pass_call(&mut stream, 4, Some(&[("turn", "7;3;1,ff,a,b")]));
+    pass(&mut stream, 4, Some(&[("turn", "7;3;1,ff,a,b")]));
     assert!(line().contains(",blocks=1;ff;a;b ") && !line().contains("draft="), "{}", line());
     for (id, why) in [(2, "turn: a hash is"), (2, "cell: not a number"), (3, "2 fields of 3014 bytes")] {
         assert_eq!(new.logged(&format!("a field of call {id:016x} is refused: {why}")), 1, "{why}");
@@ -666,7 +661,7 @@
     // With protocol 1 a call and its answer carry no turn or draft.
     let (new, mut stream) = stand_in_holder(1, &text);
     wait_for("the site", || new.ask("GET", "/turns", "").1["sites"].as_array().is_some_and(|s| s.len() == 1));
-    assert_eq!(pass_call(&mut stream, 1, None), (b"call 1 a,b".to_vec(), vec![]));
+    assert_eq!(pass(&mut stream, 1, None), (b"call 1 a,b".to_vec(), vec![]));
     assert!(!line().contains("draft=") && !line().contains("blocks="), "{}", line());
     drop(new);
 }
--- a/node/tests/turns.rs
+++ b/node/tests/turns.rs
@@ -1,5 +1,5 @@
-//! Turns of conversations routed to the site that holds their prefix: processes of the program, sites with a block
-//! cache that evicts, and faults between them. Every call has one answer and runs once, whatever breaks.
+//! Turns of conversations are routed to the site that holds their prefix. Activators run as processes, with sites whose block
+//! caches evict and with network faults between the activators. Each call has one answer and runs once under every fault.
 
 mod common;
 
@@ -16,35 +16,40 @@
 use rstest::rstest;
 use serde_json::Value;
 
-/// A block cache that lets go of what was used longest ago.
+/// A block cache of a site with LRU eviction, and the calls of the site.
 struct Cache {
-    most: usize,
-    used: u64,
+    max_blocks: usize,
+    /// Number of block uses so far, the clock of the eviction.
+    uses: u64,
+    /// The cached blocks, with the value of `uses` at their last use.
     blocks: HashMap<String, u64>,
+    /// How often each body ran.
     runs: BTreeMap<String, u32>,
+    /// Request lines of the calls.
     lines: Vec<String>,
-    /// Of which conversation a turn came when, and the blocks that were computed for want of them.
+    /// For each turn with a prefix: its conversation, when it came, and how many blocks were missing and computed anew.
     missed: Vec<(u64, Instant, usize)>,
 }
 
 impl Cache {
+    /// Records a call. Returns the number of blocks found in the cache, or `None` if the call names no blocks.
     fn serve(&mut self, line: &str, body: &str) -> Option<usize> {
         self.lines.push(line.to_string());
         *self.runs.entry(body.to_string()).or_default() += 1;
         let fields = line.split(' ').nth(2).unwrap().split(',');
-        let told = fields.filter_map(|f| f.strip_prefix("blocks=")).next()?;
-        let blocks: Vec<&str> = told.split(';').filter(|b| !b.is_empty()).collect();
+        let hashes = fields.filter_map(|f| f.strip_prefix("blocks=")).next()?;
+        let blocks: Vec<&str> = hashes.split(';').filter(|b| !b.is_empty()).collect();
         let found = blocks.iter().take_while(|b| self.blocks.contains_key(**b)).count();
         if let Some(first) = blocks.first() {
-            let talk = u64::from_str_radix(first, 16).unwrap() >> 32;
-            self.missed.push((talk, Instant::now(), blocks.len() - found));
+            let number = u64::from_str_radix(first, 16).unwrap() >> 32;
+            self.missed.push((number, Instant::now(), blocks.len() - found));
         }
-        // The last word of a body stands for the blocks that the turn adds.
+        // The body ends with the hashes of the blocks that the turn adds.
         for block in blocks.into_iter().chain(body.rsplit(' ').next().unwrap().split(',')) {
-            self.used += 1;
-            self.blocks.insert(block.to_string(), self.used);
+            self.uses += 1;
+            self.blocks.insert(block.to_string(), self.uses);
         }
-        while self.blocks.len() > self.most {
+        while self.blocks.len() > self.max_blocks {
             let oldest = self.blocks.iter().min_by_key(|(_, at)| **at).map(|(b, _)| b.clone()).unwrap();
             self.blocks.remove(&oldest);
         }
@@ -59,10 +64,10 @@
 }
 
 impl Site {
-    fn start(most: usize) -> Self {
+    fn start(max_blocks: usize) -> Self {
         let cache = Cache {
-            most,
-            used: 0,
+            max_blocks,
+            uses: 0,
             blocks: HashMap::new(),
             runs: BTreeMap::new(),
             lines: Vec::new(),
@@ -72,7 +77,7 @@
         let shared = cache.clone();
         let address = stand_in(Arc::new(move |line, body| {
             let found = shared.lock().unwrap().serve(line, body);
-            // A call that keeps a lane busy says so.
+            // Calls whose body begins with `busy` occupy a lane for 120 ms.
             sleep(ms(if body.starts_with("busy") { 120 } else { 1 }));
             found.map_or(String::new(), |n| format!(",found={n}"))
         }));
@@ -84,16 +89,17 @@
     }
 }
 
-/// A way between two activators by which datagrams go until it is cut.
+/// A relay for datagrams between two activators, which drops them while it is cut.
 struct Link {
-    at: SocketAddr,
+    address: SocketAddr,
     cut: Arc<AtomicBool>,
-    over: Arc<AtomicBool>,
+    /// Ends the thread of the relay.
+    stopped: Arc<AtomicBool>,
 }
 
-/// Three activators before sites, and what is between them.
+/// Activators with their sites, and the relays between the activators.
 struct Fleet {
-    each: Vec<Option<Program>>,
+    programs: Vec<Option<Program>>,
     links: BTreeMap<(usize, usize), Link>,
     sites: Vec<Site>,
     resolver: Resolver,
@@ -104,35 +110,36 @@
     "[turns]\nsite = \"cell\"\nblock_us = 1000\nresident = true\nperiod_ms = 50\nbound = 2.0\n";
 
 impl Fleet {
-    fn start(n: usize, sites: usize, most: usize) -> Self {
-        Self::start_with(n, sites, most, TURNS)
+    /// Starts `n` activators, and sites whose caches hold `max_blocks`.
+    fn start(n: usize, sites: usize, max_blocks: usize) -> Self {
+        Self::start_with(n, sites, max_blocks, TURNS)
     }
 
-    fn start_with(n: usize, sites: usize, most: usize, turns: &str) -> Self {
-        let sites: Vec<Site> = (0..sites).map(|_| Site::start(most)).collect();
+    fn start_with(n: usize, sites: usize, max_blocks: usize, turns: &str) -> Self {
+        let sites: Vec<Site> = (0..sites).map(|_| Site::start(max_blocks)).collect();
         let resolver = Resolver::start(&[]);
-        let held: Vec<_> = (0..n).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-        let at: Vec<SocketAddr> = held.iter().map(|s| s.local_addr().unwrap()).collect();
-        // What `a` sends to `b` goes to near[(b, a)], which stands for `b`, and leaves from near[(a, b)].
+        let sockets: Vec<_> = (0..n).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        let addresses: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
+        // The activator `a` sends datagrams for `b` to relays[(b, a)], and they reach `b` from relays[(a, b)].
         let pairs = (0..n).flat_map(|a| (0..n).filter(move |b| *b != a).map(move |b| (a, b)));
-        let near: BTreeMap<(usize, usize), UdpSocket> =
+        let relays: BTreeMap<(usize, usize), UdpSocket> =
             pairs.map(|pair| (pair, UdpSocket::bind("127.0.0.1:0").unwrap())).collect();
-        drop(held);
+        drop(sockets);
         let mut links = BTreeMap::new();
-        for ((a, b), socket) in &near {
-            // This one stands for `a` before `b`.
+        for ((a, b), socket) in &relays {
+            // The address at which `b` reaches `a`.
             let link = Link {
-                at: socket.local_addr().unwrap(),
+                address: socket.local_addr().unwrap(),
                 cut: Arc::new(AtomicBool::new(false)),
-                over: Arc::new(AtomicBool::new(false)),
+                stopped: Arc::new(AtomicBool::new(false)),
             };
             let (from, to, target) =
-                (socket.try_clone().unwrap(), near[&(*b, *a)].try_clone().unwrap(), at[*a]);
-            let (cut, over) = (link.cut.clone(), link.over.clone());
+                (socket.try_clone().unwrap(), relays[&(*b, *a)].try_clone().unwrap(), addresses[*a]);
+            let (cut, stopped) = (link.cut.clone(), link.stopped.clone());
             from.set_read_timeout(Some(ms(50))).unwrap();
             spawn(move || {
                 let mut buf = [0; 1_500];
-                while !over.load(Relaxed) {
+                while !stopped.load(Relaxed) {
                     if let (Ok((n, _)), false) = (from.recv_from(&mut buf), cut.load(Relaxed)) {
                         let _ = to.send_to(&buf[..n], target);
                     }
@@ -143,42 +150,48 @@
         let file = |i: usize| {
             let others: String = (0..n)
                 .filter(|j| *j != i)
-                .map(|j| format!("[[members.other]]\nname = \"m{j}\"\naddress = \"{}\"\n", links[&(j, i)].at))
+                .map(|j| {
+                    format!("[[members.other]]\nname = \"m{j}\"\naddress = \"{}\"\n", links[&(j, i)].address)
+                })
                 .collect();
-            let members =
-                format!("[members]\nname = \"m{i}\"\nlisten = \"{}\"\nperiod_ms = 100\n{others}", at[i]);
+            let members = format!(
+                "[members]\nname = \"m{i}\"\nlisten = \"{}\"\nperiod_ms = 100\n{others}",
+                addresses[i]
+            );
             format!("{}\n{members}{turns}", operator_file(resolver.address))
         };
         let files: Vec<String> = (0..n).map(file).collect();
-        let mut fleet = Self { each: Vec::new(), links, sites, resolver, files };
-        (0..fleet.sites.len()).for_each(|i| fleet.list(i, true));
+        let mut fleet = Self { programs: Vec::new(), links, sites, resolver, files };
+        (0..fleet.sites.len()).for_each(|i| fleet.set_listed(i, true));
         for i in 0..n {
-            fleet.each.push(Some(Program::start(&fleet.files[i], true)));
+            fleet.programs.push(Some(Program::start(&fleet.files[i], true)));
         }
-        (0..n).for_each(|i| fleet.sees(i, fleet.sites.len()));
+        (0..n).for_each(|i| fleet.wait_sites(i, fleet.sites.len()));
         fleet
     }
 
-    fn one(&self, i: usize) -> &Program {
-        self.each[i].as_ref().expect("it runs")
+    fn program(&self, i: usize) -> &Program {
+        self.programs[i].as_ref().expect("it runs")
     }
 
-    fn list(&self, site: usize, there: bool) {
+    /// Adds a site to the zone of the resolver, or removes it.
+    fn set_listed(&self, site: usize, listed: bool) {
         let mut zone = self.resolver.zone.lock().unwrap();
         let name = format!("h{site}");
         zone.instances.retain(|(n, ..)| *n != name);
-        if there {
+        if listed {
             zone.instances.push((name, self.sites[site].address.port(), vec![format!("cell={site}")]));
         }
     }
 
     fn view(&self, i: usize) -> Value {
-        let (status, view) = self.one(i).ask("GET", "/turns", "");
+        let (status, view) = self.program(i).ask("GET", "/turns", "");
         assert_eq!(status, 200);
         view
     }
 
-    fn sees(&self, i: usize, sites: usize) {
+    /// Waits until an activator knows this number of sites.
+    fn wait_sites(&self, i: usize, sites: usize) {
         wait_for("the sites", || {
             let view = self.view(i);
             let all = view["sites"].as_array().unwrap();
@@ -186,12 +199,12 @@
         });
     }
 
-    /// Waits until each of these has heard each other one anew.
-    fn told(&self, each: &[usize]) {
+    /// Waits until each of these activators has received new messages from each other one.
+    fn wait_exchange(&self, each: &[usize]) {
         let heard = |i: &usize| self.view(*i)["told"]["heard"].as_u64().unwrap();
         let before: Vec<u64> = each.iter().map(heard).collect();
         let wanted = 2 * (each.len() as u64 - 1);
-        wait_for("word of each other", || {
+        wait_for("messages of the others", || {
             each.iter().zip(&before).all(|(i, before)| heard(i) >= before + wanted)
         });
     }
@@ -200,15 +213,15 @@
         self.links.values().for_each(|l| l.cut.store(cut, Relaxed));
     }
 
-    /// Every body that was answered ran once in all.
-    fn ran_once(&self, talks: &[Talk]) {
+    /// Checks that each answered call ran once on all sites together, and that no other call ran.
+    fn check_ran_once(&self, conversations: &[Conversation]) {
         let mut runs: BTreeMap<String, u32> = BTreeMap::new();
         for site in &self.sites {
             for (body, n) in &site.cache.lock().unwrap().runs {
                 *runs.entry(body.clone()).or_default() += n;
             }
         }
-        let answered: Vec<&String> = talks.iter().flat_map(|t| &t.answered).collect();
+        let answered: Vec<&String> = conversations.iter().flat_map(|t| &t.answered).collect();
         assert!(answered.iter().all(|body| runs[*body] == 1), "a call ran twice");
         assert_eq!(answered.len(), runs.len(), "a run without an answer");
     }
@@ -216,28 +229,29 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.links.values().for_each(|l| l.over.store(true, Relaxed));
+        self.links.values().for_each(|l| l.stopped.store(true, Relaxed));
     }
 }
 
-/// A conversation as its client has it.
-struct Talk {
+/// The state of a conversation at its client.
+struct Conversation {
     number: u64,
     prefix: Vec<String>,
     answered: Vec<String>,
 }
 
-impl Talk {
-    fn some(n: u64) -> Vec<Self> {
+impl Conversation {
+    /// New conversations with the numbers 1 to `n`.
+    fn several(n: u64) -> Vec<Self> {
         (1..=n).map(|number| Self { number, prefix: Vec::new(), answered: Vec::new() }).collect()
     }
 
-    /// A turn of two blocks: those of its prefix, and those that were found.
+    /// Sends a turn that adds two blocks. Returns the number of blocks of its prefix, and of those that the site found.
     fn turn(&mut self, at: &Program) -> (usize, usize) {
         self.try_turn(at).expect("it is served")
     }
 
-    /// ... none where it is refused.
+    /// Like `turn`, but returns `None` if the turn is refused.
     fn try_turn(&mut self, at: &Program) -> Option<(usize, usize)> {
         let n = self.answered.len();
         let new: Vec<String> =
@@ -258,24 +272,24 @@
     }
 }
 
-/// The share of blocks found when each conversation takes a turn at an activator chosen so.
-fn share(talks: &mut [Talk], at: impl Fn(usize) -> usize, fleet: &Fleet) -> f64 {
-    let each = talks.iter_mut().enumerate().map(|(i, t)| t.turn(fleet.one(at(i))));
+/// Sends a turn of each conversation to the activator that `at` chooses for it. Returns the share of blocks found.
+fn share(conversations: &mut [Conversation], at: impl Fn(usize) -> usize, fleet: &Fleet) -> f64 {
+    let each = conversations.iter_mut().enumerate().map(|(i, t)| t.turn(fleet.program(at(i))));
     let (asked, found) = each.fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
     found as f64 / asked.max(1) as f64
 }
 
 #[test]
-fn conversations_stay_where_their_prefix_lies_and_no_site_has_them_all() {
+fn conversations_stay_where_their_prefix_is_and_are_spread_over_sites() {
     let fleet = Fleet::start(1, 3, 10_000);
-    let mut talks = Talk::some(24);
+    let mut conversations = Conversation::several(24);
     for turn in 0..6 {
-        let found = share(&mut talks, |_| 0, &fleet);
+        let found = share(&mut conversations, |_| 0, &fleet);
         assert!(turn == 0 || found > 0.8, "{found} of turn {turn}");
     }
     let calls: Vec<usize> = fleet.sites.iter().map(Site::calls).collect();
     assert!(calls.iter().all(|n| (20..=90).contains(n)), "{calls:?} of 144");
-    fleet.ran_once(&talks);
+    fleet.check_ran_once(&conversations);
     let view = fleet.view(0);
     assert!(
         view["placed"]["held"].as_u64() > Some(90) && view["conversations"].as_u64() >= Some(24),
@@ -286,120 +300,124 @@
     assert!(line.contains(",blocks="), "{line}");
 }
 
-/// Sites that hold less than is asked of them: what is expected of them is learnt from what they find.
+/// The caches of the sites are too small for all prefixes. Their size is estimated from the blocks that they find.
 #[test]
-fn a_site_that_evicts_is_found_out() {
+fn eviction_at_a_site_is_learnt_from_its_answers() {
     let fleet = Fleet::start(1, 2, 24);
-    let mut talks = Talk::some(16);
+    let mut conversations = Conversation::several(16);
     for _ in 0..16 {
-        share(&mut talks, |_| 0, &fleet);
+        share(&mut conversations, |_| 0, &fleet);
     }
     let view = fleet.view(0);
     let keeps = view["sites"].as_array().unwrap().iter().map(|s| s["keeps_blocks"].as_u64().unwrap());
     assert!(keeps.clone().all(|k| k < 100_000), "{view}");
     assert!(view["misses"].as_u64() > Some(3), "{view}");
-    fleet.ran_once(&talks);
+    fleet.check_ran_once(&conversations);
 }
 
 #[test]
-fn activators_tell_each_other_go_on_when_cut_off_and_find_together_again() {
+fn activators_share_prefix_locations_across_a_partition_and_a_restart() {
     let mut fleet = Fleet::start(3, 3, 10_000);
-    let mut talks = Talk::some(12);
+    let mut conversations = Conversation::several(12);
     for turn in 0..4 {
-        let found = share(&mut talks, |i| (i + turn) % 3, &fleet);
+        let found = share(&mut conversations, |i| (i + turn) % 3, &fleet);
         assert!(turn == 0 || found > 0.8, "{found} of turn {turn}, each at another activator");
-        fleet.told(&[0, 1, 2]);
+        fleet.wait_exchange(&[0, 1, 2]);
     }
     fleet.cut(true);
     for turn in 0..4 {
-        // A belief that is wrong costs a miss, and never an answer.
-        share(&mut talks, |i| (i + turn) % 3, &fleet);
+        // A wrong belief about a prefix costs a cache miss, but no call.
+        share(&mut conversations, |i| (i + turn) % 3, &fleet);
     }
     fleet.cut(false);
-    fleet.told(&[0, 1, 2]);
-    share(&mut talks, |i| i % 3, &fleet);
-    fleet.told(&[0, 1, 2]);
-    let found = share(&mut talks, |i| (i + 1) % 3, &fleet);
+    fleet.wait_exchange(&[0, 1, 2]);
+    share(&mut conversations, |i| i % 3, &fleet);
+    fleet.wait_exchange(&[0, 1, 2]);
+    let found = share(&mut conversations, |i| (i + 1) % 3, &fleet);
     assert!(found > 0.8, "{found} after the cut");
-    fleet.told(&[0, 1, 2]);
-    // One is gone without a word: the others know its conversations.
-    fleet.each[0].as_mut().unwrap().kill();
-    fleet.each[0] = None;
-    let found = share(&mut talks, |i| 1 + i % 2, &fleet);
+    fleet.wait_exchange(&[0, 1, 2]);
+    // An activator is killed. The others know where its conversations are.
+    fleet.programs[0].as_mut().unwrap().kill();
+    fleet.programs[0] = None;
+    let found = share(&mut conversations, |i| 1 + i % 2, &fleet);
     assert!(found > 0.8, "{found} after a death");
-    // It comes back and knows nothing; what it is told helps.
-    fleet.each[0] = Some(Program::start(&fleet.files[0], true));
-    fleet.sees(0, 3);
-    share(&mut talks, |i| i % 3, &fleet);
-    fleet.told(&[0, 1, 2]);
-    let found = share(&mut talks, |i| (i + 1) % 3, &fleet);
+    // It restarts without state, and learns the locations from the others.
+    fleet.programs[0] = Some(Program::start(&fleet.files[0], true));
+    fleet.wait_sites(0, 3);
+    share(&mut conversations, |i| i % 3, &fleet);
+    fleet.wait_exchange(&[0, 1, 2]);
+    let found = share(&mut conversations, |i| (i + 1) % 3, &fleet);
     assert!(found > 0.8, "{found} after its return");
-    fleet.ran_once(&talks);
+    fleet.check_ran_once(&conversations);
 }
 
 #[test]
-fn a_lost_sites_conversations_go_on_elsewhere_and_it_is_not_flooded_when_it_is_back() {
+fn conversations_of_a_lost_site_move_and_do_not_all_return_to_it() {
     let fleet = Fleet::start(2, 3, 10_000);
-    let mut talks = Talk::some(18);
+    let mut conversations = Conversation::several(18);
     for turn in 0..3 {
-        share(&mut talks, |i| (i + turn) % 2, &fleet);
+        share(&mut conversations, |i| (i + turn) % 2, &fleet);
     }
-    fleet.list(1, false);
-    (0..2).for_each(|i| fleet.sees(i, 2));
+    fleet.set_listed(1, false);
+    (0..2).for_each(|i| fleet.wait_sites(i, 2));
     let before = fleet.sites[1].calls();
-    share(&mut talks, |i| i % 2, &fleet);
-    fleet.told(&[0, 1]);
-    let found = share(&mut talks, |i| i % 2, &fleet);
-    assert!(found > 0.8, "{found} once all lie elsewhere");
+    share(&mut conversations, |i| i % 2, &fleet);
+    fleet.wait_exchange(&[0, 1]);
+    let found = share(&mut conversations, |i| i % 2, &fleet);
+    assert!(found > 0.8, "{found} after all have moved");
     assert_eq!(fleet.sites[1].calls(), before, "a site that is gone was called");
     fleet.sites[1].cache.lock().unwrap().blocks.clear();
-    fleet.list(1, true);
-    (0..2).for_each(|i| fleet.sees(i, 3));
-    // Those who have their prefix elsewhere stay; new ones come, and not all to where nothing is.
-    let found = share(&mut talks, |i| i % 2, &fleet);
+    fleet.set_listed(1, true);
+    (0..2).for_each(|i| fleet.wait_sites(i, 3));
+    // Conversations whose prefix is at another site stay there. New ones are spread, and not all go to the empty site.
+    let found = share(&mut conversations, |i| i % 2, &fleet);
     assert!(found > 0.7, "{found} with the empty site there");
-    let mut fresh: Vec<Talk> = Talk::some(48).split_off(18);
+    let mut fresh: Vec<Conversation> = Conversation::several(48).split_off(18);
     share(&mut fresh, |i| i % 2, &fleet);
-    let came = fleet.sites[1].calls() - before;
-    assert!((1..=32).contains(&came), "{came} of 48 at the site that is back");
-    talks.extend(fresh);
-    fleet.ran_once(&talks);
+    let calls = fleet.sites[1].calls() - before;
+    assert!((1..=32).contains(&calls), "{calls} of 48 at the site that is back");
+    conversations.extend(fresh);
+    fleet.check_ran_once(&conversations);
 }
 
-/// Lanes of each host, blocks a second of a lane, the share for computing anew, and the longest prefix of the test below.
+/// Lanes of each host.
 const LANES: f64 = 4.0;
-const BLOCKS: f64 = 10.0;
-const ANEW: f64 = 0.5;
-const PREFIX: u64 = 20;
-
-/// A site is lost at full load while three activators cannot hear each other. What the others compute anew for its
-/// conversations, as hosts count it, is within one budget and not three; who is beyond is answered 503 within its
-/// time and has not run. When the site is back, empty, it is not flooded. Each call has one answer and ran once.
+/// Blocks that a lane computes in a second.
+const BLOCKS_PER_SEC: f64 = 10.0;
+/// The setting `anew`: the share of lanes for computing prefixes of lost sites anew.
+const ANEW_SHARE: f64 = 0.5;
+/// Blocks of a prefix at the start of the tests with lost sites.
+const PREFIX_BLOCKS: u64 = 20;
+
+/// A site is lost at full load while three activators are partitioned. The blocks that the other sites compute anew for its
+/// conversations, as hosts count them, stay within one budget and not three. Turns beyond it are answered 503 in time and do
+/// not run. The site returns empty and is not flooded. Each call has one answer and runs once.
 #[test]
 fn a_site_lost_at_full_load_in_a_partition_costs_the_others_one_budget() {
     let table = format!(
-        "[turns]\nsite = \"cell\"\nblock_us = {}\nlanes = {LANES}\nresident = true\nperiod_ms = 50\nanew = {ANEW}\n",
-        1e6 / BLOCKS
+        "[turns]\nsite = \"cell\"\nblock_us = {}\nlanes = {LANES}\nresident = true\nperiod_ms = 50\nanew = {ANEW_SHARE}\n",
+        1e6 / BLOCKS_PER_SEC
     );
     let fleet = Fleet::start_with(3, 3, 100_000, &table);
-    let mut talks = Talk::some(120);
-    for talk in &mut talks {
-        talk.prefix = (0..PREFIX).map(|i| format!("{:x}", talk.number << 32 | (1_000 + i))).collect();
+    let mut conversations = Conversation::several(120);
+    for conversation in &mut conversations {
+        conversation.prefix =
+            (0..PREFIX_BLOCKS).map(|i| format!("{:x}", conversation.number << 32 | (1_000 + i))).collect();
     }
     let busy = Mutex::new(Vec::new());
-    let (lost, gone, lay, refused) = scope(|s| {
-        // Calls without a turn keep every lane busy, until this is dropped.
-        let over = Arc::new(AtomicBool::new(false));
-        let _end = End(over.clone());
+    let (lost_at, lost_site, lost, refused) = scope(|s| {
+        // Calls without a turn keep every lane busy until the guard is dropped.
+        let stopped = Arc::new(AtomicBool::new(false));
+        let _guard = StopOnDrop(stopped.clone());
         for i in 0..12 {
-            let (over, busy, fleet) = (over.clone(), &busy, &fleet);
+            let (stopped, busy, fleet) = (stopped.clone(), &busy, &fleet);
             s.spawn(move || {
                 for n in 0.. {
-                    if over.load(Relaxed) {
+                    if stopped.load(Relaxed) {
                         return;
                     }
                     let body = format!("busy {i} {n} 0");
-                    let reply = fleet.one(i % 3).http(&call("chat", "check-score", &[], &body));
+                    let reply = fleet.program(i % 3).http(&call("chat", "check-score", &[], &body));
                     assert!([200, 503].contains(&reply.status), "{}", reply.head);
                     if reply.status == 200 {
                         busy.lock().unwrap().push(body);
@@ -407,114 +425,119 @@
                 }
             });
         }
-        // What lanes leave unused is learnt from the first turn on.
+        // The activators estimate the idle capacity of lanes from the first turn on, so the lanes must be busy before.
         wait_for("busy lanes", || busy.lock().unwrap().len() >= 24);
-        // Unknown prefixes are no displaced ones: nobody is refused.
-        assert_eq!((round(&mut talks, &fleet), round(&mut talks, &fleet)), (0, 0));
-        // Where each came last: some were moved for load.
+        // Prefixes that no site has held do not count against the budget, so no turn is refused.
+        assert_eq!((round(&mut conversations, &fleet), round(&mut conversations, &fleet)), (0, 0));
+        // The site of each conversation's last turn, since some conversations were moved because of load.
         let mut last: BTreeMap<u64, (Instant, usize)> = BTreeMap::new();
         for (i, site) in fleet.sites.iter().enumerate() {
-            for (talk, at, _) in &site.cache.lock().unwrap().missed {
-                let last = last.entry(*talk).or_insert((*at, i));
+            for (number, at, _) in &site.cache.lock().unwrap().missed {
+                let last = last.entry(*number).or_insert((*at, i));
                 *last = (*last).max((*at, i));
             }
         }
-        // The site where most lie is lost: who lies where is chance, as the busy calls move some for load.
+        // The site with the most conversations is lost. Which one that is varies, as the busy calls make load move some.
         let at = |site: usize| last.values().filter(|(_, i)| *i == site).count();
-        let gone = (0..3).max_by_key(|site| at(*site)).unwrap();
-        let lay: Vec<u64> = last.into_iter().filter(|(_, (_, i))| *i == gone).map(|(talk, _)| talk).collect();
+        let lost_site = (0..3).max_by_key(|site| at(*site)).unwrap();
+        let lost: Vec<u64> =
+            last.into_iter().filter(|(_, (_, i))| *i == lost_site).map(|(number, _)| number).collect();
         fleet.cut(true);
-        // For as long as they remember what they heard.
+        // Wait until the activators have forgotten the messages of the others.
         sleep(ms(1_000));
-        let lost = Instant::now();
-        fleet.list(gone, false);
-        (0..3).for_each(|i| fleet.sees(i, 2));
-        // Those that lay there come first.
-        talks.sort_by_key(|t| !lay.contains(&t.number));
-        let displaced = talks.iter().filter(|t| lay.contains(&t.number)).count();
-        assert!(displaced >= 12, "{displaced} lay there");
-        let again = |_| {
+        let lost_at = Instant::now();
+        fleet.set_listed(lost_site, false);
+        (0..3).for_each(|i| fleet.wait_sites(i, 2));
+        // The displaced conversations come first.
+        conversations.sort_by_key(|t| !lost.contains(&t.number));
+        let displaced = conversations.iter().filter(|t| lost.contains(&t.number)).count();
+        assert!(displaced >= 12, "only {displaced} were displaced");
+        let retry = |_| {
             sleep(ms(250));
-            // Those that were served have their place now; the others try again.
-            let waits = talks[..displaced].iter().filter(|t| t.answered.len() < 3).count();
-            talks[..displaced].sort_by_key(|t| t.answered.len() >= 3);
-            round(&mut talks[..waits], &fleet)
+            // Conversations that were served have a site now, and the others are retried.
+            let waiting = conversations[..displaced].iter().filter(|t| t.answered.len() < 3).count();
+            conversations[..displaced].sort_by_key(|t| t.answered.len() >= 3);
+            round(&mut conversations[..waiting], &fleet)
         };
-        let refused: usize = (0..8).map(again).sum();
-        (lost, gone, lay, refused)
+        let refused: usize = (0..8).map(retry).sum();
+        (lost_at, lost_site, lost, refused)
     });
-    // Of the sites that are left the module may take the one where there is room: together they keep their budgets.
+    // A conversation may go to any of the two other sites that has room, so the limit is the sum of their budgets.
     let mut anew = Vec::new();
-    for site in (0..3).filter(|site| *site != gone) {
+    for site in (0..3).filter(|site| *site != lost_site) {
         let cache = fleet.sites[site].cache.lock().unwrap();
-        anew.extend(cache.missed.iter().filter(|(talk, at, _)| *at >= lost && lay.contains(talk)).copied());
+        anew.extend(
+            cache.missed.iter().filter(|(number, at, _)| *at >= lost_at && lost.contains(number)).copied(),
+        );
     }
     anew.sort_by_key(|(_, at, _)| *at);
     let mut sum = 0;
     for (_, at, blocks) in anew {
         sum += blocks;
-        // A stall of the machine lets budgets grow, so that this holds on a slow one too.
-        let since = (at - lost).as_secs_f64();
-        let most = 2.0 * (ANEW * LANES * BLOCKS * (since + 1.0) + 3.0 * (PREFIX + 8) as f64);
-        assert!(sum as f64 <= most, "{sum} blocks anew within {since} s, {most} at most");
+        // Budgets refill while the machine stalls, so the limit grows with time and holds on a slow machine too.
+        let since = (at - lost_at).as_secs_f64();
+        let max =
+            2.0 * (ANEW_SHARE * LANES * BLOCKS_PER_SEC * (since + 1.0) + 3.0 * (PREFIX_BLOCKS + 8) as f64);
+        assert!(sum as f64 <= max, "{sum} blocks anew within {since} s, {max} at most");
     }
     assert!(sum > 0, "nothing was computed anew");
-    assert!(refused > 0, "the budget was never short");
+    assert!(refused > 0, "the budget never ran out");
     let given_up = |i: usize| fleet.view(i)["held_back"]["given_up"].as_u64().unwrap();
-    assert!(given_up(0) + given_up(1) + given_up(2) > 0, "refused for something else");
-    // It comes back empty, and they hear each other again.
-    fleet.sites[gone].cache.lock().unwrap().blocks.clear();
-    let before = fleet.sites[gone].calls();
+    assert!(given_up(0) + given_up(1) + given_up(2) > 0, "refused for another reason");
+    // The site returns empty, and the partition ends.
+    fleet.sites[lost_site].cache.lock().unwrap().blocks.clear();
+    let before = fleet.sites[lost_site].calls();
     fleet.cut(false);
-    fleet.list(gone, true);
-    (0..3).for_each(|i| fleet.sees(i, 3));
-    let mut fresh = Talk::some(300).split_off(120);
+    fleet.set_listed(lost_site, true);
+    (0..3).for_each(|i| fleet.wait_sites(i, 3));
+    let mut fresh = Conversation::several(300).split_off(120);
     round(&mut fresh, &fleet);
     round(&mut fresh, &fleet);
-    let came = fleet.sites[gone].calls() - before;
-    assert!((1..=180).contains(&came), "{came} of 360 at the site that is back");
-    let mut busy_ones = Talk::some(1).remove(0);
-    busy_ones.answered = busy.into_inner().unwrap();
-    talks.extend(fresh);
-    talks.push(busy_ones);
-    fleet.ran_once(&talks);
+    let calls = fleet.sites[lost_site].calls() - before;
+    assert!((1..=180).contains(&calls), "{calls} of 360 at the site that is back");
+    let mut busy_calls = Conversation::several(1).remove(0);
+    busy_calls.answered = busy.into_inner().unwrap();
+    conversations.extend(fresh);
+    conversations.push(busy_calls);
+    fleet.check_ran_once(&conversations);
 }
 
-/// Says that it is over when it is dropped, whatever happened before.
-struct End(Arc<AtomicBool>);
+/// Sets the flag when it is dropped, also by a panic.
+struct StopOnDrop(Arc<AtomicBool>);
 
-impl Drop for End {
+impl Drop for StopOnDrop {
     fn drop(&mut self) {
         self.0.store(true, Relaxed);
     }
 }
 
-/// Each conversation takes a turn at its own one of three activators, several at once; how many were refused.
-fn round(talks: &mut [Talk], fleet: &Fleet) -> usize {
+/// Sends a turn of each conversation to its activator of three, with several threads. Returns how many were refused.
+fn round(conversations: &mut [Conversation], fleet: &Fleet) -> usize {
     scope(|s| {
-        let parts: Vec<_> = talks
+        let parts: Vec<_> = conversations
             .chunks_mut(4)
             .map(|part| {
                 s.spawn(move || {
-                    let refused = |t: &mut Talk| t.try_turn(fleet.one((t.number % 3) as usize)).is_none();
+                    let refused =
+                        |t: &mut Conversation| t.try_turn(fleet.program((t.number % 3) as usize)).is_none();
                     part.iter_mut().map(refused).filter(|refused| *refused).count()
                 })
             })
             .collect();
-        parts.into_iter().map(|part| part.join().expect("no turn went wrong")).sum()
+        parts.into_iter().map(|part| part.join().expect("a turn failed")).sum()
     })
 }
 
 #[rstest]
-#[case::parts("12;3")]
-#[case::more("12;3;aa;bb")]
-#[case::conversation("x;3;aa")]
-#[case::long("11112222333344445;3;aa")]
-#[case::new("12;-1;aa")]
-#[case::many_new("12;65536;aa")]
-#[case::hash("12;3;aa,,bb")]
-#[case::word("12;3;xyz")]
-fn a_turn_that_cannot_be_read_is_refused_and_ignored_without_the_table(#[case] turn: &str) {
+#[case::too_few_parts("12;3")]
+#[case::too_many_parts("12;3;aa;bb")]
+#[case::conversation_not_hex("x;3;aa")]
+#[case::conversation_too_long("11112222333344445;3;aa")]
+#[case::negative_new_blocks("12;-1;aa")]
+#[case::too_many_new_blocks("12;65536;aa")]
+#[case::empty_hash("12;3;aa,,bb")]
+#[case::hash_not_hex("12;3;xyz")]
+fn a_malformed_turn_is_refused_and_ignored_without_turns_settings(#[case] turn: &str) {
     let host = Host::warm();
     let header = format!("Wheellink-Turn: {turn}");
     let (program, _dns) = operator(&[&host], |text| format!("{text}\n{TURNS}"));
@@ -528,9 +551,9 @@
     assert!(host.seen.lock().unwrap().calls.iter().all(|(line, _)| !line.contains("blocks=")));
 }
 
-/// Hosts that tell nothing of what they found, or nonsense, are served as any.
+/// A host that does not report the blocks it found is called like any other.
 #[test]
-fn a_host_that_does_not_say_what_it_found_is_called_all_the_same() {
+fn a_host_that_does_not_report_found_blocks_is_called() {
     let host = Host::warm();
     let (program, _dns) = operator(&[&host], |text| format!("{text}\n{TURNS}"));
     for _ in 0..4 {
@@ -541,7 +564,7 @@
 }
 
 #[test]
-fn the_table_is_taken_up_and_put_down_with_a_reload() {
+fn turns_settings_are_added_by_a_reload_and_invalid_ones_are_rejected() {
     let host = Host::warm();
     let (program, dns) = operator(&[&host], |text| text);
     let header = &["Wheellink-Turn: 1;1;a"];
@@ -551,67 +574,69 @@
     assert_eq!(program.http(&call("chat", "check-score", header, "y")).status, 200);
     let view = program.ask("GET", "/turns", "").1;
     assert_eq!((&view["placed"]["all"], &view["sites"][0]["there"]), (&1.into(), &true.into()), "{view}");
-    // Bad input leaves what is in force.
+    // Invalid settings are rejected, and the settings in force stay.
     program.reload(&format!("{}\n{}", operator_file(dns.address), TURNS.replace("1000", "0")));
     wait_for("a refusal", || program.logged("price of a block") == 1);
     assert_eq!(program.ask("GET", "/turns", "").0, 200);
 }
 
-/// Turns whose prefix was lost with its site wait for a budget. Who leaves meanwhile has nothing begun for it when its
-/// turn would come.
+/// Turns whose prefix was lost with its site wait for a budget. If the client disconnects meanwhile, no call is sent for its turn
+/// when the budget allows it.
 #[test]
-fn nothing_begins_for_clients_that_leave_while_their_turns_are_held_back() {
+fn held_back_turns_of_clients_that_disconnect_are_not_run() {
     let table = format!(
-        "[turns]\nsite = \"cell\"\nblock_us = {}\nlanes = {LANES}\nresident = true\nperiod_ms = 50\nanew = {ANEW}\nhold = 0.9\n",
-        1e6 / BLOCKS
+        "[turns]\nsite = \"cell\"\nblock_us = {}\nlanes = {LANES}\nresident = true\nperiod_ms = 50\nanew = {ANEW_SHARE}\nhold = 0.9\n",
+        1e6 / BLOCKS_PER_SEC
     );
     let fleet = Fleet::start_with(1, 2, 100_000, &table);
-    let mut talks = Talk::some(60);
-    for talk in &mut talks {
-        talk.prefix = (0..PREFIX).map(|i| format!("{:x}", talk.number << 32 | (1_000 + i))).collect();
+    let mut conversations = Conversation::several(60);
+    for conversation in &mut conversations {
+        conversation.prefix =
+            (0..PREFIX_BLOCKS).map(|i| format!("{:x}", conversation.number << 32 | (1_000 + i))).collect();
     }
     for _ in 0..2 {
-        for talk in &mut talks {
-            talk.turn(fleet.one(0));
+        for conversation in &mut conversations {
+            conversation.turn(fleet.program(0));
         }
     }
-    let gone = (0..2).max_by_key(|site| fleet.sites[*site].calls()).unwrap();
-    let left = &fleet.sites[1 - gone];
-    let lay = |talk: &Talk| {
-        let cache = fleet.sites[gone].cache.lock().unwrap();
-        cache.missed.iter().any(|(number, ..)| *number == talk.number)
+    let lost_site = (0..2).max_by_key(|site| fleet.sites[*site].calls()).unwrap();
+    let site = &fleet.sites[1 - lost_site];
+    let was_lost = |conversation: &Conversation| {
+        let cache = fleet.sites[lost_site].cache.lock().unwrap();
+        cache.missed.iter().any(|(number, ..)| *number == conversation.number)
     };
-    talks.retain(lay);
-    fleet.list(gone, false);
-    fleet.sees(0, 1);
-    let ended = || fleet.one(0).logged("ended reason=");
+    conversations.retain(was_lost);
+    fleet.set_listed(lost_site, false);
+    fleet.wait_sites(0, 1);
+    let ended = || fleet.program(0).logged("ended reason=");
     let before = ended();
     let mut clients = Vec::new();
-    for talk in &talks {
-        let header = format!("Wheellink-Turn: {:x};2;{}", talk.number, talk.prefix.join(","));
-        let body = format!("leaves {} {:x}", talk.number, talk.number << 32 | 99);
-        let mut client = fleet.one(0).connect();
+    for conversation in &conversations {
+        let header = format!("Wheellink-Turn: {:x};2;{}", conversation.number, conversation.prefix.join(","));
+        let body = format!("leaves {} {:x}", conversation.number, conversation.number << 32 | 99);
+        let mut client = fleet.program(0).connect();
         client.write_all(call("chat", "check-score", &[&header], &body).as_bytes()).unwrap();
         clients.push(client);
     }
     let held_back = || fleet.view(0)["held_back"]["now"].as_u64().unwrap();
-    wait_for("turns that wait", || held_back() > 0);
+    wait_for("turns that are held back", || held_back() > 0);
     let closed = clients.len();
     drop(clients);
     wait_for("the ends of their connections", || ended() >= before + closed);
     let waiting = held_back();
-    assert!(waiting > 0, "none waits by now");
-    // Calls without a turn: what was begun before them has come, and the connections to the site stand.
-    let other = || assert_eq!(fleet.one(0).http(&call("chat", "check-score", &[], "other 0")).status, 200);
+    assert!(waiting > 0, "no turn is held back any more");
+    // Calls without a turn. Once they are answered, earlier calls have reached the site, and its connections are open.
+    let other =
+        || assert_eq!(fleet.program(0).http(&call("chat", "check-score", &[], "other 0")).status, 200);
     (0..16).for_each(|_| other());
-    let came = |left: &Site| left.cache.lock().unwrap().lines.len();
-    let begun = came(left);
+    let received = |site: &Site| site.cache.lock().unwrap().lines.len();
+    let before_wait = received(site);
     let mut others = 0;
-    wait_for("the end of their wait", || {
+    wait_for("the end of the held-back turns", || {
         other();
         others += 1;
         held_back() == 0
     });
     (0..16).for_each(|_| other());
-    assert_eq!(came(left), begun + others + 16, "nothing but those: {waiting} waited");
+    assert_eq!(received(site), before_wait + others + 16, "a turn of {waiting} held back was run");
 }
