--- a/node/tests/drafts.rs
+++ b/node/tests/drafts.rs
@@ -1,4 +1,5 @@
-//! Several activators that learn together how far to draft, as processes of their own, with faults between and in them.
+//! Activators that learn draft lengths from each other's counts. Each is a process of its own, under network faults, kills, and
+//! hosts and members that report invalid or forged counts.
 
 mod common;
 
@@ -14,28 +15,28 @@
 use rstest::rstest;
 use wheellink_drafts::{CallStats, Draft, DraftLearner, MemberId, Output, Settings, Workload};
 
-/// Parts of the members' protocol and of parcels: four bytes and the kind of drafts.
-const PARCEL: [u8; 5] = [0xff, 0x57, 0x4c, 0x01, 2];
+/// The start of a datagram between members that carries a message about drafts: four bytes of the protocol and the kind.
+const DRAFTS_HEADER: [u8; 5] = [0xff, 0x57, 0x4c, 0x01, 2];
 const CLASS: &str = "check-score";
 
-/// How a host with a draft model behaves.
+/// How a host with a draft model performs.
 #[derive(Clone, Copy)]
 struct Model {
-    /// Acceptance of a token, given that the one before it was accepted.
-    rate: f64,
-    /// Microseconds of a round and of each drafted token.
-    cost: (f64, f64),
-    /// Says something that cannot be.
-    absurd: bool,
+    /// Probability that a drafted token is accepted if the one before it was.
+    acceptance: f64,
+    /// Time of a round, and of each drafted token in it.
+    cost_us: (f64, f64),
+    /// Reports more accepted tokens than rounds.
+    invalid: bool,
 }
 
-const GOOD: Model = Model { rate: 0.85, cost: (9_000.0, 300.0), absurd: false };
+const GOOD: Model = Model { acceptance: 0.85, cost_us: (9_000.0, 300.0), invalid: false };
 
-/// A host that answers at once and says what it drafted.
+/// A host that answers at once and reports the drafts of each call.
 struct DraftHost {
     host: Host,
     model: Arc<Mutex<Model>>,
-    /// Drafts as they came.
+    /// Number of calls by the draft that they asked for.
     seen: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
@@ -46,11 +47,11 @@
         let address = listener.local_addr().unwrap();
         let host = Host { address, ways: Arc::new(Mutex::new(ways)), seen: Arc::default() };
         let (model, seen) = (Arc::new(Mutex::new(model)), Arc::<Mutex<BTreeMap<String, u32>>>::default());
-        let (told, counts) = (model.clone(), seen.clone());
+        let (shared, counts) = (model.clone(), seen.clone());
         spawn(move || {
             for (i, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-                let (told, counts) = (told.clone(), counts.clone());
-                spawn(move || serve(stream, &told, &counts, fastrand::Rng::with_seed(i as u64)));
+                let (shared, counts) = (shared.clone(), counts.clone());
+                spawn(move || serve(stream, &shared, &counts, fastrand::Rng::with_seed(i as u64)));
             }
         });
         Self { host, model, seen }
@@ -74,11 +75,11 @@
                 let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
                 lines.read_exact(&mut body).unwrap();
                 let draft = words[2].split(',').find_map(|f| f.strip_prefix("draft="));
-                let said = draft.map(|draft| {
+                let report = draft.map(|draft| {
                     *seen.lock().unwrap().entry(draft.into()).or_default() += 1;
-                    said(*model.lock().unwrap(), draft, &mut rng)
+                    report_of(*model.lock().unwrap(), draft, &mut rng)
                 });
-                format!("{} 200 tell=warm{} 0\r\n\r\n", words[1], said.unwrap_or_default())
+                format!("{} 200 tell=warm{} 0\r\n\r\n", words[1], report.unwrap_or_default())
             }
             "SPAWN" => format!("{} 200 copies=1 0\r\n\r\n", words[1]),
             "HELO" => format!("{} 200 - 0\r\n\r\n", words[1]),
@@ -90,50 +91,54 @@
     }
 }
 
-fn said(model: Model, draft: &str, rng: &mut fastrand::Rng) -> String {
+/// The field of an answer that reports 40 rounds of a draft: rounds, accepted tokens by position, all tokens and the time.
+fn report_of(model: Model, draft: &str, rng: &mut fastrand::Rng) -> String {
     let length = draft.split_once(':').unwrap().1.parse::<usize>().unwrap();
     let (rounds, mut accepted) = (40, vec![0u32; length]);
     for _ in 0..rounds {
         for k in &mut accepted {
-            if rng.f64() >= model.rate {
+            if rng.f64() >= model.acceptance {
                 break;
             }
             *k += 1;
         }
     }
-    if model.absurd {
+    if model.invalid {
         accepted.iter_mut().for_each(|k| *k = rounds + 5);
     }
     let tokens = rounds + accepted.iter().sum::<u32>();
-    let micros = (model.cost.0 + model.cost.1 * length as f64) * f64::from(rounds) * (0.9 + 0.2 * rng.f64());
+    let micros =
+        (model.cost_us.0 + model.cost_us.1 * length as f64) * f64::from(rounds) * (0.9 + 0.2 * rng.f64());
     let positions: String = accepted.iter().map(|k| format!("{k};")).collect();
     format!(",accepted={rounds};{positions}{tokens};{}", micros as u64)
 }
 
-/// A way between two members, which each takes for the other; either direction may be cut.
+/// A relay for datagrams between two members. Each member uses the relay's address for the other. Each direction can be cut.
 struct Link {
     members: [usize; 2],
+    /// The addresses that each of the two members uses for the other.
     near: [SocketAddr; 2],
     cut: [Arc<AtomicBool>; 2],
-    /// Each datagram comes twice.
+    /// Sends each datagram twice.
     doubled: Arc<AtomicBool>,
-    over: Arc<AtomicBool>,
+    /// Ends the threads of the relay.
+    stopped: Arc<AtomicBool>,
 }
 
 impl Link {
     fn new(members: [usize; 2], at: [SocketAddr; 2]) -> Self {
         let sockets: Vec<UdpSocket> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
         let near = [0, 1].map(|k| sockets[k].local_addr().unwrap());
-        let [first, second, doubled, over] = [0; 4].map(|_| Arc::new(AtomicBool::new(false)));
+        let [first, second, doubled, stopped] = [0; 4].map(|_| Arc::new(AtomicBool::new(false)));
         let cut = [first, second];
         for k in 0..2 {
             let (from, to) = (sockets[k].try_clone().unwrap(), sockets[1 - k].try_clone().unwrap());
-            let (cut, over, at) = (cut[k].clone(), over.clone(), at[1 - k]);
+            let (cut, stopped, at) = (cut[k].clone(), stopped.clone(), at[1 - k]);
             let doubled = doubled.clone();
             from.set_read_timeout(Some(ms(50))).unwrap();
             spawn(move || {
                 let mut buf = [0; 1_500];
-                while !over.load(Relaxed) {
+                while !stopped.load(Relaxed) {
                     let Ok((n, _)) = from.recv_from(&mut buf) else { continue };
                     if !cut.load(Relaxed) {
                         let times = 1 + usize::from(doubled.load(Relaxed));
@@ -142,26 +147,26 @@
                 }
             });
         }
-        Self { members, near, cut, doubled, over }
+        Self { members, near, cut, doubled, stopped }
     }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.over.store(true, Relaxed);
+        self.stopped.store(true, Relaxed);
     }
 }
 
-/// Clients of one activator.
+/// A client that sends calls to an activator one after another.
 struct Load {
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<u64>>,
 }
 
 impl Load {
-    fn on(program: &Program) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let (ends, address) = (over.clone(), program.address);
+    fn start(program: &Program) -> Self {
+        let stopped = Arc::new(AtomicBool::new(false));
+        let (ends, address) = (stopped.clone(), program.address);
         let thread = spawn(move || {
             let mut served = 0;
             while !ends.load(Relaxed) {
@@ -171,7 +176,7 @@
                     if stream.write_all(call("f", CLASS, &[], "x").as_bytes()).is_err() {
                         break;
                     }
-                    // An activator that was killed says nothing more.
+                    // A killed activator sends no answer.
                     if !stream.peek(&mut [0]).is_ok_and(|n| n > 0) {
                         break;
                     }
@@ -184,53 +189,57 @@
             }
             served
         });
-        Self { over, thread: Some(thread) }
+        Self { stopped, thread: Some(thread) }
     }
 
-    fn end(mut self) -> u64 {
-        self.over.store(true, Relaxed);
+    /// Stops the client, and returns the number of calls that were served.
+    fn stop(mut self) -> u64 {
+        self.stopped.store(true, Relaxed);
         self.thread.take().map_or(0, |t| t.join().unwrap())
     }
 }
 
+/// Activators, the relays between them, and their host.
 struct Fleet {
-    each: Vec<Option<Program>>,
-    at: Vec<SocketAddr>,
+    programs: Vec<Option<Program>>,
+    addrs: Vec<SocketAddr>,
     links: Vec<Link>,
     model: DraftHost,
     resolver: Resolver,
+    /// Settings that are appended to the file of each activator.
     more: String,
 }
 
-/// Quick to learn, and to forget.
+/// Settings with which learning and forgetting are quick.
 const QUICK: &str = "[drafts]\nperiod_ms = 60\nepoch_ms = 1000\nwindow = 6\nreview_ms = 200\nleast_rounds = 200\nexplore = 0.2\n\
     explore_per_s = 500\nversions_per_hour = 3600\n";
 
 impl Fleet {
-    fn met(n: usize, model: Model) -> Self {
-        let held: Vec<_> = (0..n).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-        let at: Vec<SocketAddr> = held.iter().map(|s| s.local_addr().unwrap()).collect();
-        drop(held);
+    /// Prepares `n` activators without starting them.
+    fn prepare(n: usize, model: Model) -> Self {
+        let sockets: Vec<_> = (0..n).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        let addrs: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
+        drop(sockets);
         let pairs = (0..n).flat_map(|a| (a + 1..n).map(move |b| [a, b]));
-        let links = pairs.map(|pair| Link::new(pair, pair.map(|i| at[i]))).collect();
+        let links = pairs.map(|pair| Link::new(pair, pair.map(|i| addrs[i]))).collect();
         let model = DraftHost::start(model);
         let resolver = Resolver::start(&[&model.host]);
-        let each = (0..n).map(|_| None).collect();
-        Self { each, at, links, model, resolver, more: QUICK.into() }
+        let programs = (0..n).map(|_| None).collect();
+        Self { programs, addrs, links, model, resolver, more: QUICK.into() }
     }
 
-    /// Where one takes another to be.
+    /// The address that member `of` uses for member `to`.
     fn near(&self, of: usize, to: usize) -> SocketAddr {
         let link = self.links.iter().find(|l| l.members.contains(&of) && l.members.contains(&to)).unwrap();
         link.near[usize::from(link.members[1] == of)]
     }
 
     fn file(&self, i: usize) -> String {
-        let others = (0..self.at.len())
+        let others = (0..self.addrs.len())
             .filter(|j| *j != i)
             .map(|j| format!("[[members.other]]\nname = \"m{j}\"\naddress = \"{}\"\n", self.near(i, j)));
         let others: String = others.collect();
-        let at = self.at[i];
+        let at = self.addrs[i];
         let file = operator_file(self.resolver.address);
         format!(
             "{file}\n[members]\nname = \"m{i}\"\nlisten = \"{at}\"\nperiod_ms = 100\n{others}\n{}",
@@ -239,11 +248,11 @@
     }
 
     fn start(&mut self, i: usize) {
-        self.each[i] = Some(Program::start(&self.file(i), true));
+        self.programs[i] = Some(Program::start(&self.file(i), true));
     }
 
     fn process(&self, i: usize) -> &Program {
-        self.each[i].as_ref().expect("it runs")
+        self.programs[i].as_ref().expect("it runs")
     }
 
     fn view(&self, i: usize) -> serde_json::Value {
@@ -252,25 +261,25 @@
         view
     }
 
-    /// Rounds that one holds of another, as told by that one itself and by others.
+    /// Rounds of member `of` that member `at` has counted, as reported by `of` itself, and as relayed by other members.
     fn rounds(&self, at: usize, of: usize) -> (u64, u64) {
         let view = self.view(at);
         let names = view["names"].as_object().unwrap();
         let number = names.iter().find(|(_, name)| **name == format!("m{of}")).map(|(n, _)| n.clone());
-        let number = number.expect("on the roster").parse::<u64>().unwrap();
+        let number = number.expect("the member's name is known").parse::<u64>().unwrap();
         let members = view["learnt"]["members"].as_array().unwrap();
         let member = members.iter().find(|m| m["member"] == number);
         member.map_or((0, 0), |m| (m["rounds"].as_u64().unwrap(), m["hearsay"].as_u64().unwrap()))
     }
 
-    /// The length of the best draft known to one, in the idle band.
+    /// The length of the draft that a member has learnt to be best, in the load band of idle hosts.
     fn best(&self, at: usize) -> Option<u64> {
         let view = self.view(at);
         let best = view["learnt"]["workloads"][CLASS]["bands"][0]["best"].as_str()?.to_string();
         best.split_once(':')?.1.parse().ok()
     }
 
-    /// What one would have come into force.
+    /// The draft that a member proposes for the idle band.
     fn wanted(&self, at: usize) -> Option<String> {
         self.view(at)["wanted"][format!("{CLASS}/0")].as_str().map(str::to_string)
     }
@@ -282,55 +291,55 @@
 }
 
 fn serving(fleet: &Fleet) -> Vec<Load> {
-    fleet.each.iter().flatten().map(Load::on).collect()
+    fleet.programs.iter().flatten().map(Load::start).collect()
 }
 
 fn started(n: usize, model: Model) -> (Fleet, Vec<Load>) {
-    let mut fleet = Fleet::met(n, model);
+    let mut fleet = Fleet::prepare(n, model);
     (0..n).for_each(|i| fleet.start(i));
     let loads = serving(&fleet);
     (fleet, loads)
 }
 
 #[test]
-fn each_learns_from_all_and_wants_the_same() {
+fn all_members_learn_from_each_other_and_want_the_same_draft() {
     let (fleet, loads) = started(3, GOOD);
     for i in 0..3 {
-        wait_for("everybody's counts", || (0..3).filter(|j| *j != i).all(|j| fleet.rounds(i, j).0 > 400));
+        wait_for("the others' counts", || (0..3).filter(|j| *j != i).all(|j| fleet.rounds(i, j).0 > 400));
         wait_for("a long draft", || fleet.wanted(i).is_some_and(|w| ["1:7", "1:8"].contains(&w.as_str())));
     }
-    assert!(loads.into_iter().map(Load::end).all(|served| served > 0));
+    assert!(loads.into_iter().map(Load::stop).all(|served| served > 0));
     let view = fleet.view(0);
     assert_eq!(view["learnt"]["workloads"][CLASS]["members"], 3, "{view}");
     assert_eq!((&view["silent"], &view["unread"]), (&0.into(), &0.into()), "{view}");
     let seen = fleet.model.seen.lock().unwrap();
     let tried: u32 = seen.iter().filter(|(draft, _)| *draft != "0:0").map(|(_, n)| n).sum();
     let all: u32 = seen.values().sum();
-    assert!(tried > 0 && tried * 3 < all, "without a version only trials draft: {seen:?}");
+    assert!(tried > 0 && tried * 3 < all, "without an agreed version only trials draft: {seen:?}");
 }
 
 #[test]
-fn nothing_is_counted_twice_by_doubling_death_and_a_new_life() {
-    let mut fleet = Fleet::met(3, GOOD);
+fn duplicated_datagrams_and_a_restart_count_nothing_twice() {
+    let mut fleet = Fleet::prepare(3, GOOD);
     fleet.more = QUICK.replace("epoch_ms = 1000", "epoch_ms = 20000");
     fleet.links.iter().for_each(|l| l.doubled.store(true, Relaxed));
     (0..3).for_each(|i| fleet.start(i));
     let loads = serving(&fleet);
     wait_for("counts of the first", || fleet.rounds(1, 0).0 > 400 && fleet.rounds(2, 0).0 > 400);
-    // It dies with calls under way.
-    fleet.each[0].as_mut().unwrap().kill();
-    fleet.each[0] = None;
+    // The activator is killed while calls are open.
+    fleet.programs[0].as_mut().unwrap().kill();
+    fleet.programs[0] = None;
     sleep(ms(200));
     let (before, _) = fleet.rounds(1, 0);
     fleet.start(0);
-    let again = Load::on(fleet.process(0));
-    wait_for("counts of its new life", || fleet.rounds(1, 0).0 > before + 400);
-    // The new life hears from others what its old one told them.
-    wait_for("hearsay of its old life", || {
+    let again = Load::start(fleet.process(0));
+    wait_for("counts after the restart", || fleet.rounds(1, 0).0 > before + 400);
+    // The others relay to the restarted activator the counts that it had sent before the restart.
+    wait_for("relayed counts from before the restart", || {
         let members = fleet.view(0)["learnt"]["members"].clone();
         members.as_array().unwrap().iter().any(|m| m["hearsay"].as_u64().unwrap() > 0)
     });
-    let served: u64 = loads.into_iter().chain([again]).map(Load::end).sum();
+    let served: u64 = loads.into_iter().chain([again]).map(Load::stop).sum();
     assert!(served > 0);
     let own = |i: usize| {
         let view = fleet.view(i);
@@ -345,15 +354,15 @@
     assert!(all <= 40 * u64::from(calls), "{all} rounds of {calls} calls");
     assert!(
         all * 10 >= 40 * u64::from(calls) * 7,
-        "{all} rounds of {calls} calls: what is missing died untold"
+        "{all} rounds of {calls} calls: only counts that were not sent before the kill may be lost"
     );
 }
 
-/// Deferred calls are out when their activator dies: nobody has their answers, so that they are in no sum, neither of the life
-/// that ended nor of the one after it, whatever others told of the first.
+/// Deferred calls are open when their activator is killed, so their answers are lost. They are counted neither before nor after
+/// the restart, also in what other members relay.
 #[test]
-fn deferred_calls_that_a_death_cuts_off_are_in_no_sum() {
-    let mut fleet = Fleet::met(2, GOOD);
+fn deferred_calls_lost_by_a_kill_are_not_counted() {
+    let mut fleet = Fleet::prepare(2, GOOD);
     fleet.more = QUICK.replace("epoch_ms = 1000", "epoch_ms = 20000");
     (0..2).for_each(|i| fleet.start(i));
     let healthy = |fleet: &Fleet| {
@@ -366,36 +375,36 @@
         assert!(replies.iter().all(|r| r.status == 202));
         replies.iter().map(|r| r.header("location").unwrap().to_string()).collect()
     };
-    let ten_are_served = |fleet: &Fleet| {
+    let serve_ten = |fleet: &Fleet| {
         let results = defer(fleet, 10);
         assert!(results.iter().all(|at| fleet.process(0).collect(at).status == 200));
     };
     healthy(&fleet);
-    ten_are_served(&fleet);
+    serve_ten(&fleet);
     wait_for("their counts", || fleet.rounds(1, 0).0 == 400);
-    // The host says nothing while this is held.
+    // The host does not answer while this lock is held.
     let seen = fleet.model.seen.clone();
-    let held = seen.lock().unwrap();
+    let guard = seen.lock().unwrap();
     let lost = defer(&fleet, 2);
     wait_for("the calls", || fleet.view(0)["out"] == 2);
-    fleet.each[0].as_mut().unwrap().kill();
-    fleet.each[0] = None;
-    drop(held);
-    wait_for("the end of their work", || seen.lock().unwrap().values().sum::<u32>() == 12);
+    fleet.programs[0].as_mut().unwrap().kill();
+    fleet.programs[0] = None;
+    drop(guard);
+    wait_for("the end of the calls on the host", || seen.lock().unwrap().values().sum::<u32>() == 12);
     fleet.start(0);
     healthy(&fleet);
     let asked = request("GET", &lost[0], &[], "");
-    assert_eq!(fleet.process(0).http(&asked).status, 404, "results end with their process");
-    ten_are_served(&fleet);
-    wait_for("the counts of both lives", || fleet.rounds(1, 0).0 == 800);
-    // Several periods on, with word going both ways.
+    assert_eq!(fleet.process(0).http(&asked).status, 404, "results are lost with their process");
+    serve_ten(&fleet);
+    wait_for("the counts from before and after the restart", || fleet.rounds(1, 0).0 == 800);
+    // Several periods later, with messages in both directions, the counts are the same.
     sleep(ms(400));
     assert_eq!((fleet.rounds(1, 0).0, seen.lock().unwrap().values().sum::<u32>()), (800, 22));
 }
 
 #[test]
-fn acceptance_that_collapses_during_a_partition_is_learnt_by_those_who_hear_each_other() {
-    let mut fleet = Fleet::met(3, GOOD);
+fn a_majority_learns_during_a_partition_that_acceptance_collapsed() {
+    let mut fleet = Fleet::prepare(3, GOOD);
     fleet.more.push_str("start = \"1:8\"\n");
     (0..3).for_each(|i| fleet.start(i));
     let loads = serving(&fleet);
@@ -405,11 +414,12 @@
     }
     fleet.cut(0, 1, true);
     fleet.cut(0, 2, true);
-    *fleet.model.model.lock().unwrap() = Model { rate: 0.05, cost: (9_000.0, 4_000.0), absurd: false };
+    *fleet.model.model.lock().unwrap() =
+        Model { acceptance: 0.05, cost_us: (9_000.0, 4_000.0), invalid: false };
     for i in [1, 2] {
         wait_for("drafts to be off", || fleet.wanted(i).as_deref() == Some("0:0"));
     }
-    // By its own counts alone it wants nothing, then and when those of the others are forgotten.
+    // The isolated member proposes nothing from its own counts alone, also after it has forgotten the others' counts.
     let until = Instant::now() + Duration::from_secs(8);
     while Instant::now() < until {
         assert_eq!(fleet.wanted(0), None, "{}", fleet.view(0));
@@ -420,26 +430,26 @@
     fleet.cut(0, 1, false);
     fleet.cut(0, 2, false);
     wait_for("drafts to be off for all", || fleet.wanted(0).as_deref() == Some("0:0"));
-    assert!(loads.into_iter().map(Load::end).all(|served| served > 0));
+    assert!(loads.into_iter().map(Load::stop).all(|served| served > 0));
 }
 
-/// Sends what a member tells, from where it hears.
-fn tell(socket: &UdpSocket, to: &BTreeMap<MemberId, SocketAddr>, out: Vec<Output>) {
-    for o in out {
-        if let Output::Send { to: name, data } = o {
-            let _ = socket.send_to(&[&PARCEL, &data[..]].concat(), to[&name]);
+/// Sends the outgoing messages of a member from its own socket.
+fn send_all(socket: &UdpSocket, to: &BTreeMap<MemberId, SocketAddr>, out: Vec<Output>) {
+    for output in out {
+        if let Output::Send { to: name, data } = output {
+            let _ = socket.send_to(&[&DRAFTS_HEADER, &data[..]].concat(), to[&name]);
         }
     }
 }
 
 #[test]
-fn a_member_that_forges_counts_moves_nothing_and_is_told() {
-    let model = Model { rate: 0.2, cost: (9_000.0, 3_000.0), absurd: false };
-    let mut fleet = Fleet::met(4, model);
+fn forged_counts_of_a_member_have_no_effect_and_are_reported() {
+    let model = Model { acceptance: 0.2, cost_us: (9_000.0, 3_000.0), invalid: false };
+    let mut fleet = Fleet::prepare(4, model);
     (0..3).for_each(|i| fleet.start(i));
     let loads = serving(&fleet);
-    // The fourth is no process: its datagrams are written here.
-    let socket = UdpSocket::bind(fleet.at[3]).unwrap();
+    // The fourth member is not a process. The test sends its datagrams.
+    let socket = UdpSocket::bind(fleet.addrs[3]).unwrap();
     let number = |of: usize| {
         let names = fleet.view((of + 1) % 3)["names"].as_object().unwrap().clone();
         let found = names.iter().find(|(_, name)| **name == format!("m{of}")).unwrap();
@@ -451,8 +461,8 @@
     let mut forger = DraftLearner::new(quick, number(3), 1, 1, Duration::ZERO).unwrap();
     forger.set_members(to.keys().copied(), 3);
     let (workload, begun) = (Workload::new(CLASS).unwrap(), Instant::now());
-    let mut seen = BTreeSet::new();
-    let mut heard_since = None;
+    let mut excluding = BTreeSet::new();
+    let mut all_since = None;
     loop {
         let now = begun.elapsed();
         for (length, micros) in [(8u8, 900), (4, 900), (0, 90_000)] {
@@ -460,7 +470,7 @@
             let accepted = vec![20_000; length as usize];
             let (rounds, tokens) = (20_000, 20_000 * (u32::from(length) + 1));
             let time = Duration::from_micros(micros * 20_000);
-            let ran = CallStats {
+            let call = CallStats {
                 workload: workload.clone(),
                 draft,
                 band: 0,
@@ -470,95 +480,98 @@
                 tokens,
                 time,
             };
-            forger.record_call(now, &ran).unwrap();
+            forger.record_call(now, &call).unwrap();
         }
         let mut out = Vec::new();
         forger.wake(now, &mut out);
-        tell(&socket, &to, out);
-        // And what is no datagram, or of nobody.
-        let _ = socket.send_to(&[&PARCEL[..], &[1, 9, 9, 9]].concat(), to[&number(0)]);
+        send_all(&socket, &to, out);
+        // A datagram that cannot be decoded.
+        let _ = socket.send_to(&[&DRAFTS_HEADER[..], &[1, 9, 9, 9]].concat(), to[&number(0)]);
         for i in 0..3 {
             assert_eq!(fleet.wanted(i), None, "{}", fleet.view(i));
             let left_out = fleet.view(i)["learnt"]["workloads"][CLASS]["left_out"].clone();
             if left_out[number(3).0.to_string()].is_string() {
-                seen.insert(i);
+                excluding.insert(i);
             }
         }
-        // All hold its counts for what they are for a while.
-        if seen.len() == 3 {
-            let since: &mut Instant = heard_since.get_or_insert_with(Instant::now);
+        // Once all three members have left its counts out, the checks go on for 2 s.
+        if excluding.len() == 3 {
+            let since: &mut Instant = all_since.get_or_insert_with(Instant::now);
             if since.elapsed() > Duration::from_secs(2) {
                 break;
             }
         }
-        assert!(begun.elapsed() < 4 * LONG, "not told by all: {seen:?} {}", fleet.view(0));
+        assert!(begun.elapsed() < 4 * LONG, "not left out by all: {excluding:?} {}", fleet.view(0));
         sleep(ms(50));
     }
-    assert!(fleet.rounds(0, 3).0 > 0, "it was heard");
+    assert!(fleet.rounds(0, 3).0 > 0, "its counts were received");
     let unreadable = fleet.view(0)["learnt"]["refused"]["a datagram that cannot be read"].as_u64();
     assert!(unreadable.is_some_and(|n| n > 0), "{}", fleet.view(0));
-    assert!(fleet.process(0).logged("is left out") > 0, "staff are told");
-    assert!(loads.into_iter().map(Load::end).all(|served| served > 0));
+    assert!(fleet.process(0).logged("is left out") > 0, "the log reports it");
+    assert!(loads.into_iter().map(Load::stop).all(|served| served > 0));
 }
 
 #[test]
-fn a_host_whose_figures_cannot_be_is_not_believed() {
-    let (fleet, loads) = started(1, Model { absurd: true, ..GOOD });
+fn invalid_counts_of_a_host_are_refused() {
+    let (fleet, loads) = started(1, Model { invalid: true, ..GOOD });
     let why = "more accepted at a position than at the one before it";
     wait_for("a refusal", || {
         let refused = fleet.view(0)["learnt"]["refused"][why].as_u64();
         refused.is_some_and(|n| n > 0)
     });
     assert_eq!(fleet.wanted(0), None);
-    assert!(loads.into_iter().map(Load::end).all(|served| served > 0), "its answers are served all the same");
+    assert!(loads.into_iter().map(Load::stop).all(|served| served > 0), "its answers are passed on");
 }
 
 #[test]
-fn without_a_table_of_the_file_nothing_is_drafted() {
-    let mut fleet = Fleet::met(1, GOOD);
+fn without_drafts_settings_nothing_is_drafted_until_a_reload_adds_them() {
+    let mut fleet = Fleet::prepare(1, GOOD);
     fleet.more.clear();
     fleet.start(0);
     assert_eq!(fleet.process(0).operate("GET", "/drafts", ""), 404);
-    let load = Load::on(fleet.process(0));
-    wait_for("no calls of a draft", || fleet.process(0).http(&call("f", CLASS, &[], "x")).status == 200);
-    assert!(load.end() > 0);
+    let load = Load::start(fleet.process(0));
+    wait_for("a call", || fleet.process(0).http(&call("f", CLASS, &[], "x")).status == 200);
+    assert!(load.stop() > 0);
     assert!(fleet.model.seen.lock().unwrap().is_empty(), "no call has a draft field");
-    // A file that sets it is taken up without a restart.
-    let with = format!("{}\n{QUICK}", fleet.file(0));
-    fleet.process(0).reload(&with);
+    // A reload that adds the settings applies without a restart.
+    let file = format!("{}\n{QUICK}", fleet.file(0));
+    fleet.process(0).reload(&file);
     wait_for("the new file", || fleet.process(0).operate("GET", "/drafts", "") == 200);
-    let load = Load::on(fleet.process(0));
+    let load = Load::start(fleet.process(0));
     wait_for("drafts", || !fleet.model.seen.lock().unwrap().is_empty());
-    assert!(load.end() > 0);
+    assert!(load.stop() > 0);
 }
 
 #[rstest]
 #[case::longest("longest = 9", "drafts.longest: 1 to 8")]
-#[case::word("lengths = 3", "unknown field `lengths`")]
+#[case::unknown_field("lengths = 3", "unknown field `lengths`")]
 #[case::start("start = \"1:9\"", "drafts.start")]
-fn a_setup_that_makes_no_sense_is_turned_down(#[case] setup: &str, #[case] wanted: &str) {
+fn invalid_settings_are_rejected(#[case] setup: &str, #[case] wanted: &str) {
     let file = operator_file("127.0.0.1:9".parse().unwrap());
-    let (status, said) = turned_down(&format!("{file}\n[drafts]\n{setup}\n"), true);
-    assert!(!status.success() && said.contains(wanted), "{said}");
+    let (status, output) = turned_down(&format!("{file}\n[drafts]\n{setup}\n"), true);
+    assert!(!status.success() && output.contains(wanted), "{output}");
 }
 
+/// Settings with which the draft table is agreed upon.
 const AGREED: &str = "[accord]\nvoters = [\"m0\", \"m1\", \"m2\"]\nlease_ms = 1000\nperiod_ms = 100\n\
     [accord.floor]\n\"draft/check-score/0\" = \"1:1\"\n[accord.document]\n\"draft/check-score/0\" = \"1:1\"\n";
 
 impl Fleet {
+    /// The draft of the idle band in the table that a member applies.
     fn in_force(&self, at: usize) -> Option<String> {
         self.view(at)["table"][format!("{CLASS}/0")].as_str().map(str::to_string)
     }
 
+    /// The agreed version that a member applies, 0 on the floor.
     fn version(&self, at: usize) -> u64 {
         self.view(at)["learnt"]["version"].as_u64().unwrap()
     }
 }
 
-/// What was learnt comes into force as an agreed version; a minority publishes nothing and falls to the floor.
+/// Learnt drafts come into force as an agreed version. A minority publishes no version and falls back to the floor.
 #[test]
-fn what_is_learnt_comes_into_force_by_agreement_and_not_in_a_minority() {
-    let mut fleet = Fleet::met(3, GOOD);
+fn learnt_drafts_come_into_force_by_agreement_but_not_in_a_minority() {
+    let mut fleet = Fleet::prepare(3, GOOD);
     fleet.more.push_str(AGREED);
     (0..3).for_each(|i| fleet.start(i));
     let mut loads = serving(&fleet);
@@ -568,16 +581,17 @@
     }
     let before = (0..3).map(|i| fleet.version(i)).max().unwrap();
     assert!(before > 0);
-    // The third dies and comes back: it takes up what is in force.
-    loads.pop().map(Load::end);
-    fleet.each[2].as_mut().unwrap().kill();
+    // The third activator is killed and restarted, and applies the version in force.
+    loads.pop().map(Load::stop);
+    fleet.programs[2].as_mut().unwrap().kill();
     fleet.start(2);
-    loads.push(Load::on(fleet.process(2)));
+    loads.push(Load::start(fleet.process(2)));
     wait_for("the version in force", || long(fleet.in_force(2)) && fleet.version(2) >= before);
     let before = (0..3).map(|i| fleet.version(i)).max().unwrap();
     fleet.cut(0, 1, true);
     fleet.cut(0, 2, true);
-    *fleet.model.model.lock().unwrap() = Model { rate: 0.05, cost: (9_000.0, 4_000.0), absurd: false };
+    *fleet.model.model.lock().unwrap() =
+        Model { acceptance: 0.05, cost_us: (9_000.0, 4_000.0), invalid: false };
     for i in [1, 2] {
         wait_for("drafts to be off", || {
             assert!(fleet.version(0) <= before, "{}", fleet.view(0));
@@ -590,7 +604,7 @@
         assert_eq!(
             (fleet.version(0), fleet.in_force(0).as_deref()),
             (0, Some("1:1")),
-            "it publishes nothing"
+            "a minority must publish no version"
         );
         sleep(ms(50));
     }
@@ -598,5 +612,5 @@
     fleet.cut(0, 2, false);
     wait_for("drafts to be off for all", || fleet.in_force(0).as_deref() == Some("0:0"));
     assert!(fleet.version(0) > before);
-    assert!(loads.into_iter().map(Load::end).all(|served| served > 0));
+    assert!(loads.into_iter().map(Load::stop).all(|served| served > 0));
 }
--- a/node/tests/turns.rs
+++ b/node/tests/turns.rs
@@ -91,7 +91,7 @@
 
 /// A relay for datagrams between two activators, which drops them while it is cut.
 struct Link {
-    address: SocketAddr,
+    addr: SocketAddr,
     cut: Arc<AtomicBool>,
     /// Ends the thread of the relay.
     stopped: Arc<AtomicBool>,
@@ -119,7 +119,7 @@
         let sites: Vec<Site> = (0..sites).map(|_| Site::start(max_blocks)).collect();
         let resolver = Resolver::start(&[]);
         let sockets: Vec<_> = (0..n).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-        let addresses: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
+        let addrs: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
         // The activator `a` sends datagrams for `b` to relays[(b, a)], and they reach `b` from relays[(a, b)].
         let pairs = (0..n).flat_map(|a| (0..n).filter(move |b| *b != a).map(move |b| (a, b)));
         let relays: BTreeMap<(usize, usize), UdpSocket> =
@@ -129,12 +129,12 @@
         for ((a, b), socket) in &relays {
             // The address at which `b` reaches `a`.
             let link = Link {
-                address: socket.local_addr().unwrap(),
+                addr: socket.local_addr().unwrap(),
                 cut: Arc::new(AtomicBool::new(false)),
                 stopped: Arc::new(AtomicBool::new(false)),
             };
             let (from, to, target) =
-                (socket.try_clone().unwrap(), relays[&(*b, *a)].try_clone().unwrap(), addresses[*a]);
+                (socket.try_clone().unwrap(), relays[&(*b, *a)].try_clone().unwrap(), addrs[*a]);
             let (cut, stopped) = (link.cut.clone(), link.stopped.clone());
             from.set_read_timeout(Some(ms(50))).unwrap();
             spawn(move || {
@@ -151,13 +151,11 @@
             let others: String = (0..n)
                 .filter(|j| *j != i)
                 .map(|j| {
-                    format!("[[members.other]]\nname = \"m{j}\"\naddress = \"{}\"\n", links[&(j, i)].address)
+                    format!("[[members.other]]\nname = \"m{j}\"\naddress = \"{}\"\n", links[&(j, i)].addr)
                 })
                 .collect();
-            let members = format!(
-                "[members]\nname = \"m{i}\"\nlisten = \"{}\"\nperiod_ms = 100\n{others}",
-                addresses[i]
-            );
+            let members =
+                format!("[members]\nname = \"m{i}\"\nlisten = \"{}\"\nperiod_ms = 100\n{others}", addrs[i]);
             format!("{}\n{members}{turns}", operator_file(resolver.address))
         };
         let files: Vec<String> = (0..n).map(file).collect();
