--- a/node/tests/accord.rs
+++ b/node/tests/accord.rs
@@ -88,10 +88,11 @@
     fleet.programs[at].as_ref().expect("it runs").http(&call("f", "check-score", &[], "x")).status
 }
 
-fn isolate(fleet: &Fleet, one: usize, loss: u8) {
-    for other in (0..3).filter(|i| *i != one) {
-        fleet.set_loss(one, other, loss);
-        fleet.set_loss(other, one, loss);
+/// Sets the loss of datagrams, of 255, between an activator and the two others, in both directions.
+fn set_loss(fleet: &Fleet, at: usize, loss: u8) {
+    for other in (0..3).filter(|i| *i != at) {
+        fleet.set_loss(at, other, loss);
+        fleet.set_loss(other, at, loss);
     }
 }
 
@@ -119,14 +120,14 @@
 #[test]
 fn an_isolated_activator_serves_on_the_floor_and_rejoins() {
     let fleet = fleet();
-    isolate(&fleet, 0, 255);
+    set_loss(&fleet, 0, 255);
     wait_acting_on(&fleet, &[0], "floor");
     assert_eq!(call_status(&fleet, 0), 200, "calls are served on the floor");
     assert!(acting_log(&fleet, 0).last().is_some_and(|last| last.starts_with("the floor of ")));
     // The others accept changes without it once its lease has expired.
     let before = wait_agreed(&fleet, &[1, 2], 0)["number"].as_u64().unwrap();
     assert_eq!(propose(&fleet, 1, r#"{"class/check-score/aim_ms":1900}"#).0, 202);
-    isolate(&fleet, 0, 0);
+    set_loss(&fleet, 0, 0);
     wait_agreed(&fleet, &[0, 1, 2], before + 1);
     assert_eq!(call_status(&fleet, 0), 200);
 }
@@ -206,23 +207,23 @@
 fn a_reloaded_file_is_checked_against_the_version_in_force() {
     let fleet = fleet();
     apply(&fleet, 0, r#"{"class/send-mail/aim_ms":1400}"#);
-    let (one, whole) = (fleet.programs[0].as_ref().unwrap(), fleet.file(0));
-    one.reload(&whole.replacen("name = \"send-mail\"", "name = \"send-mails\"", 1));
+    let (program, file) = (fleet.programs[0].as_ref().unwrap(), fleet.file(0));
+    program.reload(&file.replacen("name = \"send-mail\"", "name = \"send-mails\"", 1));
     let problem = "the old configuration is kept: accord: in force is class/send-mail/aim_ms: the file";
-    wait_for("the rejected reload", || one.logged(problem) > 0);
+    wait_for("the rejected reload", || program.logged(problem) > 0);
     // A change outside [accord] keeps the agreement state and the version.
-    one.reload(&whole.replacen("aim_ms = 2000", "aim_ms = 1900", 1));
-    wait_for("the reload", || one.logged("configuration read again") == 1);
+    program.reload(&file.replacen("aim_ms = 2000", "aim_ms = 1900", 1));
+    wait_for("the reload", || program.logged("configuration read again") == 1);
     assert_eq!((view(&fleet, 0)["acting"]["on"].as_str(), acting_log(&fleet, 0).len()), (Some("one"), 4));
     // A change of [accord] restarts the agreement on the floor. The floor may be over between two queries, so check the log.
     let before = acting_log(&fleet, 0).len();
-    one.reload(&whole.replace("period_ms = 60", "period_ms = 70"));
+    program.reload(&file.replace("period_ms = 60", "period_ms = 70"));
     wait_for("the restart on the floor", || {
         acting_log(&fleet, 0)[before..].iter().any(|act| act.starts_with("the floor"))
     });
     wait_agreed(&fleet, &[0, 1, 2], 0);
-    one.reload(&whole[..whole.find("[accord]").unwrap()]);
-    wait_for("the end of the agreement", || one.operate("GET", "/accord", "") == 404);
+    program.reload(&file[..file.find("[accord]").unwrap()]);
+    wait_for("the end of the agreement", || program.operate("GET", "/accord", "") == 404);
     assert_eq!(call_status(&fleet, 0), 200);
 }
 
@@ -251,8 +252,8 @@
     wait_acting_on(&fleet, &[0, 1, 2], "one");
     let call = call("f", "check-score", &["Wheellink-Tenant: kouterzorg"], "x");
     let served = |n: usize| {
-        let one = fleet.programs[0].as_ref().unwrap();
-        (0..n).filter(|_| one.http(&call).status == 200).count()
+        let program = fleet.programs[0].as_ref().unwrap();
+        (0..n).filter(|_| program.http(&call).status == 200).count()
     };
     wait_for("hosts", || served(1) == 1);
     // A quota of one call in 10 s for the fleet is one in 30 s for each of three activators.
@@ -278,7 +279,7 @@
     apply(&fleet, 2, r#"{"draft/check-score/0":"1:5","draft/send-mail/2":"0:0"}"#);
     let merged = serde_json::json!({"check-score/0": "1:5", "check-score/1": "1:3", "send-mail/2": "0:0"});
     (0..3).for_each(|at| assert_eq!(table(at), merged));
-    isolate(&fleet, 1, 255);
+    set_loss(&fleet, 1, 255);
     wait_acting_on(&fleet, &[1], "floor");
     assert_eq!(table(1), file);
 }
@@ -438,7 +439,7 @@
     let small = fleet.file(2).replace(&format!("list.functions = [{}]\n", entries.join(", ")), "");
     fleet.programs[2] = Some(Program::start(&small, true));
     wait_for("hosts", || call_status(&fleet, 2) == 200);
-    let one = fleet.programs[2].as_ref().expect("it runs");
+    let program = fleet.programs[2].as_ref().expect("it runs");
     let fetching = || view(&fleet, 2)["fetched"]["bytes"].as_u64().is_some_and(|bytes| bytes > 0);
     let complete = |at: usize| view(&fleet, at)["entries"].as_u64() >= Some(ENTRIES as u64);
     wait_for("part of the list", || fetching() || complete(2));
@@ -450,10 +451,10 @@
         }
     };
     call_all(&[0, 1, 2]);
-    one.stop(true);
+    program.stop(true);
     (0..20).for_each(|_| call_all(&[0, 1]));
     sleep(ms(2 * LEASE_MS));
-    one.stop(false);
+    program.stop(false);
     wait_for("the whole list", || {
         call_all(&[0, 1, 2]);
         (0..3).all(complete)
--- a/node/tests/rollout.rs
+++ b/node/tests/rollout.rs
@@ -91,7 +91,8 @@
 }
 
 /// A candidate withholds attempts, as it does when the terms of their class change. These calls are refused, since they did not
-/// run, and the candidate goes on deciding others. It used to report the ends of attempts whose start it had not reported, and was killed for that.
+/// run, and the candidate goes on deciding others. It used to report the ends of attempts whose start it had not reported, and
+/// was killed for that.
 #[test]
 fn a_candidate_that_withholds_attempts_keeps_running() {
     let host = Host::warm();
