--- a/crates/members/src/local_member.rs
+++ b/crates/members/src/local_member.rs
@@ -184,7 +184,7 @@
 
     /// Handles a datagram that came from the address of member `from`. A datagram is dropped if it is malformed, names
     /// another sender, or comes from a member that is not on the roster.
-    pub fn handle_datagram(&mut self, now: Duration, from: MemberId, data: &[u8], out: &mut Vec<Output>) {
+    pub fn receive(&mut self, now: Duration, from: MemberId, data: &[u8], out: &mut Vec<Output>) {
         self.detect_pause(now);
         if self.left || data.len() > self.settings.max_datagram_bytes || !self.roster.contains(&from) {
             return;
--- a/crates/members/tests/net/mod.rs
+++ b/crates/members/tests/net/mod.rs
@@ -117,7 +117,7 @@
         let mut out = Vec::new();
         p.member.handle_timers(now, &mut out);
         for (from, data) in std::mem::take(&mut p.unread) {
-            p.member.handle_datagram(now, from, &data, &mut out);
+            p.member.receive(now, from, &data, &mut out);
         }
         self.carry_out(i, out);
     }
@@ -206,7 +206,7 @@
                     let (now, from) = (self.now, MemberId(from as u32));
                     match &mut self.processes[to] {
                         Some(p) if p.stopped => p.unread.push((from, data)),
-                        Some(p) => p.member.handle_datagram(now, from, &data, &mut out),
+                        Some(p) => p.member.receive(now, from, &data, &mut out),
                         None => {}
                     }
                     self.carry_out(to, out);
--- a/crates/members/tests/networks.rs
+++ b/crates/members/tests/networks.rs
@@ -345,11 +345,11 @@
     datagrams.extend((0..2_000).map(|_| (0..rng.usize(..80)).map(|_| rng.u8(..4)).collect()));
     let mut out = Vec::new();
     for data in datagrams.iter().take(5) {
-        net.process(0).member.handle_datagram(now, MemberId(1), data, &mut out);
+        net.process(0).member.receive(now, MemberId(1), data, &mut out);
     }
     assert!(out.is_empty() && net.process(0).member.view() == before, "{out:?}");
     for data in &datagrams {
-        net.process(0).member.handle_datagram(now, MemberId(1), data, &mut out);
+        net.process(0).member.receive(now, MemberId(1), data, &mut out);
     }
     assert!(net.process(0).member.entry_count() < 100, "the tables stay bounded");
 }
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -218,7 +218,7 @@
                             }
                         }
                         Content::ProbeReply => {}
-                        Content::Members(data) => self.members.handle_datagram(now, *from, data, &mut out),
+                        Content::Members(data) => self.members.receive(now, *from, data, &mut out),
                         Content::Unknown => self.dropped += 1,
                         // The node fetches envelopes after each read: if so many are waiting, nobody fetches them.
                         Content::Envelope(..) if self.envelopes.len() >= MAX_READS => self.dropped += 1,
