--- a/crates/accord/src/participant.rs
+++ b/crates/accord/src/participant.rs
@@ -193,7 +193,7 @@
     }
 
     /// The terms to obey at `now`. Callers ask for them after every pause and before they act: a lease ends
-    /// by the clock, whether or not [`Participant::on_timer`] was called in time.
+    /// by the clock, whether or not [`Participant::handle_timers`] was called in time.
     pub fn active_terms(&self, now: Duration) -> ActiveTerms {
         if self.holder.is_held(now, self.adopted.position) {
             self.leased_terms.clone()
@@ -291,15 +291,15 @@
         }
     }
 
-    /// The latest time at which [`Participant::on_timer`] must be called.
-    pub fn next_timer(&self) -> Option<Duration> {
+    /// The latest time at which [`Participant::handle_timers`] must be called.
+    pub fn next_timer_at(&self) -> Option<Duration> {
         let until = self.holder.expires_at(self.adopted.position);
         let lease = self.lease_held.then_some(until);
         Some(lease.map_or(self.next_tick, |until| until.min(self.next_tick)))
     }
 
-    /// Runs the periodic work. Called at [`Participant::next_timer`].
-    pub fn on_timer(&mut self, now: Duration, out: &mut Vec<Output>) {
+    /// Runs the periodic work. Called at [`Participant::next_timer_at`].
+    pub fn handle_timers(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.check_lease(now, out);
         if now >= self.next_tick {
             self.work.refill();
--- a/crates/accord/tests/net/mod.rs
+++ b/crates/accord/tests/net/mod.rs
@@ -224,8 +224,8 @@
             self.push(self.now + 200, Event::Work { to: name, incarnation });
         }
         let local = self.clock(name);
-        let Some(wake) = self.members[at].accord.next_timer() else { return };
-        let due = self.now + wake.saturating_sub(local).as_micros() as u64 + 1_000;
+        let Some(timer) = self.members[at].accord.next_timer_at() else { return };
+        let due = self.now + timer.saturating_sub(local).as_micros() as u64 + 1_000;
         let timer_at = self.members[at].timer_at;
         if timer_at > self.now && timer_at <= due {
             return;
@@ -331,7 +331,7 @@
                 "prepared"
             }
             Event::Timer { .. } => {
-                member.accord.on_timer(now, &mut out);
+                member.accord.handle_timers(now, &mut out);
                 "wake"
             }
             Event::Work { .. } => {
--- a/crates/accord/tests/props.rs
+++ b/crates/accord/tests/props.rs
@@ -91,7 +91,7 @@
                 (bytes[0], bytes[1]) = (2, at as u8 % 12);
             }
             member.receive(now, MemberId(2 + at as u32 % 2), &bytes, &mut out);
-            member.on_timer(now, &mut out);
+            member.handle_timers(now, &mut out);
         }
         // Invalid datagrams never amount to a lease from a majority.
         prop_assert!(matches!(member.active_terms(now), ActiveTerms::Floor(_)));
--- a/crates/drafts/src/learner.rs
+++ b/crates/drafts/src/learner.rs
@@ -251,13 +251,13 @@
         }
     }
 
-    /// The time at which [`DraftLearner::wake`] is due.
-    pub fn wake_at(&self) -> Option<Duration> {
+    /// The time at which [`DraftLearner::handle_timers`] is due.
+    pub fn next_timer_at(&self) -> Option<Duration> {
         Some(self.next_send.min(self.next_review))
     }
 
     /// Runs the timers that are due: sends rows to others, drops old rows, evaluates the evidence.
-    pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
+    pub fn handle_timers(&mut self, now: Duration, out: &mut Vec<Output>) {
         if now >= self.next_send {
             self.budget.refill(now, self.heard + 1, &self.settings);
             // Periods missed during a pause are skipped.
--- a/crates/drafts/src/learner/tests.rs
+++ b/crates/drafts/src/learner/tests.rs
@@ -43,7 +43,7 @@
     assert_eq!(rounds_by_reporter(&learner, NOW), [(2, 50), (3, 9), (4, 1_000)].into());
     // Relayed rows are not relayed again.
     for second in 31..60 {
-        learner.wake(Duration::from_secs(second), &mut outputs);
+        learner.handle_timers(Duration::from_secs(second), &mut outputs);
     }
     for o in &outputs {
         if let Output::Send { data, .. } = o {
@@ -80,7 +80,7 @@
     assert_eq!(rounds_by_reporter(&learner, NOW + window - Duration::from_secs(1)), [(2, 50)].into());
     let late = NOW + window + Duration::from_secs(1);
     assert!(rounds_by_reporter(&learner, late).is_empty(), "expired without further datagrams");
-    learner.wake(late, &mut outputs);
+    learner.handle_timers(late, &mut outputs);
     learner.receive(late, MemberId(2), &datagram, &mut outputs);
     assert!(rounds_by_reporter(&learner, late).is_empty(), "the incarnation's clock has advanced");
 }
--- a/crates/drafts/tests/fleet/mod.rs
+++ b/crates/drafts/tests/fleet/mod.rs
@@ -315,10 +315,10 @@
                 m.drafts.set_table(now, version, table);
             }
             self.calls(at);
-            if self.members[at].drafts.wake_at().is_some_and(|w| w <= self.now) {
+            if self.members[at].drafts.next_timer_at().is_some_and(|w| w <= self.now) {
                 let mut out = Vec::new();
                 let now = self.now;
-                self.members[at].drafts.wake(now, &mut out);
+                self.members[at].drafts.handle_timers(now, &mut out);
                 for o in out {
                     match o {
                         Output::Send { to, data } => {
--- a/crates/drafts/tests/measure.rs
+++ b/crates/drafts/tests/measure.rs
@@ -135,7 +135,7 @@
         for _ in 0..looks {
             std::hint::black_box(fleet.members[0].drafts.propose(now, &DraftTable::new(), u64::MAX));
             let mut drafts = fleet.members[0].drafts.clone();
-            drafts.wake(now, &mut Vec::new());
+            drafts.handle_timers(now, &mut Vec::new());
         }
         let each = started.elapsed().as_secs_f64() * 1e3 / f64::from(looks);
         print_measurement(&format!("processor.look.members{members}"), each, "ms");
--- a/crates/drafts/tests/properties.rs
+++ b/crates/drafts/tests/properties.rs
@@ -32,7 +32,7 @@
         band: u8,
         rounds: u32,
     },
-    Wake(usize),
+    Timers(usize),
     Deliver {
         which: usize,
         keep: bool,
@@ -57,7 +57,7 @@
     prop_oneof![
         6 => (0..MEMBERS, 0u8..3, draft(), 0u8..4, 1u32..50)
             .prop_map(|(who, index, draft, band, rounds)| Step::Serve { who, index, draft, band, rounds }),
-        6 => (0..MEMBERS).prop_map(Step::Wake),
+        6 => (0..MEMBERS).prop_map(Step::Timers),
         8 => (any::<usize>(), any::<bool>()).prop_map(|(which, keep)| Step::Deliver { which, keep }),
         1 => (any::<usize>(), 0usize..MAX_DATAGRAM_BYTES).prop_map(|(which, bytes)| Step::Truncate { which, bytes }),
         2 => any::<usize>().prop_map(Step::Drop),
@@ -121,10 +121,10 @@
                 self.served[who] += u64::from(rounds);
                 self.current[who] += u64::from(rounds);
             }
-            Step::Wake(who) => {
+            Step::Timers(who) => {
                 self.now += Duration::from_secs(1);
                 let mut out = Vec::new();
-                self.members[who].wake(self.now, &mut out);
+                self.members[who].handle_timers(self.now, &mut out);
                 for o in out {
                     if let Output::Send { to, data } = o {
                         assert!(data.len() <= MAX_DATAGRAM_BYTES);
@@ -183,7 +183,7 @@
         }
         // All outstanding datagrams arrive twice: then all rounds of the current incarnations are known.
         for _ in 0..25 {
-            (0..MEMBERS).for_each(|who| world.take(&Step::Wake(who)));
+            (0..MEMBERS).for_each(|who| world.take(&Step::Timers(who)));
             while !world.in_transit.is_empty() {
                 let which = world.in_transit.len() - 1;
                 world.take(&Step::Deliver { which, keep: true });
@@ -208,7 +208,7 @@
             let draft = Draft { drafter: 1, length: (rounds % 8 + 1) as u8 };
             world.take(&Step::Serve { who: 0, index: (rounds % 3) as u8, draft, band: 0, rounds });
         }
-        world.take(&Step::Wake(0));
+        world.take(&Step::Timers(0));
         let (_, _, valid) = world.in_transit[0].clone();
         let mut out = Vec::new();
         world.members[1].receive(world.now, MemberId(0), &random_bytes, &mut out);
@@ -221,7 +221,7 @@
         world.members[1].receive(world.now, MemberId(77), &valid, &mut out);
         // The receiver continues to send and to evaluate.
         let later = world.now + Duration::from_secs(5);
-        world.members[1].wake(later, &mut out);
+        world.members[1].handle_timers(later, &mut out);
         let _ = world.members[1].propose(later, &DraftTable::new(), 1);
         let view = world.members[1].view(later);
         prop_assert!(view.rows <= settings().rows_in_all);
@@ -246,7 +246,7 @@
             }
             for second in 1..6 {
                 let mut out = Vec::new();
-                forger.wake(now + Duration::from_secs(second * 2), &mut out);
+                forger.handle_timers(now + Duration::from_secs(second * 2), &mut out);
                 for o in out {
                     if let Output::Send { data, .. } = o {
                         victim.receive(now + Duration::from_secs(second * 2), MemberId(2), &data, &mut Vec::new());
--- a/crates/turns/src/feedback.rs
+++ b/crates/turns/src/feedback.rs
@@ -283,16 +283,16 @@
         }
     }
 
-    /// When [`TurnRouter::wake`] or [`TurnRouter::release`] must be called next; `None` if there are no members and
-    /// no waiting turns.
-    pub fn wake_at(&self) -> Option<Duration> {
+    /// When [`TurnRouter::handle_timers`] or [`TurnRouter::release`] must be called next; `None` if there are no
+    /// members and no waiting turns.
+    pub fn next_timer_at(&self) -> Option<Duration> {
         let gossip = (!self.members.is_empty()).then_some(self.next_gossip_at);
         [gossip, self.next_check()].into_iter().flatten().min()
     }
 
     /// Sends loads and recent placements to other activators if the gossip period is over, within the bytes allowed
     /// per period.
-    pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
+    pub fn handle_timers(&mut self, now: Duration, out: &mut Vec<Output>) {
         if self.members.is_empty() || now < self.next_gossip_at {
             return;
         }
--- a/crates/turns/src/histories.rs
+++ b/crates/turns/src/histories.rs
@@ -337,7 +337,7 @@
     fn exchange_messages(&mut self, now: f64) {
         for from in 0..ACTIVATORS {
             let mut out = Vec::new();
-            self.routers[from].wake(at(now), &mut out);
+            self.routers[from].handle_timers(at(now), &mut out);
             if !out.is_empty() {
                 for site in 0..SITES {
                     let own = self.routers[from].sites.own_loads(at(now));
--- a/crates/turns/src/recompute.rs
+++ b/crates/turns/src/recompute.rs
@@ -178,7 +178,7 @@
     }
 
     /// Returns the next turn that stops waiting and where it goes, or `None` when all others keep waiting. Call it
-    /// until it returns `None`, at [`TurnRouter::wake_at`] and whenever turns have ended.
+    /// until it returns `None`, at [`TurnRouter::next_timer_at`] and whenever turns have ended.
     pub fn release(&mut self, now: Duration, sites: &[SiteStatus]) -> Option<(WaitingId, Advice)> {
         let rejection = Advice { choices: Vec::new(), decision: Decision::Reject };
         if let Some(evicted) = self.queue.evicted.pop_front() {
--- a/crates/turns/tests/properties.rs
+++ b/crates/turns/tests/properties.rs
@@ -152,7 +152,7 @@
             Step::Wait(us) => {
                 now += f64::from(*us) / 1e6;
                 let mut out = Vec::new();
-                turns.wake(at(now), &mut out);
+                turns.handle_timers(at(now), &mut out);
                 let sites: Vec<SiteStatus> = up
                     .iter()
                     .map(|s| SiteStatus { site: SiteId(*s), capacity: 4.0, in_flight: 0.0, remote: false })
@@ -212,7 +212,7 @@
         }
         for (from, to) in [(0, 1), (1, 0)] {
             let mut out = Vec::new();
-            routers[from].wake(at(1.0), &mut out);
+            routers[from].handle_timers(at(1.0), &mut out);
             prop_assert!(!out.is_empty());
             for Output::Send { data, .. } in &out {
                 for _ in 0..1 + u8::from(duplicated) {
--- a/crates/turns/tests/sim/mod.rs
+++ b/crates/turns/tests/sim/mod.rs
@@ -196,7 +196,7 @@
     Turn(Box<Chat>),
     Release(usize),
     Done { token: u64, site: usize, by: usize, found: usize, took: f64, epoch: u32 },
-    Wake(usize),
+    Timers(usize),
     Datagram(usize, usize, Vec<u8>),
     Window,
     Count,
@@ -277,7 +277,7 @@
             cfg,
         };
         fleet.at(0.0, Event::Begin);
-        (0..fleet.cfg.activators).for_each(|i| fleet.at(0.01, Event::Wake(i)));
+        (0..fleet.cfg.activators).for_each(|i| fleet.at(0.01, Event::Timers(i)));
         fleet.at(30.0, Event::Window);
         fleet.at(10.0, Event::Count);
         if let Some((lose, back)) = fleet.cfg.lost {
@@ -346,10 +346,10 @@
                 }
                 self.spent += started.elapsed();
             }
-            Event::Wake(i) => {
+            Event::Timers(i) => {
                 let mut out = Vec::new();
                 let started = Instant::now();
-                self.routers[i].wake(at(now), &mut out);
+                self.routers[i].handle_timers(at(now), &mut out);
                 self.spent += started.elapsed();
                 for Output::Send { to, data } in out {
                     self.bytes += data.len() as f64;
@@ -359,8 +359,8 @@
                     }
                 }
                 self.release(now, i);
-                let next = self.routers[i].wake_at().map_or(1e9, |d| d.as_secs_f64());
-                self.at(next.max(now + 0.001), Event::Wake(i));
+                let next = self.routers[i].next_timer_at().map_or(1e9, |d| d.as_secs_f64());
+                self.at(next.max(now + 0.001), Event::Timers(i));
             }
             Event::Datagram(from, to, data) => {
                 let started = Instant::now();
@@ -465,7 +465,7 @@
                 Decision::Wait(..) => panic!("released turn waits again"),
             }
         }
-        if let Some(next) = self.routers[by].wake_at().filter(|_| !self.waiting[by].is_empty()) {
+        if let Some(next) = self.routers[by].next_timer_at().filter(|_| !self.waiting[by].is_empty()) {
             self.at(next.as_secs_f64().max(now + 1e-6), Event::Release(by));
         }
     }
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -270,11 +270,11 @@
     pub(super) fn mind_accord(&mut self) -> bool {
         let Some(agreed) = &mut self.agreed else { return false };
         let at = since_boot();
-        if agreed.accord.next_timer().is_none_or(|due| due > at) {
+        if agreed.accord.next_timer_at().is_none_or(|due| due > at) {
             return false;
         }
         let (mut out, before) = (Vec::new(), agreed.turns);
-        agreed.accord.on_timer(at, &mut out);
+        agreed.accord.handle_timers(at, &mut out);
         let now = self.clock.now();
         self.carry_out_accord(now, out);
         self.agreed.as_ref().is_some_and(|agreed| agreed.turns != before)
@@ -298,7 +298,7 @@
         let wait = self
             .agreed
             .as_ref()
-            .and_then(|a| a.accord.next_timer())
+            .and_then(|a| a.accord.next_timer_at())
             .map(|at| at.saturating_sub(since_boot()));
         wait.map_or(Micros::MAX, |wait| now.saturating_add(wait.as_micros() as Micros))
     }
--- a/node/src/node/drafts.rs
+++ b/node/src/node/drafts.rs
@@ -113,7 +113,7 @@
     }
 
     pub(super) fn next_tick(&self, now: Micros) -> Micros {
-        let wait = self.drafts.wake_at().map(|at| at.saturating_sub(self.now()));
+        let wait = self.drafts.next_timer_at().map(|at| at.saturating_sub(self.now()));
         wait.map_or(Micros::MAX, |wait| now.saturating_add(wait.as_micros() as Micros))
     }
 
@@ -288,7 +288,7 @@
     pub(super) fn tend_drafts(&mut self, now: Micros) {
         let Some(d) = &mut self.drafting else { return };
         let here = d.now();
-        if d.drafts.wake_at().is_none_or(|at| at > here) {
+        if d.drafts.next_timer_at().is_none_or(|at| at > here) {
             return;
         }
         if let Some(membership) = &self.membership {
@@ -296,7 +296,7 @@
         }
         d.told.retain(|host, _| self.hosts.is_known(host));
         let mut out = Vec::new();
-        d.drafts.wake(here, &mut out);
+        d.drafts.handle_timers(here, &mut out);
         let (table, version) = (d.table.clone(), d.version);
         if let Some(wanted) = d.drafts.propose(here, &table, version) {
             d.wanted = Some((here, wanted));
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -562,7 +562,7 @@
         let mut out = Vec::new();
         if let Some(t) = &mut self.turning {
             let now = t.now();
-            t.turns.wake(now, &mut out);
+            t.turns.handle_timers(now, &mut out);
         }
         self.tell_of_turns(out);
     }
@@ -577,8 +577,8 @@
     /// When something of turns is due.
     pub(super) fn next_turn(&self, now: Micros) -> Micros {
         let Some(t) = &self.turning else { return Micros::MAX };
-        let wake = t.turns.wake_at().map(|at| at.saturating_sub(t.now()).as_micros() as Micros);
-        wake.map_or(Micros::MAX, |wait| now.saturating_add(wait))
+        let wait = t.turns.next_timer_at().map(|at| at.saturating_sub(t.now()).as_micros() as Micros);
+        wait.map_or(Micros::MAX, |wait| now.saturating_add(wait))
     }
 
     /// A site is due another weight, as agreed: 0 to 1,000, 100 for the usual.
--- a/node/tests/drafts.rs
+++ b/node/tests/drafts.rs
@@ -473,7 +473,7 @@
             forger.record_call(now, &ran).unwrap();
         }
         let mut out = Vec::new();
-        forger.wake(now, &mut out);
+        forger.handle_timers(now, &mut out);
         tell(&socket, &to, out);
         // And what is no datagram, or of nobody.
         let _ = socket.send_to(&[&PARCEL[..], &[1, 9, 9, 9]].concat(), to[&number(0)]);
