--- a/crates/turns/src/feedback.rs
+++ b/crates/turns/src/feedback.rs
@@ -245,8 +245,8 @@
     }
 
     /// Sets the other activators that messages are sent to and accepted from.
-    pub fn set_members(&mut self, now: Duration, members: impl IntoIterator<Item = ActivatorId>) {
-        let mut members: Vec<ActivatorId> = members.into_iter().filter(|f| *f != self.own_id).collect();
+    pub fn set_members(&mut self, now: Duration, members: impl IntoIterator<Item = MemberId>) {
+        let mut members: Vec<MemberId> = members.into_iter().filter(|f| *f != self.own_id).collect();
         members.sort();
         members.dedup();
         // Counts every configured member: one that is not heard from may be partitioned and still spends its share of
@@ -261,7 +261,7 @@
     }
 
     /// Handles a message from another activator.
-    pub fn receive(&mut self, now: Duration, from: ActivatorId, data: &[u8], _out: &mut Vec<Output>) {
+    pub fn receive(&mut self, now: Duration, from: MemberId, data: &[u8], _out: &mut Vec<Output>) {
         let is_member = self.members.binary_search(&from).is_ok();
         let Some(message) = Message::decode(data).filter(|_| is_member) else {
             self.counts.unreadable += 1;
--- a/crates/turns/src/histories.rs
+++ b/crates/turns/src/histories.rs
@@ -155,7 +155,7 @@
 impl Fleet {
     fn new(seed: u64, fault: Option<Fault>) -> Self {
         let settings = Settings { table_bytes: 4 << 20, ..Settings::default() };
-        let ids = (0..ACTIVATORS as u32).map(ActivatorId);
+        let ids = (0..ACTIVATORS as u32).map(MemberId);
         let routers = ids.clone().map(|me| {
             let mut turns = TurnRouter::new(settings.clone(), me, me.0 + 1, seed, at(0.0)).unwrap();
             turns.fault = fault;
@@ -361,7 +361,7 @@
         }
         let due: Vec<_> = self.datagrams.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, from, to, data) in due {
-            self.routers[to].receive(at(now), ActivatorId(from as u32), &data, &mut Vec::new());
+            self.routers[to].receive(at(now), MemberId(from as u32), &data, &mut Vec::new());
             for site in 0..SITES {
                 let max = |all: &[(f64, f64)]| all.iter().map(|(_, l)| *l).fold(0.0, f64::max);
                 let most = (0..ACTIVATORS).filter(|a| *a != to).map(|a| max(&self.reported[a][site])).sum();
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -33,7 +33,7 @@
 
 pub use placement::TurnRouter;
 pub use types::{
-    ActivatorId, Advice, AttemptToken, Choice, Decision, Output, Reason, Settings, SettingsError, SiteId,
+    Advice, AttemptToken, Choice, Decision, MemberId, Output, Reason, Settings, SettingsError, SiteId,
     SiteStatus, Turn, TurnParseError, WaitingId, DEFAULT_WEIGHT, MAX_CHOICES, MAX_HASHES, MAX_SITES,
     MAX_WAITING_TURNS,
 };
--- a/crates/turns/src/placement.rs
+++ b/crates/turns/src/placement.rs
@@ -102,7 +102,7 @@
 /// crate documentation.
 pub struct TurnRouter {
     pub(crate) settings: Settings,
-    pub(crate) own_id: ActivatorId,
+    pub(crate) own_id: MemberId,
     pub(crate) run_id: u32,
     pub(crate) sites: Sites,
     pub(crate) conversations: Table<MAX_OWN_SITES>,
@@ -113,7 +113,7 @@
     pub(crate) open_order: VecDeque<(Duration, AttemptToken)>,
     /// Mean time that a turn takes at a site, in seconds, learned from answers.
     pub(crate) mean_secs: f64,
-    pub(crate) members: Vec<ActivatorId>,
+    pub(crate) members: Vec<MemberId>,
     pub(crate) next_member: usize,
     pub(crate) unsent_placements: VecDeque<(PlacementRecord, SiteId)>,
     pub(crate) message_number: u32,
@@ -168,7 +168,7 @@
     /// Creates a router with empty tables. `run_id` tells this process from earlier ones with the same `own_id`.
     pub fn new(
         settings: Settings,
-        own_id: ActivatorId,
+        own_id: MemberId,
         run_id: u32,
         seed: u64,
         now: Duration,
--- a/crates/turns/src/recompute/tests.rs
+++ b/crates/turns/src/recompute/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn grants_are_bounded_and_expire() {
-    let mut turns = TurnRouter::new(Settings::default(), ActivatorId(1), 1, 1, Duration::ZERO).unwrap();
+    let mut turns = TurnRouter::new(Settings::default(), MemberId(1), 1, 1, Duration::ZERO).unwrap();
     let place = turns.sites.get_or_insert(Duration::ZERO, SiteId(1)).unwrap();
     let turn = |i: u64| Turn {
         conversation: i,
--- a/crates/turns/src/sites.rs
+++ b/crates/turns/src/sites.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::types::{ActivatorId, Settings, SiteId, SiteStatus, DEFAULT_WEIGHT, MAX_SITES};
+use crate::types::{MemberId, Settings, SiteId, SiteStatus, DEFAULT_WEIGHT, MAX_SITES};
 use crate::wire::SiteLoad;
 
 /// Blocks that a site is assumed to keep before the first observations. It is set high because a wrong expectation
@@ -195,7 +195,7 @@
 pub(crate) struct Sites {
     pub all: Vec<SiteState>,
     indexes: BTreeMap<SiteId, u16>,
-    peers: BTreeMap<ActivatorId, Peer>,
+    peers: BTreeMap<MemberId, Peer>,
     /// Blocks computed at all sites.
     pub clock: u32,
     /// Number of activators that share the sites, reachable or not; 0 and 1 both mean that this one is alone.
@@ -345,7 +345,7 @@
     }
 
     /// Records the loads reported by another activator. A report of the same run that is not newer is ignored.
-    pub fn on_loads(&mut self, now: Duration, from: ActivatorId, (run, seq): (u32, u32), loads: &[SiteLoad]) {
+    pub fn on_loads(&mut self, now: Duration, from: MemberId, (run, seq): (u32, u32), loads: &[SiteLoad]) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&from) {
             return;
         }
@@ -367,7 +367,7 @@
     }
 
     /// Drops reports that have expired and those of activators that are no longer members.
-    pub fn expire_peers(&mut self, now: Duration, period: Duration, members: &[ActivatorId]) {
+    pub fn expire_peers(&mut self, now: Duration, period: Duration, members: &[MemberId]) {
         self.peers.retain(|id, p| now < p.at + period * PEER_PERIODS && members.contains(id));
         self.sum_peer_loads(now);
     }
--- a/crates/turns/src/sites/tests.rs
+++ b/crates/turns/src/sites/tests.rs
@@ -51,14 +51,14 @@
     assert!(sites.get_or_insert(now, SiteId(5_000)).is_some() && sites.index(SiteId(7)).is_none());
     assert!(sites.get_or_insert(now, SiteId(5_001)).is_none());
     for i in 0..3_000 {
-        sites.on_loads(now, ActivatorId(i), (1, 1), &[(3, f32::NAN, 7), (4, 2.0, 1)]);
+        sites.on_loads(now, MemberId(i), (1, 1), &[(3, f32::NAN, 7), (4, 2.0, 1)]);
     }
     assert_eq!((sites.peers.len(), sites.load(now, 3)), (MAX_PEERS, 0.0));
     assert_eq!(sites.load(now, 4), 2.0 * MAX_PEERS as f64);
     // Older and repeated reports change nothing.
-    sites.on_loads(now, ActivatorId(1), (1, 1), &[(4, 50.0, 9)]);
+    sites.on_loads(now, MemberId(1), (1, 1), &[(4, 50.0, 9)]);
     assert_eq!(sites.load(now, 4), 2.0 * MAX_PEERS as f64);
     assert_eq!((sites.count(3), sites.count(4)), (7.0 * MAX_PEERS as f64, MAX_PEERS as f64));
-    sites.expire_peers(now, Duration::from_secs(1), &[ActivatorId(1)]);
+    sites.expire_peers(now, Duration::from_secs(1), &[MemberId(1)]);
     assert_eq!((sites.activators(), sites.load(now, 4)), (2, 2.0));
 }
--- a/crates/turns/src/types.rs
+++ b/crates/turns/src/types.rs
@@ -16,7 +16,7 @@
 
 /// An activator, by its number in the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ActivatorId(pub u32);
+pub struct MemberId(pub u32);
 
 /// A site: hosts that share a cache. The number is a hash of the site's name, and so is the same at every activator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -240,7 +240,7 @@
     /// Send one datagram to another activator. It may be lost, duplicated, delayed or reordered.
     Send {
         /// The receiver.
-        to: ActivatorId,
+        to: MemberId,
         /// The payload, at most 1,194 bytes.
         data: Vec<u8>,
     },
--- a/crates/turns/tests/properties.rs
+++ b/crates/turns/tests/properties.rs
@@ -70,8 +70,8 @@
 /// Runs a history and returns all its outputs.
 fn play(steps: &[Step], seed: u64) -> Result<Vec<String>, TestCaseError> {
     let settings = Settings { table_bytes: 64 << 10, ..Settings::default() };
-    let mut turns = TurnRouter::new(settings, ActivatorId(1), 7, seed, at(0.0)).unwrap();
-    turns.set_members(at(0.0), [ActivatorId(2), ActivatorId(3)]);
+    let mut turns = TurnRouter::new(settings, MemberId(1), 7, seed, at(0.0)).unwrap();
+    turns.set_members(at(0.0), [MemberId(2), MemberId(3)]);
     let (mut now, mut next, mut outputs) = (0.0, 0u64, Vec::new());
     let mut up: BTreeSet<u32> = (0..SITES).collect();
     let mut weights: BTreeMap<u32, u16> = BTreeMap::new();
@@ -148,7 +148,7 @@
                 weights.insert(*s, *w);
                 turns.set_site_weight(at(now), SiteId(*s), *w);
             }
-            Step::Garbage(data) => turns.receive(at(now), ActivatorId(2), data, &mut Vec::new()),
+            Step::Garbage(data) => turns.receive(at(now), MemberId(2), data, &mut Vec::new()),
             Step::Wait(us) => {
                 now += f64::from(*us) / 1e6;
                 let mut out = Vec::new();
@@ -197,13 +197,13 @@
         len in 1..20u8, a in 0..SITES, b in 0..SITES, seed in any::<u64>(), duplicated in any::<bool>()
     ) {
         let mut routers: Vec<TurnRouter> =
-            (1..=2).map(|i| TurnRouter::new(Settings::default(), ActivatorId(i), i, seed, at(0.0)).unwrap()).collect();
+            (1..=2).map(|i| TurnRouter::new(Settings::default(), MemberId(i), i, seed, at(0.0)).unwrap()).collect();
         let sites: Vec<SiteStatus> = (0..SITES)
             .map(|s| SiteStatus { site: SiteId(s), capacity: 4.0, in_flight: 0.0, remote: false })
             .collect();
         let one = turn(3, len, 2, false, false);
         for (i, (turns, site)) in routers.iter_mut().zip([a, b]).enumerate() {
-            turns.set_members(at(0.0), [ActivatorId(1), ActivatorId(2)]);
+            turns.set_members(at(0.0), [MemberId(1), MemberId(2)]);
             turns.place(at(0.1), &turn(9, 4, 1, false, false), &sites);
             turns.on_sent(at(0.1), AttemptToken(1), &one, SiteId(site));
             turns.on_answered(
@@ -216,7 +216,7 @@
             prop_assert!(!out.is_empty());
             for Output::Send { data, .. } in &out {
                 for _ in 0..1 + u8::from(duplicated) {
-                    routers[to].receive(at(1.1), ActivatorId(from as u32 + 1), data, &mut Vec::new());
+                    routers[to].receive(at(1.1), MemberId(from as u32 + 1), data, &mut Vec::new());
                 }
             }
         }
@@ -233,7 +233,7 @@
 }
 
 fn single_router(settings: Settings) -> TurnRouter {
-    TurnRouter::new(settings, ActivatorId(1), 1, 5, at(0.0)).unwrap()
+    TurnRouter::new(settings, MemberId(1), 1, 5, at(0.0)).unwrap()
 }
 
 /// Serves a turn at the advised site, which reports `found` blocks, and returns the site.
--- a/crates/turns/tests/sim/mod.rs
+++ b/crates/turns/tests/sim/mod.rs
@@ -239,7 +239,7 @@
 
 impl Fleet {
     pub fn new(cfg: Config) -> Self {
-        let names = (0..cfg.activators as u32).map(ActivatorId);
+        let names = (0..cfg.activators as u32).map(MemberId);
         let routers = names.clone().map(|me| {
             let seed = mix(cfg.seed, u64::from(me.0));
             let mut turns = TurnRouter::new(cfg.settings.clone(), me, me.0 + 1, seed, at(0.0)).unwrap();
@@ -364,7 +364,7 @@
             }
             Event::Datagram(from, to, data) => {
                 let started = Instant::now();
-                self.routers[to].receive(at(now), ActivatorId(from as u32), &data, &mut Vec::new());
+                self.routers[to].receive(at(now), MemberId(from as u32), &data, &mut Vec::new());
                 self.spent += started.elapsed();
             }
             Event::Window => {
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -9,7 +9,7 @@
 use wheellink::engine::AttemptEnd;
 use wheellink::{Condition, LoadedFunction};
 use wheellink_turns::{
-    ActivatorId, Advice, AttemptToken, Decision, Output, SiteId, SiteStatus, TurnRouter, WaitingId,
+    Advice, AttemptToken, Decision, MemberId, Output, SiteId, SiteStatus, TurnRouter, WaitingId,
     DEFAULT_WEIGHT,
 };
 
@@ -93,7 +93,7 @@
 }
 
 impl Turning {
-    fn new(setup: &Setup, me: ActivatorId, zone: u32, seed: u64) -> Result<Self, String> {
+    fn new(setup: &Setup, me: MemberId, zone: u32, seed: u64) -> Result<Self, String> {
         let origin = Instant::now();
         // Another process of this name is told apart by chance.
         let life = fastrand::u32(..);
@@ -318,7 +318,7 @@
             }
             None => {
                 self.release_all_parked();
-                let me = self.membership.as_ref().map_or(ActivatorId(0), |f| ActivatorId(f.roster().0 .0));
+                let me = self.membership.as_ref().map_or(MemberId(0), |f| MemberId(f.roster().0 .0));
                 let zone = self.config.deployment.settings.zone;
                 Turning::new(&setup, me, zone, self.config.seed).map(|mut turning| {
                     let listed: Vec<ListEntry> = self.dns_hosts.values().cloned().collect();
@@ -361,10 +361,10 @@
 
     /// Tells and hears the membership as they are now.
     pub(super) fn meet_turns(&mut self) {
-        let names: Vec<ActivatorId> = self
+        let names: Vec<MemberId> = self
             .membership
             .as_ref()
-            .map(|f| f.roster().1.map(|(n, _)| ActivatorId(n.0)).collect())
+            .map(|f| f.roster().1.map(|(n, _)| MemberId(n.0)).collect())
             .unwrap_or_default();
         if let Some(t) = &mut self.turning {
             let now = t.origin.elapsed();
@@ -551,7 +551,7 @@
         let mut out = Vec::new();
         if let Some(t) = &mut self.turning {
             let now = t.now();
-            t.turns.receive(now, ActivatorId(from), data, &mut out);
+            t.turns.receive(now, MemberId(from), data, &mut out);
         }
         self.tell_of_turns(out);
     }
