--- a/crates/turns/src/feedback.rs
+++ b/crates/turns/src/feedback.rs
@@ -268,7 +268,7 @@
             return;
         };
         self.counts.received += 1;
-        self.sites.on_loads(now, from, (message.run_id, message.seq), &message.loads);
+        self.sites.on_loads(now, from, (message.incarnation, message.seq), &message.loads);
         for p in &message.placed {
             let site = message.loads.get(p.site as usize).and_then(|(s, ..)| self.sites.index(SiteId(*s)));
             let Some(index) = site.filter(|s| self.sites.all[*s as usize].present) else { continue };
@@ -314,7 +314,8 @@
                 from.push(i);
             }
             self.message_number = self.message_number.wrapping_add(1);
-            let (data, taken) = Message::new(self.run_id, self.message_number, loads).encode(&placements);
+            let (data, taken) =
+                Message::new(self.incarnation, self.message_number, loads).encode(&placements);
             for i in &from[..taken] {
                 self.unsent_placements.remove(*i);
             }
--- a/crates/turns/src/placement.rs
+++ b/crates/turns/src/placement.rs
@@ -103,7 +103,7 @@
 pub struct TurnRouter {
     pub(crate) settings: Settings,
     pub(crate) own_id: MemberId,
-    pub(crate) run_id: u32,
+    pub(crate) incarnation: u32,
     pub(crate) sites: Sites,
     pub(crate) conversations: Table<MAX_OWN_SITES>,
     pub(crate) common: Table<MAX_COMMON_SITES>,
@@ -165,11 +165,11 @@
 }
 
 impl TurnRouter {
-    /// Creates a router with empty tables. `run_id` tells this process from earlier ones with the same `own_id`.
+    /// Creates a router with empty tables. `incarnation` tells this process from earlier ones with the same `own_id`.
     pub fn new(
         settings: Settings,
         own_id: MemberId,
-        run_id: u32,
+        incarnation: u32,
         seed: u64,
         now: Duration,
     ) -> Result<Self, SettingsError> {
@@ -182,7 +182,7 @@
             next_gossip_at: now + settings.gossip_period.mul_f64(fastrand::Rng::with_seed(seed).f64()),
             settings,
             own_id,
-            run_id,
+            incarnation,
             sites: Sites::default(),
             sketch: Sketch::new(),
             trust: TenantTrust::new(),
--- a/crates/turns/src/sites.rs
+++ b/crates/turns/src/sites.rs
@@ -184,7 +184,7 @@
 
 /// The last load report of another activator.
 struct Peer {
-    run_id: u32,
+    incarnation: u32,
     seq: u32,
     at: Duration,
     loads: Vec<(u16, f32, u16)>,
@@ -344,8 +344,14 @@
         loads.filter(|(_, load, count)| *load >= 0.5 || *count > 0).collect()
     }
 
-    /// Records the loads reported by another activator. A report of the same run that is not newer is ignored.
-    pub fn on_loads(&mut self, now: Duration, from: MemberId, (run, seq): (u32, u32), loads: &[SiteLoad]) {
+    /// Records the loads reported by another activator. A report of the same incarnation that is not newer is ignored.
+    pub fn on_loads(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        (incarnation, seq): (u32, u32),
+        loads: &[SiteLoad],
+    ) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&from) {
             return;
         }
@@ -359,9 +365,9 @@
         if self.fault == Some(crate::faults::Fault::PeerLoadsAddedTwice) {
             loads.extend(self.peers.remove(&from).into_iter().flat_map(|p| p.loads).take(256));
         }
-        let is_old = |p: &Peer| p.run_id == run && (p.seq.wrapping_sub(seq) as i32) >= 0;
+        let is_old = |p: &Peer| p.incarnation == incarnation && (p.seq.wrapping_sub(seq) as i32) >= 0;
         if !self.peers.get(&from).is_some_and(is_old) {
-            self.peers.insert(from, Peer { run_id: run, seq, at: now, loads });
+            self.peers.insert(from, Peer { incarnation, seq, at: now, loads });
             self.sum_peer_loads(now);
         }
     }
--- a/crates/turns/src/wire.rs
+++ b/crates/turns/src/wire.rs
@@ -31,7 +31,7 @@
 pub(crate) struct Message {
     format: u8,
     /// Incarnation of the sending process, and the number of the message.
-    pub run_id: u32,
+    pub incarnation: u32,
     pub seq: u32,
     /// The loads of every site that the message refers to.
     pub loads: Vec<SiteLoad>,
@@ -42,15 +42,15 @@
 #[derive(Serialize, Deserialize)]
 struct PreviousMessage {
     format: u8,
-    run_id: u32,
+    incarnation: u32,
     seq: u32,
     loads: Vec<(u32, f32)>,
     placed: Vec<PlacementRecord>,
 }
 
 impl Message {
-    pub fn new(run_id: u32, seq: u32, loads: Vec<SiteLoad>) -> Self {
-        Self { format: FORMAT, run_id, seq, loads, placed: Vec::new() }
+    pub fn new(incarnation: u32, seq: u32, loads: Vec<SiteLoad>) -> Self {
+        Self { format: FORMAT, incarnation, seq, loads, placed: Vec::new() }
     }
 
     /// Encodes the message with as many placements as fit, in order, and returns their number as well.
@@ -87,7 +87,16 @@
             PREVIOUS_FORMAT => {
                 let (t, rest) = postcard::take_from_bytes::<PreviousMessage>(data).ok()?;
                 let loads = t.loads.into_iter().map(|(site, load)| (site, load, 0)).collect();
-                (Self { format: t.format, run_id: t.run_id, seq: t.seq, loads, placed: t.placed }, rest)
+                (
+                    Self {
+                        format: t.format,
+                        incarnation: t.incarnation,
+                        seq: t.seq,
+                        loads,
+                        placed: t.placed,
+                    },
+                    rest,
+                )
             }
             _ => return None,
         };
--- a/crates/turns/src/wire/tests.rs
+++ b/crates/turns/src/wire/tests.rs
@@ -20,7 +20,7 @@
         let (bytes, taken) = message.clone().encode(&placed);
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "round {round}: {}", bytes.len());
         let back = Message::decode(&bytes).expect("own words are read");
-        assert_eq!((&back.placed[..], back.run_id), (&placed[..taken], message.run_id));
+        assert_eq!((&back.placed[..], back.incarnation), (&placed[..taken], message.incarnation));
         let cut = rng.usize(..bytes.len());
         assert_eq!(Message::decode(&bytes[..cut]), None);
     }
@@ -31,13 +31,13 @@
     let placed = PlacementRecord { key: [7; 8], conversation: 3, site: 0, depth: 5, added: 2 };
     let before = PreviousMessage {
         format: PREVIOUS_FORMAT,
-        run_id: 1,
+        incarnation: 1,
         seq: 2,
         loads: vec![(9, 1.5)],
         placed: vec![placed],
     };
     let message = Message::decode(&postcard::to_stdvec(&before).unwrap()).expect("it is read");
-    assert_eq!((message.run_id, message.seq, message.loads), (1, 2, vec![(9, 1.5, 0)]));
+    assert_eq!((message.incarnation, message.seq, message.loads), (1, 2, vec![(9, 1.5, 0)]));
     assert_eq!(message.placed, [placed]);
     let later = PreviousMessage { format: 3, ..before };
     assert_eq!(Message::decode(&postcard::to_stdvec(&later).unwrap()), None);
