--- a/crates/turns/src/feedback.rs
+++ b/crates/turns/src/feedback.rs
@@ -245,8 +245,8 @@
     }
 
     /// Sets the other activators that messages are sent to and accepted from.
-    pub fn set_members(&mut self, now: Duration, members: impl IntoIterator<Item = ActivatorId>) {
-        let mut members: Vec<ActivatorId> = members.into_iter().filter(|f| *f != self.own_id).collect();
+    pub fn set_members(&mut self, now: Duration, members: impl IntoIterator<Item = MemberId>) {
+        let mut members: Vec<MemberId> = members.into_iter().filter(|f| *f != self.own_id).collect();
         members.sort();
         members.dedup();
         // Counts every configured member: one that is not heard from may be partitioned and still spends its share of
@@ -261,14 +261,14 @@
     }
 
     /// Handles a message from another activator.
-    pub fn receive(&mut self, now: Duration, from: ActivatorId, data: &[u8], _out: &mut Vec<Output>) {
+    pub fn receive(&mut self, now: Duration, from: MemberId, data: &[u8], _out: &mut Vec<Output>) {
         let is_member = self.members.binary_search(&from).is_ok();
         let Some(message) = Message::decode(data).filter(|_| is_member) else {
             self.counts.unreadable += 1;
             return;
         };
         self.counts.received += 1;
-        self.sites.on_loads(now, from, (message.run_id, message.seq), &message.loads);
+        self.sites.on_loads(now, from, (message.incarnation, message.seq), &message.loads);
         for p in &message.placed {
             let site = message.loads.get(p.site as usize).and_then(|(s, ..)| self.sites.index(SiteId(*s)));
             let Some(index) = site.filter(|s| self.sites.all[*s as usize].present) else { continue };
@@ -283,16 +283,16 @@
         }
     }
 
-    /// When [`TurnRouter::wake`] or [`TurnRouter::release`] must be called next; `None` if there are no members and
-    /// no waiting turns.
-    pub fn wake_at(&self) -> Option<Duration> {
+    /// When [`TurnRouter::handle_timers`] or [`TurnRouter::release`] must be called next; `None` if there are no
+    /// members and no waiting turns.
+    pub fn next_timer_at(&self) -> Option<Duration> {
         let gossip = (!self.members.is_empty()).then_some(self.next_gossip_at);
         [gossip, self.next_check()].into_iter().flatten().min()
     }
 
     /// Sends loads and recent placements to other activators if the gossip period is over, within the bytes allowed
     /// per period.
-    pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
+    pub fn handle_timers(&mut self, now: Duration, out: &mut Vec<Output>) {
         if self.members.is_empty() || now < self.next_gossip_at {
             return;
         }
@@ -314,7 +314,8 @@
                 from.push(i);
             }
             self.message_number = self.message_number.wrapping_add(1);
-            let (data, taken) = Message::new(self.run_id, self.message_number, loads).encode(&placements);
+            let (data, taken) =
+                Message::new(self.incarnation, self.message_number, loads).encode(&placements);
             for i in &from[..taken] {
                 self.unsent_placements.remove(*i);
             }
--- a/node/tests/drafts.rs
+++ b/node/tests/drafts.rs
@@ -483,7 +483,7 @@
             forger.record_call(now, &call).unwrap();
         }
         let mut out = Vec::new();
-        forger.wake(now, &mut out);
+        forger.handle_timers(now, &mut out);
         send_all(&socket, &to, out);
         // A datagram that cannot be decoded.
         let _ = socket.send_to(&[&DRAFTS_HEADER[..], &[1, 9, 9, 9]].concat(), to[&number(0)]);
