--- a/node/src/accords.rs
+++ b/node/src/accords.rs
@@ -1,8 +1,8 @@
-//! The settings on which the activators agree, as an operator sets them up: voters, leases, the document at the start,
-//! and the floor. What is agreed is `crates/accord`'s affair; [`terms`] says what a document means here, and [`office`]
-//! prepares it beside the loop. Off without `[accord]` in an operator's file.
+//! `[accord]` of an operator's file: voters, leases, the initial document and the floor of the settings on which the
+//! activators agree. `crates/accord` runs the agreement protocol; [`terms`] translates a document into settings of the
+//! engine, and [`preparer`] does so on a thread outside the event loop. Without `[accord]` this is off.
 
-pub mod office;
+pub mod preparer;
 pub mod terms;
 
 use std::collections::BTreeMap;
@@ -14,40 +14,42 @@
 use crate::membership;
 use terms::{Base, Terms};
 
-/// What an operator sets.
+/// `[accord]`. Keys without a default depend on the installation.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Setup {
-    /// Names of the members that vote, the same list at all of them.
+    /// Names of the members that vote. The list must be the same at all members.
     voters: Vec<String>,
-    /// Names of the members that a document may make voters, the same list at all of them: the voters and their spares.
+    /// Names of the members that a document may make voters: the voters and their spares. The list must be the same at
+    /// all members.
     #[serde(default)]
     may_vote: Vec<String>,
-    /// How long a lease to act lasts.
-    #[serde(default = "lease")]
+    /// Duration of a lease.
+    #[serde(default = "lease_ms")]
     lease_ms: u64,
-    /// How often what is not answered is sent again.
-    #[serde(default = "period")]
+    /// Time after which an unanswered message is sent again.
+    #[serde(default = "period_ms")]
     period_ms: u64,
-    /// How far a clock that nobody sets may be from true time, in parts in a million.
-    #[serde(default = "drift")]
+    /// Highest drift of the monotonic clock from true time, in parts per million.
+    #[serde(default = "drift_ppm")]
     drift_ppm: u32,
-    /// How long a version waits for those that say nothing of it.
-    #[serde(default = "patience")]
+    /// Time that a new version waits for members that do not answer.
+    #[serde(default = "patience_ms")]
     patience_ms: u64,
-    /// Bytes of documents that are sent within a period, at most.
-    #[serde(default = "pace")]
+    /// Maximum bytes of documents that are sent within a period.
+    #[serde(default = "pace_bytes")]
     pace_bytes: usize,
-    /// Whether documents are read on a thread of their own, beside the loop.
+    /// Whether documents are read on a separate thread instead of the event loop.
     #[serde(default = "yes")]
     pub thread: bool,
-    /// Lists of a document whose entries are functions that are not served, and addresses that are not let in.
+    /// Name of the list, in documents, of functions that are not served.
     pub functions_out: Option<String>,
+    /// Name of the list, in documents, of client addresses whose connections are closed.
     pub addresses_out: Option<String>,
-    /// What is in force where nobody knows of a version.
+    /// Document that is in force until a version is agreed.
     #[serde(default)]
     document: toml::Table,
-    /// What this one acts on without a lease.
+    /// Document that this activator applies while it has no lease.
     #[serde(default)]
     floor: toml::Table,
 }
@@ -55,29 +57,32 @@
 fn yes() -> bool {
     true
 }
-fn lease() -> u64 {
+fn lease_ms() -> u64 {
     6_000
 }
-fn period() -> u64 {
+fn period_ms() -> u64 {
     500
 }
-fn drift() -> u32 {
+fn drift_ppm() -> u32 {
     500
 }
-fn patience() -> u64 {
+fn patience_ms() -> u64 {
     60_000
 }
-fn pace() -> usize {
+fn pace_bytes() -> usize {
     120_000
 }
 
-/// The name of a member in the accord.
-pub fn number(name: &str) -> MemberId {
+/// The id of a member in the accord, by its name.
+pub fn member_id(name: &str) -> MemberId {
     MemberId(membership::member_id(name).0)
 }
 
 impl Setup {
-    /// What is wrong with it, in one line. Documents must make sense beside the file's own classes and tenants.
+    /// Checks the setup. Documents must be valid together with the file's own classes and tenants.
+    ///
+    /// # Errors
+    /// The first problem, in one line.
     pub fn check(&self, members: Option<&membership::Setup>, base: &Base) -> Result<(), String> {
         let members = members.ok_or("accord: it needs [members], which carry it")?;
         if self.voters.len().is_multiple_of(2) {
@@ -105,41 +110,41 @@
         Ok(())
     }
 
-    /// What the accord is told.
+    /// The settings for `wheellink_accord`.
     pub fn settings(&self, members: &membership::Setup) -> Result<Settings, String> {
         Ok(Settings {
-            voters: self.voters.iter().map(|name| number(name)).collect(),
-            eligible_voters: self.may_vote.iter().map(|name| number(name)).collect(),
-            roster: members.names().map(number).collect(),
+            voters: self.voters.iter().map(|name| member_id(name)).collect(),
+            eligible_voters: self.may_vote.iter().map(|name| member_id(name)).collect(),
+            roster: members.names().map(member_id).collect(),
             lease: Duration::from_millis(self.lease_ms),
             period: Duration::from_millis(self.period_ms),
             drift_ppm: self.drift_ppm,
             prepare_timeout: Duration::from_millis(self.patience_ms),
             transfer_bytes_per_period: self.pace_bytes,
-            document: document("document", &self.document)?,
-            floor: document("floor", &self.floor)?,
+            document: parse_document("document", &self.document)?,
+            floor: parse_document("floor", &self.floor)?,
         })
     }
 }
 
-/// A document as tables, with `/` or a table for each step of a path. A list of words stands for as many keys that
-/// are true: `out = ["HOST"]` and `list.NAME = ["ENTRY"]`.
-fn document(what: &str, table: &toml::Table) -> Result<Document, String> {
-    let mut made = Document::default();
-    let mut todo: Vec<(String, &toml::Value)> = table.iter().map(|(k, v)| (k.clone(), v)).collect();
-    while let Some((path, value)) = todo.pop() {
-        let failed = |reason: String| format!("accord.{what}.{path}: {reason}");
+/// Parses a document from TOML. The segments of a key are separated by `/` or nested as tables. An array of strings sets
+/// one key to true for each of them: `out = ["HOST"]` and `list.NAME = ["ENTRY"]`.
+fn parse_document(section: &str, table: &toml::Table) -> Result<Document, String> {
+    let mut document = Document::default();
+    let mut queue: Vec<(String, &toml::Value)> = table.iter().map(|(k, v)| (k.clone(), v)).collect();
+    while let Some((path, value)) = queue.pop() {
+        let failed = |reason: String| format!("accord.{section}.{path}: {reason}");
         let mut set = |path: &str, value: Value| {
             let key = Key::new(path).map_err(|e| failed(e.to_string()))?;
-            check_entry(&key, &value).map_err(|e| format!("accord.{what}: {e}"))?;
-            if made.get(&key).is_some() {
+            check_entry(&key, &value).map_err(|e| format!("accord.{section}: {e}"))?;
+            if document.get(&key).is_some() {
                 return Err(failed("it stands twice".into()));
             }
-            made.set(key, value);
+            document.set(key, value);
             Ok::<_, String>(())
         };
         match value {
-            toml::Value::Table(inner) => todo.extend(inner.iter().map(|(k, v)| (format!("{path}/{k}"), v))),
+            toml::Value::Table(inner) => queue.extend(inner.iter().map(|(k, v)| (format!("{path}/{k}"), v))),
             toml::Value::Array(entries) => {
                 for entry in entries {
                     let entry = entry.as_str().ok_or_else(|| failed("a list holds words only".into()))?;
@@ -148,20 +153,20 @@
             }
             toml::Value::Boolean(flag) => set(&path, Value::Flag(*flag))?,
             toml::Value::Integer(n) => set(&path, Value::Int(*n))?,
-            toml::Value::String(word) => set(&path, Value::Text(word.clone()))?,
+            toml::Value::String(text) => set(&path, Value::Text(text.clone()))?,
             _ => {
                 return Err(failed("it is true or false, a whole number, a word, or a list of words".into()))
             }
         }
     }
-    made.seal();
-    Ok(made)
+    document.seal();
+    Ok(document)
 }
 
-/// A change as operators write it: `{"base": N, "set": {"KEY": VALUE}, "drop": ["KEY"]}`.
+/// Body of a `POST /accord`: `{"base": N, "set": {"KEY": VALUE}, "drop": ["KEY"]}`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct ChangeRequest {
     base: u64,
     #[serde(default)]
     set: BTreeMap<String, serde_json::Value>,
@@ -169,27 +174,31 @@
     drop: Vec<String>,
 }
 
-/// Reads a change; what is wrong with it names the key and the reason.
-pub fn change(body: &[u8]) -> Result<wheellink_accord::Change, String> {
-    let written: Written = serde_json::from_slice(body).map_err(|e| format!("the body: {e}"))?;
-    let mut change = wheellink_accord::Change { base: written.base, ..Default::default() };
+/// Parses the body of a `POST /accord`.
+///
+/// # Errors
+/// The first problem, with its key and the reason.
+pub fn parse_change(body: &[u8]) -> Result<wheellink_accord::Change, String> {
+    let request: ChangeRequest = serde_json::from_slice(body).map_err(|e| format!("the body: {e}"))?;
+    let mut change = wheellink_accord::Change { base: request.base, ..Default::default() };
     let key = |path: &str| Key::new(path).map_err(|e| format!("{path}: {e}"));
-    for (path, value) in written.set {
+    for (path, value) in request.set {
         let value = match value {
             serde_json::Value::Bool(flag) => Value::Flag(flag),
-            serde_json::Value::String(word) => Value::Text(word),
+            serde_json::Value::String(text) => Value::Text(text),
             serde_json::Value::Number(n) if n.is_i64() => Value::Int(n.as_i64().unwrap_or_default()),
             _ => return Err(format!("{path}: it is true or false, a whole number, or a word")),
         };
         let key = key(&path)?;
-        // A member's name in place of its number is looked up by whoever has the roster; its schema is asked once more then.
+        // `voter/` and `gone/` may have a member's name in place of its id. The node, which has the roster, replaces the
+        // name, and the accord then checks the entry against the schema.
         let by_name = key.as_str().starts_with("voter/") || key.as_str().starts_with("gone/");
         if !by_name || value != Value::Flag(true) {
             check_entry(&key, &value).map_err(|e| e.to_string())?;
         }
         change.set.insert(key, value);
     }
-    for path in written.drop {
+    for path in request.drop {
         change.drop.insert(key(&path)?);
     }
     Ok(change)
--- a/node/src/accords/tests.rs
+++ b/node/src/accords/tests.rs
@@ -4,14 +4,14 @@
 use rstest::rstest;
 
 fn read(text: &str) -> Result<Document, String> {
-    document("document", &text.parse().expect("TOML"))
+    parse_document("document", &text.parse().expect("TOML"))
 }
 
 #[test]
-fn tables_paths_and_lists_say_the_same() {
-    let words = "\"class/a/attempts\" = 3\n\"out/h1\" = true\n\"out/h2\" = true\n\"list/l/e\" = true";
+fn tables_paths_and_arrays_give_the_same_document() {
+    let paths = "\"class/a/attempts\" = 3\n\"out/h1\" = true\n\"out/h2\" = true\n\"list/l/e\" = true";
     let tables = "out = [\"h2\", \"h1\"]\n[class.a]\nattempts = 3\n[list]\nl = [\"e\"]";
-    let (one, other) = (read(words).expect("a document"), read(tables).expect("a document"));
+    let (one, other) = (read(paths).expect("a document"), read(tables).expect("a document"));
     assert_eq!((one.digest(), one.len()), (other.digest(), 4));
 }
 
@@ -22,7 +22,7 @@
 #[case::list("out = [3]", "out: a list holds words only")]
 #[case::twice("\"class/a/attempts\" = 3\n[class.a]\nattempts = 3", "class/a/attempts: it stands twice")]
 #[case::path("lonely = true", "accord.document.lonely")]
-fn a_document_that_makes_no_sense_names_its_key(#[case] text: &str, #[case] wanted: &str) {
+fn an_invalid_document_is_refused_with_its_key(#[case] text: &str, #[case] wanted: &str) {
     let problem = read(text).expect_err("a problem");
     assert!(problem.contains(wanted), "{problem}");
 }
@@ -35,14 +35,14 @@
 #[case::range(r#"{"base":1,"set":{"class/a/attempts":99}}"#, "class/a/attempts: 99")]
 #[case::drop(r#"{"base":1,"drop":["one"]}"#, "one:")]
 #[case::voter(r#"{"base":1,"set":{"voter/m3":false}}"#, "voter/m3")]
-fn a_change_that_makes_no_sense_names_its_key(#[case] body: &str, #[case] wanted: &str) {
-    let problem = change(body.as_bytes()).expect_err("a problem");
+fn an_invalid_change_is_refused_with_its_key(#[case] body: &str, #[case] wanted: &str) {
+    let problem = parse_change(body.as_bytes()).expect_err("a problem");
     assert!(problem.contains(wanted), "{problem}");
 }
 
 #[test]
-fn a_change_is_read() {
+fn a_change_is_parsed() {
     let body = br#"{"base":4,"set":{"class/a/attempts":2,"out/h":true},"drop":["list/l/e"]}"#;
-    let change = change(body).expect("a change");
+    let change = parse_change(body).expect("a change");
     assert_eq!((change.base, change.set.len(), change.drop.len()), (4, 2, 1));
 }
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -180,7 +180,7 @@
         },
         Command::Rollout(_) => rollout(request, path).map(Command::Rollout),
         Command::Admission(_) => admission(request, path).map(Command::Admission),
-        Command::Accord(_) if request.method == "POST" => match crate::accords::change(&request.body) {
+        Command::Accord(_) if request.method == "POST" => match crate::accords::parse_change(&request.body) {
             Ok(change) => Ok(Command::Accord(Some(Box::new(change)))),
             Err(problem) => Err(Response::problem(400, &problem)),
         },
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -12,9 +12,9 @@
 };
 
 use super::*;
-use crate::accords::office::Office;
+use crate::accords::preparer::Preparer;
 use crate::accords::terms::{Base, InForce, Terms};
-use crate::accords::{number, Setup};
+use crate::accords::{member_id, Setup};
 use crate::membership;
 use crate::membership::envelope::Kind;
 
@@ -34,7 +34,7 @@
     accord: Participant,
     setup: (Setup, membership::Setup),
     bound: Duration,
-    office: Option<Office>,
+    preparer: Option<Preparer>,
     base: Arc<Base>,
     acting: ActiveTerms,
     in_force: InForce,
@@ -79,12 +79,12 @@
     ) -> Result<Self, String> {
         let settings = setup.0.settings(setup.1)?;
         let bound = settings.bound();
-        let me = setup.1.names().next().map(number).ok_or("no name")?;
+        let me = setup.1.names().next().map(member_id).ok_or("no name")?;
         let life = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let life = life.unwrap_or_default().as_millis() as u64;
         let accord = Participant::new(settings, me, life, seed, since_boot()).map_err(|e| e.to_string())?;
         // Without the thread documents are read in the loop: calls wait meanwhile, and nothing else.
-        let office = if setup.0.thread { Office::open(handle).ok() } else { None };
+        let preparer = if setup.0.thread { Preparer::open(handle).ok() } else { None };
         let acting = accord.status(since_boot()).active;
         let setup = (setup.0.clone(), setup.1.clone());
         Ok(Self {
@@ -92,7 +92,7 @@
             accord,
             setup,
             bound,
-            office,
+            preparer,
             base,
             acting,
             in_force: InForce::default(),
@@ -106,8 +106,8 @@
 
     /// Ends it: the hosts that were out by it. Freeing large documents would be a pause, so a thread does that.
     fn close(self) -> BTreeSet<WorkerId> {
-        let Self { accord, office, acting, in_force, read, out, .. } = self;
-        drop(office);
+        let Self { accord, preparer, acting, in_force, read, out, .. } = self;
+        drop(preparer);
         let large = (accord, acting, in_force, read);
         // Without a thread they are freed here: what could not be begun drops what it was given.
         drop(std::thread::Builder::new().name("freeing".into()).spawn(move || drop(large)));
@@ -128,7 +128,7 @@
         self.read.push((digest, terms));
         while self.read.len() > MOST_READ {
             let (_, old) = self.read.remove(0);
-            self.office.iter_mut().for_each(|office| office.retire(old.clone()));
+            self.preparer.iter_mut().for_each(|preparer| preparer.retire(old.clone()));
         }
     }
 
@@ -213,7 +213,7 @@
             if let Some(agreed) = &mut self.agreed {
                 agreed.base = base;
                 for (_, terms) in std::mem::take(&mut agreed.read) {
-                    agreed.office.iter_mut().for_each(|office| office.retire(terms.clone()));
+                    agreed.preparer.iter_mut().for_each(|preparer| preparer.retire(terms.clone()));
                 }
                 let acting = agreed.acting.clone();
                 return self.act(now, acting, false);
@@ -306,7 +306,7 @@
     /// The thread has read something.
     pub(super) fn prepared(&mut self) {
         let now = self.clock.now();
-        let reading = self.agreed.as_ref().and_then(|a| a.office.as_ref()).and_then(Office::latest);
+        let reading = self.agreed.as_ref().and_then(|a| a.preparer.as_ref()).and_then(Preparer::take_latest);
         if let (Some(agreed), Some(reading)) = (&mut self.agreed, reading) {
             let result = reading.terms.map(|terms| agreed.keep(reading.version.digest, terms));
             let mut out = Vec::new();
@@ -328,8 +328,8 @@
                 }
                 Output::Prepare { version, document } => {
                     let base = agreed.base.clone();
-                    let result = match &mut agreed.office {
-                        Some(office) => match office.read(version, document, base) {
+                    let result = match &mut agreed.preparer {
+                        Some(preparer) => match preparer.submit(version, document, base) {
                             Ok(()) => continue,
                             Err(why) => Err(Refusal::Other(why.into())),
                         },
--- a/node/src/node/accord/operate.rs
+++ b/node/src/node/accord/operate.rs
@@ -44,7 +44,7 @@
             let words: Vec<&str> = key.segments().collect();
             let [what @ ("voter" | "gone"), name] = words[..] else { return key };
             let known = self.setup.1.names().find(|known| *known == name);
-            known.and_then(|name| Key::new(&format!("{what}/{}", number(name))).ok()).unwrap_or(key)
+            known.and_then(|name| Key::new(&format!("{what}/{}", member_id(name))).ok()).unwrap_or(key)
         };
         Change {
             base: change.base,
@@ -58,7 +58,7 @@
         let view = self.accord.status(since_boot());
         let members = &self.setup.1;
         let name = |of: wheellink_accord::MemberId| {
-            members.names().find(|n| number(n) == of).unwrap_or("?").to_string()
+            members.names().find(|n| member_id(n) == of).unwrap_or("?").to_string()
         };
         let acting = match &self.acting {
             ActiveTerms::Floor(floor) => json!({"on": "floor", "digest": floor.digest().to_string()}),
