--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -13,7 +13,7 @@
 
 use super::*;
 use crate::accords::preparer::Preparer;
-use crate::accords::terms::{Base, InForce, Terms};
+use crate::accords::terms::{Base, Terms, TermsInForce};
 use crate::accords::{member_id, Setup};
 use crate::membership;
 use crate::membership::envelope::Kind;
@@ -37,7 +37,7 @@
     preparer: Option<Preparer>,
     base: Arc<Base>,
     acting: ActiveTerms,
-    in_force: InForce,
+    in_force: TermsInForce,
     /// Readings by the digest of what was read, newest last.
     read: Vec<(Digest, Arc<Terms>)>,
     /// Members among whom the caps of the fleet are shared out.
@@ -95,7 +95,7 @@
             preparer,
             base,
             acting,
-            in_force: InForce::default(),
+            in_force: TermsInForce::default(),
             read: Vec::new(),
             paid: HashMap::new(),
             out: BTreeSet::new(),
@@ -185,7 +185,7 @@
             ActiveTerms::Single(version, document) => vec![self.reading(version.digest, &document.clone())?],
             ActiveTerms::Floor(document) => vec![self.reading(document.digest(), &document.clone())?],
         };
-        self.in_force = InForce { terms, floor };
+        self.in_force = TermsInForce { terms, floor };
         self.acting = acting;
         self.turns += 1;
         Ok(())
@@ -440,7 +440,7 @@
         let open = self.pending.len();
         let Some(agreed) = &mut self.agreed else { return true };
         let out = agreed.setup.0.functions_out.as_ref();
-        let served = !out.is_some_and(|list| agreed.in_force.lists(list, function));
+        let served = !out.is_some_and(|list| agreed.in_force.list_contains(list, function));
         served && agreed.takes(now, tenant, open)
     }
 
@@ -448,7 +448,7 @@
     pub(super) fn is_address_out(&self, from: std::net::IpAddr) -> bool {
         let Some(agreed) = &self.agreed else { return false };
         let list = agreed.setup.0.addresses_out.as_ref();
-        list.is_some_and(|list| agreed.in_force.lists(list, &from.to_string()))
+        list.is_some_and(|list| agreed.in_force.list_contains(list, &from.to_string()))
     }
 
     /// Whether a document has this host out.
--- a/node/src/node/accord/operate.rs
+++ b/node/src/node/accord/operate.rs
@@ -10,7 +10,7 @@
         let Some(change) = change else { return Response::json(200, agreed.show()) };
         let change = agreed.numbered(change);
         let strange = change.set.iter().find_map(|(key, value)| {
-            let problem = Terms::default().take(key, value, &agreed.base).err()?;
+            let problem = Terms::default().set(key, value, &agreed.base).err()?;
             Some(format!("{}: {problem}", key.as_str()))
         });
         if let Some(problem) = strange {
