--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -191,7 +191,7 @@
     /// The latest entry of each host that was found by DNS-SD.
     dns_hosts: BTreeMap<WorkerId, ListEntry>,
     /// The settings that the activators agree on, if that is set up.
-    agreed: Option<accord::Agreed>,
+    agreed: Option<accord::AgreedSettings>,
     /// The settings of the file with the agreed ones in their place.
     agreed_settings: Option<Settings>,
     /// The weights of sites that were agreed last.
@@ -369,7 +369,7 @@
         let housekeeping = self.last_housekeeping + HOUSEKEEPING_US;
         let membership = self.membership.as_ref().map_or(Micros::MAX, |f| f.next_tick(now));
         let drafting = self.drafting.as_ref().map_or(Micros::MAX, |d| d.next_tick(now));
-        let agreed = self.next_accord(now);
+        let agreed = self.next_accord_timer(now);
         engine
             .min(hosts)
             .min(discovery)
@@ -401,7 +401,7 @@
 
     /// Handles an event of the loop. The caller handles `Wake::Reload`, because it knows the path of the configuration.
     pub fn handle_wake(&mut self, wake: Wake) {
-        self.mind_accord();
+        self.tick_accord();
         self.clients_idle &= !matches!(wake, Wake::Client(_) | Wake::Clients);
         match wake {
             Wake::Client(id) => self.client_ready(id),
@@ -416,7 +416,7 @@
             Wake::PeerArrival => self.guests_ready(),
             Wake::Peers => self.peers_ready(),
             Wake::Members => self.members_ready(),
-            Wake::AccordPrepared => self.prepared(),
+            Wake::AccordPrepared => self.accord_prepared(),
             Wake::Stop => self.stop(),
             Wake::Reload => {}
         }
@@ -432,11 +432,11 @@
     /// One iteration of the loop: runs the timers if any is due. Returns the time until the next one is.
     pub fn run_iteration(&mut self, due: bool) -> Duration {
         self.clients_idle = !self.has_more();
-        if self.mind_accord() {
+        if self.tick_accord() {
             self.process_events();
         }
         // One step per iteration, so that events are handled between two steps.
-        let more = self.go_on_with_accord();
+        let more = self.run_accord_step();
         let now = self.clock.now();
         if self.has_more() {
             match &mut self.mode {
@@ -537,7 +537,7 @@
         let now = self.clock.now();
         match command {
             // The agreed settings by which the attempt was decided are no longer in force: the engine decides again.
-            Command::Send { attempt, host, .. } if self.mind_accord() || inject(Fault::Attempt).is_err() => {
+            Command::Send { attempt, host, .. } if self.tick_accord() || inject(Fault::Attempt).is_err() => {
                 self.withheld(now, attempt, host)
             }
             // The process has stalled since the attempt was decided.
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -197,7 +197,7 @@
     /// Admits an accepted connection, or closes it unread.
     pub(super) fn admit_connection(&mut self, now: Micros, stream: std::net::TcpStream, peer: SocketAddr) {
         let from = peer.ip();
-        if self.is_address_out(from) {
+        if self.is_address_blocked(from) {
             return;
         }
         let Some(policy) = &mut self.admission.policy else {
--- a/node/src/node/discovery.rs
+++ b/node/src/node/discovery.rs
@@ -143,7 +143,7 @@
         self.update_limits();
         let entries: Vec<ListEntry> = hosts.into_iter().map(|h| h.entry).collect();
         self.list_for_turns(kind, &entries);
-        self.bar_agreed(now, entries.iter().map(|e| &e.worker));
+        self.update_agreed_out(now, entries.iter().map(|e| &e.worker));
         self.run_engine(|engine, out| engine.update_hosts(now, kind, entries, out));
     }
 
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -125,7 +125,7 @@
                     // Promises that were made under this member's name since then belong to another instance of the
                     // member, so this one takes part in the agreement as a new instance.
                     self.agreed = None;
-                    self.attend_accord(now);
+                    self.configure_accord(now);
                     self.announce(now);
                 }
             }
@@ -168,7 +168,7 @@
         self.upgrade.send(&Message::Ready);
         self.log.line(now, "taking clients");
         self.configure_members();
-        self.attend_accord(now);
+        self.configure_accord(now);
         self.announce(now);
         Ok(())
     }
@@ -272,7 +272,7 @@
         let now = self.clock.now();
         let applied = config.and_then(|config| {
             self.config.check_replacement(&config)?;
-            self.may_be_followed(&config)?;
+            self.check_agreed_terms(&config)?;
             self.apply_config(now, config)
         });
         match applied {
@@ -332,7 +332,7 @@
             self.configure_members();
         }
         self.attend_turns(now);
-        self.attend_accord(now);
+        self.configure_accord(now);
         self.rebind(now);
         self.update_limits();
         Ok(what)
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -102,7 +102,7 @@
     /// pool is updated before the engine, because the engine may send to the host at once. To take it out, the engine
     /// is updated first, so that withdrawn attempts go to other hosts.
     pub(super) fn update_in_service(&mut self, now: Micros, host: &WorkerId) {
-        let out = self.manual_out.contains(host) || self.is_out_as_agreed(host);
+        let out = self.manual_out.contains(host) || self.is_agreed_out(host);
         if self.hosts.in_maintenance(host) == out {
             return;
         }
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -86,7 +86,7 @@
         }
         // The class bounds the timeout: requests that stay open for a day would accumulate.
         let class = class.unwrap_or(usize::MAX);
-        let known = self.agreed().classes.get(class);
+        let known = self.agreed_settings().classes.get(class);
         let max_timeout = known.map_or(MAX_UNKNOWN_CLASS_TIMEOUT_US, |c| 2 * c.give_up);
         let incoming = Incoming {
             id: request.id,
@@ -109,7 +109,7 @@
 
     pub(super) fn invoke_call(&mut self, conn: ConnId, origin: invoke::Origin, call: invoke::Call) {
         let now = self.clock.now();
-        let Some(settings) = self.agreed().classes.get(call.class).copied() else { return };
+        let Some(settings) = self.agreed_settings().classes.get(call.class).copied() else { return };
         let Mode::Operator { classes, ids, .. } = &mut self.mode else { return };
         let (deferred, lanes) = classes[call.class];
         let default = match origin {
--- a/node/src/node/rollout.rs
+++ b/node/src/node/rollout.rs
@@ -178,7 +178,7 @@
     /// The settings that bind this process: its own, and where another version is there the stricter side's.
     pub(super) fn binding(&self) -> Settings {
         let d = &self.config.deployment;
-        let mut settings = self.agreed().clone();
+        let mut settings = self.agreed_settings().clone();
         for bound in &self.gradual.bound {
             if let Some(i) = d.class(&bound.name) {
                 settings.classes[i].effect = bound.policy.effect();
--- a/node/src/node/together.rs
+++ b/node/src/node/together.rs
@@ -14,7 +14,7 @@
         let envelopes = self.membership.as_mut().map(Membership::take_envelopes).unwrap_or_default();
         for Envelope { from, kind, data } in envelopes {
             match kind {
-                Kind::Accord => self.heard_accord(now, from, &data),
+                Kind::Accord => self.receive_accord(now, from, &data),
                 Kind::Drafts => self.drafts_heard(now, from, &data),
                 Kind::Turns => self.hear_of_turns(from.0, &data),
             }
@@ -23,7 +23,7 @@
 
     /// Hands drafts and sites what is obeyed from now on. Soft both: on two versions at once, the newer's.
     pub(super) fn share_agreed(&mut self) {
-        let agreed = self.agreed.as_ref().map(|agreed| (agreed.acting(), agreed.newest()));
+        let agreed = self.agreed.as_ref().map(|agreed| (agreed.active(), agreed.newest_terms()));
         let Some((acting, terms)) = agreed else {
             self.drafting.iter_mut().for_each(|drafting| drafting.set_table(None));
             return self.weigh_sites(BTreeMap::new());
@@ -57,13 +57,15 @@
             return;
         }
         let Some(agreed) = &self.agreed else { return };
-        let (ActiveTerms::Single(version, _), None) = (agreed.acting(), agreed.pending()) else { return };
+        let (ActiveTerms::Single(version, _), None) = (agreed.active(), agreed.pending()) else {
+            return;
+        };
         let base = version.number;
         let Some(wanted) = self.drafting.as_mut().and_then(|drafting| drafting.take_wanted()) else { return };
         let entry = |(path, draft): (String, String)| Some((Key::new(&path).ok()?, Value::Text(draft)));
         let set: BTreeMap<_, _> = wanted.into_iter().filter_map(entry).collect();
         if !set.is_empty() {
-            self.propose_own(now, "drafts", Change { base, set, ..Change::default() });
+            self.propose_internal(now, "drafts", Change { base, set, ..Change::default() });
         }
     }
 }
