--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -59,7 +59,7 @@
 use request_log::Attempts;
 use rollout::{Gradual, Role};
 use stall::StallDetector;
-use turns::Turning;
+use turns::TurnRouting;
 
 /// Time kept back from a request's timeout: the client counts from the last byte that it wrote until the answer has
 /// reached it.
@@ -187,7 +187,7 @@
     peers: Option<Peers>,
     membership: Option<Membership>,
     drafting: Option<Box<Drafting>>,
-    turning: Option<Box<Turning>>,
+    turn_routing: Option<Box<TurnRouting>>,
     /// The latest entry of each host that was found by DNS-SD.
     dns_hosts: BTreeMap<WorkerId, ListEntry>,
     /// The settings that the activators agree on, if that is set up.
@@ -298,7 +298,7 @@
             peers: None,
             membership: None,
             drafting: None,
-            turning: None,
+            turn_routing: None,
             dns_hosts: BTreeMap::new(),
             agreed: None,
             agreed_settings: None,
@@ -321,7 +321,7 @@
             front.checks_bodies = admission;
         }
         node.update_limits();
-        node.attend_turns(started);
+        node.configure_turns(started);
         if let Some(state) = &state {
             node.inherit(state);
         }
@@ -375,7 +375,7 @@
             .min(discovery)
             .min(membership)
             .min(drafting)
-            .min(self.next_turn(now))
+            .min(self.next_turn_timer(now))
             .min(agreed)
             .min(listeners)
             .min(housekeeping)
@@ -451,7 +451,7 @@
             self.tick_members(now);
             self.tend_drafts(now);
             self.propose_drafts(now);
-            self.tend_turns();
+            self.tick_turns();
             let housekeeping = self.last_housekeeping + HOUSEKEEPING_US <= now;
             if housekeeping {
                 self.last_housekeeping = now;
@@ -545,7 +545,7 @@
                 self.withheld(now, attempt, host)
             }
             Command::Send { attempt, host, until, leave_by } => {
-                self.turn_sent(now, attempt, &host);
+                self.turn_attempt_sent(now, attempt, &host);
                 self.log_attempt(now, attempt, &host);
                 self.send(now, attempt, host, CallTimes { until, leave_by })
             }
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -86,10 +86,9 @@
         let settings = setup.0.settings(setup.1)?;
         let bound = settings.bound();
         let me = setup.1.names().next().map(member_id).ok_or("no name")?;
-        let started = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        let started = started.unwrap_or_default().as_millis() as u64;
-        let accord =
-            Participant::new(settings, me, started, seed, since_boot()).map_err(|e| e.to_string())?;
+        let start = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+        let start = start.unwrap_or_default().as_millis() as u64;
+        let accord = Participant::new(settings, me, start, seed, since_boot()).map_err(|e| e.to_string())?;
         // Without the thread, documents are read in the event loop, which delays calls but has no other effect.
         let preparer = if setup.0.thread { Preparer::open(handle).ok() } else { None };
         let active = accord.status(since_boot()).active;
--- a/node/src/node/discovery.rs
+++ b/node/src/node/discovery.rs
@@ -142,7 +142,7 @@
         // Clients beyond their limit make room first, because the engine may connect to new hosts at once.
         self.update_limits();
         let entries: Vec<ListEntry> = hosts.into_iter().map(|h| h.entry).collect();
-        self.list_for_turns(kind, &entries);
+        self.update_turn_hosts(kind, &entries);
         self.update_agreed_out(now, entries.iter().map(|e| &e.worker));
         self.run_engine(|engine, out| engine.update_hosts(now, kind, entries, out));
     }
@@ -217,13 +217,13 @@
         };
         if self.membership.as_mut().is_some_and(|membership| membership.reconfigure(setup)) {
             self.attend_drafts(now);
-            return self.meet_turns();
+            return self.update_turn_members();
         }
         self.membership.take().into_iter().for_each(Membership::close);
         match Membership::open(&self.handle, setup, self.config.seed) {
             Ok(membership) => {
                 self.membership = Some(membership);
-                self.meet_turns();
+                self.update_turn_members();
             }
             Err(e) => self.log.line(now, format_args!("the other activators are not watched: {e}")),
         }
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -331,7 +331,7 @@
         if self.client_listener.is_some() && !self.superseded {
             self.configure_members();
         }
-        self.attend_turns(now);
+        self.configure_turns(now);
         self.configure_accord(now);
         self.rebind(now);
         self.update_limits();
@@ -353,7 +353,7 @@
         let over = self.stopping.is_some_and(|since| now - since >= SHUTDOWN_GRACE_US);
         self.final_iterations += u32::from(over);
         let all_read = self.clients_idle || self.final_iterations > MAX_FINAL_ITERATIONS;
-        over && all_read && self.pending.is_empty() && self.parked_turns() == 0 && quiet
+        over && all_read && self.pending.is_empty() && self.waiting_turns() == 0 && quiet
     }
 
     pub fn shut_down(&mut self) {
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -146,7 +146,7 @@
     /// Places the turn that the request carries, if any, and submits it to the engine.
     pub(super) fn submit(&mut self, now: Micros, conn: Option<ConnId>, origin: Origin, incoming: Incoming) {
         // `advise` may park the request until there is a place for its turn, and submits it then.
-        if let Some((origin, incoming)) = self.advise(now, conn, origin, incoming) {
+        if let Some((origin, incoming)) = self.place_turn(now, conn, origin, incoming) {
             self.submit_placed(now, conn, origin, incoming);
         }
     }
@@ -161,14 +161,14 @@
     ) {
         let size = incoming.body.len();
         if !self.is_within_caps(now, incoming.tenant, &incoming.function) {
-            self.forgo_turn(incoming.placed.as_ref());
+            self.cancel_turn(incoming.placed.as_ref());
             let retry_after = self.config.deployment.settings.max_retry_after;
             return self.reply(now, &origin, Reply::Refused(retry_after));
         }
         let (owner, info) = match self.admit_request(now, conn, (incoming.class, incoming.tenant, size)) {
             Ok(admitted) => admitted,
             Err(reply) => {
-                self.forgo_turn(incoming.placed.as_ref());
+                self.cancel_turn(incoming.placed.as_ref());
                 return self.reply(now, &origin, reply);
             }
         };
@@ -211,7 +211,7 @@
         let ticket = match self.pass(now, &pending, incoming.placed.as_ref(), &incoming.preferred) {
             Some(ticket) => {
                 pending.version = Version::New;
-                self.carry_turn(ticket, incoming.placed, incoming.preferred);
+                self.attach_turn(ticket, incoming.placed, incoming.preferred);
                 if let Some(since) = half_closed {
                     self.passed_half_closed(ticket, since);
                 }
@@ -228,7 +228,7 @@
                 let preferred = incoming.preferred;
                 let ticket =
                     self.run_engine(|engine, out| engine.request_with_preferences(now, new, preferred, out));
-                self.carry_turn(ticket, incoming.placed, Vec::new());
+                self.attach_turn(ticket, incoming.placed, Vec::new());
                 ticket
             }
         };
@@ -252,7 +252,7 @@
     pub(super) fn client_left(&mut self, ticket: Ticket) {
         let now = self.clock.now();
         self.passed_over(now, ticket);
-        self.turn_over(ticket);
+        self.end_turn(ticket);
         if let Some(pending) = self.pending.remove(&ticket) {
             self.release(now, &pending, false);
             self.log_client_left(now, &pending);
@@ -282,7 +282,7 @@
         let Some(mut pending) = self.pending.remove(&ticket) else { return };
         self.ids.remove(&pending.call.id);
         self.passed_over(now, ticket);
-        let found = self.turn_over(ticket);
+        let found = self.end_turn(ticket);
         let reply = match (verdict, pending.answer.take()) {
             (Verdict::Served(by), Some((attempt, body))) if by == attempt => Reply::Served(body),
             (Verdict::Refused { retry_after }, _) => Reply::Refused(retry_after),
@@ -323,7 +323,7 @@
             hosts::PoolEvent::Attempt { attempt, end, body, fields } => {
                 self.log_attempt_end(attempt, end.outcome);
                 self.drafted(now, attempt, &end, &fields);
-                self.turn_ended(now, attempt, &end, &fields);
+                self.turn_attempt_ended(now, attempt, &end, &fields);
                 if let Some(pending) = self.pending.get_mut(&attempt.ticket) {
                     if let Some(passed) = &mut pending.passed {
                         let done = end.outcome == Outcome::Done;
--- a/node/src/node/rollout/candidate.rs
+++ b/node/src/node/rollout/candidate.rs
@@ -132,7 +132,7 @@
             Site::Host(name) => Some(PreferredLocation::Worker(name.as_str().into())),
         };
         let advice = places.iter().filter_map(spot).collect();
-        self.stand_at(now, places, &new.function, new.lanes);
+        self.note_resident(now, places, &new.function, new.lanes);
         advice
     }
 
@@ -178,7 +178,7 @@
         if self.gradual.role == Role::Holder && self.engine.is_cold(&host) {
             self.upgrade.send_frame(&Frame::ColdSend { host: host.0.to_string(), at: now });
         }
-        let more = self.draft_for(attempt, &host) + &self.blocks_of(attempt.ticket);
+        let more = self.draft_for(attempt, &host) + &self.block_fields(attempt.ticket);
         if let Some(pending) = self.pending.get(&attempt.ticket) {
             self.hosts.send(now, attempt, &host, (&pending.call, &more), times, &mut self.log);
         }
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -112,7 +112,7 @@
     fn passed_begins(&mut self, now: Micros, seq: u64, number: u32, host: &WorkerId) {
         let attempt = AttemptId { ticket: ticket(seq), number };
         self.gradual.out.insert(seq, number);
-        self.turn_sent(now, attempt, host);
+        self.turn_attempt_sent(now, attempt, host);
         self.draft_begins(attempt, host);
     }
 
@@ -121,7 +121,7 @@
         let Some(number) = self.gradual.out.remove(&seq) else { return };
         let attempt = AttemptId { ticket: ticket(seq), number };
         self.drafted(now, attempt, &end, fields);
-        self.turn_ended(now, attempt, &end, fields);
+        self.turn_attempt_ended(now, attempt, &end, fields);
     }
 
     /// A call is over here, or is decided here from now on. Of what is still out of it where it was passed nothing is
@@ -387,12 +387,12 @@
         let past = past.into_iter().map(ended).collect();
         let new = pending.new.clone();
         self.passed_over(now, ticket(seq));
-        let (turn, advice) = self.take_turn(ticket(seq));
+        let (turn, advice) = self.detach_turn(ticket(seq));
         let ticket = self.run_engine(|engine, out| {
             engine.prefer_locations(now, advice, out);
             engine.request_with_past_attempts(now, new, past, out)
         });
-        self.carry_turn(ticket, turn, Vec::new());
+        self.attach_turn(ticket, turn, Vec::new());
         (pending.version, pending.answer) = (Version::Old, None);
         self.track(ticket, pending);
     }
--- a/node/src/node/together.rs
+++ b/node/src/node/together.rs
@@ -16,7 +16,7 @@
             match kind {
                 Kind::Accord => self.receive_accord(now, from, &data),
                 Kind::Drafts => self.drafts_heard(now, from, &data),
-                Kind::Turns => self.hear_of_turns(from.0, &data),
+                Kind::Turns => self.receive_turns(from.0, &data),
             }
         }
     }
@@ -45,9 +45,9 @@
     fn weigh_sites(&mut self, sites: BTreeMap<String, u32>) {
         let before = std::mem::replace(&mut self.site_weights, sites.clone());
         for label in before.keys().filter(|label| !sites.contains_key(*label)) {
-            self.weigh_site(label, wheellink_turns::DEFAULT_WEIGHT);
+            self.set_site_weight(label, wheellink_turns::DEFAULT_WEIGHT);
         }
-        sites.iter().for_each(|(label, weight)| self.weigh_site(label, *weight as u16));
+        sites.iter().for_each(|(label, weight)| self.set_site_weight(label, *weight as u16));
     }
 
     /// Puts forward what was learnt of drafts, where one version alone is in force: two that do so at once differ in
@@ -57,9 +57,7 @@
             return;
         }
         let Some(agreed) = &self.agreed else { return };
-        let (ActiveTerms::Single(version, _), None) = (agreed.active(), agreed.pending()) else {
-            return;
-        };
+        let (ActiveTerms::Single(version, _), None) = (agreed.active(), agreed.pending()) else { return };
         let base = version.number;
         let Some(wanted) = self.drafting.as_mut().and_then(|drafting| drafting.take_wanted()) else { return };
         let entry = |(path, draft): (String, String)| Some((Key::new(&path).ok()?, Value::Text(draft)));
