--- a/node/src/accords.rs
+++ b/node/src/accords.rs
@@ -30,7 +30,7 @@
     /// Time after which an unanswered message is sent again.
     #[serde(default = "period_ms")]
     period_ms: u64,
-    /// Highest drift of the monotonic clock from true time, in parts per million.
+    /// Highest drift from true time of a clock that cannot be set, in parts per million.
     #[serde(default = "drift_ppm")]
     drift_ppm: u32,
     /// Time that a new version waits for members that do not answer.
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -54,8 +54,8 @@
     changes: u64,
 }
 
-/// Time since boot. This clock cannot be set, and it continues while the machine is suspended, as the leases that other
-/// members hold do.
+/// Time since boot. This clock cannot be set, and it continues while the machine is suspended, because leases continue at
+/// the other members.
 fn since_boot() -> Duration {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(t.tv_sec as u64, t.tv_nsec as u32)
@@ -391,7 +391,7 @@
         }
     }
 
-    /// Proposes a change of a component of this activator, which proposes it again if it is refused.
+    /// Proposes a change of a component of this activator. The component reconsiders a change that is refused.
     pub(super) fn propose_internal(&mut self, now: Micros, from: &str, change: Change) {
         let Some(agreed) = &mut self.agreed else { return };
         let (mut out, keys) = (Vec::new(), change.set.len());
