--- a/node/src/node/together.rs
+++ b/node/src/node/together.rs
@@ -14,16 +14,16 @@
         let envelopes = self.membership.as_mut().map(Membership::take_envelopes).unwrap_or_default();
         for Envelope { from, kind, data } in envelopes {
             match kind {
-                Kind::Accord => self.heard_accord(now, from, &data),
+                Kind::Accord => self.receive_accord(now, from, &data),
                 Kind::Drafts => self.drafts_heard(now, from, &data),
-                Kind::Turns => self.hear_of_turns(from.0, &data),
+                Kind::Turns => self.receive_turns(from.0, &data),
             }
         }
     }
 
     /// Hands drafts and sites what is obeyed from now on. Soft both: on two versions at once, the newer's.
     pub(super) fn share_agreed(&mut self) {
-        let agreed = self.agreed.as_ref().map(|agreed| (agreed.acting(), agreed.newest()));
+        let agreed = self.agreed.as_ref().map(|agreed| (agreed.active(), agreed.newest_terms()));
         let Some((acting, terms)) = agreed else {
             self.drafting.iter_mut().for_each(|drafting| drafting.set_table(None));
             return self.weigh_sites(BTreeMap::new());
@@ -45,9 +45,9 @@
     fn weigh_sites(&mut self, sites: BTreeMap<String, u32>) {
         let before = std::mem::replace(&mut self.site_weights, sites.clone());
         for label in before.keys().filter(|label| !sites.contains_key(*label)) {
-            self.weigh_site(label, wheellink_turns::DEFAULT_WEIGHT);
+            self.set_site_weight(label, wheellink_turns::DEFAULT_WEIGHT);
         }
-        sites.iter().for_each(|(label, weight)| self.weigh_site(label, *weight as u16));
+        sites.iter().for_each(|(label, weight)| self.set_site_weight(label, *weight as u16));
     }
 
     /// Puts forward what was learnt of drafts, where one version alone is in force: two that do so at once differ in
@@ -57,13 +57,13 @@
             return;
         }
         let Some(agreed) = &self.agreed else { return };
-        let (ActiveTerms::Single(version, _), None) = (agreed.acting(), agreed.pending()) else { return };
+        let (ActiveTerms::Single(version, _), None) = (agreed.active(), agreed.pending()) else { return };
         let base = version.number;
         let Some(wanted) = self.drafting.as_mut().and_then(|drafting| drafting.take_wanted()) else { return };
         let entry = |(path, draft): (String, String)| Some((Key::new(&path).ok()?, Value::Text(draft)));
         let set: BTreeMap<_, _> = wanted.into_iter().filter_map(entry).collect();
         if !set.is_empty() {
-            self.propose_own(now, "drafts", Change { base, set, ..Change::default() });
+            self.propose_internal(now, "drafts", Change { base, set, ..Change::default() });
         }
     }
 }
