--- a/node/src/node/rollout.rs
+++ b/node/src/node/rollout.rs
@@ -1,7 +1,8 @@
-//! Gradual versions, bound to requests, engine and wire. What is decided here is decided by `wheellink_rollout`.
+//! Gradual rollout of a new version: connects the state machine of `wheellink_rollout` to the requests, the engine and
+//! the connection between the two processes.
 //!
-//! The holder passes calls, answers them and owes that; the candidate decides them and tells of each attempt
-//! before its first byte leaves.
+//! The holder owns the clients: it passes some calls to the candidate and answers their clients. The candidate decides
+//! the passed calls, and announces each attempt to the holder before it sends the attempt's first byte to a host.
 
 mod candidate;
 mod holder;
@@ -19,44 +20,47 @@
 use crate::ipc::{self, Frame, PassedCall};
 use crate::upgrade::{Process, VersionInfo};
 
-/// Calls that the candidate decides at once: at 30,000 calls a second, those of 17 ms.
+/// Limit of passed calls that are open at the same time: the calls of 17 ms at 30,000 calls a second.
 const MOST_PASSED: usize = 512;
-/// With more bytes on their way to the candidate nothing more is passed: it is slow, and calls stay here.
+/// No call is passed while more bytes than this are queued for the candidate: it is slow, and the holder decides the
+/// calls itself.
 const BACKLOG: usize = 1 << 20;
-/// The candidate answers this much before the holder must.
+/// The candidate's deadline for a call is this much earlier than the holder's.
 const PASS_MARGIN: Micros = 10_000;
-/// Where no plan says how long a candidate may be silent: it may be starting, or an operator may look at it.
+/// Silence after which the holder gives a candidate up while no plan runs: the candidate may be starting, or an operator
+/// may be inspecting it.
 const IDLE_SILENCE: Micros = 5_000_000;
-/// A process whose connection has ended by itself is given so long to come to its own end.
+/// Time that a process has to exit by itself after its connection has ended; then it is killed.
 const LAST_WORDS: Micros = 100_000;
-/// A process that was ended is gone within this; then it is taken to be cut off somewhere.
+/// Time that a lost process has to exit. One that has not exited by then is treated as possibly still running.
 const BURIAL: Micros = 300_000;
-/// How often a process that is being ended is asked about.
+/// Interval of the checks whether the lost process has exited.
 const BURIAL_LOOK: Micros = 1_000;
-/// Marks tickets of passed calls: the engine counts its own from 1.
+/// Bit that marks tickets of passed calls. The engine numbers its own tickets from 1.
 const PASSED: u64 = 1 << 63;
-/// Orders of a candidate that wait for a grant; the engine ends each after its own time.
+/// Limit of a candidate's load orders that wait for a grant. The engine ends each one at its timeout.
 const MOST_ASKED: usize = 256;
-/// After an order was denied none is asked for so long: the ration moves by calls and seconds.
+/// After the holder has denied an order the candidate requests none for this long: the load budget changes only with
+/// calls and over seconds.
 const DENIED: Micros = 100_000;
-/// Attempts that wait for their word to leave. Each belongs to a passed call.
+/// Limit of attempts that wait until their announcement is written. Each belongs to a passed call.
 const MOST_WAITING: usize = MOST_PASSED;
 
-/// What this process is to the other.
+/// The role of this process in a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Role {
     /// No rollout.
     #[default]
     Alone,
-    /// It has the clients, and passes calls.
+    /// It has the clients, and passes calls to the candidate.
     Holder,
-    /// It decides what is passed, and takes no clients.
+    /// It decides the passed calls, and accepts no clients.
     Candidate,
-    /// It was a candidate and takes clients; the holder still passes what its clients send.
+    /// It was a candidate and now accepts clients. The holder still passes the calls of its remaining clients.
     Successor,
 }
 
-/// What was counted, for operators and measurements.
+/// Counters for operators and measurements.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Counts {
     passed: u64,
@@ -69,42 +73,43 @@
     denied: u64,
 }
 
-/// The other process has been given up, and may still have attempts out.
+/// The other process after its connection was lost or closed. It may still have attempts in flight.
 struct Burial {
     process: Option<Process>,
     since: Micros,
 }
 
-/// See the module's page.
+/// The state of a rollout in this process.
 pub(super) struct Gradual {
     pub(super) role: Role,
     machine: Rollout,
     ledger: Ledger,
-    /// Of a holder: the attempt that is out of each passed call, as far as it was told.
+    /// Holder only: the announced attempt in flight of each passed call, by sequence number.
     out: HashMap<u64, u32>,
-    /// The protocol that is spoken.
+    /// The version of the protocol on the connection to the other process.
     protocol: u32,
     seq: u64,
     counts: Counts,
-    /// The other side's name and classes, what binds both, and where they differ.
+    /// The other process's version and classes, the strictest policies of both, and the differences.
     peer: VersionInfo,
     bound: Vec<ClassPolicy>,
     differ: Vec<PolicyDifference>,
     heard: Micros,
-    /// Looks since then: a clock that jumps is no silence.
+    /// Housekeeping ticks since `heard`. Silence has to last in ticks too, so that a jump of the clock is not taken
+    /// for silence.
     looks: u32,
-    /// The candidate's host list is as new as can be told.
+    /// Whether the candidate has reported that its host list is up to date.
     caught_up: bool,
     burial: Option<Burial>,
-    /// Of a candidate: its calls by the holder's numbers.
+    /// Candidate only: the tickets of passed calls by the holder's sequence numbers.
     calls: HashMap<u64, Ticket>,
-    /// Attempts whose word has not left: by which byte it will have.
+    /// Attempts whose announcement is not written yet, each with the byte offset at which it will be.
     waiting: VecDeque<(u64, AttemptId, WorkerId, CallTimes)>,
     asked: HashMap<OrderId, (WorkerId, FunctionId, u32)>,
     ask_again: Micros,
-    /// What the holder counts for the ration of orders.
+    /// The holder's tallies for the load budget.
     ration: Vec<Tally>,
-    /// Where the holder says that the rollout is.
+    /// Phase and percentage that the holder reported last.
     told: (String, f64),
     dismissed: Option<String>,
 }
@@ -136,12 +141,13 @@
         }
     }
 
-    /// Bodies of passed calls are a half of all bodies at the most: the other process holds them too.
+    /// Limits the bodies of passed calls to half of the memory for bodies: the other process holds a copy of each.
     pub(super) fn bound(&mut self, bodies: usize) {
         self.ledger.set_max_bytes(bodies / 2);
     }
 
-    /// Whether another process decides, or has decided, some of the calls: nobody else may come meanwhile.
+    /// Whether another process takes part in a rollout, or a lost one may still be running. No third process may connect
+    /// meanwhile.
     pub(super) fn is_busy(&self) -> bool {
         self.role != Role::Alone || self.burial.is_some()
     }
@@ -151,7 +157,7 @@
         burial.min(self.ledger.next_deadline().unwrap_or(Micros::MAX))
     }
 
-    /// Whether it is wanted no more.
+    /// Whether the holder has dismissed this process.
     pub(super) fn is_dismissed(&self) -> bool {
         self.dismissed.is_some()
     }
@@ -165,7 +171,7 @@
     (ticket.0 & PASSED != 0).then_some(ticket.0 & !PASSED)
 }
 
-/// What a deployment's classes allow, by name.
+/// The retry policies of a deployment's classes.
 pub fn classes(deployment: &Deployment) -> Vec<ClassPolicy> {
     let attempts = deployment.settings.max_attempts;
     let named = deployment.classes.iter().zip(&deployment.settings.classes);
@@ -175,7 +181,7 @@
 }
 
 impl Node {
-    /// The settings that bind this process: its own, and where another version is there the stricter side's.
+    /// The settings that this process follows: its own, and during a rollout the stricter of both versions'.
     pub(super) fn binding(&self) -> Settings {
         let d = &self.config.deployment;
         let mut settings = self.agreed().clone();
@@ -188,7 +194,7 @@
         settings
     }
 
-    /// Works out what binds both versions, and has the engine keep to it.
+    /// Computes the strictest policies of both versions and applies them to the engine.
     pub(super) fn bind(&mut self, now: Micros) {
         let (own, theirs) =
             (classes(&self.config.deployment), std::mem::take(&mut self.gradual.peer.classes));
@@ -209,7 +215,7 @@
         }
     }
 
-    /// The configuration has changed: the other version is told, and what binds both is worked out anew.
+    /// After a change of configuration: sends the classes to the other version and computes the strictest policies again.
     pub(super) fn rebind(&mut self, now: Micros) {
         if self.gradual.role != Role::Alone {
             let classes = classes(&self.config.deployment);
@@ -222,7 +228,7 @@
         self.gradual.bound.iter().find(|c| c.name == class).map(|c| c.policy)
     }
 
-    /// Whether only the new version knows this class, and decides calls now.
+    /// Whether only the new version knows this class, and calls are passed to it now.
     pub(super) fn is_theirs(&self, class: &str) -> bool {
         let g = &self.gradual;
         let open = g.role == Role::Holder && g.machine.passes_calls() && g.machine.share() > Share::NONE;
@@ -248,12 +254,12 @@
         }
     }
 
-    /// The connection to the other process of a rollout has ended. False where there was none.
+    /// Handles the end of the connection to the other process. Returns false without a rollout.
     pub(super) fn rollout_peer_left(&mut self, now: Micros, why: &str) -> bool {
         match self.gradual.role {
             Role::Alone => return false,
             Role::Holder => {
-                self.log.line(now, format_args!("rollout: the new version is gone: {why}"));
+                self.log.line(now, format_args!("rollout: connection to the new version lost: {why}"));
                 let process = self.upgrade.take_process();
                 self.bury(now, process, Cause::CandidateLost("its connection has ended"));
             }
@@ -262,8 +268,8 @@
         true
     }
 
-    /// What is due; `often` is true a few times a second.
-    pub(super) fn tick_rollout(&mut self, now: Micros, often: bool) {
+    /// Handles timeouts; `housekeeping` is true a few times a second.
+    pub(super) fn tick_rollout(&mut self, now: Micros, housekeeping: bool) {
         for seq in self.gradual.ledger.take_overdue(now) {
             self.upgrade.send_frame(&Frame::Abandoned { seq });
             self.deliver_verdict(now, ticket(seq), Verdict::TimedOut);
@@ -272,7 +278,7 @@
             Role::Candidate if self.gradual.burial.is_some() => self.succeed_holder(now),
             _ => self.look_at_burial(now),
         }
-        if !often {
+        if !housekeeping {
             return;
         }
         self.send_told(now);
@@ -304,14 +310,15 @@
         }
     }
 
-    /// The client of a passed call has ended its side of the connection. False where the call was not passed.
+    /// Forwards to the candidate that the client of a passed call has closed its sending side. Returns false if the call
+    /// was not passed.
     pub(super) fn passed_half_closed(&mut self, of: Ticket, since: Micros) -> bool {
         let Some(seq) = seq(of) else { return false };
         self.upgrade.send(&Message::HalfClosed { seq, since });
         true
     }
 
-    /// ... which was passed to this process.
+    /// Tells the engine that the client of a call passed to this process has closed its sending side.
     pub(super) fn client_of_holder_half_closed(&mut self, now: Micros, seq: u64, since: Micros) {
         if let Some(ticket) = self.gradual.calls.get(&seq).copied() {
             self.run_engine(|engine, out| engine.client_half_closed(now, ticket, since, out));
@@ -331,7 +338,7 @@
         self.gradual.looks += 1;
         let looked = Micros::from(self.gradual.looks) * HOUSEKEEPING_US * 2 >= patience;
         if now - self.gradual.heard >= patience && looked {
-            // This process may have been held up itself: what waits to be read counts.
+            // This process may have been stalled itself: frames that are not read yet count as signs of life.
             let before = self.upgrade.events.len();
             self.upgrade.poll_peer();
             if self.upgrade.events.len() == before {
--- a/node/src/node/rollout/candidate.rs
+++ b/node/src/node/rollout/candidate.rs
@@ -1,10 +1,11 @@
-//! The candidate's side: it decides what is passed, tells before it sends, and serves on when the holder dies.
+//! The candidate's side: it decides passed calls, announces each attempt before it sends it, and takes over when the
+//! holder dies.
 
 use super::*;
 use crate::hosts::lines;
 
 impl Node {
-    /// This process begins as a candidate.
+    /// Starts this process as a candidate.
     pub(in crate::node) fn be_candidate(&mut self, now: Micros, holder: VersionInfo, ration: Vec<Tally>) {
         self.log.line(now, format_args!("rollout: a candidate beside version {}", holder.version));
         let g = &mut self.gradual;
@@ -41,13 +42,13 @@
             Frame::TakeOver => {
                 self.gradual.role = Role::Successor;
                 self.inherit_ration(now);
-                self.log.line(now, "rollout: complete, this version takes the clients");
+                self.log.line(now, "rollout: complete, this version takes over the clients");
             }
             Frame::Dismiss { reason: why } => {
-                self.log.line(now, format_args!("rollout: the old version wants this one no more: {why}"));
+                self.log.line(now, format_args!("rollout: the old version dismissed this one: {why}"));
                 self.gradual.dismissed = Some(why);
             }
-            _ => return Err("a word that is the candidate's".into()),
+            _ => return Err("a frame that only the candidate sends".into()),
         }
         Ok(())
     }
@@ -58,15 +59,15 @@
         self.run_engine(|engine, out| engine.inherit(now, legacy, out));
     }
 
-    /// A call is passed to this process, with the turn that it carries, what it is to draft and where it is best served.
-    /// All that is learnt of it is the holder's: here nothing of it is counted.
+    /// Takes a passed call, with its turn, its draft and its preferred locations. Only the holder learns from the call:
+    /// nothing of it is counted here.
     pub(super) fn take_passed(&mut self, now: Micros, passed: PassedCall, more: Option<Fields>) {
         let seq = passed.seq;
         let d = &self.config.deployment;
         let class = d.class(&passed.class).filter(|_| !self.ids.contains(passed.id.as_str()));
         let tenant = passed.tenant.as_deref().map(|t| d.tenant(t));
         let size = passed.body.len();
-        // Memory last: what cannot be decided here must not hold any.
+        // Memory is reserved last, so that a call that cannot be decided here never holds any.
         let class = class.filter(|_| tenant != Some(None));
         let class = class.filter(|_| self.admission.take_memory(Owner::Others, size));
         let Some(class) = class else {
@@ -80,9 +81,9 @@
             due: passed.due,
             lanes: passed.lanes,
             repeat: passed.repeat,
-            // The holder's word has no room for it; a call without one teaches nothing of speed.
+            // The frame does not carry it. From a call without a hint the engine learns nothing about speed.
             hint: 0,
-            // The holder says so in a word of its own, after the call.
+            // The holder sends it in a message of its own, after the call.
             half_closed: None,
         };
         let (given, refused) = more.as_ref().map(CallFields::parse).unwrap_or_default();
@@ -120,8 +121,8 @@
         self.pending.insert(ticket, pending);
     }
 
-    /// The places that the holder advises, as spots of this process's own list; where copies stand there by the file,
-    /// the engine is told of them.
+    /// Translates the holder's preferred sites into locations of this process's host list. Tells the engine about copies
+    /// that the file places at these sites.
     fn follow(&mut self, now: Micros, places: &[Site], new: &NewRequest) -> Vec<PreferredLocation> {
         let zones = &self.config.deployment.zones;
         let spot = |place: &Site| match place {
@@ -146,7 +147,7 @@
             Reply::Failed => (ipc::Reply::Failed, Vec::new()),
             Reply::TimedOut => (ipc::Reply::TimedOut, Vec::new()),
         };
-        // Empty for a call that came without further fields: its holder may not know of any.
+        // Empty for a call that came without fields: its holder's protocol may not have any.
         let more = if reply == ipc::Reply::Served { said.to_fields() } else { Fields::default() };
         self.upgrade.send_frame(&match more.is_empty() {
             true => Frame::Answer { seq, reply, body },
@@ -154,7 +155,7 @@
         });
     }
 
-    /// Sends an attempt. That of a passed call leaves once the system has taken all of its word.
+    /// Sends an attempt. One of a passed call is sent once its announcement is written to the socket completely.
     pub(in crate::node) fn send(
         &mut self,
         now: Micros,
@@ -184,8 +185,9 @@
         }
     }
 
-    /// Ends an attempt before anything was said of it. The holder counts attempts in turn: the end of one that it was not told
-    /// of would break the protocol, and it would end this process with all that it was passed.
+    /// Ends an attempt that was never sent, and announces it first if the call was passed. The holder expects attempt
+    /// numbers in order: the end of an unannounced attempt is a protocol error, for which it would kill this process with
+    /// all passed calls.
     pub(in crate::node) fn withheld(&mut self, now: Micros, attempt: AttemptId, host: WorkerId) {
         if let Some(Origin::Peer(seq)) = self.pending.get(&attempt.ticket).map(|p| &p.origin) {
             let (seq, number, host) = (*seq, attempt.number, host.0.to_string());
@@ -199,7 +201,7 @@
         self.run_engine(|engine, out| engine.attempt_ended(now, attempt, Outcome::NotSent.into(), out));
     }
 
-    /// Sends the attempts whose words have left by now.
+    /// Sends the attempts whose announcements have been written.
     pub(in crate::node) fn send_told(&mut self, now: Micros) {
         let taken = self.upgrade.sent_bytes();
         while self.gradual.waiting.front().is_some_and(|(by, ..)| *by <= taken) {
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Takes back an attempt whose word has not left. False where it is not one of these.
+    /// Cancels an attempt whose announcement is not written yet. Returns false if it is not such an attempt.
     pub(in crate::node) fn cancel_told(&mut self, now: Micros, attempt: AttemptId) -> bool {
         let Some(at) = self.gradual.waiting.iter().position(|(_, a, ..)| *a == attempt) else { return false };
         self.gradual.waiting.remove(at);
@@ -222,7 +224,7 @@
         true
     }
 
-    /// An attempt of a passed call has ended.
+    /// Reports the end of a passed call's attempt to the holder. The answer itself reports a successful one.
     pub(in crate::node) fn tell_end(&mut self, attempt: AttemptId, end: Outcome) {
         let origin = self.pending.get(&attempt.ticket).map(|p| &p.origin);
         if let (Some(Origin::Peer(seq)), true) = (origin, end != Outcome::Done) {
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Gives an order to load. A candidate's is asked for first: the ration is the holder's.
+    /// Sends a load order to a host. A candidate first requests a grant, because the holder keeps the load budget.
     pub(in crate::node) fn load(
         &mut self,
         now: Micros,
@@ -263,8 +265,8 @@
         }
     }
 
-    /// The holder is gone, and its clients with it: nothing that it passed is owed any more. What was told but
-    /// has not left is taken back.
+    /// Handles the loss of the holder. Its clients are lost with it, so passed calls need no answer any more; attempts that
+    /// were announced but not sent are cancelled.
     pub(super) fn holder_left(&mut self, now: Micros) {
         let mut calls: Vec<_> = std::mem::take(&mut self.gradual.calls).into_values().collect();
         calls.sort();
@@ -288,7 +290,7 @@
         }
     }
 
-    /// A holder that died leaves its place to this process; one that lives has cut it off.
+    /// Takes over from a holder that has exited. A holder that still runs has cut this process off, which then ends.
     pub(super) fn succeed_holder(&mut self, now: Micros) {
         let Some(burial) = &self.gradual.burial else { return };
         let dead = burial.process.as_ref().is_none_or(Process::is_dead);
@@ -303,7 +305,7 @@
             self.bind(now);
             self.update_limits();
         } else {
-            let why = "the old version lives and has cut this one off";
+            let why = "the old version still runs and has cut this one off";
             self.log.line(now, format_args!("rollout: {why}"));
             self.gradual.dismissed = Some(why.into());
         }
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -1,17 +1,17 @@
-//! The holder's side: which calls are passed, what the candidate's words mean, and what becomes of its calls when it
-//! is gone.
+//! The holder's side: which calls are passed, how the candidate's messages are handled, and how passed calls are settled
+//! when the candidate is lost.
 
 use wheellink::engine::AttemptEnd;
 
 use super::*;
 
-/// The highest protocol that both speak.
+/// The highest protocol version that both processes support.
 fn spoken(hail: &VersionInfo) -> Option<u32> {
     hail.protocols.iter().copied().filter(|p| ipc::PROTOCOLS.contains(p)).max()
 }
 
 impl Node {
-    /// Whether a new process may be a candidate, and what it is answered.
+    /// The reply to a new process that may be a candidate; `None` if it may not.
     pub(in crate::node) fn may_be_candidate(&self, hail: &VersionInfo) -> Option<VersionInfo> {
         let rollout = self.config.rollout.as_ref()?;
         let protocol = spoken(hail)?;
@@ -19,9 +19,9 @@
         Some(VersionInfo { protocols: vec![protocol], version: rollout.version(), classes })
     }
 
-    /// A candidate has been given its state.
+    /// Starts the holder's role, after the candidate has received its state.
     pub(in crate::node) fn attach(&mut self, now: Micros, hail: VersionInfo) {
-        self.log.line(now, format_args!("rollout: version {} is there as a candidate", hail.version));
+        self.log.line(now, format_args!("rollout: version {} has connected as a candidate", hail.version));
         let g = &mut self.gradual;
         g.protocol = spoken(&hail).unwrap_or(0);
         (g.role, g.peer, g.heard, g.caught_up) = (Role::Holder, hail, now, false);
@@ -29,8 +29,8 @@
         self.bind(now);
     }
 
-    /// Which version decides this call; where it is the new one and there is room, it is passed, with the turn that it
-    /// carries and what it is to draft. Where the new version's protocol has no room for these, it has neither.
+    /// Decides which version handles this call. If it is the new one and there is room, passes the call with its turn, its
+    /// draft and its preferred locations; a protocol without fields carries none of the three.
     pub(in crate::node) fn pass(
         &mut self,
         now: Micros,
@@ -45,7 +45,7 @@
         let only_theirs = self.config.deployment.class(&call.class).is_none();
         let terms = match self.terms(&call.class) {
             Some(terms) => terms,
-            // Whatever it is there, it is held to the strictest here.
+            // Only the other version knows the class's policy: the strictest one applies here.
             None if only_theirs => RetryPolicy::new(Effect::Unsafe, 1),
             None => return None,
         };
@@ -87,12 +87,12 @@
         self.upgrade.send_frame(&word)?;
         self.offered(ticket(seq), offer);
         let passed = self.gradual.ledger.pass(seq, &terms, pending.new.due, size);
-        debug_assert!(passed.is_ok(), "there was room");
+        debug_assert!(passed.is_ok(), "the capacity was checked above");
         (self.gradual.seq, self.gradual.counts.passed) = (seq, self.gradual.counts.passed + 1);
         Some(ticket(seq))
     }
 
-    /// A spot as the other version knows it too.
+    /// A preferred location in the form that the other version understands.
     fn place(&self, spot: &PreferredLocation) -> Option<Site> {
         match spot {
             PreferredLocation::Cell(cell) => Some(Site::Cell(*cell)),
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Whether a call that goes by this ticket has its turn and its draft with it.
+    /// Whether the call of this ticket carries its turn and its draft: a call that was not passed always does.
     pub(in crate::node) fn carries(&self, of: Ticket) -> bool {
         seq(of).is_none() || self.gradual.protocol >= ipc::FIELDS_PROTOCOL
     }
 
-    /// An attempt of a passed call may run from now on: it counts here, as this process's own do.
+    /// Records the start of a passed call's attempt, as of an attempt of this process.
     fn passed_begins(&mut self, now: Micros, seq: u64, number: u32, host: &WorkerId) {
         let attempt = AttemptId { ticket: ticket(seq), number };
         self.gradual.out.insert(seq, number);
@@ -116,7 +116,8 @@
         self.draft_begins(attempt, host);
     }
 
-    /// An attempt of a passed call has ended, once: what its host said is learnt here and nowhere else.
+    /// Records the end of a passed call's attempt; a second call has no effect. Only the holder learns from what the host
+    /// reported.
     fn passed_ends(&mut self, now: Micros, seq: u64, end: AttemptEnd, fields: &[(String, String)]) {
         let Some(number) = self.gradual.out.remove(&seq) else { return };
         let attempt = AttemptId { ticket: ticket(seq), number };
@@ -124,15 +125,15 @@
         self.turn_ended(now, attempt, &end, fields);
     }
 
-    /// A call is over here, or is decided here from now on. Of what is still out of it where it was passed nothing is
-    /// counted, whatever is said of it later.
+    /// Ends the accounting of a passed call that is answered, or that this process decides from now on. An attempt still in
+    /// flight at the candidate is recorded as cancelled, and later messages about it are not counted.
     pub(in crate::node) fn passed_over(&mut self, now: Micros, of: Ticket) {
         let Some(seq) = seq(of) else { return };
         self.passed_ends(now, seq, Outcome::Cancelled.into(), &[]);
         self.offered(of, None);
     }
 
-    /// The client of a passed call has left. False where the call was not passed.
+    /// Handles the departure of a passed call's client. Returns false if the call was not passed.
     pub(in crate::node) fn passed_left(&mut self, of: Ticket) -> bool {
         let Some(seq) = seq(of) else { return false };
         if self.gradual.ledger.remove(seq) {
@@ -141,7 +142,7 @@
         true
     }
 
-    /// A call has been answered: the gates count it.
+    /// Records an answered call for the gates.
     pub(in crate::node) fn count(&mut self, now: Micros, pending: &Pending, reply: &Reply) {
         if self.gradual.role != Role::Holder {
             return;
@@ -172,20 +173,22 @@
         self.deliver_verdict(now, ticket, verdict);
     }
 
-    /// What a word says of attempts and answers, which counts up to the last one that is read; other words are given back.
+    /// Handles a frame about attempts or answers. Returns any other frame. These frames count even after the candidate was
+    /// given up, up to the last one read.
     fn hear_of_attempt(&mut self, now: Micros, word: Frame) -> Result<Option<Frame>, String> {
         let ledger = &mut self.gradual.ledger;
         match word {
             Frame::Intent { seq, number, host, at } => {
                 let host: WorkerId = host.as_str().into();
-                // One that cannot be told from a fault may have run all the same: no end will come for it.
+                // False if the call is no longer in the ledger. The attempt's end will be ignored too, but it may have
+                // run, so its send is noted below.
                 if ledger.attempt_announced(seq, number, &host, at).map_err(|fault| fault.0)? {
                     self.passed_begins(now, seq, number, &host);
                 }
                 self.note_sent(now, host, at);
             }
             Frame::AttemptEnded { seq, number, code: end } => {
-                let end = ipc::OUTCOMES.get(usize::from(end)).ok_or("an end that is none")?;
+                let end = ipc::OUTCOMES.get(usize::from(end)).ok_or("unknown outcome code")?;
                 if ledger.attempt_ended(seq, number, *end).map_err(|fault| fault.0)? {
                     self.passed_ends(now, seq, (*end).into(), &[]);
                 }
@@ -210,7 +213,7 @@
         more: &Fields,
     ) -> Result<(), String> {
         let refused = matches!(reply, ipc::Reply::Refused(_));
-        // A second one, or one that comes late, is of a call that is over: nothing of it counts.
+        // A repeated or late answer belongs to a call that is over, and is ignored.
         if !self.gradual.ledger.answered(seq, refused).map_err(|fault| fault.0)? {
             return Ok(());
         }
@@ -249,7 +252,7 @@
                 self.upgrade.send_frame(&Frame::OrderReply { order, granted });
             }
             Frame::Tallies(told) => {
-                // Its orders were counted when they were granted.
+                // The candidate's orders were counted when they were granted.
                 let calls = told.into_iter().map(|(at, calls, _)| Tally { at, calls, orders: 0 });
                 let legacy = HandoverState {
                     tallies: calls.collect(),
@@ -263,12 +266,12 @@
                 self.bind(now);
             }
             Frame::Leaving => g.machine.candidate_leaving(now),
-            _ => return Err("a word that is the holder's".into()),
+            _ => return Err("a frame that only the holder sends".into()),
         }
         Ok(())
     }
 
-    /// The other process sends to a host: where that is not warm, it counts here too.
+    /// Counts the other process's send to a host that is cold, as one of this process's own.
     pub(super) fn note_sent(&mut self, now: Micros, host: WorkerId, at: Micros) {
         if self.engine.is_cold(&host) {
             let legacy = HandoverState {
@@ -286,13 +289,13 @@
         };
         if let Some(plan) = rollout.plan.clone() {
             if let Err(problem) = self.gradual.machine.begin(now, plan, Cause::SettingsFile) {
-                self.log.line(now, format_args!("rollout: not begun: {}", problem.0));
+                self.log.line(now, format_args!("rollout: not started: {}", problem.0));
             }
         }
     }
 
-    /// Gives the candidate up. What it has told by now is read, nothing more is taken, and it is ended, as it
-    /// may have attempts out; its calls are looked at when it is known to be gone.
+    /// Gives the candidate up. Handles the frames received so far, reads no more, and kills the process, as it may have
+    /// attempts in flight. Its calls are settled when it has exited or the wait for that is over.
     pub(super) fn give_up(&mut self, now: Micros, why: &'static str) {
         if self.gradual.role != Role::Holder {
             return;
@@ -302,7 +305,7 @@
         let process = self.upgrade.take_process();
         self.upgrade.send_frame(&Frame::Dismiss { reason: why.into() });
         self.upgrade.stop_reading();
-        // What was told before the cut counts; what is said besides does not.
+        // Frames received before reading stopped count; other messages of the candidate do not.
         let mut others = VecDeque::new();
         while let Some(news) = self.upgrade.events.pop_front() {
             match news {
@@ -316,7 +319,7 @@
         self.bury(now, process, Cause::CandidateLost(why));
     }
 
-    /// A word read after its speaker was given up: only what tells of attempts and answers counts.
+    /// Handles a frame read after the candidate was given up: only those about attempts and answers count.
     pub(super) fn hear_last(&mut self, word: Frame) {
         let now = self.clock.now();
         let _ = self.hear_of_attempt(now, word);
@@ -344,7 +347,7 @@
         self.gradual.burial = None;
         if !dead {
             self.log
-                .line(now, "rollout: it is not known to have ended: what may be out there is not sent anew");
+                .line(now, "rollout: it is not known to have ended: attempts that may be in flight there are not repeated");
         }
         for (seq, fate) in self.gradual.ledger.candidate_lost(now, dead) {
             self.settle_fate(now, seq, fate);
@@ -352,7 +355,7 @@
         self.update_limits();
     }
 
-    /// What the ledger says of a call that the candidate decides no more.
+    /// Settles a call that the candidate no longer decides, as the ledger says.
     pub(super) fn settle_fate(&mut self, now: Micros, seq: u64, fate: Recovery) {
         let counts = &mut self.gradual.counts;
         let retry_after = self.config.deployment.settings.max_retry_after;
@@ -365,7 +368,7 @@
                 counts.anew += 1;
                 return self.run_anew(now, seq, past);
             }
-            // A class that only the candidate knew.
+            // The class is known to the candidate only, so the call cannot be run again here.
             Recovery::Rerun(past) if past.iter().any(AttemptRecord::may_have_run) => Verdict::Failed,
             Recovery::Rerun(_) | Recovery::Refuse => Verdict::Refused { retry_after },
             Recovery::Fail => Verdict::Failed,
@@ -397,7 +400,7 @@
         self.track(ticket, pending);
     }
 
-    /// Has the candidate take the clients.
+    /// Hands the clients over to the candidate.
     pub(super) fn hand_clients_over(&mut self, now: Micros) {
         let ration = upgrade::to_rows(self.engine.tallies(0));
         self.tallied_until = now;
@@ -408,7 +411,7 @@
         self.upgrade.send_frame(&Frame::TakeOver);
     }
 
-    /// This process was told to end: a candidate that was not taken back has the clients from now on.
+    /// Ends the rollout when this process is told to end: the candidate takes over the clients, unless it was rolled back.
     pub(in crate::node) fn end_rollout(&mut self, now: Micros) {
         match self.gradual.role {
             Role::Holder => match self.gradual.machine.holder_ending(now) {
--- a/node/src/node/rollout/operate.rs
+++ b/node/src/node/rollout/operate.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a rollout, and what they are shown.
+//! Operators' commands for a rollout, and the document of `GET /rollout`.
 
 use super::*;
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// What an operator may want to know. Bounded: the gates' rows, the history and the plan are.
+    /// The document of `GET /rollout`. Its size is bounded, as the gates' rows, the history and the plan are.
     pub(super) fn show_rollout(&self, now: Micros) -> serde_json::Value {
         let (g, m) = (&self.gradual, &self.gradual.machine);
         let count = |c: wheellink_rollout::Count| serde_json::json!({"calls": c.calls, "hits": c.hits});
