--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -57,7 +57,7 @@
 use admission::AdmissionControl;
 use drafts::Drafting;
 use request_log::Attempts;
-use rollout::{Gradual, Role};
+use rollout::{Role, RolloutState};
 use stall::StallDetector;
 use turns::Turning;
 
@@ -159,7 +159,7 @@
     let info = upgrade::VersionInfo {
         protocols: crate::ipc::PROTOCOLS.to_vec(),
         version: setup.version(),
-        classes: rollout::classes(&config.deployment),
+        classes: rollout::class_policies(&config.deployment),
     };
     Some(upgrade::Candidacy { info, or_upgrade: setup.old_cannot == config::rollout::IfUnsupported::Upgrade })
 }
@@ -202,7 +202,7 @@
     control_listener: Option<Listener>,
     control: Control,
     upgrade: Upgrade,
-    gradual: Gradual,
+    rollout: RolloutState,
     admission: AdmissionControl,
     /// The listening socket, until this process accepts clients.
     bound_socket: Option<TcpListener>,
@@ -278,7 +278,7 @@
             control_listener: None,
             control: Control::new(handle.clone(), descriptors.operators()),
             upgrade,
-            gradual: Gradual::new(config.memory_bytes),
+            rollout: RolloutState::new(config.memory_bytes),
             admission: AdmissionControl::new(config.admission.as_ref(), descriptors.limit(), share),
             bound_socket: Some(listener),
             superseded: false,
@@ -336,7 +336,7 @@
             if let Some(holder) = state.rollout.clone() {
                 // The holder keeps the load budget.
                 let tallies = std::mem::take(&mut legacy.tallies);
-                node.be_candidate(now, holder, tallies);
+                node.become_candidate(now, holder, tallies);
             }
             node.run_engine(|engine, out| engine.inherit(now, legacy, out));
         }
@@ -379,7 +379,7 @@
             .min(agreed)
             .min(listeners)
             .min(housekeeping)
-            .min(self.gradual.next_tick(now))
+            .min(self.rollout.next_tick(now))
     }
 
     /// Whether input of a client was left unread so that other clients were not delayed.
@@ -464,7 +464,7 @@
                 }
             }
             self.tick_rollout(now, housekeeping);
-            let is_candidate = self.gradual.role == Role::Candidate;
+            let is_candidate = self.rollout.role == Role::Candidate;
             if self.bound_socket.is_some() && !is_candidate && self.is_caught_up(now) {
                 if let Err(problem) = self.start_accepting() {
                     self.log.line(now, problem);
@@ -538,30 +538,30 @@
         match command {
             // The agreed settings by which the attempt was decided are no longer in force: the engine decides again.
             Command::Send { attempt, host, .. } if self.mind_accord() || inject(Fault::Attempt).is_err() => {
-                self.withheld(now, attempt, host)
+                self.announce_unsent(now, attempt, host)
             }
             // The process has stalled since the attempt was decided.
             Command::Send { attempt, host, leave_by, .. } if self.clock.running() > leave_by => {
-                self.withheld(now, attempt, host)
+                self.announce_unsent(now, attempt, host)
             }
             Command::Send { attempt, host, until, leave_by } => {
                 self.turn_sent(now, attempt, &host);
                 self.log_attempt(now, attempt, &host);
-                self.send(now, attempt, host, CallTimes { until, leave_by })
+                self.send_attempt(now, attempt, host, CallTimes { until, leave_by })
             }
             Command::Cancel { attempt } => {
-                if !self.cancel_told(now, attempt) {
+                if !self.cancel_unsent(now, attempt) {
                     self.hosts.cancel(now, attempt, &mut self.log)
                 }
             }
             Command::Withdraw { attempt } => {
-                if !self.cancel_told(now, attempt) {
+                if !self.cancel_unsent(now, attempt) {
                     self.hosts.withdraw_attempt(now, attempt, &mut self.log);
                 }
             }
             Command::Load { order, host, function, copies } => {
                 self.metrics.load_orders.inc();
-                self.load(now, order, host, function, copies)
+                self.load_function(now, order, host, function, copies)
             }
             Command::Unload { host, function } => self.hosts.unload(now, &host, &function, &mut self.log),
             Command::Probe { host } => self.hosts.probe(now, &host, &mut self.log),
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -392,7 +392,7 @@
     fn put_in_force(&mut self, now: Micros) {
         self.share_agreed();
         self.agreed_settings = self.agreed.as_ref().map(|a| a.in_force.settings(&a.base));
-        let settings = self.binding();
+        let settings = self.effective_settings();
         self.run_engine(|engine, out| engine.update_terms(now, settings, out));
         let hosts: Vec<WorkerId> = self.hosts.listed().cloned().collect();
         self.bar_agreed(now, hosts.iter());
@@ -405,7 +405,7 @@
             }
         }
         self.commands = kept;
-        never.into_iter().for_each(|(attempt, host)| self.withheld(now, attempt, host));
+        never.into_iter().for_each(|(attempt, host)| self.announce_unsent(now, attempt, host));
     }
 
     /// Has these hosts out or in, as what is obeyed says.
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -30,7 +30,7 @@
             (share, descriptors.bounds(held))
         };
         self.admission.set_memory_limit(share);
-        self.gradual.bound(share);
+        self.rollout.limit_body_bytes(share);
         let now = self.clock.now();
         self.control.set_max_callers(descriptors.operators());
         let bounds = self.descriptor_bounds(now, bounds);
@@ -53,19 +53,19 @@
     pub(super) fn peer_ready(&mut self, id: ConnId) {
         self.upgrade.ready(id);
         let now = self.clock.now();
-        self.send_told(now);
+        self.send_announced(now);
         self.process_events();
     }
 
     /// Handles a message of another process at this address, or the end of its connection.
     pub(super) fn handle_peer_event(&mut self, now: Micros, event: PeerEvent) {
         match event {
-            PeerEvent::Arrived(id, _) if self.gradual.is_busy() => {
+            PeerEvent::Arrived(id, _) if self.rollout.is_busy() => {
                 self.log.line(now, "another process connected during a rollout and was refused");
                 self.upgrade.refuse(id, "a rollout is under way");
             }
             PeerEvent::Arrived(id, hail) => {
-                let hail = hail.and_then(|hail| Some((self.may_be_candidate(&hail)?, hail)));
+                let hail = hail.and_then(|hail| Some((self.candidate_reply(&hail)?, hail)));
                 let socket = self.client_listener.as_ref().map(Listener::share);
                 let Some(Ok(socket)) = socket else { return };
                 let mut state = self.state();
@@ -73,7 +73,7 @@
                     None => self.log.line(now, "a new process comes to take this one's place"),
                     Some((answer, theirs)) => {
                         state.rollout = Some(answer);
-                        self.attach(now, theirs);
+                        self.attach_candidate(now, theirs);
                     }
                 }
                 self.upgrade.hand_over(id, state, socket);
@@ -105,14 +105,14 @@
                 self.run_engine(|engine, out| engine.inherit(now, legacy, out));
             }
             PeerEvent::Message(Message::HalfClosed { seq, since }) => {
-                self.client_of_holder_half_closed(now, seq, since)
+                self.peer_client_half_closed(now, seq, since)
             }
             PeerEvent::Message(
                 Message::Hello { .. } | Message::State(_) | Message::Busy { .. } | Message::Other,
             ) => {}
-            PeerEvent::Frame(word) => self.hear_word(now, *word),
+            PeerEvent::Frame(word) => self.handle_frame(now, *word),
             PeerEvent::Disconnected(why) => {
-                if !self.rollout_peer_left(now, &why) {
+                if !self.rollout_peer_lost(now, &why) {
                     self.log.line(now, "the other process is gone");
                 }
                 self.peer_clients = 0;
@@ -325,7 +325,7 @@
             front.checks_bodies = admission;
         }
         self.agreed_settings = None;
-        let settings = self.binding();
+        let settings = self.effective_settings();
         self.run_engine(|engine, out| engine.update_settings(now, settings, order_timeout, out));
         self.configure_peers();
         if self.client_listener.is_some() && !self.superseded {
@@ -333,7 +333,7 @@
         }
         self.attend_turns(now);
         self.attend_accord(now);
-        self.rebind(now);
+        self.policies_changed(now);
         self.update_limits();
         Ok(what)
     }
@@ -341,7 +341,7 @@
     /// Whether the process may end: it was told to stop, and no answer is due. Must be called once per iteration of the
     /// loop.
     pub fn is_done(&mut self) -> bool {
-        if self.gradual.is_dismissed() {
+        if self.rollout.is_dismissed() {
             return true;
         }
         let now = self.clock.now();
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -72,7 +72,7 @@
         let class = self.config.deployment.class(&request.class);
         let tenant = request.tenant.as_deref().and_then(|t| self.config.deployment.tenant(t));
         let shared = !self.config.deployment.tenants.is_empty();
-        let other = class.is_none() && self.is_theirs(&request.class);
+        let other = class.is_none() && self.only_peer_decides(&request.class);
         let problem = match class {
             None if !other => Some("a class that is not known"),
             _ if shared && tenant.is_none() => Some("a tenant that is not known"),
@@ -213,7 +213,7 @@
                 pending.version = Version::New;
                 self.carry_turn(ticket, incoming.placed, incoming.preferred);
                 if let Some(since) = half_closed {
-                    self.passed_half_closed(ticket, since);
+                    self.forward_half_close(ticket, since);
                 }
                 ticket
             }
@@ -251,14 +251,14 @@
 
     pub(super) fn client_left(&mut self, ticket: Ticket) {
         let now = self.clock.now();
-        self.passed_over(now, ticket);
+        self.passed_call_over(now, ticket);
         self.turn_over(ticket);
         if let Some(pending) = self.pending.remove(&ticket) {
             self.release(now, &pending, false);
             self.log_client_left(now, &pending);
             self.ids.remove(&pending.call.id);
         }
-        if !self.passed_left(ticket) {
+        if !self.passed_client_left(ticket) {
             self.run_engine(|engine, out| engine.client_left(now, ticket, out));
         }
     }
@@ -272,7 +272,7 @@
             if let Some(pending) = self.pending.get_mut(ticket) {
                 pending.new.half_closed = Some(since);
             }
-            if !self.passed_half_closed(*ticket, since) {
+            if !self.forward_half_close(*ticket, since) {
                 self.run_engine(|engine, out| engine.client_half_closed(now, *ticket, since, out));
             }
         }
@@ -281,7 +281,7 @@
     pub(super) fn deliver_verdict(&mut self, now: Micros, ticket: Ticket, verdict: Verdict) {
         let Some(mut pending) = self.pending.remove(&ticket) else { return };
         self.ids.remove(&pending.call.id);
-        self.passed_over(now, ticket);
+        self.passed_call_over(now, ticket);
         let found = self.turn_over(ticket);
         let reply = match (verdict, pending.answer.take()) {
             (Verdict::Served(by), Some((attempt, body))) if by == attempt => Reply::Served(body),
@@ -290,7 +290,7 @@
             _ => Reply::Failed,
         };
         self.release(now, &pending, matches!(reply, Reply::Served(_)));
-        self.count(now, &pending, &reply);
+        self.record_ending(now, &pending, &reply);
         self.log_answer(now, &pending, &reply);
         match (&mut self.mode, &pending.origin, found) {
             (Mode::Operator { front, .. }, Origin::Invoke(origin), Some(found)) => {
@@ -335,7 +335,7 @@
                     }
                     pending.answer = (end.outcome == Outcome::Done).then_some((attempt, body));
                 }
-                self.tell_end(attempt, end.outcome);
+                self.report_end(attempt, end.outcome);
                 self.run_engine(|engine, out| engine.attempt_ended(now, attempt, end, out));
             }
             hosts::PoolEvent::Order { order, outcome, copies } => {
--- a/node/src/node/rollout.rs
+++ b/node/src/node/rollout.rs
@@ -21,30 +21,30 @@
 use crate::upgrade::{Process, VersionInfo};
 
 /// Limit of passed calls that are open at the same time: the calls of 17 ms at 30,000 calls a second.
-const MOST_PASSED: usize = 512;
+const MAX_PASSED_CALLS: usize = 512;
 /// No call is passed while more bytes than this are queued for the candidate: it is slow, and the holder decides the
 /// calls itself.
-const BACKLOG: usize = 1 << 20;
+const MAX_BACKLOG_BYTES: usize = 1 << 20;
 /// The candidate's deadline for a call is this much earlier than the holder's.
-const PASS_MARGIN: Micros = 10_000;
+const PASS_MARGIN_US: Micros = 10_000;
 /// Silence after which the holder gives a candidate up while no plan runs: the candidate may be starting, or an operator
 /// may be inspecting it.
-const IDLE_SILENCE: Micros = 5_000_000;
+const MAX_IDLE_SILENCE_US: Micros = 5_000_000;
 /// Time that a process has to exit by itself after its connection has ended; then it is killed.
-const LAST_WORDS: Micros = 100_000;
+const EXIT_GRACE_US: Micros = 100_000;
 /// Time that a lost process has to exit. One that has not exited by then is treated as possibly still running.
-const BURIAL: Micros = 300_000;
+const EXIT_TIMEOUT_US: Micros = 300_000;
 /// Interval of the checks whether the lost process has exited.
-const BURIAL_LOOK: Micros = 1_000;
+const EXIT_POLL_US: Micros = 1_000;
 /// Bit that marks tickets of passed calls. The engine numbers its own tickets from 1.
-const PASSED: u64 = 1 << 63;
+const PASSED_BIT: u64 = 1 << 63;
 /// Limit of a candidate's load orders that wait for a grant. The engine ends each one at its timeout.
-const MOST_ASKED: usize = 256;
+const MAX_GRANT_REQUESTS: usize = 256;
 /// After the holder has denied an order the candidate requests none for this long: the load budget changes only with
 /// calls and over seconds.
-const DENIED: Micros = 100_000;
+const DENIAL_HOLDOFF_US: Micros = 100_000;
 /// Limit of attempts that wait until their announcement is written. Each belongs to a passed call.
-const MOST_WAITING: usize = MOST_PASSED;
+const MAX_UNSENT_ATTEMPTS: usize = MAX_PASSED_CALLS;
 
 /// The role of this process in a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -65,8 +65,8 @@
 pub(super) struct Counts {
     passed: u64,
     kept: u64,
-    given_back: u64,
-    anew: u64,
+    returned: u64,
+    rerun: u64,
     failed: u64,
     refused: u64,
     granted: u64,
@@ -74,87 +74,87 @@
 }
 
 /// The other process after its connection was lost or closed. It may still have attempts in flight.
-struct Burial {
+struct LostPeer {
     process: Option<Process>,
     since: Micros,
 }
 
 /// The state of a rollout in this process.
-pub(super) struct Gradual {
+pub(super) struct RolloutState {
     pub(super) role: Role,
     machine: Rollout,
     ledger: Ledger,
     /// Holder only: the announced attempt in flight of each passed call, by sequence number.
-    out: HashMap<u64, u32>,
+    in_flight: HashMap<u64, u32>,
     /// The version of the protocol on the connection to the other process.
     protocol: u32,
-    seq: u64,
+    last_seq: u64,
     counts: Counts,
     /// The other process's version and classes, the strictest policies of both, and the differences.
     peer: VersionInfo,
-    bound: Vec<ClassPolicy>,
-    differ: Vec<PolicyDifference>,
-    heard: Micros,
+    policies: Vec<ClassPolicy>,
+    differences: Vec<PolicyDifference>,
+    last_heard: Micros,
     /// Housekeeping ticks since `heard`. Silence has to last in ticks too, so that a jump of the clock is not taken
     /// for silence.
-    looks: u32,
+    silent_ticks: u32,
     /// Whether the candidate has reported that its host list is up to date.
     caught_up: bool,
-    burial: Option<Burial>,
+    lost_peer: Option<LostPeer>,
     /// Candidate only: the tickets of passed calls by the holder's sequence numbers.
     calls: HashMap<u64, Ticket>,
     /// Attempts whose announcement is not written yet, each with the byte offset at which it will be.
-    waiting: VecDeque<(u64, AttemptId, WorkerId, CallTimes)>,
-    asked: HashMap<OrderId, (WorkerId, FunctionId, u32)>,
-    ask_again: Micros,
+    unsent: VecDeque<(u64, AttemptId, WorkerId, CallTimes)>,
+    grant_requests: HashMap<OrderId, (WorkerId, FunctionId, u32)>,
+    request_after: Micros,
     /// The holder's tallies for the load budget.
-    ration: Vec<Tally>,
+    tallies: Vec<Tally>,
     /// Phase and percentage that the holder reported last.
-    told: (String, f64),
+    holder_status: (String, f64),
     dismissed: Option<String>,
 }
 
-impl Gradual {
+impl RolloutState {
     pub(super) fn new(memory: usize) -> Self {
         Self {
             role: Role::Alone,
             machine: Rollout::default(),
-            ledger: Ledger::new(MOST_PASSED, memory / MEMORY_PARTS / 2),
-            out: HashMap::new(),
+            ledger: Ledger::new(MAX_PASSED_CALLS, memory / MEMORY_PARTS / 2),
+            in_flight: HashMap::new(),
             protocol: 0,
-            seq: 0,
+            last_seq: 0,
             counts: Counts::default(),
             peer: VersionInfo::default(),
-            bound: Vec::new(),
-            differ: Vec::new(),
-            heard: 0,
-            looks: 0,
+            policies: Vec::new(),
+            differences: Vec::new(),
+            last_heard: 0,
+            silent_ticks: 0,
             caught_up: false,
-            burial: None,
+            lost_peer: None,
             calls: HashMap::new(),
-            waiting: VecDeque::new(),
-            asked: HashMap::new(),
-            ask_again: 0,
-            ration: Vec::new(),
-            told: (Phase::Idle.as_str().into(), 0.0),
+            unsent: VecDeque::new(),
+            grant_requests: HashMap::new(),
+            request_after: 0,
+            tallies: Vec::new(),
+            holder_status: (Phase::Idle.as_str().into(), 0.0),
             dismissed: None,
         }
     }
 
     /// Limits the bodies of passed calls to half of the memory for bodies: the other process holds a copy of each.
-    pub(super) fn bound(&mut self, bodies: usize) {
+    pub(super) fn limit_body_bytes(&mut self, bodies: usize) {
         self.ledger.set_max_bytes(bodies / 2);
     }
 
     /// Whether another process takes part in a rollout, or a lost one may still be running. No third process may connect
     /// meanwhile.
     pub(super) fn is_busy(&self) -> bool {
-        self.role != Role::Alone || self.burial.is_some()
+        self.role != Role::Alone || self.lost_peer.is_some()
     }
 
     pub(super) fn next_tick(&self, now: Micros) -> Micros {
-        let burial = self.burial.as_ref().map_or(Micros::MAX, |_| now + BURIAL_LOOK);
-        burial.min(self.ledger.next_deadline().unwrap_or(Micros::MAX))
+        let lost = self.lost_peer.as_ref().map_or(Micros::MAX, |_| now + EXIT_POLL_US);
+        lost.min(self.ledger.next_deadline().unwrap_or(Micros::MAX))
     }
 
     /// Whether the holder has dismissed this process.
@@ -163,16 +163,16 @@
     }
 }
 
-fn ticket(seq: u64) -> Ticket {
-    Ticket(PASSED | seq)
+fn ticket_of(seq: u64) -> Ticket {
+    Ticket(PASSED_BIT | seq)
 }
 
-fn seq(ticket: Ticket) -> Option<u64> {
-    (ticket.0 & PASSED != 0).then_some(ticket.0 & !PASSED)
+fn seq_of(ticket: Ticket) -> Option<u64> {
+    (ticket.0 & PASSED_BIT != 0).then_some(ticket.0 & !PASSED_BIT)
 }
 
 /// The retry policies of a deployment's classes.
-pub fn classes(deployment: &Deployment) -> Vec<ClassPolicy> {
+pub fn class_policies(deployment: &Deployment) -> Vec<ClassPolicy> {
     let attempts = deployment.settings.max_attempts;
     let named = deployment.classes.iter().zip(&deployment.settings.classes);
     named
@@ -182,72 +182,75 @@
 
 impl Node {
     /// The settings that this process follows: its own, and during a rollout the stricter of both versions'.
-    pub(super) fn binding(&self) -> Settings {
+    pub(super) fn effective_settings(&self) -> Settings {
         let d = &self.config.deployment;
         let mut settings = self.agreed().clone();
-        for bound in &self.gradual.bound {
-            if let Some(i) = d.class(&bound.name) {
-                settings.classes[i].effect = bound.policy.effect();
+        for class in &self.rollout.policies {
+            if let Some(i) = d.class(&class.name) {
+                settings.classes[i].effect = class.policy.effect();
             }
-            settings.max_attempts = settings.max_attempts.min(bound.policy.attempts).max(1);
+            settings.max_attempts = settings.max_attempts.min(class.policy.attempts).max(1);
         }
         settings
     }
 
     /// Computes the strictest policies of both versions and applies them to the engine.
-    pub(super) fn bind(&mut self, now: Micros) {
+    pub(super) fn apply_policies(&mut self, now: Micros) {
         let (own, theirs) =
-            (classes(&self.config.deployment), std::mem::take(&mut self.gradual.peer.classes));
-        let (bound, differ) = match self.gradual.role {
+            (class_policies(&self.config.deployment), std::mem::take(&mut self.rollout.peer.classes));
+        let (policies, differences) = match self.rollout.role {
             Role::Alone => (Vec::new(), Vec::new()),
             Role::Holder => strictest_policies(&own, &theirs),
             Role::Candidate | Role::Successor => strictest_policies(&theirs, &own),
         };
-        self.gradual.peer.classes = theirs;
-        for d in differ.iter().filter(|d| !self.gradual.differ.contains(d)) {
+        self.rollout.peer.classes = theirs;
+        for d in differences.iter().filter(|d| !self.rollout.differences.contains(d)) {
             self.log.line(now, format_args!("rollout: {d}"));
         }
-        self.gradual.differ = differ;
-        if bound != self.gradual.bound {
-            self.gradual.bound = bound;
-            let (settings, patience) = (self.binding(), self.config.deployment.transport.order_timeout);
-            self.run_engine(|engine, out| engine.update_settings(now, settings, patience, out));
+        self.rollout.differences = differences;
+        if policies != self.rollout.policies {
+            self.rollout.policies = policies;
+            let (settings, timeout) =
+                (self.effective_settings(), self.config.deployment.transport.order_timeout);
+            self.run_engine(|engine, out| engine.update_settings(now, settings, timeout, out));
         }
     }
 
     /// After a change of configuration: sends the classes to the other version and computes the strictest policies again.
-    pub(super) fn rebind(&mut self, now: Micros) {
-        if self.gradual.role != Role::Alone {
-            let classes = classes(&self.config.deployment);
+    pub(super) fn policies_changed(&mut self, now: Micros) {
+        if self.rollout.role != Role::Alone {
+            let classes = class_policies(&self.config.deployment);
             self.upgrade.send_frame(&Frame::Classes(classes));
-            self.bind(now);
+            self.apply_policies(now);
         }
     }
 
-    pub(super) fn terms(&self, class: &str) -> Option<RetryPolicy> {
-        self.gradual.bound.iter().find(|c| c.name == class).map(|c| c.policy)
+    pub(super) fn class_policy(&self, class: &str) -> Option<RetryPolicy> {
+        self.rollout.policies.iter().find(|c| c.name == class).map(|c| c.policy)
     }
 
     /// Whether only the new version knows this class, and calls are passed to it now.
-    pub(super) fn is_theirs(&self, class: &str) -> bool {
-        let g = &self.gradual;
-        let open = g.role == Role::Holder && g.machine.passes_calls() && g.machine.share() > Share::NONE;
+    pub(super) fn only_peer_decides(&self, class: &str) -> bool {
+        let rollout = &self.rollout;
+        let open = rollout.role == Role::Holder
+            && rollout.machine.passes_calls()
+            && rollout.machine.share() > Share::NONE;
         open && self.config.deployment.class(class).is_none()
-            && g.peer.classes.iter().any(|c| c.name == class)
+            && rollout.peer.classes.iter().any(|c| c.name == class)
     }
 }
 
 impl Node {
-    pub(super) fn hear_word(&mut self, now: Micros, word: Frame) {
-        (self.gradual.heard, self.gradual.looks) = (now, 0);
-        let heard = match self.gradual.role {
-            Role::Holder => self.holder_hears(now, word),
-            Role::Candidate | Role::Successor => self.candidate_hears(now, word),
+    pub(super) fn handle_frame(&mut self, now: Micros, frame: Frame) {
+        (self.rollout.last_heard, self.rollout.silent_ticks) = (now, 0);
+        let result = match self.rollout.role {
+            Role::Holder => self.handle_candidate_frame(now, frame),
+            Role::Candidate | Role::Successor => self.handle_holder_frame(now, frame),
             Role::Alone => return,
         };
-        if let Err(fault) = heard {
+        if let Err(fault) = result {
             self.log.line(now, format_args!("rollout: the other process broke the protocol: {fault}"));
-            match self.gradual.role {
+            match self.rollout.role {
                 Role::Holder => self.give_up(now, "it broke the protocol"),
                 _ => self.upgrade.drop_peer("it broke the protocol"),
             }
@@ -255,46 +258,46 @@
     }
 
     /// Handles the end of the connection to the other process. Returns false without a rollout.
-    pub(super) fn rollout_peer_left(&mut self, now: Micros, why: &str) -> bool {
-        match self.gradual.role {
+    pub(super) fn rollout_peer_lost(&mut self, now: Micros, reason: &str) -> bool {
+        match self.rollout.role {
             Role::Alone => return false,
             Role::Holder => {
-                self.log.line(now, format_args!("rollout: connection to the new version lost: {why}"));
+                self.log.line(now, format_args!("rollout: connection to the new version lost: {reason}"));
                 let process = self.upgrade.take_process();
-                self.bury(now, process, Cause::CandidateLost("its connection has ended"));
+                self.candidate_lost(now, process, Cause::CandidateLost("its connection has ended"));
             }
-            Role::Candidate | Role::Successor => self.holder_left(now),
+            Role::Candidate | Role::Successor => self.holder_lost(now),
         }
         true
     }
 
     /// Handles timeouts; `housekeeping` is true a few times a second.
     pub(super) fn tick_rollout(&mut self, now: Micros, housekeeping: bool) {
-        for seq in self.gradual.ledger.take_overdue(now) {
+        for seq in self.rollout.ledger.take_overdue(now) {
             self.upgrade.send_frame(&Frame::Abandoned { seq });
-            self.deliver_verdict(now, ticket(seq), Verdict::TimedOut);
+            self.deliver_verdict(now, ticket_of(seq), Verdict::TimedOut);
         }
-        match self.gradual.role {
-            Role::Candidate if self.gradual.burial.is_some() => self.succeed_holder(now),
-            _ => self.look_at_burial(now),
+        match self.rollout.role {
+            Role::Candidate if self.rollout.lost_peer.is_some() => self.succeed_holder(now),
+            _ => self.check_lost_peer(now),
         }
         if !housekeeping {
             return;
         }
-        self.send_told(now);
-        match self.gradual.role {
+        self.send_announced(now);
+        match self.rollout.role {
             Role::Alone => {}
-            Role::Holder => self.tend_candidate(now),
+            Role::Holder => self.check_candidate(now),
             Role::Candidate | Role::Successor => {
                 let caught_up = self.is_caught_up(now);
                 self.upgrade.send_frame(&Frame::CandidateAlive { caught_up });
-                if self.gradual.role == Role::Candidate {
-                    self.tell_ration(now);
+                if self.rollout.role == Role::Candidate {
+                    self.send_tallies(now);
                 }
             }
         }
-        for change in self.gradual.machine.take_transitions() {
-            let name = self.gradual.machine.plan().map_or("", |(plan, _)| &plan.name);
+        for change in self.rollout.machine.take_transitions() {
+            let name = self.rollout.machine.plan().map_or("", |(plan, _)| &plan.name);
             let (from, to) = (change.from.as_str(), change.to.as_str());
             let percent = change.share.percent();
             self.log
@@ -302,42 +305,42 @@
         }
     }
 
-    pub(super) fn tell_ration(&mut self, now: Micros) {
-        let ration = upgrade::to_rows(self.engine.tallies(self.tallied_until));
+    pub(super) fn send_tallies(&mut self, now: Micros) {
+        let tallies = upgrade::to_rows(self.engine.tallies(self.tallied_until));
         self.tallied_until = now;
-        if !ration.is_empty() {
-            self.upgrade.send_frame(&Frame::Tallies(ration));
+        if !tallies.is_empty() {
+            self.upgrade.send_frame(&Frame::Tallies(tallies));
         }
     }
 
     /// Forwards to the candidate that the client of a passed call has closed its sending side. Returns false if the call
     /// was not passed.
-    pub(super) fn passed_half_closed(&mut self, of: Ticket, since: Micros) -> bool {
-        let Some(seq) = seq(of) else { return false };
+    pub(super) fn forward_half_close(&mut self, of: Ticket, since: Micros) -> bool {
+        let Some(seq) = seq_of(of) else { return false };
         self.upgrade.send(&Message::HalfClosed { seq, since });
         true
     }
 
     /// Tells the engine that the client of a call passed to this process has closed its sending side.
-    pub(super) fn client_of_holder_half_closed(&mut self, now: Micros, seq: u64, since: Micros) {
-        if let Some(ticket) = self.gradual.calls.get(&seq).copied() {
+    pub(super) fn peer_client_half_closed(&mut self, now: Micros, seq: u64, since: Micros) {
+        if let Some(ticket) = self.rollout.calls.get(&seq).copied() {
             self.run_engine(|engine, out| engine.client_half_closed(now, ticket, since, out));
         }
     }
 
-    fn tend_candidate(&mut self, now: Micros) {
-        let (life, percent) = (self.gradual.machine.phase(), self.gradual.machine.share().percent());
-        self.upgrade.send_frame(&Frame::HolderAlive { phase: life.as_str().into(), percent });
-        let due = if life == Phase::Complete { 0.0 } else { percent / 100.0 };
+    fn check_candidate(&mut self, now: Micros) {
+        let (phase, percent) = (self.rollout.machine.phase(), self.rollout.machine.share().percent());
+        self.upgrade.send_frame(&Frame::HolderAlive { phase: phase.as_str().into(), percent });
+        let due = if phase == Phase::Complete { 0.0 } else { percent / 100.0 };
         self.engine.set_peer_share(due);
         if !self.superseded {
-            self.tell_ration(now);
+            self.send_tallies(now);
         }
-        let running = matches!(life, Phase::Stepping | Phase::Held | Phase::RollingBack | Phase::Complete);
-        let patience = if running { self.gradual.machine.max_silence() } else { IDLE_SILENCE };
-        self.gradual.looks += 1;
-        let looked = Micros::from(self.gradual.looks) * HOUSEKEEPING_US * 2 >= patience;
-        if now - self.gradual.heard >= patience && looked {
+        let running = matches!(phase, Phase::Stepping | Phase::Held | Phase::RollingBack | Phase::Complete);
+        let max_silence = if running { self.rollout.machine.max_silence() } else { MAX_IDLE_SILENCE_US };
+        self.rollout.silent_ticks += 1;
+        let ticked = Micros::from(self.rollout.silent_ticks) * HOUSEKEEPING_US * 2 >= max_silence;
+        if now - self.rollout.last_heard >= max_silence && ticked {
             // This process may have been stalled itself: frames that are not read yet count as signs of life.
             let before = self.upgrade.events.len();
             self.upgrade.poll_peer();
@@ -345,9 +348,9 @@
                 return self.give_up(now, "it says nothing");
             }
         }
-        let open = self.gradual.ledger.len();
-        if self.gradual.machine.tick(now, open) == Some(Action::Complete) {
-            self.hand_clients_over(now);
+        let open = self.rollout.ledger.len();
+        if self.rollout.machine.tick(now, open) == Some(Action::Complete) {
+            self.hand_over_clients(now);
         }
     }
 }
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -484,7 +484,7 @@
     /// The call goes by this ticket.
     pub(super) fn carry_turn(&mut self, ticket: Ticket, turn: Option<Turn>, advice: Vec<PreferredLocation>) {
         // A call without its blocks leaves nothing behind that could be found.
-        if !self.carries(ticket) {
+        if !self.carries_fields(ticket) {
             return;
         }
         if let (Some(t), Some(turn)) = (&mut self.turning, turn) {
