--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -4,6 +4,7 @@
 mod accord;
 mod admission;
 mod discovery;
+mod dispatch;
 mod drafts;
 mod lifecycle;
 mod operators;
@@ -11,7 +12,6 @@
 mod requests;
 mod rollout;
 mod stall;
-mod together;
 mod turns;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
@@ -55,7 +55,7 @@
 use crate::wake::{Handle, Wake};
 
 use admission::AdmissionControl;
-use drafts::Drafting;
+use drafts::DraftState;
 use request_log::Attempts;
 use rollout::{Role, RolloutState};
 use stall::StallDetector;
@@ -186,7 +186,7 @@
     host_starts: StartTimes,
     peers: Option<Peers>,
     membership: Option<Membership>,
-    drafting: Option<Box<Drafting>>,
+    drafts: Option<Box<DraftState>>,
     turning: Option<Box<Turning>>,
     /// The latest entry of each host that was found by DNS-SD.
     dns_hosts: BTreeMap<WorkerId, ListEntry>,
@@ -297,7 +297,7 @@
             host_starts: StartTimes::default(),
             peers: None,
             membership: None,
-            drafting: None,
+            drafts: None,
             turning: None,
             dns_hosts: BTreeMap::new(),
             agreed: None,
@@ -368,13 +368,13 @@
         let listeners = listeners.unwrap_or(Micros::MAX);
         let housekeeping = self.last_housekeeping + HOUSEKEEPING_US;
         let membership = self.membership.as_ref().map_or(Micros::MAX, |f| f.next_tick(now));
-        let drafting = self.drafting.as_ref().map_or(Micros::MAX, |d| d.next_tick(now));
+        let drafts = self.drafts.as_ref().map_or(Micros::MAX, |d| d.next_tick(now));
         let agreed = self.next_accord(now);
         engine
             .min(hosts)
             .min(discovery)
             .min(membership)
-            .min(drafting)
+            .min(drafts)
             .min(self.next_turn(now))
             .min(agreed)
             .min(listeners)
@@ -449,7 +449,7 @@
             self.run_engine(|engine, out| engine.tick(now, out));
             self.hosts.tick(now, &mut self.log);
             self.tick_members(now);
-            self.tend_drafts(now);
+            self.tick_drafts(now);
             self.propose_drafts(now);
             self.tend_turns();
             let housekeeping = self.last_housekeeping + HOUSEKEEPING_US <= now;
--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -390,7 +390,7 @@
     }
 
     fn put_in_force(&mut self, now: Micros) {
-        self.share_agreed();
+        self.apply_agreed();
         self.agreed_settings = self.agreed.as_ref().map(|a| a.in_force.settings(&a.base));
         let settings = self.effective_settings();
         self.run_engine(|engine, out| engine.update_terms(now, settings, out));
--- a/node/src/node/discovery.rs
+++ b/node/src/node/discovery.rs
@@ -212,11 +212,11 @@
         }
         let Some(setup) = &self.config.members else {
             self.leave_members(now);
-            self.attend_drafts(now);
+            self.update_drafts(now);
             return self.membership.take().into_iter().for_each(Membership::close);
         };
         if self.membership.as_mut().is_some_and(|membership| membership.reconfigure(setup)) {
-            self.attend_drafts(now);
+            self.update_drafts(now);
             return self.meet_turns();
         }
         self.membership.take().into_iter().for_each(Membership::close);
@@ -227,7 +227,7 @@
             }
             Err(e) => self.log.line(now, format_args!("the other activators are not watched: {e}")),
         }
-        self.attend_drafts(now);
+        self.update_drafts(now);
     }
 
     pub(super) fn members_ready(&mut self) {
--- a/node/src/node/together.rs
+++ b/node/src/node/dispatch.rs
@@ -1,6 +1,5 @@
-//! What parts of this activator say to their like at the others: heard by kind, and handed to the part whose it is.
-//! And what they say to each other: what is agreed says how far to draft and what weight sites have, and what is learnt of
-//! drafts is put forward as a change of what is agreed.
+//! Connects the agreed settings, drafts and turns with the other activators and with each other: dispatches received
+//! datagrams by kind, applies agreed drafts and site weights, and proposes learnt drafts as a change of the agreed settings.
 
 use wheellink_accord::{ActiveTerms, Change, Key, Value};
 use wheellink_drafts::{DraftTable, Workload};
@@ -9,40 +8,41 @@
 use crate::membership::envelope::{Envelope, Kind};
 
 impl Node {
-    /// Hands on what the members' socket brought for other parts. What comes for one that is off is dropped.
+    /// Dispatches the datagrams that the members' socket received. One for a feature that is off is dropped.
     pub(super) fn deliver_envelopes(&mut self, now: Micros) {
         let envelopes = self.membership.as_mut().map(Membership::take_envelopes).unwrap_or_default();
         for Envelope { from, kind, data } in envelopes {
             match kind {
                 Kind::Accord => self.heard_accord(now, from, &data),
-                Kind::Drafts => self.drafts_heard(now, from, &data),
+                Kind::Drafts => self.receive_drafts(now, from, &data),
                 Kind::Turns => self.hear_of_turns(from.0, &data),
             }
         }
     }
 
-    /// Hands drafts and sites what is obeyed from now on. Soft both: on two versions at once, the newer's.
-    pub(super) fn share_agreed(&mut self) {
+    /// Applies the agreed drafts and site weights. Both are soft keys: while two versions are in force, the newer version's
+    /// values apply.
+    pub(super) fn apply_agreed(&mut self) {
         let agreed = self.agreed.as_ref().map(|agreed| (agreed.acting(), agreed.newest()));
         let Some((acting, terms)) = agreed else {
-            self.drafting.iter_mut().for_each(|drafting| drafting.set_table(None));
-            return self.weigh_sites(BTreeMap::new());
+            self.drafts.iter_mut().for_each(|state| state.set_table(None));
+            return self.set_site_weights(BTreeMap::new());
         };
         let version = acting.version().map(|version| version.number);
         let (drafts, sites) = terms.map(|t| (t.drafts.clone(), t.sites.clone())).unwrap_or_default();
-        if let Some(drafting) = &mut self.drafting {
-            let entry = |((word, band), draft): ((String, u8), String)| {
-                Some(((Workload::new(&word).ok()?, band), draft.parse().ok()?))
+        if let Some(state) = &mut self.drafts {
+            let entry = |((workload, band), draft): ((String, u8), String)| {
+                Some(((Workload::new(&workload).ok()?, band), draft.parse().ok()?))
             };
             let table: DraftTable = drafts.into_iter().filter_map(entry).collect();
-            // Without a lease the document's floor holds, as version 0.
-            drafting.set_table(Some((version.unwrap_or(0), table)));
+            // Without a lease the document's floor applies, as version 0.
+            state.set_table(Some((version.unwrap_or(0), table)));
         }
-        self.weigh_sites(sites);
+        self.set_site_weights(sites);
     }
 
-    /// Sites of which nothing is said any more have the usual weight again.
-    fn weigh_sites(&mut self, sites: BTreeMap<String, u32>) {
+    /// Sets the weights of sites. A site without an entry gets the default weight again.
+    fn set_site_weights(&mut self, sites: BTreeMap<String, u32>) {
         let before = std::mem::replace(&mut self.site_weights, sites.clone());
         for label in before.keys().filter(|label| !sites.contains_key(*label)) {
             self.weigh_site(label, wheellink_turns::DEFAULT_WEIGHT);
@@ -50,18 +50,18 @@
         sites.iter().for_each(|(label, weight)| self.weigh_site(label, *weight as u16));
     }
 
-    /// Puts forward what was learnt of drafts, where one version alone is in force: two that do so at once differ in
-    /// nothing but who is first, and the other looks again.
+    /// Proposes the learnt drafts while a single version is in force. If two activators propose at once, the first proposal
+    /// is accepted and the other activator evaluates its evidence again.
     pub(super) fn propose_drafts(&mut self, now: Micros) {
-        if !self.drafting.as_ref().is_some_and(|drafting| drafting.wants()) {
+        if !self.drafts.as_ref().is_some_and(|state| state.has_proposal()) {
             return;
         }
         let Some(agreed) = &self.agreed else { return };
         let (ActiveTerms::Single(version, _), None) = (agreed.acting(), agreed.pending()) else { return };
         let base = version.number;
-        let Some(wanted) = self.drafting.as_mut().and_then(|drafting| drafting.take_wanted()) else { return };
+        let Some(proposed) = self.drafts.as_mut().and_then(|state| state.take_proposal()) else { return };
         let entry = |(path, draft): (String, String)| Some((Key::new(&path).ok()?, Value::Text(draft)));
-        let set: BTreeMap<_, _> = wanted.into_iter().filter_map(entry).collect();
+        let set: BTreeMap<_, _> = proposed.into_iter().filter_map(entry).collect();
         if !set.is_empty() {
             self.propose_own(now, "drafts", Change { base, set, ..Change::default() });
         }
--- a/node/src/node/drafts.rs
+++ b/node/src/node/drafts.rs
@@ -1,5 +1,5 @@
-//! How far to draft: what calls run, what their answers say of it, and what the fleet makes of that (`crates/drafts`).
-//! Off without `[drafts]` in an operator's file.
+//! Draft lengths: chooses the draft of each call, records what the answers report of it, and exchanges the counts with the
+//! other activators (`wheellink_drafts`). Off without `[drafts]` in an operator's file.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -13,8 +13,8 @@
 use crate::hosts::lines::Accepted;
 use crate::membership::envelope::Kind;
 
-/// What an attempt that is out runs under.
-struct Running {
+/// The draft of an attempt in flight.
+struct DraftRun {
     workload: Workload,
     draft: Draft,
     band: u8,
@@ -22,74 +22,75 @@
     host: WorkerId,
 }
 
-/// What a call that another process decides is to run.
-pub(super) struct Offer {
+/// The draft of a call that was passed to another process.
+pub(super) struct OfferedDraft {
     workload: Workload,
     pub(super) draft: Draft,
     version: u64,
 }
 
-/// See the module's page.
-pub(super) struct Drafting {
+/// The drafts of this activator.
+pub(super) struct DraftState {
     setup: Setup,
-    me: MemberId,
-    drafts: DraftLearner,
-    /// Its times run from here, on a clock that nobody sets.
+    own_id: MemberId,
+    learner: DraftLearner,
+    /// Start of the learner's times, on the monotonic clock.
     origin: Instant,
-    lots: fastrand::Rng,
-    /// What runs without a version, and what runs now.
+    rng: fastrand::Rng,
+    /// The file's own table, and the table in force.
     floor: DraftTable,
     table: DraftTable,
     version: u64,
-    /// One for each attempt that is out.
-    running: HashMap<AttemptId, Running>,
-    /// One for each call that was passed to another process, and the hosts to which such calls went last.
-    offered: HashMap<Ticket, Offer>,
-    went: HashMap<Workload, WorkerId>,
-    /// Of hosts: attempts of this activator that are out there, and calls that the host last said it holds.
-    out: HashMap<WorkerId, u32>,
-    told: HashMap<WorkerId, f64>,
-    /// Names of the others, for staff.
+    /// One entry for each attempt in flight.
+    in_flight: HashMap<AttemptId, DraftRun>,
+    /// One entry for each call that was passed to another process, and the host of the last such call of each workload.
+    offered: HashMap<Ticket, OfferedDraft>,
+    last_host: HashMap<Workload, WorkerId>,
+    /// By host: this activator's attempts in flight, and the calls in flight that the host reported last.
+    open: HashMap<WorkerId, u32>,
+    reported: HashMap<WorkerId, f64>,
+    /// Names of the members, for operators.
     names: BTreeMap<MemberId, String>,
-    /// What should be in force instead, by the evidence here.
-    wanted: Option<(Duration, DraftTable)>,
-    /// Answers that said nothing of drafting, and such as could not be read.
-    silent: u64,
-    unread: u64,
+    /// The table that should be in force by this activator's evidence, and when that was found.
+    proposed: Option<(Duration, DraftTable)>,
+    /// Answers without the field `accepted`, and answers whose field could not be parsed.
+    missing: u64,
+    invalid: u64,
 }
 
-/// Answers whose host tells no load know of this activator's own calls alone.
-fn band(calls: f64, bands: [f64; 3]) -> u8 {
+/// The load band of a number of calls in flight at a host.
+fn load_band(calls: f64, bands: [f64; 3]) -> u8 {
     bands.iter().filter(|from| calls >= **from).count() as u8
 }
 
-impl Drafting {
-    fn new(setup: &Setup, me: MemberId, seed: u64) -> Result<Self, String> {
+impl DraftState {
+    fn new(setup: &Setup, own_id: MemberId, seed: u64) -> Result<Self, String> {
         let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        // Only to tell this life from others of its name.
-        let life = start.as_nanos() as u64;
-        let drafts = DraftLearner::new(setup.settings()?, me, life, seed ^ life, Duration::ZERO);
-        let mut drafts = drafts.map_err(|e| format!("drafts.{e}"))?;
+        // Only distinguishes this process from earlier ones of the same member.
+        let incarnation = start.as_nanos() as u64;
+        let learner =
+            DraftLearner::new(setup.settings()?, own_id, incarnation, seed ^ incarnation, Duration::ZERO);
+        let mut learner = learner.map_err(|e| format!("drafts.{e}"))?;
         let floor = setup.floor()?;
-        drafts.set_table(Duration::ZERO, 0, floor.clone());
+        learner.set_table(Duration::ZERO, 0, floor.clone());
         Ok(Self {
             setup: setup.clone(),
-            me,
-            drafts,
+            own_id,
+            learner,
             origin: Instant::now(),
-            lots: fastrand::Rng::with_seed(seed.rotate_left(17) ^ life),
+            rng: fastrand::Rng::with_seed(seed.rotate_left(17) ^ incarnation),
             table: floor.clone(),
             floor,
             version: 0,
-            running: HashMap::new(),
+            in_flight: HashMap::new(),
             offered: HashMap::new(),
-            went: HashMap::new(),
-            out: HashMap::new(),
-            told: HashMap::new(),
+            last_host: HashMap::new(),
+            open: HashMap::new(),
+            reported: HashMap::new(),
             names: BTreeMap::new(),
-            wanted: None,
-            silent: 0,
-            unread: 0,
+            proposed: None,
+            missing: 0,
+            invalid: 0,
         })
     }
 
@@ -97,121 +98,120 @@
         self.origin.elapsed()
     }
 
-    /// The load band in which a host is, by what it said last and what is out there.
-    fn band_of(&self, host: &WorkerId) -> u8 {
-        let out = self.out.get(host).copied().unwrap_or(0);
-        band(self.told.get(host).copied().unwrap_or(0.0).max(f64::from(out)), self.setup.bands())
+    /// The load band of a host, by the load it reported last or this activator's attempts in flight, if these are more. For
+    /// a host that reports no load only the latter are known.
+    fn host_band(&self, host: &WorkerId) -> u8 {
+        let out = self.open.get(host).copied().unwrap_or(0);
+        load_band(self.reported.get(host).copied().unwrap_or(0.0).max(f64::from(out)), self.setup.bands())
     }
 
-    fn pick(&mut self, workload: &Workload, band: u8) -> Draft {
-        self.drafts.choose(workload, band, &self.table, self.lots.f64())
+    fn choose(&mut self, workload: &Workload, band: u8) -> Draft {
+        self.learner.choose(workload, band, &self.table, self.rng.f64())
     }
 
-    fn begins(&mut self, attempt: AttemptId, host: &WorkerId, running: Running) {
-        *self.out.entry(host.clone()).or_default() += 1;
-        self.running.insert(attempt, running);
+    fn start(&mut self, attempt: AttemptId, host: &WorkerId, running: DraftRun) {
+        *self.open.entry(host.clone()).or_default() += 1;
+        self.in_flight.insert(attempt, running);
     }
 
     pub(super) fn next_tick(&self, now: Micros) -> Micros {
-        let wait = self.drafts.wake_at().map(|at| at.saturating_sub(self.now()));
+        let wait = self.learner.wake_at().map(|at| at.saturating_sub(self.now()));
         wait.map_or(Micros::MAX, |wait| now.saturating_add(wait.as_micros() as Micros))
     }
 
-    /// The table of this version is in force from now on, over the file's own; `None`: none may be acted on, and the
-    /// file's own holds alone.
+    /// Puts the table of this version in force, on top of the file's own. With `None` no version may be acted on, and the
+    /// file's own table applies alone.
     pub(super) fn set_table(&mut self, version: Option<(u64, DraftTable)>) {
         let now = self.now();
         let (number, over) = version.unwrap_or_default();
         let before = std::mem::replace(&mut self.table, self.floor.clone());
         self.version = number;
         self.table.extend(over);
-        self.drafts.set_table(now, self.version, self.table.clone());
+        self.learner.set_table(now, self.version, self.table.clone());
         if before != self.table {
-            self.wanted = None;
+            self.proposed = None;
         }
     }
 
-    /// Whether something else should be in force.
-    pub(super) fn wants(&self) -> bool {
-        self.wanted.is_some()
+    /// Whether another table should be in force.
+    pub(super) fn has_proposal(&self) -> bool {
+        self.proposed.is_some()
     }
 
-    /// What should be in force instead, as entries of `draft/WORKLOAD/BAND` that differ, for a change that is based on the version
-    /// in force. Taken once; it comes back at the next look for as long as the evidence holds.
-    pub(super) fn take_wanted(&mut self) -> Option<Vec<(String, String)>> {
-        let (_, wanted) = self.wanted.take()?;
-        let differs = |((place, draft), table): (&(&(Workload, u8), &Draft), &DraftTable)| {
-            table.get(*place) != Some(draft)
-        };
-        let new = wanted.iter().filter(|entry| differs((entry, &self.table)));
-        Some(new.map(|((word, band), draft)| (format!("draft/{word}/{band}"), draft.to_string())).collect())
+    /// Takes the proposed table, as those entries `draft/WORKLOAD/BAND` that differ from the table in force, for a change
+    /// based on that version. The next review proposes it again for as long as the evidence holds.
+    pub(super) fn take_proposal(&mut self) -> Option<Vec<(String, String)>> {
+        let (_, proposed) = self.proposed.take()?;
+        let differs =
+            |((key, draft), table): (&(&(Workload, u8), &Draft), &DraftTable)| table.get(*key) != Some(draft);
+        let new = proposed.iter().filter(|entry| differs((entry, &self.table)));
+        Some(new.map(|((w, band), draft)| (format!("draft/{w}/{band}"), draft.to_string())).collect())
     }
 
     pub(super) fn show(&self) -> Value {
-        let view = self.drafts.view(self.now());
+        let view = self.learner.view(self.now());
         let table = |t: &DraftTable| -> BTreeMap<String, String> {
-            t.iter().map(|((word, band), draft)| (format!("{word}/{band}"), draft.to_string())).collect()
+            t.iter().map(|((w, band), draft)| (format!("{w}/{band}"), draft.to_string())).collect()
         };
         let names: BTreeMap<u32, &str> = self.names.iter().map(|(n, name)| (n.0, name.as_str())).collect();
-        json!({"table": table(&self.table), "floor": table(&self.floor), "wanted": self.wanted.as_ref().map(|(_, t)| table(t)),
-            "names": names, "out": self.running.len(), "silent": self.silent, "unread": self.unread, "learnt": view})
+        json!({"table": table(&self.table), "floor": table(&self.floor), "wanted": self.proposed.as_ref().map(|(_, t)| table(t)),
+            "names": names, "out": self.in_flight.len(), "silent": self.missing, "unread": self.invalid, "learnt": view})
     }
 }
 
 impl Node {
-    /// Learns drafts, where that is set up, in one life for as long as the setup is the same.
-    pub(super) fn attend_drafts(&mut self, now: Micros) {
+    /// Starts, updates or stops the learner as configured. A learner is kept for as long as its setup and member are the same.
+    pub(super) fn update_drafts(&mut self, now: Micros) {
         let Some(setup) = &self.config.drafts else {
-            self.drafting = None;
+            self.drafts = None;
             return;
         };
-        let me = self.membership.as_ref().map_or(MemberId(0), |f| MemberId(f.roster().0 .0));
-        if self.drafting.as_ref().is_none_or(|d| d.setup != *setup || d.me != me) {
-            match Drafting::new(setup, me, self.config.seed) {
-                Ok(drafting) => self.drafting = Some(Box::new(drafting)),
-                // The file was checked: this is said for whoever changes the one and not the other.
+        let own_id = self.membership.as_ref().map_or(MemberId(0), |f| MemberId(f.roster().0 .0));
+        if self.drafts.as_ref().is_none_or(|d| d.setup != *setup || d.own_id != own_id) {
+            match DraftState::new(setup, own_id, self.config.seed) {
+                Ok(state) => self.drafts = Some(Box::new(state)),
+                // Reached only if the check of the settings file and the learner's own check differ.
                 Err(problem) => self.log.line(now, format_args!("drafts are not learnt: {problem}")),
             }
         }
-        let (Some(drafting), Some(membership)) = (&mut self.drafting, &self.membership) else { return };
-        drafting.names =
-            membership.roster().1.map(|(number, name)| (MemberId(number.0), name.into())).collect();
-        let there = membership.present_count();
-        drafting.drafts.set_members(drafting.names.keys().copied(), there);
-        self.share_agreed();
+        let (Some(state), Some(membership)) = (&mut self.drafts, &self.membership) else { return };
+        state.names = membership.roster().1.map(|(number, name)| (MemberId(number.0), name.into())).collect();
+        let present = membership.present_count();
+        state.learner.set_members(state.names.keys().copied(), present);
+        self.apply_agreed();
     }
 
-    /// What this call drafts for, where drafts are on.
+    /// The workload of this call; `None` if drafts are off.
     fn workload_of(&self, pending: &Pending) -> Option<Workload> {
-        let d = self.drafting.as_ref()?;
+        let d = self.drafts.as_ref()?;
         let tenant = pending.new.tenant.filter(|_| d.setup.by_tenant);
         let tenant = tenant.and_then(|t| self.config.deployment.tenants.get(t)).map(String::as_str);
         Workload::new(&workload(&pending.call.class, tenant)).ok()
     }
 
-    /// The further fields of a call to a host: what it is to draft. Nothing where drafts are off.
-    pub(super) fn draft_for(&mut self, attempt: AttemptId, host: &WorkerId) -> String {
+    /// The draft field of a call to a host. Empty if drafts are off.
+    pub(super) fn draft_field(&mut self, attempt: AttemptId, host: &WorkerId) -> String {
         let workload = self.pending.get(&attempt.ticket).and_then(|pending| self.workload_of(pending));
-        let (Some(workload), Some(d)) = (workload, &mut self.drafting) else { return String::new() };
-        let band = d.band_of(host);
-        let draft = d.pick(&workload, band);
-        d.begins(attempt, host, Running { workload, draft, band, version: d.version, host: host.clone() });
+        let (Some(workload), Some(d)) = (workload, &mut self.drafts) else { return String::new() };
+        let band = d.host_band(host);
+        let draft = d.choose(&workload, band);
+        d.start(attempt, host, DraftRun { workload, draft, band, version: d.version, host: host.clone() });
         format!(",draft={draft}")
     }
 
-    /// What a call is to run that another process decides. Its host is not known yet: it is chosen as for the one to
-    /// which such a call went last.
-    pub(super) fn offer_draft(&mut self, pending: &Pending) -> Option<Offer> {
+    /// Chooses the draft of a call that is passed to another process. Its host is not known yet: the draft is chosen for the
+    /// load band of the host of the last such call.
+    pub(super) fn offer_draft(&mut self, pending: &Pending) -> Option<OfferedDraft> {
         let workload = self.workload_of(pending)?;
-        let d = self.drafting.as_mut()?;
-        let band = d.went.get(&workload).map_or(0, |host| d.band_of(host));
-        let draft = d.pick(&workload, band);
-        Some(Offer { workload, draft, version: d.version })
+        let d = self.drafts.as_mut()?;
+        let band = d.last_host.get(&workload).map_or(0, |host| d.host_band(host));
+        let draft = d.choose(&workload, band);
+        Some(OfferedDraft { workload, draft, version: d.version })
     }
 
-    /// The call was passed with this, or is over.
-    pub(super) fn offered(&mut self, ticket: Ticket, offer: Option<Offer>) {
-        if let Some(d) = &mut self.drafting {
+    /// Records the draft of a passed call, or removes it when the call is over.
+    pub(super) fn set_offered_draft(&mut self, ticket: Ticket, offer: Option<OfferedDraft>) {
+        if let Some(d) = &mut self.drafts {
             match offer {
                 Some(offer) => drop(d.offered.insert(ticket, offer)),
                 None => drop(d.offered.remove(&ticket)),
@@ -219,95 +219,95 @@
         }
     }
 
-    /// An attempt of a passed call goes to this host: what it runs is of the band in which the host is now.
-    pub(super) fn draft_begins(&mut self, attempt: AttemptId, host: &WorkerId) {
-        let Some(d) = &mut self.drafting else { return };
-        let Some(Offer { workload, draft, version }) = d.offered.get(&attempt.ticket) else { return };
+    /// Records that an attempt of a passed call is sent to this host. It counts for the host's present load band.
+    pub(super) fn draft_started(&mut self, attempt: AttemptId, host: &WorkerId) {
+        let Some(d) = &mut self.drafts else { return };
+        let Some(OfferedDraft { workload, draft, version }) = d.offered.get(&attempt.ticket) else { return };
         let (workload, draft, version) = (workload.clone(), *draft, *version);
-        if d.went.len() < d.drafts.settings().workloads || d.went.contains_key(&workload) {
-            d.went.insert(workload.clone(), host.clone());
+        if d.last_host.len() < d.learner.settings().workloads || d.last_host.contains_key(&workload) {
+            d.last_host.insert(workload.clone(), host.clone());
         }
-        let band = d.band_of(host);
-        d.begins(attempt, host, Running { workload, draft, band, version, host: host.clone() });
+        let band = d.host_band(host);
+        d.start(attempt, host, DraftRun { workload, draft, band, version, host: host.clone() });
     }
 
-    /// An attempt has ended: what its answer says of drafting is counted.
-    pub(super) fn drafted(
+    /// Records what the answer of an ended attempt reports of its draft.
+    pub(super) fn draft_ended(
         &mut self,
         now: Micros,
         attempt: AttemptId,
         end: &AttemptEnd,
         fields: &[(String, String)],
     ) {
-        let Some(d) = &mut self.drafting else { return };
-        let Some(running) = d.running.remove(&attempt) else { return };
-        if let Some(out) = d.out.get_mut(&running.host) {
+        let Some(d) = &mut self.drafts else { return };
+        let Some(running) = d.in_flight.remove(&attempt) else { return };
+        if let Some(out) = d.open.get_mut(&running.host) {
             *out -= 1;
             if *out == 0 {
-                d.out.remove(&running.host);
+                d.open.remove(&running.host);
             }
         }
         if let Some(report) = &end.report {
-            d.told.insert(running.host.clone(), report.in_flight);
+            d.reported.insert(running.host.clone(), report.in_flight);
         }
         if end.outcome != Outcome::Done {
             return;
         }
         let Some((_, text)) = fields.iter().find(|(name, _)| name == "accepted") else {
-            d.silent += 1;
+            d.missing += 1;
             return;
         };
-        let Some(said) = Accepted::read(text) else {
-            d.unread += 1;
-            if d.unread == 1 {
+        let Some(report) = Accepted::read(text) else {
+            d.invalid += 1;
+            if d.invalid == 1 {
                 let host = &running.host.0;
                 self.log.line(
                     now,
-                    format_args!("drafts: host {host} says accepted={text}, which has not the form"),
+                    format_args!("drafts: host {host} sent accepted={text}, which cannot be parsed"),
                 );
             }
             return;
         };
-        let Running { workload, draft, band, version, .. } = running;
-        let Accepted { rounds, accepted, tokens, micros } = said;
+        let DraftRun { workload, draft, band, version, .. } = running;
+        let Accepted { rounds, accepted, tokens, micros } = report;
         let time = Duration::from_micros(micros);
         let ran = CallStats { workload, draft, band, version, rounds, accepted, tokens, time };
-        // What cannot be is counted by its reason, and shown.
-        let _ = d.drafts.record_call(d.origin.elapsed(), &ran);
+        // The learner counts refused reports by reason, and its view shows them.
+        let _ = d.learner.record_call(d.origin.elapsed(), &ran);
     }
 
-    /// Another activator tells its counts.
-    pub(super) fn drafts_heard(&mut self, now: Micros, from: wheellink_members::MemberId, data: &[u8]) {
-        let Some(d) = &mut self.drafting else { return };
+    /// Handles the counts of another activator.
+    pub(super) fn receive_drafts(&mut self, now: Micros, from: wheellink_members::MemberId, data: &[u8]) {
+        let Some(d) = &mut self.drafts else { return };
         let mut out = Vec::new();
-        d.drafts.receive(d.origin.elapsed(), MemberId(from.0), data, &mut out);
-        self.carry_out_drafts(now, out);
+        d.learner.receive(d.origin.elapsed(), MemberId(from.0), data, &mut out);
+        self.execute_drafts(now, out);
     }
 
-    /// Does what is due.
-    pub(super) fn tend_drafts(&mut self, now: Micros) {
-        let Some(d) = &mut self.drafting else { return };
-        let here = d.now();
-        if d.drafts.wake_at().is_none_or(|at| at > here) {
+    /// Runs the learner's due work, and asks it for a proposal.
+    pub(super) fn tick_drafts(&mut self, now: Micros) {
+        let Some(d) = &mut self.drafts else { return };
+        let time = d.now();
+        if d.learner.wake_at().is_none_or(|at| at > time) {
             return;
         }
         if let Some(membership) = &self.membership {
-            d.drafts.set_members(d.names.keys().copied(), membership.present_count());
+            d.learner.set_members(d.names.keys().copied(), membership.present_count());
         }
-        d.told.retain(|host, _| self.hosts.is_known(host));
+        d.reported.retain(|host, _| self.hosts.is_known(host));
         let mut out = Vec::new();
-        d.drafts.wake(here, &mut out);
+        d.learner.wake(time, &mut out);
         let (table, version) = (d.table.clone(), d.version);
-        if let Some(wanted) = d.drafts.propose(here, &table, version) {
-            d.wanted = Some((here, wanted));
+        if let Some(proposed) = d.learner.propose(time, &table, version) {
+            d.proposed = Some((time, proposed));
         }
-        // Evidence that no longer says so does not bring it back.
-        let long = d.drafts.settings().review * 3;
-        d.wanted.take_if(|(at, _)| here.saturating_sub(*at) > long);
-        self.carry_out_drafts(now, out);
+        // A proposal that the evidence no longer supports is not renewed, and expires.
+        let max_age = d.learner.settings().review * 3;
+        d.proposed.take_if(|(at, _)| time.saturating_sub(*at) > max_age);
+        self.execute_drafts(now, out);
     }
 
-    fn carry_out_drafts(&mut self, now: Micros, out: Vec<Output>) {
+    fn execute_drafts(&mut self, now: Micros, out: Vec<Output>) {
         for out in out {
             match (out, &self.membership) {
                 (Output::Send { to, data }, Some(membership)) => {
--- a/node/src/node/operators.rs
+++ b/node/src/node/operators.rs
@@ -33,8 +33,8 @@
             control::Command::Metrics => self.show_metrics(),
             control::Command::Rollout(call) => self.operate_rollout(now, call),
             control::Command::Admission(call) => self.operate_admission(now, call),
-            control::Command::Drafts => match &self.drafting {
-                Some(drafting) => Response::json(200, drafting.show()),
+            control::Command::Drafts => match &self.drafts {
+                Some(drafts) => Response::json(200, drafts.show()),
                 None => Response::problem(404, "this activator learns no drafts"),
             },
             control::Command::Accord(change) => self.operate_accord(now, change.map(|change| *change)),
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -322,7 +322,7 @@
         match notice {
             hosts::PoolEvent::Attempt { attempt, end, body, fields } => {
                 self.log_attempt_end(attempt, end.outcome);
-                self.drafted(now, attempt, &end, &fields);
+                self.draft_ended(now, attempt, &end, &fields);
                 self.turn_ended(now, attempt, &end, &fields);
                 if let Some(pending) = self.pending.get_mut(&attempt.ticket) {
                     if let Some(passed) = &mut pending.passed {
--- a/node/src/node/rollout/candidate.rs
+++ b/node/src/node/rollout/candidate.rs
@@ -186,7 +186,7 @@
         if self.rollout.role == Role::Holder && self.engine.is_cold(&host) {
             self.upgrade.send_frame(&Frame::ColdSend { host: host.0.to_string(), at: now });
         }
-        let fields = self.draft_for(attempt, &host) + &self.blocks_of(attempt.ticket);
+        let fields = self.draft_field(attempt, &host) + &self.blocks_of(attempt.ticket);
         if let Some(pending) = self.pending.get(&attempt.ticket) {
             self.hosts.send(now, attempt, &host, (&pending.call, &fields), times, &mut self.log);
         }
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -86,7 +86,7 @@
         let fields = call_fields.to_fields();
         let frame = if fields.is_empty() { Frame::Call(call) } else { Frame::CallExt(call, fields) };
         self.upgrade.send_frame(&frame)?;
-        self.offered(ticket_of(seq), offer);
+        self.set_offered_draft(ticket_of(seq), offer);
         let passed = self.rollout.ledger.pass(seq, &policy, pending.new.due, size);
         debug_assert!(passed.is_ok(), "the capacity was checked above");
         (self.rollout.last_seq, self.rollout.counts.passed) = (seq, self.rollout.counts.passed + 1);
@@ -114,7 +114,7 @@
         let attempt = AttemptId { ticket: ticket_of(seq), number };
         self.rollout.in_flight.insert(seq, number);
         self.turn_sent(now, attempt, host);
-        self.draft_begins(attempt, host);
+        self.draft_started(attempt, host);
     }
 
     /// Records the end of a passed call's attempt; a second call has no effect. Only the holder learns from what the host
@@ -122,7 +122,7 @@
     fn passed_ended(&mut self, now: Micros, seq: u64, end: AttemptEnd, fields: &[(String, String)]) {
         let Some(number) = self.rollout.in_flight.remove(&seq) else { return };
         let attempt = AttemptId { ticket: ticket_of(seq), number };
-        self.drafted(now, attempt, &end, fields);
+        self.draft_ended(now, attempt, &end, fields);
         self.turn_ended(now, attempt, &end, fields);
     }
 
@@ -131,7 +131,7 @@
     pub(in crate::node) fn passed_call_over(&mut self, now: Micros, of: Ticket) {
         let Some(seq) = seq_of(of) else { return };
         self.passed_ended(now, seq, Outcome::Cancelled.into(), &[]);
-        self.offered(of, None);
+        self.set_offered_draft(of, None);
     }
 
     /// Handles the departure of a passed call's client. Returns false if the call was not passed.
