--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -336,7 +336,7 @@
             if let Some(holder) = state.rollout.clone() {
                 // The holder keeps the load budget.
                 let tallies = std::mem::take(&mut legacy.tallies);
-                node.become_candidate(now, holder, tallies);
+                node.join_rollout(now, holder, tallies);
             }
             node.run_engine(|engine, out| engine.inherit(now, legacy, out));
         }
--- a/node/src/node/rollout.rs
+++ b/node/src/node/rollout.rs
@@ -231,12 +231,10 @@
 
     /// Whether only the new version knows this class, and calls are passed to it now.
     pub(super) fn only_peer_decides(&self, class: &str) -> bool {
-        let rollout = &self.rollout;
-        let open = rollout.role == Role::Holder
-            && rollout.machine.passes_calls()
-            && rollout.machine.share() > Share::NONE;
+        let r = &self.rollout;
+        let open = r.role == Role::Holder && r.machine.passes_calls() && r.machine.share() > Share::NONE;
         open && self.config.deployment.class(class).is_none()
-            && rollout.peer.classes.iter().any(|c| c.name == class)
+            && r.peer.classes.iter().any(|c| c.name == class)
     }
 }
 
--- a/node/src/node/rollout/candidate.rs
+++ b/node/src/node/rollout/candidate.rs
@@ -6,16 +6,10 @@
 
 impl Node {
     /// Starts this process as a candidate.
-    pub(in crate::node) fn become_candidate(
-        &mut self,
-        now: Micros,
-        holder: VersionInfo,
-        tallies: Vec<Tally>,
-    ) {
+    pub(in crate::node) fn join_rollout(&mut self, now: Micros, holder: VersionInfo, rows: Vec<Tally>) {
         self.log.line(now, format_args!("rollout: a candidate beside version {}", holder.version));
-        let rollout = &mut self.rollout;
-        (rollout.role, rollout.peer, rollout.tallies, rollout.last_heard) =
-            (Role::Candidate, holder, tallies, now);
+        let r = &mut self.rollout;
+        (r.role, r.peer, r.tallies, r.last_heard) = (Role::Candidate, holder, rows, now);
         self.apply_policies(now);
     }
 
@@ -32,9 +26,8 @@
             }
             Frame::OrderReply { order, granted } => self.order_answered(now, OrderId(order), granted),
             Frame::ColdSend { host, at } => self.note_cold_send(now, host.as_str().into(), at),
-            Frame::Tallies(tallies) if successor => {
-                let state =
-                    HandoverState { tallies: upgrade::from_rows(&tallies), ..HandoverState::default() };
+            Frame::Tallies(rows) if successor => {
+                let state = HandoverState { tallies: upgrade::from_rows(&rows), ..HandoverState::default() };
                 self.run_engine(|engine, out| engine.inherit(now, state, out));
             }
             Frame::Tallies(tallies) => {
@@ -100,7 +93,7 @@
         let draft = call_fields.draft.map_or(String::new(), |draft| format!(",draft={draft}"));
         let blocks = call_fields.turn.as_ref().map_or(String::new(), |(.., prefix)| lines::blocks(prefix));
         let from = PassedFields { request: draft + &blocks, ..PassedFields::default() };
-        let preferred = self.to_locations(now, &call_fields.sites, &new);
+        let preferred = self.locations_of(now, &call_fields.sites, &new);
         let call = Call {
             id: passed.id.into(),
             class: passed.class,
@@ -130,7 +123,7 @@
 
     /// Translates the holder's preferred sites into locations of this process's host list. Tells the engine about copies
     /// that the file places at these sites.
-    fn to_locations(&mut self, now: Micros, sites: &[Site], new: &NewRequest) -> Vec<PreferredLocation> {
+    fn locations_of(&mut self, now: Micros, sites: &[Site], new: &NewRequest) -> Vec<PreferredLocation> {
         let zones = &self.config.deployment.zones;
         let location = |site: &Site| match site {
             Site::Cell(cell) => Some(PreferredLocation::Cell(*cell)),
--- a/node/src/node/rollout/holder.rs
+++ b/node/src/node/rollout/holder.rs
@@ -81,7 +81,7 @@
             offer = self.offer_draft(pending);
             call_fields.turn = turn.map(|t| (t.conversation, t.new_blocks, t.prefix.clone()));
             call_fields.draft = offer.as_ref().map(|offer| offer.draft);
-            call_fields.sites = preferred.iter().filter_map(|location| self.to_site(location)).collect();
+            call_fields.sites = preferred.iter().filter_map(|location| self.site_of(location)).collect();
         }
         let fields = call_fields.to_fields();
         let frame = if fields.is_empty() { Frame::Call(call) } else { Frame::CallExt(call, fields) };
@@ -94,7 +94,7 @@
     }
 
     /// A preferred location in the form that the other version understands.
-    fn to_site(&self, location: &PreferredLocation) -> Option<Site> {
+    fn site_of(&self, location: &PreferredLocation) -> Option<Site> {
         match location {
             PreferredLocation::Cell(cell) => Some(Site::Cell(*cell)),
             PreferredLocation::Zone(zone) => {
