--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -407,9 +407,9 @@
     /// Applies the terms in force to drafts, sites, the engine and the hosts. Attempts that are not sent yet are withheld,
     /// so that the engine decides them again under the new settings.
     fn apply_agreed(&mut self, now: Micros) {
-        self.share_agreed();
+        self.apply_agreed();
         self.agreed_settings = self.agreed.as_ref().map(|a| a.in_force.settings(&a.base));
-        let settings = self.binding();
+        let settings = self.effective_settings();
         self.run_engine(|engine, out| engine.update_terms(now, settings, out));
         let hosts: Vec<WorkerId> = self.hosts.listed().cloned().collect();
         self.update_agreed_out(now, hosts.iter());
@@ -422,7 +422,7 @@
             }
         }
         self.commands = kept;
-        withheld.into_iter().for_each(|(attempt, host)| self.withheld(now, attempt, host));
+        withheld.into_iter().for_each(|(attempt, host)| self.announce_unsent(now, attempt, host));
     }
 
     /// Takes these hosts out of service or back in, according to the terms in force.
--- a/node/src/node/turns.rs
+++ b/node/src/node/turns.rs
@@ -500,7 +500,7 @@
     /// Keeps the turn of a call that was submitted under this ticket.
     pub(super) fn attach_turn(&mut self, ticket: Ticket, turn: Option<Turn>, advice: Vec<PreferredLocation>) {
         // A call that is sent without its blocks leaves no blocks in the host's cache.
-        if !self.carries(ticket) {
+        if !self.carries_fields(ticket) {
             return;
         }
         if let (Some(t), Some(turn)) = (&mut self.turn_routing, turn) {
