--- a/node/src/node/accord.rs
+++ b/node/src/node/accord.rs
@@ -407,7 +407,7 @@
     /// Applies the terms in force to drafts, sites, the engine and the hosts. Attempts that are not sent yet are withheld,
     /// so that the engine decides them again under the new settings.
     fn apply_agreed(&mut self, now: Micros) {
-        self.apply_agreed();
+        self.apply_soft_terms();
         self.agreed_settings = self.agreed.as_ref().map(|a| a.in_force.settings(&a.base));
         let settings = self.effective_settings();
         self.run_engine(|engine, out| engine.update_terms(now, settings, out));
--- a/node/src/node/dispatch.rs
+++ b/node/src/node/dispatch.rs
@@ -22,7 +22,7 @@
 
     /// Applies the agreed drafts and site weights. Both are soft keys: while two versions are in force, the newer version's
     /// values apply.
-    pub(super) fn apply_agreed(&mut self) {
+    pub(super) fn apply_soft_terms(&mut self) {
         let agreed = self.agreed.as_ref().map(|agreed| (agreed.active(), agreed.newest_terms()));
         let Some((acting, terms)) = agreed else {
             self.drafts.iter_mut().for_each(|state| state.set_table(None));
--- a/node/src/node/drafts.rs
+++ b/node/src/node/drafts.rs
@@ -178,7 +178,7 @@
         state.names = membership.roster().1.map(|(number, name)| (MemberId(number.0), name.into())).collect();
         let present = membership.present_count();
         state.learner.set_members(state.names.keys().copied(), present);
-        self.apply_agreed();
+        self.apply_soft_terms();
     }
 
     /// The workload of this call; `None` if drafts are off.
