--- a/crates/turns/src/histories.rs
+++ b/crates/turns/src/histories.rs
@@ -213,7 +213,7 @@
     fn arrived(&mut self, now: f64, chat: usize, left: f64) {
         let t = &mut self.chats[chat];
         t.active = true;
-        let (by, liar) = (t.by, t.tenant == LYING_TENANT);
+        let (by, is_lying) = (t.by, t.tenant == LYING_TENANT);
         let turn = Turn {
             conversation: t.number,
             tenant: t.tenant,
@@ -228,7 +228,7 @@
         self.record(now, Event::Arrived { id, by, value });
         let sites = self.sites();
         let advice = self.routers[by].place(at(now), &turn, &sites);
-        if liar && !advice.choices.is_empty() {
+        if is_lying && !advice.choices.is_empty() {
             let (answers, influenced) = (self.lying_answers, advice.choices[0].expected_blocks > 0);
             self.record(now, Event::LyingTurn { answers, influenced });
         }
@@ -273,10 +273,10 @@
     /// Sends an attempt to the first of these sites; the others are for retries.
     fn send(&mut self, now: f64, id: u64, chat: usize, turn: Turn, mut choices: Vec<usize>) {
         let site = choices.remove(0);
-        let (by, liar, displaced) =
+        let (by, is_lying, displaced) =
             (self.chats[chat].by, self.chats[chat].tenant == LYING_TENANT, self.chats[chat].displaced);
         let found = turn.prefix.iter().take_while(|b| self.caches[site].contains(b)).count();
-        let found = if liar { 0 } else { found };
+        let found = if is_lying { 0 } else { found };
         self.caches[site].extend(&turn.prefix);
         let blocks = turn.prefix.len() - found;
         self.record(now, Event::Sent { id, by, site, blocks, displaced });
--- a/crates/turns/tests/properties.rs
+++ b/crates/turns/tests/properties.rs
@@ -262,14 +262,14 @@
     for i in 0..400u64 {
         let honest = Turn { tenant: 1, ..turn((i % 40) as u8, 12, 0, false, false) };
         serve(&mut turns, i as f64 * 0.05, 2 * i, &honest, 4, if i < 40 { 0 } else { 12 });
-        let liar = Turn { tenant: 2, conversation: 5_000 + i % 10, ..turn(200, 12, 0, false, false) };
-        serve(&mut turns, i as f64 * 0.05, 2 * i + 1, &liar, 4, 0);
+        let lying_turn = Turn { tenant: 2, conversation: 5_000 + i % 10, ..turn(200, 12, 0, false, false) };
+        serve(&mut turns, i as f64 * 0.05, 2 * i + 1, &lying_turn, 4, 0);
     }
     let view = turns.view(at(21.0));
     assert_eq!(view.distrusted_tenants, 1);
     assert!(view.sites.iter().all(|s| s.horizon > 500.0), "wrong hashes changed horizons: {:?}", view.sites);
-    let liar = Turn { tenant: 2, ..turn(200, 12, 0, false, false) };
-    let advice = turns.place(at(21.0), &liar, &sites(4));
+    let lying_turn = Turn { tenant: 2, ..turn(200, 12, 0, false, false) };
+    let advice = turns.place(at(21.0), &lying_turn, &sites(4));
     assert!(advice.choices.iter().all(|c| c.expected_blocks == 0), "{advice:?}");
     let honest = Turn { tenant: 1, ..turn(7, 12, 0, false, false) };
     assert!(turns.place(at(21.0), &honest, &sites(4)).choices[0].expected_blocks > 8);
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -332,13 +332,13 @@
         if let Some(state) = &state {
             // After the host list, because a full list resets the engine's estimates of hosts.
             let now = node.clock.now();
-            let mut legacy = state.engine_state();
+            let mut handover = state.engine_state();
             if let Some(holder) = state.rollout.clone() {
                 // The holder keeps the load budget.
-                let tallies = std::mem::take(&mut legacy.tallies);
+                let tallies = std::mem::take(&mut handover.tallies);
                 node.join_rollout(now, holder, tallies);
             }
-            node.run_engine(|engine, out| engine.inherit(now, legacy, out));
+            node.run_engine(|engine, out| engine.inherit(now, handover, out));
         }
         node.process_events();
         Ok(node)
--- a/node/src/node/admission.rs
+++ b/node/src/node/admission.rs
@@ -229,10 +229,10 @@
         }
     }
 
-    fn open_client(&mut self, now: Micros, guest: AcceptedClient) -> Option<ConnId> {
+    fn open_client(&mut self, now: Micros, client: AcceptedClient) -> Option<ConnId> {
         match &mut self.mode {
-            Mode::Platform(front, _) => front.accept(now, guest, &mut self.log),
-            Mode::Operator { front, .. } => front.accept(now, guest, &mut self.log),
+            Mode::Platform(front, _) => front.accept(now, client, &mut self.log),
+            Mode::Operator { front, .. } => front.accept(now, client, &mut self.log),
         }
     }
 
--- a/node/src/node/lifecycle.rs
+++ b/node/src/node/lifecycle.rs
@@ -64,12 +64,12 @@
                 self.log.line(now, "another process connected during a rollout and was refused");
                 self.upgrade.refuse(id, "a rollout is under way");
             }
-            PeerEvent::Arrived(id, hail) => {
-                let hail = hail.and_then(|hail| Some((self.candidate_reply(&hail)?, hail)));
+            PeerEvent::Arrived(id, info) => {
+                let info = info.and_then(|info| Some((self.candidate_reply(&info)?, info)));
                 let socket = self.client_listener.as_ref().map(Listener::share);
                 let Some(Ok(socket)) = socket else { return };
                 let mut state = self.state();
-                match hail {
+                match info {
                     None => self.log.line(now, "a new process comes to take this one's place"),
                     Some((answer, theirs)) => {
                         state.rollout = Some(answer);
@@ -100,9 +100,9 @@
             PeerEvent::Message(Message::Tally { clients, tallies }) => {
                 self.peer_clients = clients;
                 self.update_limits();
-                let legacy =
+                let handover =
                     HandoverState { tallies: upgrade::from_rows(&tallies), ..HandoverState::default() };
-                self.run_engine(|engine, out| engine.inherit(now, legacy, out));
+                self.run_engine(|engine, out| engine.inherit(now, handover, out));
             }
             PeerEvent::Message(Message::HalfClosed { seq, since }) => {
                 self.peer_client_half_closed(now, seq, since)
--- a/node/src/node/requests.rs
+++ b/node/src/node/requests.rs
@@ -297,8 +297,8 @@
                 front.reply_turn(now, origin, reply, found, &mut self.log)
             }
             (_, Origin::Peer(seq), _) => {
-                let said = pending.passed.take().map(|p| p.reply).unwrap_or_default();
-                self.answer_holder(*seq, reply, said)
+                let fields = pending.passed.take().map(|p| p.reply).unwrap_or_default();
+                self.answer_holder(*seq, reply, fields)
             }
             _ => self.reply(now, &pending.origin, reply),
         }
--- a/node/tests/drafts.rs
+++ b/node/tests/drafts.rs
@@ -345,8 +345,8 @@
         let view = fleet.view(i);
         let members = view["learnt"]["members"].as_array().unwrap().clone();
         let names = view["names"].as_object().unwrap().clone();
-        let mine = members.iter().find(|m| !names.contains_key(&m["member"].to_string())).unwrap();
-        mine["rounds"].as_u64().unwrap()
+        let own_row = members.iter().find(|m| !names.contains_key(&m["member"].to_string())).unwrap();
+        own_row["rounds"].as_u64().unwrap()
     };
     wait_for("the last counts", || fleet.rounds(1, 2).0 == own(2) && fleet.rounds(2, 1).0 == own(1));
     let calls: u32 = fleet.model.seen.lock().unwrap().values().sum();
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -179,8 +179,8 @@
     let idle = idle_clients(&p, 100);
     let callers: Vec<_> = (0..20).map(|_| p.connect_control()).collect();
     callers.iter().for_each(|mut c| c.write_all(b"POST /standby HTTP/1.1\r\n").unwrap());
-    let guest = || UnixStream::connect(meeting_place(p.address)).unwrap();
-    let guests: Vec<_> = (0..8).map(|_| guest()).collect();
+    let stranger = || UnixStream::connect(meeting_place(p.address)).unwrap();
+    let strangers: Vec<_> = (0..8).map(|_| stranger()).collect();
     let mut max_used = 0;
     for _ in 1..=32 {
         let code = read_frame(&mut client).expect("an answer").code;
@@ -195,7 +195,7 @@
     assert!(found.is_empty(), "{found:?}");
     p.terminate();
     assert!(p.ended().success());
-    drop((idle, callers, guests));
+    drop((idle, callers, strangers));
 }
 
 /// An upgrade works while clients hold all the descriptors that they can: the new process accepts clients, and the old
